--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -9,8 +9,8 @@
 	"io"
 	"os"
 
-	nc "aspenshed"
-	"aspenshed/internal/proto/simwire"
+	"aspenshed"
+	"aspenshed/internal/protocol/simwire"
 )
 
 func main() {
@@ -25,7 +25,7 @@
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriterSize(out, 1<<20)
-	h := host{dec: simwire.NewDecoder(), routers: map[int64]*nc.Router{}}
+	h := host{dec: simwire.NewDecoder(), routers: map[int64]*aspenshed.Router{}}
 	var reply []byte
 	for n := 1; ; n++ {
 		line, err := r.ReadBytes('\n')
@@ -55,14 +55,14 @@
 
 type host struct {
 	dec     *simwire.Decoder
-	routers map[int64]*nc.Router
+	routers map[int64]*aspenshed.Router
 }
 
 // step gives each instance its events of the batch, in order. An instance
 // that stops and starts within the batch is stepped before and after.
 func (h *host) step(b simwire.Batch) (acts []simwire.Directed, faults []simwire.Fault, err error) {
 	var order []int64
-	pending := map[int64][]nc.Event{}
+	pending := map[int64][]aspenshed.Event{}
 	flush := func(id int64) {
 		events, ok := pending[id]
 		if !ok {
@@ -84,12 +84,12 @@
 			return nil, nil, fmt.Errorf("field items[%d].driver: no instance %d is running", i, it.Driver)
 		case it.Start != nil:
 			delete(pending, it.Driver)
-			r, newErr := nc.New(it.Start.Settings, it.Start.Seed)
+			r, newErr := aspenshed.New(it.Start.Settings, it.Start.Seed)
 			if newErr != nil {
 				faults = append(faults, simwire.Fault{Driver: it.Driver, Text: newErr.Error()})
 			}
 			h.routers[it.Driver] = r
-			order, pending[it.Driver] = append(order, it.Driver), []nc.Event{}
+			order, pending[it.Driver] = append(order, it.Driver), []aspenshed.Event{}
 		case it.Stop:
 			delete(pending, it.Driver)
 			delete(h.routers, it.Driver)
@@ -107,7 +107,7 @@
 }
 
 // guarded steps a router and turns a panic into text.
-func guarded(r *nc.Router, now nc.Nanos, events []nc.Event) (out []nc.Action, fault string) {
+func guarded(r *aspenshed.Router, now aspenshed.Nanos, events []aspenshed.Event) (out []aspenshed.Action, fault string) {
 	defer func() {
 		if p := recover(); p != nil {
 			out, fault = nil, fmt.Sprint(p)
--- a/cmd/aspenshed/customers_test.go
+++ b/cmd/aspenshed/customers_test.go
@@ -23,7 +23,7 @@
 		switch {
 		case err != nil:
 			return err
-		case d.IsDir() && (name == "internal/lab" || name == "journal" || strings.HasPrefix(d.Name(), ".") && d.Name() != ".."):
+		case d.IsDir() && (name == "internal/experiment" || name == "journal" || strings.HasPrefix(d.Name(), ".") && d.Name() != ".."):
 			return filepath.SkipDir
 		case name == "internal/daemon/demo.go", strings.HasSuffix(name, "_test.go"), !strings.HasSuffix(name, ".go") && name != "deploy/balancer.toml" && name != "Makefile":
 			return nil
--- a/cmd/aspenshed/experiment.go
+++ b/cmd/aspenshed/experiment.go
@@ -8,8 +8,8 @@
 	"github.com/sirupsen/logrus"
 	"github.com/spf13/cobra"
 
-	"aspenshed/internal/lab/standin"
-	"aspenshed/internal/lab/trial"
+	"aspenshed/internal/experiment/standin"
+	"aspenshed/internal/experiment/trial"
 )
 
 func newExperiment(o *options) *cobra.Command {
--- a/cmd/aspenshed/gateway.go
+++ b/cmd/aspenshed/gateway.go
@@ -3,57 +3,57 @@
 import (
 	"runtime/debug"
 
-	nc "aspenshed"
+	"aspenshed"
 
 	"github.com/sirupsen/logrus"
 
-	"aspenshed/internal/core"
+	"aspenshed/internal/config"
 	"aspenshed/internal/daemon"
-	"aspenshed/internal/front"
-	"aspenshed/internal/front/platform"
+	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/dataplane/pipeline"
+	"aspenshed/internal/discovery"
+	"aspenshed/internal/frontend/postgres"
+	"aspenshed/internal/frontend/session"
 	"aspenshed/internal/netio"
-	"aspenshed/internal/source/config"
-	"aspenshed/internal/source/discovery"
-	"aspenshed/internal/stage/estate"
 )
 
 const (
-	acceptAfterTerm = nc.Nanos(450e6)  // new connections still come for 0.4 s after SIGTERM, and take a moment to come up
-	lastServed      = nc.Nanos(1700e6) // from then on before SIGKILL connections are closed between requests
-	lastAnswer      = nc.Nanos(300e6)  // and what is still held then gets its answer
-	drainTick       = nc.Nanos(10e6)
-	clientLimit     = nc.Nanos(2e9)   // for a client without a request: to send one, and between two
-	spareLimit      = nc.Nanos(200e6) // the same where connections are scarce: clients hold a third of all descriptors at most
-	otherFiles      = 32              // standard streams, epoll, listener, timers
+	acceptAfterTerm = aspenshed.Nanos(450e6)  // new connections still come for 0.4 s after SIGTERM, and take a moment to come up
+	lastServed      = aspenshed.Nanos(1700e6) // from then on before SIGKILL connections are closed between requests
+	lastAnswer      = aspenshed.Nanos(300e6)  // and what is still held then gets its answer
+	drainTick       = aspenshed.Nanos(10e6)
+	clientLimit     = aspenshed.Nanos(2e9)   // for a client without a request: to send one, and between two
+	spareLimit      = aspenshed.Nanos(200e6) // the same where connections are scarce: clients hold a third of all descriptors at most
+	otherFiles      = 32                     // standard streams, epoll, listener, timers
 	mostHeld        = 8192
 )
 
-// gateway is the platform's side of the program: one estate behind the thin front.
+// gateway is the platform's side of the program: one pipeline behind the thin front.
 type gateway struct {
-	node    *config.Node
-	log     *logrus.Entry
-	loop    *core.Loop
-	net     *netio.Net
-	front   *platform.Front
-	watcher *discovery.Watcher
-	estate  *estate.Estate
-	fares   *daemon.Front // nil: the MySQL front is off
+	node     *config.Node
+	log      *logrus.Entry
+	loop     *eventloop.Loop
+	net      *netio.Net
+	front    *postgres.Front
+	watcher  *discovery.Watcher
+	pipeline *pipeline.Pipeline
+	fares    *daemon.Front // nil: the MySQL front is off
 
 	draining bool
 }
 
-func newGateway(node *config.Node, deploy *config.Deploy, clock core.Clock) (*gateway, error) {
+func newGateway(node *config.Node, deploy *config.Deploy, clock eventloop.Clock) (*gateway, error) {
 	log := logrus.WithField("node", node.Name)
 	known, faults := discovery.Convert(node.Known, node.Zones) // those left are words of a newer release: nothing to stop for
 	var err error
-	g := &gateway{node: node, log: log, loop: core.NewLoop(clock)}
+	g := &gateway{node: node, log: log, loop: eventloop.NewLoop(clock)}
 	g.loop.Panicked = func(p any) {
 		log.WithFields(logrus.Fields{"panic": p, "stack": string(debug.Stack())}).Error("panic on the loop: it goes on")
 	}
 	files := node.Limits.Sockets - otherFiles
 	clients := files * 6 / 10
-	g.front = &platform.Front{Desk: front.Desk{Loop: g.loop, Settings: &node.Settings,
-		Limits: front.Limits{Silent: clientLimit, Idle: clientLimit, Roomy: node.Limits.Sockets / 4, Spare: spareLimit}}}
+	g.front = &postgres.Front{Manager: session.Manager{Loop: g.loop, Settings: &node.Settings,
+		Limits: session.Limits{Silent: clientLimit, Idle: clientLimit, Roomy: node.Limits.Sockets / 4, Spare: spareLimit}}}
 	ready := make(chan struct{})
 	g.net, err = netio.New(netio.Config{Name: "platform", Listen: node.Listen, Clients: clients, Dials: files * 4 / 10, Reserved: files / 20,
 		Accept: func(c *netio.Conn) netio.Handler {
@@ -70,13 +70,13 @@
 	if node.MostHeld > 0 {
 		held = min(held, node.MostHeld)
 	}
-	g.estate = estate.New(estate.Config{Loop: g.loop, Log: log, Settings: node.Settings, Seed: node.SeedNumber(),
-		MostHeld: held, Backend: &platform.Backend{Net: g.net, Loop: g.loop}, Watch: g.watcher.Watch})
-	g.watcher.Changed = func(u discovery.Update) { g.estate.Members(u.List, u.Addresses) }
-	g.watcher.Broke = g.estate.DiscoveryBroke
-	g.front.Take, g.front.Leave, g.front.Rejected = g.estate.Intake.Take, g.estate.Leave, g.estate.Book.Rejected
+	g.pipeline = pipeline.New(pipeline.Config{Loop: g.loop, Log: log, Settings: node.Settings, Seed: node.SeedNumber(),
+		MostHeld: held, Backend: &postgres.Backend{Net: g.net, Loop: g.loop}, Watch: g.watcher.Watch})
+	g.watcher.Changed = func(u discovery.Update) { g.pipeline.Members(u.List, u.Addresses) }
+	g.watcher.Broke = g.pipeline.DiscoveryBroke
+	g.front.Take, g.front.Leave, g.front.Rejected = g.pipeline.Accept.Take, g.pipeline.Leave, g.pipeline.Accounting.Rejected
 	known.List.Whole, known.List.Remnant = true, true
-	if err := g.estate.Start(known.List, known.Addresses); err != nil {
+	if err := g.pipeline.Start(known.List, known.Addresses); err != nil {
 		return nil, err
 	}
 	if deploy.MySQL.Listen != "" {
@@ -101,19 +101,19 @@
 		return
 	}
 	g.draining = true
-	logrus.WithField("live", g.estate.Relay.Live()).Info("draining")
+	logrus.WithField("live", g.pipeline.Response.Live()).Info("draining")
 	start, kill := g.loop.Now(), g.killAfter()
 	closeFrom, answerAll := start+max(acceptAfterTerm, kill-lastServed), start+kill-lastAnswer
 	var tick func()
 	tick = func() {
 		now := g.loop.Now()
 		if now >= answerAll { // what is unanswered when SIGKILL comes is lost
-			g.estate.FailAll("the gateway ends")
+			g.pipeline.FailAll("the gateway ends")
 		}
 		if now >= closeFrom {
 			g.front.CloseIdle()
 		}
-		left := g.net.Clients() + g.estate.Relay.Live()
+		left := g.net.Clients() + g.pipeline.Response.Live()
 		if g.fares != nil {
 			left += g.fares.Left(true)
 		}
@@ -134,7 +134,7 @@
 
 // killAfter is how soon after SIGTERM the platform may send SIGKILL: the longest deadline, counted as 3 s where it
 // is longer, and 0.7 s.
-func (g *gateway) killAfter() (after nc.Nanos) {
+func (g *gateway) killAfter() (after aspenshed.Nanos) {
 	for _, c := range g.node.Settings.Classes {
 		after = max(after, c.GiveUp)
 	}
@@ -162,7 +162,7 @@
 
 // stop writes the last counts.
 func (g *gateway) stop() {
-	g.estate.Book.Write(g.estate.Relay.Live())
+	g.pipeline.Accounting.Write(g.pipeline.Response.Live())
 	if g.fares != nil {
 		g.fares.Stop()
 	}
--- a/cmd/aspenshed/inventory.go
+++ b/cmd/aspenshed/inventory.go
@@ -6,8 +6,8 @@
 
 	"github.com/spf13/cobra"
 
-	"aspenshed/internal/source/config"
-	"aspenshed/internal/source/inventory"
+	"aspenshed/internal/config"
+	"aspenshed/internal/inventory"
 )
 
 func newInventory(o *options) *cobra.Command {
--- a/cmd/aspenshed/kill_test.go
+++ b/cmd/aspenshed/kill_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
+	"aspenshed/internal/controlplane/store"
 	"aspenshed/internal/daemon"
-	"aspenshed/internal/keep/store"
 )
 
 // TestMain lets the test's own program stand in for bin/aspenshed, so that it can be killed as a process.
--- a/cmd/aspenshed/main.go
+++ b/cmd/aspenshed/main.go
@@ -13,7 +13,7 @@
 	"github.com/sirupsen/logrus"
 	"github.com/spf13/cobra"
 
-	"aspenshed/internal/source/config"
+	"aspenshed/internal/config"
 )
 
 // version is set by the build where it is known.
--- a/cmd/aspenshed/main_test.go
+++ b/cmd/aspenshed/main_test.go
@@ -10,18 +10,18 @@
 	"testing"
 	"time"
 
-	nc "aspenshed"
+	"aspenshed"
 
-	"aspenshed/internal/core"
-	"aspenshed/internal/proto/pgwire"
-	"aspenshed/internal/source/config"
+	"aspenshed/internal/config"
+	"aspenshed/internal/dataplane/request"
+	"aspenshed/internal/protocol/pgwire"
 )
 
 const patient = 10 * time.Second
 
 type clock struct{ at atomic.Int64 }
 
-func (c *clock) Now() nc.Nanos { return nc.Nanos(c.at.Load()) }
+func (c *clock) Now() aspenshed.Nanos { return aspenshed.Nanos(c.at.Load()) }
 
 const nodeConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"familyInfo":{"readLevel":["any"],"lagAllowedNs":[0]},
 	"classes":[{"name":"x","effect":"free","aimNs":1000000,"giveUpNs":2000000,"worth":1}]}}`
@@ -145,16 +145,16 @@
 }
 
 // waiter takes a final answer.
-type waiter chan core.Final
+type waiter chan request.Final
 
-func (w waiter) Finish(f core.Final) { w <- f }
+func (w waiter) Finish(f request.Final) { w <- f }
 
 // Guards clients that have no other gateway yet, and requests against SIGKILL: open connections are served until
 // 1.7 s before it, and nothing is left without an answer 0.3 s before it.
 func TestDrainServesOpenConnectionsUntilItsEndIsNear(t *testing.T) {
 	g, clock, ended := startGateway(t, &config.Deploy{}, `"giveUpNs":2000000`, `"giveUpNs":9000000000`)
 	c, _ := ready(t, g)
-	pass := func(d nc.Nanos) {
+	pass := func(d aspenshed.Nanos) {
 		for ; d > 0; d -= 50e6 {
 			clock.at.Add(50e6)
 			done := make(chan bool)
@@ -165,7 +165,7 @@
 	held := make(waiter, 1)
 	g.loop.Post(func() {
 		g.drain()
-		g.estate.Relay.Owe(&core.Request{ID: "held", Query: core.Query{Client: held}, Deadline: g.loop.Now() + 9e9})
+		g.pipeline.Response.Owe(&request.Request{ID: "held", Query: request.Query{Client: held}, Deadline: g.loop.Now() + 9e9})
 	})
 	pass(1900e6)
 	if _, err := c.Write(pgwire.Query("")); err != nil {
@@ -259,7 +259,7 @@
 		done := make(chan bool)
 		g.loop.Post(func() {
 			g.reload(g.node, nil)
-			n = len(g.fares.Estate.Route.Last())
+			n = len(g.fares.Pipeline.Routing.Last())
 			close(done)
 		})
 		<-done
--- a/cmd/aspenshed/platform.go
+++ b/cmd/aspenshed/platform.go
@@ -9,8 +9,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"aspenshed/internal/core"
-	"aspenshed/internal/source/config"
+	"aspenshed/internal/config"
+	"aspenshed/internal/dataplane/eventloop"
 )
 
 // run is the platform's gateway.
@@ -28,7 +28,7 @@
 	runtime.GOMAXPROCS(2)
 	debug.SetMemoryLimit(int64(node.Limits.MemoryMB) << 20 * 6 / 10)
 	hangup, end := signals()
-	g, err := newGateway(node, deploy, core.NewClock())
+	g, err := newGateway(node, deploy, eventloop.NewClock())
 	if err != nil {
 		return err
 	}
--- a/cmd/aspenshed/serve.go
+++ b/cmd/aspenshed/serve.go
@@ -6,8 +6,8 @@
 	"github.com/sirupsen/logrus"
 	"github.com/spf13/cobra"
 
+	"aspenshed/internal/config"
 	"aspenshed/internal/daemon"
-	"aspenshed/internal/source/config"
 )
 
 func newServe(o *options) *cobra.Command {
--- a/cmd/aspenshed/size_test.go
+++ b/cmd/aspenshed/size_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	nc "aspenshed"
+	"aspenshed"
 
-	"aspenshed/internal/source/config"
-	"aspenshed/internal/source/discovery"
+	"aspenshed/internal/config"
+	"aspenshed/internal/discovery"
 )
 
 // watched is a stand-in for discovery: it takes one watch and says what it is told to.
@@ -91,8 +91,8 @@
 		done := make(chan bool)
 		g.loop.Post(func() {
 			seen := map[int]bool{}
-			for _, m := range g.estate.Route.Last() {
-				if m.State == nc.Up {
+			for _, m := range g.pipeline.Routing.Last() {
+				if m.State == aspenshed.Up {
 					up++
 				}
 				seen[m.Group] = true
@@ -154,8 +154,8 @@
 		`"known":{"generation":1,"reset":true,"instances":[{"instanceId":"stays","hostPort":"127.0.0.2:1","lifecycle":"in_service"},`+
 			`{"instanceId":"drains","hostPort":"127.0.0.2:2","lifecycle":"in_service"}]},`+
 			`"settings":{"balancers":300,"rank":299,"discovery":"on_request","rules":{"askWithinNs":10000000000,"drainGraceNs":2000000000},`)
-	start := nc.Nanos(c.at.Load())
-	called := func(by nc.Nanos) net.Conn {
+	start := aspenshed.Nanos(c.at.Load())
+	called := func(by aspenshed.Nanos) net.Conn {
 		t.Helper()
 		c.at.Store(int64(start + by))
 		g.loop.Post(func() {})
@@ -171,10 +171,10 @@
 			return nil
 		}
 	}
-	state := func() (s nc.MemberState) {
+	state := func() (s aspenshed.MemberState) {
 		done := make(chan bool)
 		g.loop.Post(func() {
-			for _, m := range g.estate.Route.Last() {
+			for _, m := range g.pipeline.Routing.Last() {
 				if m.ID == "drains" {
 					s = m.State
 				}
@@ -192,12 +192,12 @@
 	state()
 	w.c = called(7500e6) // 6 s after that call
 	w.tell(discovery.List{Generation: 2, Instances: []discovery.Instance{{ID: "drains", HostPort: "127.0.0.2:2", Lifecycle: "terminating"}}})
-	for end := time.Now().Add(patient); state() != nc.Draining; {
+	for end := time.Now().Add(patient); state() != aspenshed.Draining; {
 		if time.Now().After(end) {
 			t.Fatal("the drain was never heard")
 		}
 	}
-	if told := nc.Nanos(c.at.Load()) - start; told > 8e9 {
+	if told := aspenshed.Nanos(c.at.Load()) - start; told > 8e9 {
 		t.Errorf("heard %d ms after the start", told/1e6)
 	}
 }
--- a/cmd/aspenshed/store.go
+++ b/cmd/aspenshed/store.go
@@ -10,9 +10,9 @@
 
 	"github.com/spf13/cobra"
 
+	"aspenshed/internal/config"
+	"aspenshed/internal/controlplane/store"
 	"aspenshed/internal/daemon"
-	"aspenshed/internal/keep/store"
-	"aspenshed/internal/source/config"
 )
 
 // ask puts a question to the daemon and reads its answer.
--- a/drain_test.go
+++ b/drain_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"aspenshed/internal/lab/seeded"
+	"aspenshed/internal/experiment/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m, "300") }
--- a/internal/source/config/config.go
+++ b/internal/config/config.go
@@ -11,10 +11,10 @@
 	"os"
 	"strconv"
 
-	nc "aspenshed"
+	"aspenshed"
 
-	"aspenshed/internal/proto/simwire"
-	"aspenshed/internal/source/discovery"
+	"aspenshed/internal/discovery"
+	"aspenshed/internal/protocol/simwire"
 )
 
 // Node is the platform's word to one gateway.
@@ -32,10 +32,10 @@
 	Raw json.RawMessage `json:"settings"`
 
 	// Named is the discovery address that the file names, whatever NODE_DISCOVERY says.
-	Named    string      `json:"-"`
-	Settings nc.Settings `json:"-"`
-	Zones    []string    `json:"-"`
-	MostHeld int         `json:"-"`
+	Named    string             `json:"-"`
+	Settings aspenshed.Settings `json:"-"`
+	Zones    []string           `json:"-"`
+	MostHeld int                `json:"-"`
 }
 
 // ReadNode reads NODE_CONFIG's file; the other variables go before it.
--- a/internal/source/config/config_test.go
+++ b/internal/config/config_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	nc "aspenshed"
+	"aspenshed"
 )
 
 const node = `{"name":"n3","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"8c1f","limits":{"cores":1,"memory_mb":192,"sockets":1024},
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n.Listen != "127.0.0.9:9" || n.Zones[1] != "b" || n.MostHeld != 7 || n.SeedNumber() != 0x8c1f || n.Settings.Classes[0].Need != nc.AnyData {
+	if n.Listen != "127.0.0.9:9" || n.Zones[1] != "b" || n.MostHeld != 7 || n.SeedNumber() != 0x8c1f || n.Settings.Classes[0].Need != aspenshed.AnyData {
 		t.Errorf("%+v", n)
 	}
 	for want, change := range map[string][2]string{
@@ -67,7 +67,7 @@
 
 // The file that is delivered is read as it is: the front is off, the store in memory.
 func TestDeliveredDeployFile(t *testing.T) {
-	d, err := ReadDeploy("../../../deploy/aspenshed.yaml")
+	d, err := ReadDeploy("../../deploy/aspenshed.yaml")
 	if err != nil || d.MySQL.Listen != "" || d.Store.Address != "" {
 		t.Fatalf("%v: %+v", err, d)
 	}
@@ -77,7 +77,7 @@
 }
 
 func TestDeployWithTheFrontOn(t *testing.T) {
-	data, err := os.ReadFile("../../../deploy/aspenshed.yaml")
+	data, err := os.ReadFile("../../deploy/aspenshed.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +93,7 @@
 		t.Fatalf("%v: %+v", err, d)
 	}
 	// Nothing proves a position here: bounded reads are for the primary alone.
-	if c := d.MySQL.Settings.Classes[0]; c.Name != "seat-check" || c.Need != nc.AllWrites {
+	if c := d.MySQL.Settings.Classes[0]; c.Name != "seat-check" || c.Need != aspenshed.AllWrites {
 		t.Errorf("bounded class without a position: %+v", c)
 	}
 	for want, change := range map[string][2]string{
--- a/internal/source/config/deploy.go
+++ b/internal/config/deploy.go
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	nc "aspenshed"
+	"aspenshed"
 
-	"aspenshed/internal/keep/store"
+	"aspenshed/internal/controlplane/store"
 )
 
 // Deploy is deploy/aspenshed.yaml: the fronts of our own installations, the store and the daemon's own settings. Paths
@@ -41,7 +41,7 @@
 	IdleClose      time.Duration `yaml:"idle_close"`
 	ClientIdle     time.Duration `yaml:"client_idle"`
 
-	Settings nc.Settings `yaml:"-"`
+	Settings aspenshed.Settings `yaml:"-"`
 }
 
 // Postgres configures a front that speaks the platform's protocol to members that an inventory names.
@@ -49,7 +49,7 @@
 	Service `yaml:",inline"`
 }
 
-// MySQL configures the MySQL front and its estate.
+// MySQL configures the MySQL front and its pipeline.
 type MySQL struct {
 	Service  `yaml:",inline"`
 	Accounts string `yaml:"accounts"`
@@ -168,17 +168,17 @@
 		m.Password = string(bytes.TrimRight(data, "\r\n"))
 	}
 	byName := m.Service.check(c, "mysql", dir, m.Probe.Position != "")
-	if k := byName[m.Defaults.ReadClass]; k.Need != nc.AnyData || k.Effect != nc.Safe {
+	if k := byName[m.Defaults.ReadClass]; k.Need != aspenshed.AnyData || k.Effect != aspenshed.Safe {
 		c.bad("mysql.defaults.read_class", "%q is no safe class that any member answers", m.Defaults.ReadClass)
 	}
-	if k := byName[m.Defaults.WriteClass]; k.Need != nc.WriteToIt {
+	if k := byName[m.Defaults.WriteClass]; k.Need != aspenshed.WriteToIt {
 		c.bad("mysql.defaults.write_class", "%q is no class of writes", m.Defaults.WriteClass)
 	}
 }
 
 // check looks at the fields that all fronts have, and makes what the decision module is told. The cold-start figures
 // are the platform's. positions: what members say proves how fresh they are.
-func (s *Service) check(c *checker, at, dir string, positions bool) map[string]nc.Class {
+func (s *Service) check(c *checker, at, dir string, positions bool) map[string]aspenshed.Class {
 	if s.Inventory != "" {
 		s.Inventory = within(dir, s.Inventory)
 	}
@@ -192,14 +192,14 @@
 	} {
 		c.need(at+"."+f.name, f.ok)
 	}
-	s.Settings = nc.Settings{Routers: 1, Quantum: 1e6, MayProbe: true, MayCancel: true, MaxAttempts: s.Attempts,
-		RetryAdvice: s.RetryAdvice, MaxRetryIn: 1e9, ConnectTimeout: nc.Nanos(s.ConnectTimeout), IdleClose: nc.Nanos(s.IdleClose),
+	s.Settings = aspenshed.Settings{Routers: 1, Quantum: 1e6, MayProbe: true, MayCancel: true, MaxAttempts: s.Attempts,
+		RetryAdvice: s.RetryAdvice, MaxRetryIn: 1e9, ConnectTimeout: aspenshed.Nanos(s.ConnectTimeout), IdleClose: aspenshed.Nanos(s.IdleClose),
 		AnswerSlack: 20e6, DrainGrace: 2e9, StartCapacity: 0.15, ColdFor: 16e9, FallMultiple: 2.5, FallFor: 1500e6, PriceProbe: 0.021}
-	needs := map[string]nc.Need{"any": nc.AnyData, "bounded": nc.Bounded, "fresh": nc.AllWrites, "write": nc.WriteToIt}
-	effects := map[string]nc.Effect{"safe": nc.Safe, "unsafe": nc.Unsafe}
-	byName := map[string]nc.Class{}
+	needs := map[string]aspenshed.Need{"any": aspenshed.AnyData, "bounded": aspenshed.Bounded, "fresh": aspenshed.AllWrites, "write": aspenshed.WriteToIt}
+	effects := map[string]aspenshed.Effect{"safe": aspenshed.Safe, "unsafe": aspenshed.Unsafe}
+	byName := map[string]aspenshed.Class{}
 	for i, x := range s.Classes {
-		k := nc.Class{Name: x.Name, Need: needs[x.Read], Bound: nc.Nanos(x.Bound), Aim: nc.Nanos(x.Aim), GiveUp: nc.Nanos(x.GiveUp),
+		k := aspenshed.Class{Name: x.Name, Need: needs[x.Read], Bound: aspenshed.Nanos(x.Bound), Aim: aspenshed.Nanos(x.Aim), GiveUp: aspenshed.Nanos(x.GiveUp),
 			Worth: x.Worth, LateWorth: x.LateWorth, Effect: effects[x.Effect]}
 		where := fmt.Sprintf("%s.classes[%d].", at, i)
 		if x.Name == "" || byName[x.Name].Name != "" {
@@ -208,23 +208,23 @@
 		if k.Need == 0 {
 			c.bad(where+"read", "%q is none of any, bounded, fresh, write", x.Read)
 		}
-		if k.Effect == 0 || k.Need == nc.WriteToIt && k.Effect != nc.Unsafe {
+		if k.Effect == 0 || k.Need == aspenshed.WriteToIt && k.Effect != aspenshed.Unsafe {
 			c.bad(where+"effect", "%q is not safe or unsafe, or a write that is not unsafe", x.Effect)
 		}
 		if k.Aim <= 0 || k.GiveUp < k.Aim {
 			c.bad(where+"give_up", "aim must be positive and not beyond it")
 		}
-		if k.Need == nc.Bounded && k.Bound <= 0 {
+		if k.Need == aspenshed.Bounded && k.Bound <= 0 {
 			c.bad(where+"bound", "missing")
 		}
-		if k.Need == nc.Bounded && !positions {
-			k.Need = nc.AllWrites // no position can be proved: the primary alone is known to be fresh
+		if k.Need == aspenshed.Bounded && !positions {
+			k.Need = aspenshed.AllWrites // no position can be proved: the primary alone is known to be fresh
 		}
 		byName[x.Name] = k
 		s.Settings.Classes = append(s.Settings.Classes, k)
 	}
 	for _, t := range s.Tenants {
-		s.Settings.Tenants = append(s.Settings.Tenants, nc.Tenant{Name: t})
+		s.Settings.Tenants = append(s.Settings.Tenants, aspenshed.Tenant{Name: t})
 	}
 	return byName
 }
--- a/internal/keep/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent stands between the store and one estate: it tells the estate which members there are, what drains and
-// what share of a cold one is its own, and tells the store what the estate has learned. It decides nothing; roster,
+// Package agent stands between the store and one pipeline: it tells the pipeline which members there are, what drains and
+// what share of a cold one is its own, and tells the store what the pipeline has learned. It decides nothing; roster,
 // lease and catalog do. It runs on a goroutine of its own and only posts to the loop.
 package agent
 
@@ -10,45 +10,45 @@
 	"sync"
 	"time"
 
-	nc "aspenshed"
+	"aspenshed"
 
 	"github.com/sirupsen/logrus"
 	"google.golang.org/protobuf/proto"
 
-	"aspenshed/internal/core"
-	"aspenshed/internal/decide/catalog"
-	pb "aspenshed/internal/decide/catalog/catalogpb"
-	"aspenshed/internal/decide/lease"
-	"aspenshed/internal/decide/roster"
-	"aspenshed/internal/keep/store"
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/lease"
+	"aspenshed/internal/controlplane/roster"
+	"aspenshed/internal/controlplane/store"
+	"aspenshed/internal/dataplane/eventloop"
 )
 
 const (
 	tickEvery   = 100 * time.Millisecond
-	learnEvery  = nc.Nanos(1e9)
-	sayAgain    = nc.Nanos(1e9) // between two tellings of the store of a drain that it does not show yet
+	learnEvery  = aspenshed.Nanos(1e9)
+	sayAgain    = aspenshed.Nanos(1e9) // between two tellings of the store of a drain that it does not show yet
 	publishWait = 10 * time.Second
 )
 
-// Estate is what an agent tells; its methods are called on the loop.
-type Estate interface {
-	Members(nc.MemberList, map[string]string)
-	Tell(nc.Event)
-	Learned() (nc.Learned, bool)
+// Pipeline is what an agent tells; its methods are called on the loop.
+type Pipeline interface {
+	Members(aspenshed.MemberList, map[string]string)
+	Tell(aspenshed.Event)
+	Learned() (aspenshed.Learned, bool)
 }
 
 // Config is what an agent is made of.
 type Config struct {
-	Store   *store.Store
-	Loop    *core.Loop
-	Log     *logrus.Entry
-	Estate  Estate
-	Wire    string // of the catalog's members only these are the estate's
-	Classes []nc.Class
-	Lease   nc.Nanos // 0: no leases are asked for
+	Store    *store.Store
+	Loop     *eventloop.Loop
+	Log      *logrus.Entry
+	Pipeline Pipeline
+	Wire     string // of the catalog's members only these are the pipeline's
+	Classes  []aspenshed.Class
+	Lease    aspenshed.Nanos // 0: no leases are asked for
 }
 
-// Agent is one estate's.
+// Agent is one pipeline's.
 type Agent struct {
 	cfg  Config
 	wake chan struct{}
@@ -58,23 +58,23 @@
 	mu       sync.Mutex
 	merger   *roster.Merger
 	holder   *lease.Holder
-	learned  nc.Learned
+	learned  aspenshed.Learned
 	ownNew   bool
-	had      bool                    // the catalog has named members of this wire
-	seen     [3]uint64               // versions of the catalog that the four below were taken at
-	cold     []*pb.Member            // copies
-	starts   map[string]nc.ColdShare // of all members that have told a start: whether it is warm
+	had      bool                           // the catalog has named members of this wire
+	seen     [3]uint64                      // versions of the catalog that the four below were taken at
+	cold     []*pb.Member                   // copies
+	starts   map[string]aspenshed.ColdShare // of all members that have told a start: whether it is warm
 	words    map[catalog.Group]catalog.Word
-	primary  map[string]bool         // as told
-	shares   map[string]nc.ColdShare // as told
-	saidAt   map[string]nc.Nanos
-	learntAt nc.Nanos
+	primary  map[string]bool                // as told
+	shares   map[string]aspenshed.ColdShare // as told
+	saidAt   map[string]aspenshed.Nanos
+	learntAt aspenshed.Nanos
 }
 
 // Start begins; own is the instance's own list, as far as it has one.
 func Start(c Config, own []roster.Told) *Agent {
 	a := &Agent{cfg: c, wake: make(chan struct{}, 1), done: make(chan struct{}), end: make(chan struct{}), merger: roster.New(),
-		shares: map[string]nc.ColdShare{}, primary: map[string]bool{}, starts: map[string]nc.ColdShare{}, saidAt: map[string]nc.Nanos{},
+		shares: map[string]aspenshed.ColdShare{}, primary: map[string]bool{}, starts: map[string]aspenshed.ColdShare{}, saidAt: map[string]aspenshed.Nanos{},
 		holder: lease.NewHolder(c.Store.ID(), c.Store.Boot(), c.Lease)}
 	if own != nil {
 		a.Own(own)
@@ -101,7 +101,7 @@
 }
 
 // Started takes word of a member's start that came with no list.
-func (a *Agent) Started(id string, at nc.Nanos) {
+func (a *Agent) Started(id string, at aspenshed.Nanos) {
 	a.mu.Lock()
 	a.merger.Started(id, at)
 	a.ownNew = true
@@ -140,7 +140,7 @@
 }
 
 // Tick looks at the catalog, asks for leases and says what has to be said.
-func (a *Agent) Tick(now nc.Nanos) {
+func (a *Agent) Tick(now aspenshed.Nanos) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	news := a.ownNew
@@ -155,10 +155,10 @@
 				version = 0
 			}
 			a.merger.Catalog(version, members)
-			a.starts = map[string]nc.ColdShare{}
+			a.starts = map[string]aspenshed.ColdShare{}
 			for _, x := range members {
 				if x.Start > 0 {
-					a.starts[x.Entry.Id] = nc.ColdShare{Member: x.Entry.Id, StartedAt: nc.Nanos(x.Start), Warm: !catalog.Cold(x)}
+					a.starts[x.Entry.Id] = aspenshed.ColdShare{Member: x.Entry.Id, StartedAt: aspenshed.Nanos(x.Start), Warm: !catalog.Cold(x)}
 				}
 			}
 			news = true
@@ -210,7 +210,7 @@
 		return
 	}
 	a.primary = primary
-	l, addresses := nc.MemberList{Whole: true}, map[string]string{}
+	l, addresses := aspenshed.MemberList{Whole: true}, map[string]string{}
 	for _, t := range list {
 		t.Primary = t.Primary || primary[t.ID]
 		l.Members = append(l.Members, t.Member)
@@ -219,14 +219,14 @@
 	if changed {
 		a.cfg.Log.WithField("members", len(list)).Info("inventory in use")
 	}
-	a.cfg.Loop.Post(func() { a.cfg.Estate.Members(l, addresses) })
+	a.cfg.Loop.Post(func() { a.cfg.Pipeline.Members(l, addresses) })
 }
 
 // tellShares tells what is new of each start: that it is warm, or what may be sent to it while it is cold. It comes
 // after the list that names the start.
-func (a *Agent) tellShares(now nc.Nanos, all bool) {
-	var news []nc.ColdShare
-	say := func(x nc.ColdShare) {
+func (a *Agent) tellShares(now aspenshed.Nanos, all bool) {
+	var news []aspenshed.ColdShare
+	say := func(x aspenshed.ColdShare) {
 		if old, told := a.shares[x.Member]; !told || old != x && !alike(old, x) {
 			a.shares[x.Member] = x
 			news = append(news, x)
@@ -245,24 +245,24 @@
 			}
 		}
 	}
-	maps.DeleteFunc(a.shares, func(id string, _ nc.ColdShare) bool { _, here := a.starts[id]; return !here })
+	maps.DeleteFunc(a.shares, func(id string, _ aspenshed.ColdShare) bool { _, here := a.starts[id]; return !here })
 	if len(news) > 0 {
 		a.cfg.Loop.Post(func() {
 			for _, x := range news {
-				a.cfg.Estate.Tell(x)
+				a.cfg.Pipeline.Tell(x)
 			}
 		})
 	}
 }
 
 // alike tells whether two shares differ in nothing but a rate that has changed by less than a tenth.
-func alike(a, b nc.ColdShare) bool {
+func alike(a, b aspenshed.ColdShare) bool {
 	d := a.Rate - b.Rate
 	a.Rate = b.Rate
 	return a == b && max(d, -d) < b.Rate/10
 }
 
-func (a *Agent) sayDrains(now nc.Nanos) {
+func (a *Agent) sayDrains(now aspenshed.Nanos) {
 	unsaid := a.merger.Unsaid()
 	for _, id := range slices.Sorted(maps.Keys(unsaid)) {
 		if at, said := a.saidAt[id]; said && now < at+sayAgain {
@@ -272,13 +272,13 @@
 		a.cfg.Store.Offer("drain "+id, &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: id, Start: int64(unsaid[id]),
 			Reason: "told to " + a.cfg.Store.ID()}}})
 	}
-	maps.DeleteFunc(a.saidAt, func(id string, _ nc.Nanos) bool { _, still := unsaid[id]; return !still })
+	maps.DeleteFunc(a.saidAt, func(id string, _ aspenshed.Nanos) bool { _, still := unsaid[id]; return !still })
 }
 
 // learn has the loop tell what the Router knows, and passes on what the store has not heard.
 func (a *Agent) learn() {
 	a.cfg.Loop.Post(func() {
-		l, ok := a.cfg.Estate.Learned()
+		l, ok := a.cfg.Pipeline.Learned()
 		if !ok {
 			return
 		}
@@ -287,7 +287,7 @@
 }
 
 // Learn takes what the Router knows.
-func (a *Agent) Learn(l nc.Learned) {
+func (a *Agent) Learn(l aspenshed.Learned) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.learned = l
@@ -310,7 +310,7 @@
 	})
 }
 
-// mine are the members that speak the estate's wire.
+// mine are the members that speak the pipeline's wire.
 func (a *Agent) mine(all []*pb.Member) []*pb.Member {
 	return slices.DeleteFunc(all, func(m *pb.Member) bool { return m.Entry.Wire != a.cfg.Wire })
 }
--- a/internal/decide/catalog/catalog.go
+++ b/internal/controlplane/catalog/catalog.go
@@ -11,7 +11,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	pb "aspenshed/internal/decide/catalog/catalogpb"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
 // The bounds. What lies beyond one is turned down with a reason, or the oldest goes, as said here.
--- a/internal/decide/catalog/catalog_test.go
+++ b/internal/controlplane/catalog/catalog_test.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	pb "aspenshed/internal/decide/catalog/catalogpb"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
 // rig applies commands one an entry, as one writer.
--- a/internal/decide/catalog/members.go
+++ b/internal/controlplane/catalog/members.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	pb "aspenshed/internal/decide/catalog/catalogpb"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
 // The members: inventory, drains, starts, and leases of cold capacity.
--- a/internal/decide/catalog/snapshot.go
+++ b/internal/controlplane/catalog/snapshot.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
 
-	pb "aspenshed/internal/decide/catalog/catalogpb"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
 // A snapshot is a head of 24 bytes and the state: magic, format, length of the state, its CRC32C.
--- a/internal/decide/imports_test.go
+++ b/internal/controlplane/imports_test.go
@@ -1,4 +1,4 @@
-package decide
+package controlplane
 
 import (
 	"go/ast"
@@ -6,12 +6,13 @@
 	"go/token"
 	"io/fs"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 )
 
-// What decides must not be able to look at a clock, a socket or a file, nor to wait for another goroutine: then a
-// year of it can be run in a second, and the same events always give the same actions.
+// The state machines must not be able to look at a clock, a socket or a file, nor to wait for another goroutine: then
+// a year of it can be run in a second, and the same events always give the same actions.
 var forbidden = []string{"net", "os", "syscall", "sync", "log", "io/fs", "math/rand", "crypto/rand", "runtime",
 	"github.com/sirupsen/logrus", "github.com/lesismal/nbio", "github.com/hashicorp/raft"}
 
@@ -22,12 +23,29 @@
 			return "imports " + path
 		}
 	}
-	if strings.HasPrefix(path, "aspenshed/") && !strings.HasPrefix(path, "aspenshed/internal/decide/") {
-		return "imports " + path + ", which lies outside what decides"
+	if !strings.HasPrefix(path, "aspenshed/") {
+		return ""
+	}
+	name, inside := strings.CutPrefix(path, "aspenshed/internal/controlplane/")
+	if !inside {
+		return "imports " + path + ", which lies outside the control plane"
+	}
+	if doesIO(name) {
+		return "imports " + path + ", which does I/O"
 	}
 	return ""
 }
 
+// ioPackages are the packages below this one that connect the state machines to disk, network and goroutines. All
+// others are state machines.
+var ioPackages = []string{"store", "agent"}
+
+// doesIO reports whether a path below the control plane lies in one of the I/O packages.
+func doesIO(path string) bool {
+	first, _, _ := strings.Cut(filepath.ToSlash(path), "/")
+	return slices.Contains(ioPackages, first)
+}
+
 // faults are the ways in which a file touches what it must not.
 func faults(f *ast.File) (out []string) {
 	for _, im := range f.Imports {
@@ -50,7 +68,7 @@
 	return out
 }
 
-func TestWhatDecidesTouchesNothing(t *testing.T) {
+func TestStateMachinesDoNoIO(t *testing.T) {
 	seen := 0
 	check := func(path string) {
 		if strings.HasSuffix(path, "_test.go") || strings.HasSuffix(path, ".pb.go") { // generated: its own use of sync is no wait
@@ -66,7 +84,7 @@
 		}
 	}
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
-		if err == nil && strings.HasSuffix(path, ".go") {
+		if err == nil && strings.HasSuffix(path, ".go") && !doesIO(path) {
 			check(path)
 		}
 		return err
@@ -80,11 +98,12 @@
 }
 
 // The test above must be able to fail.
-func TestWhatTouchesIsFound(t *testing.T) {
+func TestForbiddenUsesAreFound(t *testing.T) {
 	tree, err := parser.ParseFile(token.NewFileSet(), "x.go", `package x
-import ("net/http"; "time"; "aspenshed/internal/core"; "sync/atomic"; "strings")
+import ("net/http"; "time"; "aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/dataplane/request"; "sync/atomic"; "strings")
 func f() { go f(); _ = time.Now() }`, 0)
-	if got := faults(tree); err != nil || len(got) != 5 {
+	if got := faults(tree); err != nil || len(got) != 6 {
 		t.Errorf("%v: %q", err, got)
 	}
 }
--- a/internal/decide/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -7,10 +7,10 @@
 	"fmt"
 	"slices"
 
-	nc "aspenshed"
+	"aspenshed"
 
-	"aspenshed/internal/decide/catalog"
-	pb "aspenshed/internal/decide/catalog/catalogpb"
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
 const (
@@ -28,34 +28,34 @@
 // Holder keeps an instance's leases. A lease counts from when it was asked for, before anyone could have granted it.
 type Holder struct {
 	instance, boot string
-	duration       nc.Nanos
+	duration       aspenshed.Nanos
 	asked          uint64
 	of             map[key]*held
 }
 
 type held struct {
 	asks   []ask // without an answer, the newest last
-	last   nc.Nanos
+	last   aspenshed.Nanos
 	serial uint64 // of the lease in force
 	share  float64
-	from   nc.Nanos // when it was asked for
-	until  nc.Nanos
+	from   aspenshed.Nanos // when it was asked for
+	until  aspenshed.Nanos
 }
 
 type ask struct {
 	nonce string
-	at    nc.Nanos
+	at    aspenshed.Nanos
 }
 
 // NewHolder makes an instance's. Its boot tells its nonces from those before a restart: what was granted to those
 // is not used, as nobody knows when they were asked for.
-func NewHolder(instance, boot string, duration nc.Nanos) *Holder {
+func NewHolder(instance, boot string, duration aspenshed.Nanos) *Holder {
 	return &Holder{instance: instance, boot: boot, duration: duration, of: map[key]*held{}}
 }
 
 // Step takes what the local replica says of members and returns what to ask for. want is the work a second that
 // this instance has for members of a group.
-func (h *Holder) Step(now nc.Nanos, members []*pb.Member, want func(group int32) float64) (asks []*pb.Ask) {
+func (h *Holder) Step(now aspenshed.Nanos, members []*pb.Member, want func(group int32) float64) (asks []*pb.Ask) {
 	cold := map[key]bool{}
 	for _, m := range members {
 		if !catalog.Cold(m) {
@@ -71,8 +71,8 @@
 		for _, l := range m.Leases {
 			h.granted(x, l)
 		}
-		due := x.last == 0 || now >= x.last+nc.Nanos(askAgain*float64(h.duration))
-		if renew := now >= x.from+nc.Nanos(renewAt*float64(h.duration)); due && (x.serial == 0 || renew) {
+		due := x.last == 0 || now >= x.last+aspenshed.Nanos(askAgain*float64(h.duration))
+		if renew := now >= x.from+aspenshed.Nanos(renewAt*float64(h.duration)); due && (x.serial == 0 || renew) {
 			h.asked++
 			a := ask{fmt.Sprintf("%s/%s/%d", h.instance, h.boot, h.asked), now}
 			if x.last = now; len(x.asks) >= mostAsked {
@@ -99,13 +99,13 @@
 	if i < 0 {
 		return
 	}
-	x.serial, x.share, x.from, x.until = l.Serial, l.Share, x.asks[i].at, x.asks[i].at+nc.Nanos(l.Duration)
+	x.serial, x.share, x.from, x.until = l.Serial, l.Share, x.asks[i].at, x.asks[i].at+aspenshed.Nanos(l.Duration)
 	x.asks = slices.Delete(x.asks, 0, i+1)
 }
 
 // Share is the part of a cold member's budget that the instance may use until then; 0: it holds no valid lease, and
 // the safe share is all it has. The safe share comes on top of a lease.
-func (h *Holder) Share(now nc.Nanos, member string, start int64) (share float64, until nc.Nanos) {
+func (h *Holder) Share(now aspenshed.Nanos, member string, start int64) (share float64, until aspenshed.Nanos) {
 	if x := h.of[key{member, start}]; x != nil && now < x.until {
 		return x.share, x.until
 	}
@@ -116,26 +116,26 @@
 // from when its own replica first showed them, which is never before the grant: so a new leader, or one that has
 // started again, waits longer, never shorter.
 type Grantor struct {
-	leases map[uint64]nc.Nanos
-	cold   map[key]nc.Nanos
-	told   map[any]nc.Nanos // when a command was last proposed: it is not repeated at once
+	leases map[uint64]aspenshed.Nanos
+	cold   map[key]aspenshed.Nanos
+	told   map[any]aspenshed.Nanos // when a command was last proposed: it is not repeated at once
 }
 
-const proposeAgain = nc.Nanos(1e9)
+const proposeAgain = aspenshed.Nanos(1e9)
 
 // NewGrantor makes one.
 func NewGrantor() *Grantor {
-	return &Grantor{leases: map[uint64]nc.Nanos{}, cold: map[key]nc.Nanos{}, told: map[any]nc.Nanos{}}
+	return &Grantor{leases: map[uint64]aspenshed.Nanos{}, cold: map[key]aspenshed.Nanos{}, told: map[any]aspenshed.Nanos{}}
 }
 
 // RunsOut is how long a lease of that duration may last at its holder, by this instance's own clock: its holder's
 // may run slow by the bound while this one runs fast.
-func RunsOut(duration int64, bound float64) nc.Nanos {
-	return nc.Nanos(float64(duration) * (1 + bound) / (1 - bound))
+func RunsOut(duration int64, bound float64) aspenshed.Nanos {
+	return aspenshed.Nanos(float64(duration) * (1 + bound) / (1 - bound))
 }
 
 // Step returns what to propose. Without the lead it only watches.
-func (g *Grantor) Step(now nc.Nanos, leads bool, members []*pb.Member, rules *pb.Rules) (out []*pb.Command) {
+func (g *Grantor) Step(now aspenshed.Nanos, leads bool, members []*pb.Member, rules *pb.Rules) (out []*pb.Command) {
 	seenLease, seenCold := map[uint64]bool{}, map[key]bool{}
 	propose := func(what any, c *pb.Command) {
 		if at, ok := g.told[what]; leads && (!ok || now >= at+proposeAgain) {
@@ -164,7 +164,7 @@
 		if !known {
 			g.cold[k], at = now, now
 		}
-		if now >= at+nc.Nanos(float64(rules.ColdFor)*(1+rules.ClockBound)) { // this clock may run fast
+		if now >= at+aspenshed.Nanos(float64(rules.ColdFor)*(1+rules.ClockBound)) { // this clock may run fast
 			propose(k, &pb.Command{Body: &pb.Command_Warm{Warm: &pb.Warm{Member: m.Entry.Id, Start: m.Start}}})
 		}
 	}
--- a/internal/decide/lease/main_test.go
+++ b/internal/controlplane/lease/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"aspenshed/internal/lab/seeded"
+	"aspenshed/internal/experiment/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m, "1000") }
--- a/internal/decide/lease/sim_test.go
+++ b/internal/controlplane/lease/sim_test.go
@@ -5,13 +5,13 @@
 	"math/rand/v2"
 	"testing"
 
-	nc "aspenshed"
+	"aspenshed"
 
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"aspenshed/internal/decide/catalog"
-	pb "aspenshed/internal/decide/catalog/catalogpb"
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
 // sim is a cluster of catalog replicas in simulated time. The log is what a majority has agreed on; replicas apply it
@@ -47,7 +47,9 @@
 	by  int
 }
 
-func (n *node) clock(real int64) nc.Nanos { return nc.Nanos(n.zero + int64(float64(real)*n.rate)) }
+func (n *node) clock(real int64) aspenshed.Nanos {
+	return aspenshed.Nanos(n.zero + int64(float64(real)*n.rate))
+}
 
 func newSim(seed uint64, n int) *sim {
 	s := &sim{rng: rand.New(rand.NewPCG(seed, 1)), lead: -1}
--- a/internal/decide/membership/membership.go
+++ b/internal/controlplane/membership/membership.go
@@ -5,12 +5,12 @@
 import (
 	"fmt"
 
-	nc "aspenshed"
+	"aspenshed"
 )
 
 const (
 	// joinLimit is how long a join may block others without a word from the one that joins.
-	joinLimit = nc.Nanos(30e9)
+	joinLimit = aspenshed.Nanos(30e9)
 	mostLag   = 16 // log entries that an instance may be behind when it becomes a voter
 )
 
@@ -50,7 +50,7 @@
 // Machine is the leader's. A new leader's knows of no join, and takes it from the configuration.
 type Machine struct {
 	joining string
-	heard   nc.Nanos
+	heard   aspenshed.Nanos
 }
 
 func (v View) find(id string) *Server {
@@ -63,7 +63,7 @@
 }
 
 // underWay is who joins just now, if not id; one that has been silent for too long no longer counts.
-func (m *Machine) underWay(now nc.Nanos, v View, id string) string {
+func (m *Machine) underWay(now aspenshed.Nanos, v View, id string) string {
 	for _, s := range v.Servers {
 		if s.Voter || s.ID == id {
 			continue
@@ -80,7 +80,7 @@
 
 // Join answers an instance that wants in, and asks again until it is Done. empty: it holds nothing, so a vote that it
 // once gave is forgotten: it comes in anew even where the configuration names it.
-func (m *Machine) Join(now nc.Nanos, v View, id, address string, applied uint64, empty bool) Verdict {
+func (m *Machine) Join(now aspenshed.Nanos, v View, id, address string, applied uint64, empty bool) Verdict {
 	if id == "" || address == "" {
 		return Verdict{Refused: "an instance needs an id and an address"}
 	}
@@ -113,7 +113,7 @@
 }
 
 // Leave answers who wants an instance out.
-func (m *Machine) Leave(now nc.Nanos, v View, id string) Verdict {
+func (m *Machine) Leave(now aspenshed.Nanos, v View, id string) Verdict {
 	s := v.find(id)
 	if s == nil {
 		return Verdict{Done: true}
--- a/internal/decide/membership/membership_test.go
+++ b/internal/controlplane/membership/membership_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	nc "aspenshed"
+	"aspenshed"
 )
 
 func view(ids ...string) (v View) {
@@ -53,7 +53,7 @@
 
 func (m *Machine) now(t *testing.T, i int, at int64, v View, id string, applied uint64, empty bool, want Do, done bool) {
 	t.Helper()
-	got := m.Join(nc.Nanos(at), v, id, id+":1", applied, empty)
+	got := m.Join(aspenshed.Nanos(at), v, id, id+":1", applied, empty)
 	if got.Do != want || got.Done != done {
 		t.Errorf("step %d: %+v, want %v", i, got, want)
 	}
--- a/internal/decide/mode/mode.go
+++ b/internal/controlplane/mode/mode.go
@@ -1,7 +1,7 @@
 // Package mode decides in which mode an instance of the store is: what it may believe of the others.
 package mode
 
-import nc "aspenshed"
+import "aspenshed"
 
 // Mode is what an instance takes itself to be.
 type Mode int
@@ -21,9 +21,9 @@
 
 // The limits, on the instance's own clock.
 const (
-	CutAfter  = nc.Nanos(1500e6) // without contact: three heartbeats of a leader that is well
-	BackAfter = nc.Nanos(500e6)  // of unbroken contact before a cut-off instance counts as back
-	mostLag   = 64               // log entries that a follower may be behind and still follow
+	CutAfter  = aspenshed.Nanos(1500e6) // without contact: three heartbeats of a leader that is well
+	BackAfter = aspenshed.Nanos(500e6)  // of unbroken contact before a cut-off instance counts as back
+	mostLag   = 64                      // log entries that a follower may be behind and still follow
 )
 
 // Seen is what the instance sees of the store just now.
@@ -36,13 +36,13 @@
 // Machine holds the mode.
 type Machine struct {
 	mode                 Mode
-	lastContact, firstOf nc.Nanos // of the present stretch of contact
+	lastContact, firstOf aspenshed.Nanos // of the present stretch of contact
 	born                 bool
 	must                 uint64 // what it has to have applied to be back
 }
 
 // Step takes what is seen and tells the mode, and whether it has changed.
-func (m *Machine) Step(now nc.Nanos, s Seen) (Mode, bool) {
+func (m *Machine) Step(now aspenshed.Nanos, s Seen) (Mode, bool) {
 	was, born := m.mode, m.born
 	if !born {
 		m.born, m.lastContact = true, now
--- a/internal/decide/mode/mode_test.go
+++ b/internal/controlplane/mode/mode_test.go
@@ -3,16 +3,16 @@
 import (
 	"testing"
 
-	nc "aspenshed"
+	"aspenshed"
 )
 
 // The modes of one instance's day: it starts, follows, is cut off, comes back and has to catch up before it counts
 // as following again; a flicker of contact does not bring it back.
 func TestADay(t *testing.T) {
 	var m Machine
-	at := nc.Nanos(1e9)
+	at := aspenshed.Nanos(1e9)
 	for i, x := range []struct {
-		after nc.Nanos
+		after aspenshed.Nanos
 		s     Seen
 		want  Mode
 	}{
@@ -40,7 +40,7 @@
 func TestANonvoterIsNotYetFollowing(t *testing.T) {
 	var m Machine
 	for i := range 9 {
-		if got, _ := m.Step(nc.Nanos(1e9+i*1e8), Seen{Contact: true, Commit: 5, Applied: 5}); got != CatchingUp {
+		if got, _ := m.Step(aspenshed.Nanos(1e9+i*1e8), Seen{Contact: true, Commit: 5, Applied: 5}); got != CatchingUp {
 			t.Fatalf("mode %v", got)
 		}
 	}
--- a/internal/decide/roster/roster.go
+++ b/internal/controlplane/roster/roster.go
@@ -7,9 +7,9 @@
 	"maps"
 	"slices"
 
-	nc "aspenshed"
+	"aspenshed"
 
-	pb "aspenshed/internal/decide/catalog/catalogpb"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
 // mostGone bounds what is remembered of members that are on no list; the oldest go.
@@ -17,7 +17,7 @@
 
 // Told is one member as a list has it.
 type Told struct {
-	nc.Member
+	aspenshed.Member
 	Address string
 	Site    string // numbered here, so that both sides number alike; empty: Zone stands as it is
 }
@@ -29,16 +29,16 @@
 	ownLeads bool // the own list came after the catalog's inventory, which does not have it yet
 	version  uint64
 	catalog  map[string]Told
-	drains   map[string]nc.Nanos // member: the newest start for which a drain was heard
-	gone     []string            // of drains, those on no list
-	last     map[string]Told     // as last told
+	drains   map[string]aspenshed.Nanos // member: the newest start for which a drain was heard
+	gone     []string                   // of drains, those on no list
+	last     map[string]Told            // as last told
 	// unsaid are drains that were heard here and that the store has yet to be told.
-	unsaid map[string]nc.Nanos
+	unsaid map[string]aspenshed.Nanos
 }
 
 // New makes a merger.
 func New() *Merger {
-	return &Merger{own: map[string]Told{}, catalog: map[string]Told{}, drains: map[string]nc.Nanos{}, unsaid: map[string]nc.Nanos{}}
+	return &Merger{own: map[string]Told{}, catalog: map[string]Told{}, drains: map[string]aspenshed.Nanos{}, unsaid: map[string]aspenshed.Nanos{}}
 }
 
 // Zone numbers a site.
@@ -63,7 +63,7 @@
 }
 
 // Started takes word of one member's start.
-func (m *Merger) Started(id string, at nc.Nanos) {
+func (m *Merger) Started(id string, at aspenshed.Nanos) {
 	if t, ok := m.own[id]; ok {
 		t.StartedAt = max(t.StartedAt, at)
 		m.own[id] = t
@@ -82,7 +82,7 @@
 // ownDrains hears the drains of the own list. One that tells no start means whichever start is known.
 func (m *Merger) ownDrains() {
 	for id, t := range m.own {
-		if t.State == nc.Up {
+		if t.State == aspenshed.Up {
 			continue
 		}
 		start := t.StartedAt
@@ -103,10 +103,10 @@
 	}
 	m.catalog = make(map[string]Told, len(members))
 	for _, x := range members {
-		t := Told{Member: nc.Member{ID: x.Entry.Id, Group: int(x.Entry.Group), Zone: m.Zone(x.Entry.Site), Size: 1,
-			StartedAt: nc.Nanos(x.Start), State: nc.Up}, Address: x.Entry.Address, Site: x.Entry.Site}
+		t := Told{Member: aspenshed.Member{ID: x.Entry.Id, Group: int(x.Entry.Group), Zone: m.Zone(x.Entry.Site), Size: 1,
+			StartedAt: aspenshed.Nanos(x.Start), State: aspenshed.Up}, Address: x.Entry.Address, Site: x.Entry.Site}
 		if x.DrainedAt != 0 {
-			t.State = nc.Draining
+			t.State = aspenshed.Draining
 			m.heard(t.ID, t.StartedAt)
 		}
 		m.catalog[t.ID] = t
@@ -123,7 +123,7 @@
 }
 
 // heard binds a drain to a start. Older or repeated news changes nothing.
-func (m *Merger) heard(id string, start nc.Nanos) {
+func (m *Merger) heard(id string, start aspenshed.Nanos) {
 	if was, known := m.drains[id]; !known || start > was {
 		m.drains[id] = start
 	}
@@ -131,9 +131,9 @@
 
 // Unsaid are drains heard from the own list that the catalog does not have: the store is to be told. They are
 // named again until the catalog has them.
-func (m *Merger) Unsaid() map[string]nc.Nanos {
+func (m *Merger) Unsaid() map[string]aspenshed.Nanos {
 	for id, start := range m.unsaid {
-		if c, ok := m.catalog[id]; ok && (c.StartedAt > start || c.State != nc.Up) {
+		if c, ok := m.catalog[id]; ok && (c.StartedAt > start || c.State != aspenshed.Up) {
 			delete(m.unsaid, id)
 		}
 	}
@@ -156,9 +156,9 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		t := all[id]
-		t.State = nc.Up
+		t.State = aspenshed.Up
 		if at, known := m.drains[id]; known && t.StartedAt <= at {
-			t.State = nc.Draining
+			t.State = aspenshed.Draining
 		}
 		all[id] = t
 		list = append(list, t)
--- a/internal/decide/roster/roster_test.go
+++ b/internal/controlplane/roster/roster_test.go
@@ -4,13 +4,13 @@
 	"fmt"
 	"testing"
 
-	nc "aspenshed"
+	"aspenshed"
 
-	pb "aspenshed/internal/decide/catalog/catalogpb"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-func own(id string, start nc.Nanos, s nc.MemberState) Told {
-	return Told{Member: nc.Member{ID: id, StartedAt: start, State: s}, Address: id + ":1"}
+func own(id string, start aspenshed.Nanos, s aspenshed.MemberState) Told {
+	return Told{Member: aspenshed.Member{ID: id, StartedAt: start, State: s}, Address: id + ":1"}
 }
 
 func kept(id string, start, drained int64) *pb.Member {
@@ -20,7 +20,7 @@
 func states(m *Merger) (out string) {
 	list, _ := m.Merged()
 	for _, t := range list {
-		out += fmt.Sprint(t.ID, t.StartedAt, map[nc.MemberState]string{nc.Up: "up", nc.Draining: "drain"}[t.State], " ")
+		out += fmt.Sprint(t.ID, t.StartedAt, map[aspenshed.MemberState]string{aspenshed.Up: "up", aspenshed.Draining: "drain"}[t.State], " ")
 	}
 	return out
 }
@@ -29,7 +29,7 @@
 // store that has not heard, each until a new start.
 func TestADrainHoldsFromWhicheverSide(t *testing.T) {
 	m := New()
-	m.Own([]Told{own("a", 5, nc.Up), own("b", 5, nc.Up)})
+	m.Own([]Told{own("a", 5, aspenshed.Up), own("b", 5, aspenshed.Up)})
 	m.Catalog(1, []*pb.Member{kept("a", 5, 0), kept("b", 5, 0)})
 	step := func(what, want string) {
 		t.Helper()
@@ -40,12 +40,12 @@
 	step("calm", "a5up b5up ")
 	m.Catalog(1, []*pb.Member{kept("a", 5, 9), kept("b", 5, 0)})
 	step("the store drains a", "a5drain b5up ")
-	m.Own([]Told{own("a", 5, nc.Up), own("b", 5, nc.Draining)})
+	m.Own([]Told{own("a", 5, aspenshed.Up), own("b", 5, aspenshed.Draining)})
 	step("the own list is old on a and drains b", "a5drain b5drain ")
 	if u := m.Unsaid(); len(u) != 1 || u["b"] != 5 {
 		t.Errorf("the store is to be told %v", u)
 	}
-	m.Own([]Told{own("a", 5, nc.Up), own("b", 5, nc.Up)})
+	m.Own([]Told{own("a", 5, aspenshed.Up), own("b", 5, aspenshed.Up)})
 	m.Catalog(2, []*pb.Member{kept("a", 5, 0), kept("b", 5, 0)})
 	step("older news from both sides", "a5drain b5drain ")
 	m.Catalog(2, []*pb.Member{kept("a", 6, 0), kept("b", 5, 9)})
@@ -61,12 +61,12 @@
 // An own list that tells no start drains whichever start is known by then.
 func TestADrainWithoutAStart(t *testing.T) {
 	m := New()
-	m.Own([]Told{own("a", 0, nc.Draining)})
+	m.Own([]Told{own("a", 0, aspenshed.Draining)})
 	m.Catalog(3, []*pb.Member{kept("a", 7, 0), kept("c", 7, 0)})
 	if got := states(m); got != "a7drain c7up " {
 		t.Error(got)
 	}
-	m.Own([]Told{own("a", 0, nc.Up), own("d", 0, nc.Up)}) // newer than the catalog's inventory: it is the list
+	m.Own([]Told{own("a", 0, aspenshed.Up), own("d", 0, aspenshed.Up)}) // newer than the catalog's inventory: it is the list
 	if got := states(m); got != "a7drain d0up " {
 		t.Error(got)
 	}
@@ -79,7 +79,7 @@
 // A member's zone is the same whichever side names it, in whatever order the sites appear there.
 func TestBothSidesNumberSitesAlike(t *testing.T) {
 	m := New()
-	a, b := own("a", 0, nc.Up), own("b", 0, nc.Up)
+	a, b := own("a", 0, aspenshed.Up), own("b", 0, aspenshed.Up)
 	a.Site, b.Site = "launceston", "hobart"
 	m.Own([]Told{a, b})
 	before, _ := m.Merged()
@@ -95,7 +95,7 @@
 func TestGoneMembersAreForgotten(t *testing.T) {
 	m := New()
 	for i := range 2 * mostGone {
-		m.Own([]Told{own(fmt.Sprint("x", i), 1, nc.Draining)})
+		m.Own([]Told{own(fmt.Sprint("x", i), 1, aspenshed.Draining)})
 		m.Merged()
 	}
 	if len(m.drains) > 2*mostGone-9 || len(m.unsaid) > 2*mostGone-9 {
--- a/internal/keep/store/cluster_test.go
+++ b/internal/controlplane/store/cluster_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/hashicorp/raft"
 
-	"aspenshed/internal/decide/catalog"
-	pb "aspenshed/internal/decide/catalog/catalogpb"
-	"aspenshed/internal/decide/mode"
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/mode"
 )
 
 const patient = 30 * time.Second // for what must come
--- a/internal/keep/store/config.go
+++ b/internal/controlplane/store/config.go
@@ -1,6 +1,6 @@
 // Package store replicates the catalog over hashicorp/raft: it carries commands from any instance to the leader,
 // keeps log and snapshots on disk, and takes instances in and out. It decides nothing: that is done in
-// internal/decide (catalog, membership, mode, lease).
+// internal/controlplane (catalog, membership, mode, lease).
 package store
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/hashicorp/raft"
 	"github.com/sirupsen/logrus"
 
-	"aspenshed/internal/core"
+	"aspenshed/internal/dataplane/eventloop"
 )
 
 // The errors that callers tell apart. Only after ErrUnknown may a command have been carried out.
@@ -59,9 +59,9 @@
 	MostInstances uint32        `yaml:"most_instances"`
 	Pool          float64       `yaml:"pool"`
 
-	Release string        `yaml:"-"`
-	Log     *logrus.Entry `yaml:"-"` // nil: nowhere
-	Clock   core.Clock    `yaml:"-"` // nil: the wall's
+	Release string          `yaml:"-"`
+	Log     *logrus.Entry   `yaml:"-"` // nil: nowhere
+	Clock   eventloop.Clock `yaml:"-"` // nil: the wall's
 	// Changed hears that the catalog has changed. It must not block.
 	Changed func() `yaml:"-"`
 	// Damaged hears of damage found while the store runs; at the start it is Open's error.
--- a/internal/keep/store/faults_test.go
+++ b/internal/controlplane/store/faults_test.go
@@ -17,9 +17,9 @@
 	"github.com/hashicorp/raft"
 	"go.etcd.io/bbolt"
 
-	"aspenshed/internal/decide/catalog"
-	pb "aspenshed/internal/decide/catalog/catalogpb"
-	"aspenshed/internal/decide/mode"
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/mode"
 )
 
 // filled is the folder of one closed instance, with log and snapshots.
--- a/internal/keep/store/files.go
+++ b/internal/controlplane/store/files.go
@@ -15,7 +15,7 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 	"github.com/sirupsen/logrus"
 
-	"aspenshed/internal/decide/catalog"
+	"aspenshed/internal/controlplane/catalog"
 )
 
 const (
--- a/internal/keep/store/fsm.go
+++ b/internal/controlplane/store/fsm.go
@@ -10,8 +10,8 @@
 	"github.com/hashicorp/raft"
 	"google.golang.org/protobuf/proto"
 
-	"aspenshed/internal/decide/catalog"
-	pb "aspenshed/internal/decide/catalog/catalogpb"
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
 // machine lets raft drive the catalog.
--- a/internal/keep/store/killed_test.go
+++ b/internal/controlplane/store/killed_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"aspenshed/internal/decide/catalog"
+	"aspenshed/internal/controlplane/catalog"
 )
 
 const childDir = "ASPENSHED_STORE_CHILD"
--- a/internal/keep/store/lead.go
+++ b/internal/controlplane/store/lead.go
@@ -10,9 +10,9 @@
 	"github.com/hashicorp/raft"
 	"google.golang.org/protobuf/proto"
 
-	"aspenshed/internal/decide/catalog"
-	pb "aspenshed/internal/decide/catalog/catalogpb"
-	"aspenshed/internal/decide/membership"
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/membership"
 )
 
 const mostDoors = 8 // services named by hand to join through; the oldest goes
--- a/internal/keep/store/queue.go
+++ b/internal/controlplane/store/queue.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	pb "aspenshed/internal/decide/catalog/catalogpb"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
 const (
--- a/internal/keep/store/service.go
+++ b/internal/controlplane/store/service.go
@@ -9,7 +9,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	pb "aspenshed/internal/decide/catalog/catalogpb"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 	"aspenshed/internal/netio"
 )
 
--- a/internal/keep/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -11,24 +11,24 @@
 	"sync/atomic"
 	"time"
 
-	nc "aspenshed"
+	"aspenshed"
 
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 	"github.com/sirupsen/logrus"
 	"google.golang.org/protobuf/proto"
 
-	"aspenshed/internal/core"
-	"aspenshed/internal/decide/catalog"
-	pb "aspenshed/internal/decide/catalog/catalogpb"
-	"aspenshed/internal/decide/lease"
-	"aspenshed/internal/decide/membership"
-	"aspenshed/internal/decide/mode"
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/lease"
+	"aspenshed/internal/controlplane/membership"
+	"aspenshed/internal/controlplane/mode"
+	"aspenshed/internal/dataplane/eventloop"
 )
 
 const (
 	tickEvery   = 100 * time.Millisecond
-	beatEvery   = nc.Nanos(2e9)
+	beatEvery   = aspenshed.Nanos(2e9)
 	leaderLimit = 2 * time.Second // for the leader to carry a batch out
 	askPeers    = 200 * time.Millisecond
 )
@@ -52,7 +52,7 @@
 	mode     mode.Mode
 	grants   *lease.Grantor
 	changes  membership.Machine
-	lastBeat nc.Nanos
+	lastBeat aspenshed.Nanos
 	through  []string  // services to join through, named by hand
 	why      string    // this instance is not in yet
 	coldAt   [2]uint64 // the catalog's versions that cold was taken at
@@ -74,7 +74,7 @@
 		c.Log = discard()
 	}
 	if c.Clock == nil {
-		c.Clock = core.NewClock()
+		c.Clock = eventloop.NewClock()
 	}
 	if c.Changed == nil {
 		c.Changed = func() {}
@@ -217,7 +217,7 @@
 }
 
 // tick looks at the mode, at leases that have run out, and tells the others that this instance is there.
-func (s *Store) tick(now nc.Nanos) {
+func (s *Store) tick(now aspenshed.Nanos) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	seen := s.look()
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -11,8 +11,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"aspenshed/internal/decide/catalog"
-	pb "aspenshed/internal/decide/catalog/catalogpb"
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 	"aspenshed/internal/netio"
 )
 
--- a/internal/daemon/admin_test.go
+++ b/internal/daemon/admin_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"aspenshed/internal/lab/standin"
+	"aspenshed/internal/experiment/standin"
 )
 
 // What a newcomer gets, and what the administrator sees of it: an answer to a sample query, a drain that all hold, a
--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -7,9 +7,9 @@
 	"github.com/sirupsen/logrus"
 	"go.yaml.in/yaml/v3"
 
-	"aspenshed/internal/decide/catalog"
-	pb "aspenshed/internal/decide/catalog/catalogpb"
-	"aspenshed/internal/source/config"
+	"aspenshed/internal/config"
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
 // What all instances of an installation should have alike (classes, tenants, defaults) is agreed on as well. It takes
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -8,23 +8,23 @@
 	"sync"
 	"time"
 
-	nc "aspenshed"
+	"aspenshed"
 
 	"github.com/sirupsen/logrus"
 
-	"aspenshed/internal/core"
-	"aspenshed/internal/decide/catalog"
-	"aspenshed/internal/keep/store"
-	"aspenshed/internal/source/config"
+	"aspenshed/internal/config"
+	"aspenshed/internal/controlplane/catalog"
+	"aspenshed/internal/controlplane/store"
+	"aspenshed/internal/dataplane/eventloop"
 )
 
 const (
 	defaultLease    = 4 * time.Second
-	acceptAfterTerm = nc.Nanos(400e6) // new connections still come this long after SIGTERM
-	lastServed      = nc.Nanos(1e9)   // before the end connections are closed between requests
-	lastAnswer      = nc.Nanos(300e6) // what is still held then gets its answer
-	drainTick       = nc.Nanos(10e6)
-	leastGrace      = nc.Nanos(3e9)
+	acceptAfterTerm = aspenshed.Nanos(400e6) // new connections still come this long after SIGTERM
+	lastServed      = aspenshed.Nanos(1e9)   // before the end connections are closed between requests
+	lastAnswer      = aspenshed.Nanos(300e6) // what is still held then gets its answer
+	drainTick       = aspenshed.Nanos(10e6)
+	leastGrace      = aspenshed.Nanos(3e9)
 )
 
 // Config is what a daemon is made of.
@@ -33,7 +33,7 @@
 	Path    string // of the deploy file, for reload
 	Seed    uint64
 	Release string
-	Clock   core.Clock // nil: the wall's
+	Clock   eventloop.Clock // nil: the wall's
 	// Store, where it is set, changes the store's configuration: seams for faults.
 	Store func(*store.Config)
 }
@@ -44,7 +44,7 @@
 	Fronts []*Front
 
 	cfg    Config
-	loop   *core.Loop
+	loop   *eventloop.Loop
 	log    *logrus.Entry
 	admin  *admin
 	once   sync.Once
@@ -56,9 +56,9 @@
 // tells them.
 func New(c Config) (d *Daemon, err error) {
 	if c.Clock == nil {
-		c.Clock = core.NewClock()
+		c.Clock = eventloop.NewClock()
 	}
-	d = &Daemon{cfg: c, loop: core.NewLoop(c.Clock), ended: make(chan struct{}), broken: make(chan error, 1),
+	d = &Daemon{cfg: c, loop: eventloop.NewLoop(c.Clock), ended: make(chan struct{}), broken: make(chan error, 1),
 		log: logrus.WithField("instance", c.Deploy.Store.ID)}
 	d.loop.Panicked = func(p any) {
 		d.log.WithFields(logrus.Fields{"panic": p, "stack": string(debug.Stack())}).Error("panic on the loop: it goes on")
@@ -126,13 +126,13 @@
 }
 
 // agreed has a Router go by what the instances agree on. Members name their primary through the store's word too.
-func agreed(s *nc.Settings, c store.Config, lease time.Duration) {
+func agreed(s *aspenshed.Settings, c store.Config, lease time.Duration) {
 	s.ListTellsRole = true
 	if lease == 0 {
 		return
 	}
 	r := c.Rules()
-	s.SafeShare, s.ColdFor, s.ColdLongest = catalog.SafeShare(r), nc.Nanos(r.ColdFor), nc.Nanos(r.ColdLongest)
+	s.SafeShare, s.ColdFor, s.ColdLongest = catalog.SafeShare(r), aspenshed.Nanos(r.ColdFor), aspenshed.Nanos(r.ColdLongest)
 }
 
 // changed has the agents look at once.
@@ -197,7 +197,7 @@
 	start, grace := d.loop.Now(), leastGrace
 	live := 0
 	for _, f := range d.Fronts {
-		live += f.Estate.Relay.Live()
+		live += f.Pipeline.Response.Live()
 		for _, c := range f.cfg.Settings.Classes {
 			grace = max(grace, c.GiveUp)
 		}
@@ -210,7 +210,7 @@
 		now, left := d.loop.Now(), 0
 		for _, f := range d.Fronts {
 			if now >= answerAll {
-				f.Estate.FailAll("the gateway ends")
+				f.Pipeline.FailAll("the gateway ends")
 			}
 			left += f.Left(now >= max(closeFrom, start+acceptAfterTerm))
 		}
--- a/internal/daemon/demo.go
+++ b/internal/daemon/demo.go
@@ -11,11 +11,11 @@
 
 	"github.com/sirupsen/logrus"
 
-	"aspenshed/internal/core"
-	"aspenshed/internal/keep/store"
-	"aspenshed/internal/lab/standin"
-	"aspenshed/internal/proto/pgwire"
-	"aspenshed/internal/source/config"
+	"aspenshed/internal/config"
+	"aspenshed/internal/controlplane/store"
+	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/experiment/standin"
+	"aspenshed/internal/protocol/pgwire"
 )
 
 // demoConfig is what the daemon begins with where nothing is configured: the booking service's classes, loopback only.
@@ -67,7 +67,7 @@
 	Deploys   []*config.Deploy
 
 	seams func(int, *store.Config)
-	clock func(int) core.Clock
+	clock func(int) eventloop.Clock
 }
 
 // DemoOptions change a demonstration, for tests.
@@ -76,7 +76,7 @@
 	Limits    standin.Limits
 	Change    func(text string) string
 	Seams     func(i int, c *store.Config)
-	Clock     func(i int) core.Clock // nil: the wall's
+	Clock     func(i int) eventloop.Clock // nil: the wall's
 }
 
 // NewDemo starts one in a folder.
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -1,4 +1,4 @@
-// Package daemon puts the gateway of our own installations together: fronts with estates of their own, the store and
+// Package daemon puts the gateway of our own installations together: fronts with pipelines of their own, the store and
 // its agents, administration over a local socket. It only wires.
 package daemon
 
@@ -8,27 +8,28 @@
 	"os"
 	"time"
 
-	nc "aspenshed"
+	"aspenshed"
 
 	"github.com/sirupsen/logrus"
 
-	"aspenshed/internal/core"
-	pb "aspenshed/internal/decide/catalog/catalogpb"
-	"aspenshed/internal/decide/roster"
-	"aspenshed/internal/front"
-	"aspenshed/internal/front/mysql"
-	"aspenshed/internal/front/platform"
-	"aspenshed/internal/keep/agent"
-	"aspenshed/internal/keep/store"
+	"aspenshed/internal/config"
+	"aspenshed/internal/controlplane/agent"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/roster"
+	"aspenshed/internal/controlplane/store"
+	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/dataplane/pipeline"
+	"aspenshed/internal/dataplane/request"
+	"aspenshed/internal/frontend/mysql"
+	"aspenshed/internal/frontend/postgres"
+	"aspenshed/internal/frontend/session"
+	"aspenshed/internal/inventory"
 	"aspenshed/internal/netio"
-	"aspenshed/internal/source/config"
-	"aspenshed/internal/source/inventory"
-	"aspenshed/internal/stage/estate"
 )
 
 const (
-	loginLimit = nc.Nanos(10e9) // MySQL's connect_timeout: to log in and send a first command
-	startLimit = nc.Nanos(2e9)  // the same for PostgreSQL's wire, which asks for no password
+	loginLimit = aspenshed.Nanos(10e9) // MySQL's connect_timeout: to log in and send a first command
+	startLimit = aspenshed.Nanos(2e9)  // the same for PostgreSQL's wire, which asks for no password
 	mostHeld   = 8192
 )
 
@@ -38,13 +39,13 @@
 	WirePostgres = "postgres"
 )
 
-// Front is one front of our own: its listener, its estate, whose members an inventory or the store names, and its
+// Front is one front of our own: its listener, its pipeline, whose members an inventory or the store names, and its
 // agent towards the store.
 type Front struct {
-	Wire   string
-	Net    *netio.Net
-	Desk   *front.Desk
-	Estate *estate.Estate
+	Wire     string
+	Net      *netio.Net
+	Manager  *session.Manager
+	Pipeline *pipeline.Pipeline
 
 	cfg   *config.Service
 	log   *logrus.Entry
@@ -53,36 +54,36 @@
 }
 
 // NewMySQL makes the MySQL front. Without a store its members are those of the inventory alone.
-func NewMySQL(c *config.MySQL, loop *core.Loop, seed uint64, st *store.Store, lease time.Duration) (*Front, error) {
+func NewMySQL(c *config.MySQL, loop *eventloop.Loop, seed uint64, st *store.Store, lease time.Duration) (*Front, error) {
 	var f mysql.Front
-	x := &Front{Wire: WireMySQL, cfg: &c.Service, Desk: &f.Desk, store: st}
+	x := &Front{Wire: WireMySQL, cfg: &c.Service, Manager: &f.Manager, store: st}
 	backend := &mysql.Backend{Loop: loop, User: c.Server.User, Password: c.Password, Database: c.Database,
 		Probes: mysql.Probes{Role: c.Probe.Role, Position: c.Probe.Position}}
 	f.Accounts, f.Database = c.Passwords, c.Database
 	f.Defaults = mysql.Defaults{ReadClass: c.Defaults.ReadClass, WriteClass: c.Defaults.WriteClass, Tenant: c.Defaults.Tenant,
 		Group: c.Defaults.Group, WaitMs: c.Defaults.Wait.Milliseconds()}
-	err := x.start(loop, seed, lease, loginLimit, f.Accept, func(n *netio.Net) core.Backend { backend.Net = n; return backend })
+	err := x.start(loop, seed, lease, loginLimit, f.Accept, func(n *netio.Net) request.Backend { backend.Net = n; return backend })
 	return x, err
 }
 
 // NewPostgres makes a front that speaks the platform's protocol.
-func NewPostgres(c *config.Postgres, loop *core.Loop, seed uint64, st *store.Store, lease time.Duration) (*Front, error) {
-	var f platform.Front
-	x := &Front{Wire: WirePostgres, cfg: &c.Service, Desk: &f.Desk, store: st}
-	backend := &platform.Backend{Loop: loop}
-	err := x.start(loop, seed, lease, startLimit, f.Accept, func(n *netio.Net) core.Backend { backend.Net = n; return backend })
+func NewPostgres(c *config.Postgres, loop *eventloop.Loop, seed uint64, st *store.Store, lease time.Duration) (*Front, error) {
+	var f postgres.Front
+	x := &Front{Wire: WirePostgres, cfg: &c.Service, Manager: &f.Manager, store: st}
+	backend := &postgres.Backend{Loop: loop}
+	err := x.start(loop, seed, lease, startLimit, f.Accept, func(n *netio.Net) request.Backend { backend.Net = n; return backend })
 	return x, err
 }
 
-func (f *Front) start(loop *core.Loop, seed uint64, lease time.Duration, silent nc.Nanos, accept func(*netio.Conn) netio.Handler,
-	backend func(*netio.Net) core.Backend) (err error) {
+func (f *Front) start(loop *eventloop.Loop, seed uint64, lease time.Duration, silent aspenshed.Nanos, accept func(*netio.Conn) netio.Handler,
+	backend func(*netio.Net) request.Backend) (err error) {
 	c := f.cfg
 	f.log = logrus.WithField("front", f.Wire)
 	own, err := f.read()
 	if err != nil && (f.store == nil || !errors.Is(err, os.ErrNotExist)) {
 		return err
 	}
-	*f.Desk = front.Desk{Loop: loop, Settings: &c.Settings, Limits: front.Limits{Silent: silent, Idle: nc.Nanos(c.ClientIdle),
+	*f.Manager = session.Manager{Loop: loop, Settings: &c.Settings, Limits: session.Limits{Silent: silent, Idle: aspenshed.Nanos(c.ClientIdle),
 		Roomy: c.Clients * 3 / 4, Spare: silent}}
 	ready := make(chan struct{})
 	f.Net, err = netio.New(netio.Config{Name: f.Wire, Listen: c.Listen, Clients: c.Clients, Dials: c.Links, Reserved: c.Links / 10,
@@ -93,20 +94,20 @@
 	if err != nil {
 		return err
 	}
-	f.Estate = estate.New(estate.Config{Loop: loop, Log: f.log, Settings: c.Settings, Seed: seed, MostHeld: mostHeld,
+	f.Pipeline = pipeline.New(pipeline.Config{Loop: loop, Log: f.log, Settings: c.Settings, Seed: seed, MostHeld: mostHeld,
 		Backend: backend(f.Net), Watch: func() {}})
-	f.Desk.Take, f.Desk.Leave, f.Desk.Rejected = f.Estate.Intake.Take, f.Estate.Leave, f.Estate.Book.Rejected
-	list, addresses := nc.MemberList{Whole: true}, map[string]string{}
+	f.Manager.Take, f.Manager.Leave, f.Manager.Rejected = f.Pipeline.Accept.Take, f.Pipeline.Leave, f.Pipeline.Accounting.Rejected
+	list, addresses := aspenshed.MemberList{Whole: true}, map[string]string{}
 	if f.store == nil {
 		list, addresses = inventory.List(own)
 	}
-	if err := f.Estate.Start(list, addresses); err != nil {
+	if err := f.Pipeline.Start(list, addresses); err != nil {
 		f.Net.Stop()
 		return err
 	}
 	if f.store != nil {
-		f.agent = agent.Start(agent.Config{Store: f.store, Loop: loop, Log: f.log, Estate: f.Estate, Wire: f.Wire,
-			Classes: c.Settings.Classes, Lease: nc.Nanos(lease)}, f.told(own))
+		f.agent = agent.Start(agent.Config{Store: f.store, Loop: loop, Log: f.log, Pipeline: f.Pipeline, Wire: f.Wire,
+			Classes: c.Settings.Classes, Lease: aspenshed.Nanos(lease)}, f.told(own))
 		if len(own) > 0 {
 			go f.first(own)
 		}
@@ -157,7 +158,7 @@
 		return
 	}
 	if f.agent == nil {
-		f.Estate.Members(inventory.List(members))
+		f.Pipeline.Members(inventory.List(members))
 		f.log.WithField("members", len(members)).Info("inventory in use")
 		return
 	}
@@ -171,14 +172,16 @@
 
 // Hear tells the front alone that a member has started, as its own list would: for trials of what an instance does
 // that cannot hear the store.
-func (f *Front) Hear(id string, start time.Time) { f.agent.Started(id, nc.Nanos(start.UnixNano())) }
+func (f *Front) Hear(id string, start time.Time) {
+	f.agent.Started(id, aspenshed.Nanos(start.UnixNano()))
+}
 
 // Left is how many clients' connections and requests are still there; closing: those between requests are closed first.
 func (f *Front) Left(closing bool) int {
 	if closing {
-		f.Desk.CloseIdle()
+		f.Manager.CloseIdle()
 	}
-	return f.Net.Clients() + f.Estate.Relay.Live()
+	return f.Net.Clients() + f.Pipeline.Response.Live()
 }
 
 // Stop ends the agent and writes the last counts.
@@ -186,7 +189,7 @@
 	if f.agent != nil {
 		f.agent.Stop()
 	}
-	f.Estate.Book.Write(f.Estate.Relay.Live())
+	f.Pipeline.Accounting.Write(f.Pipeline.Response.Live())
 }
 
 // String names the front.
--- a/internal/daemon/mysql_test.go
+++ b/internal/daemon/mysql_test.go
@@ -8,7 +8,7 @@
 
 	_ "github.com/go-sql-driver/mysql"
 
-	"aspenshed/internal/lab/standin"
+	"aspenshed/internal/experiment/standin"
 )
 
 // The MySQL front of the demonstration serves an ordinary client, text and prepared; bookings follow the role when it
--- a/internal/stage/intake/intake.go
+++ b/internal/dataplane/accept/accept.go
@@ -1,24 +1,25 @@
-// Package intake is the first stage: it takes a parsed query in, turns away
+// Package accept is the first stage: it takes a parsed query in, turns away
 // what the settings do not know, and names the request.
-package intake
+package accept
 
 import (
 	"fmt"
 	"strconv"
 
-	nc "aspenshed"
-	"aspenshed/internal/core"
+	"aspenshed"
+	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/dataplane/request"
 )
 
 // Stage takes queries in.
 type Stage struct {
-	Loop     *core.Loop
-	Settings *nc.Settings
+	Loop     *eventloop.Loop
+	Settings *aspenshed.Settings
 	// KnownGroup tells whether some member list has named the group.
 	KnownGroup func(int) bool
 	// Reject answers a query that is no request; Next is the stage after this one.
-	Reject func(core.Query, string)
-	Next   func(*core.Request)
+	Reject func(request.Query, string)
+	Next   func(*request.Request)
 
 	taken uint64
 	open  map[string]bool // names of requests that hold something here or at a member
@@ -26,7 +27,7 @@
 
 // Take runs on the loop. It returns nil for a query that it has rejected.
 // arrived is when the query's last byte was read.
-func (s *Stage) Take(q core.Query, arrived nc.Nanos) *core.Request {
+func (s *Stage) Take(q request.Query, arrived aspenshed.Nanos) *request.Request {
 	if problem := s.check(&q); problem != "" {
 		s.Reject(q, problem)
 		return nil
@@ -39,12 +40,12 @@
 		}
 		s.open[q.Name] = true
 	}
-	req := &core.Request{Query: q, ID: strconv.FormatUint(s.taken, 36), Arrived: arrived, Deadline: arrived + q.Wait}
+	req := &request.Request{Query: q, ID: strconv.FormatUint(s.taken, 36), Arrived: arrived, Deadline: arrived + q.Wait}
 	s.Next(req)
 	return req
 }
 
-func (s *Stage) check(q *core.Query) string {
+func (s *Stage) check(q *request.Query) string {
 	switch {
 	case q.Class < 0 || q.Class >= len(s.Settings.Classes):
 		return "unknown class"
@@ -63,4 +64,4 @@
 }
 
 // Closed says that a request has its answer and no attempt of it is out: its name may come again.
-func (s *Stage) Closed(r *core.Request) { delete(s.open, r.Name) }
+func (s *Stage) Closed(r *request.Request) { delete(s.open, r.Name) }
--- a/internal/stage/book/book.go
+++ b/internal/dataplane/accounting/accounting.go
@@ -1,29 +1,30 @@
-// Package book is the last stage: it counts what became of requests and
+// Package accounting is the last stage: it counts what became of requests and
 // attempts and writes the lines that on-call staff read.
-package book
+package accounting
 
 import (
 	"strings"
 	"time"
 
-	nc "aspenshed"
+	"aspenshed"
 
 	"github.com/sirupsen/logrus"
 	"golang.org/x/time/rate"
 
-	"aspenshed/internal/core"
+	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/dataplane/request"
 )
 
 // Counts are totals since the start.
 type Counts struct {
 	Taken, Served, Refused, Failed, Left, Rejected uint64
 	Auxiliary, Attempts, Probes                    uint64
-	Outcomes, ProbeOutcomes                        [nc.Unknown + 1]uint64
+	Outcomes, ProbeOutcomes                        [aspenshed.Unknown + 1]uint64
 }
 
 // Stage counts. All of it runs on the loop.
 type Stage struct {
-	Loop   *core.Loop
+	Loop   *eventloop.Loop
 	Log    *logrus.Entry
 	Counts Counts
 	last   Counts
@@ -37,18 +38,18 @@
 const mostNamed = 64
 
 // New makes a Stage.
-func New(loop *core.Loop, log *logrus.Entry) Stage {
+func New(loop *eventloop.Loop, log *logrus.Entry) Stage {
 	return Stage{Loop: loop, Log: log, logRejected: rate.Sometimes{First: 10, Interval: time.Second}}
 }
 
-var outcomeNames = [...]string{nc.Served: "served", nc.Errored: "errored", nc.Full: "full", nc.TimedOut: "timed_out",
-	nc.NoLink: "no_link", nc.LinkBroke: "link_broke", nc.Cancelled: "cancelled", nc.NotSent: "not_sent",
-	nc.Turned: "turned", nc.Rejected: "rejected", nc.Unknown: "unknown"}
+var outcomeNames = [...]string{aspenshed.Served: "served", aspenshed.Errored: "errored", aspenshed.Full: "full", aspenshed.TimedOut: "timed_out",
+	aspenshed.NoLink: "no_link", aspenshed.LinkBroke: "link_broke", aspenshed.Cancelled: "cancelled", aspenshed.NotSent: "not_sent",
+	aspenshed.Turned: "turned", aspenshed.Rejected: "rejected", aspenshed.Unknown: "unknown"}
 
-var verdictNames = [...]string{core.Served: "served", core.Refused: "refused", core.Failed: "failed", core.Left: "left"}
+var verdictNames = [...]string{request.Served: "served", request.Refused: "refused", request.Failed: "failed", request.Left: "left"}
 
 // Took counts a request.
-func (s *Stage) Took(r *core.Request) {
+func (s *Stage) Took(r *request.Request) {
 	if r.Auxiliary {
 		s.Counts.Auxiliary++
 	} else {
@@ -57,18 +58,18 @@
 }
 
 // Ended counts a final answer.
-func (s *Stage) Ended(r *core.Request, f core.Final) {
+func (s *Stage) Ended(r *request.Request, f request.Final) {
 	if r.Auxiliary {
 		return
 	}
 	switch f.Verdict {
-	case core.Served:
+	case request.Served:
 		s.Counts.Served++
-	case core.Refused:
+	case request.Refused:
 		s.Counts.Refused++
-	case core.Failed:
+	case request.Failed:
 		s.Counts.Failed++
-	case core.Left:
+	case request.Left:
 		s.Counts.Left++
 	}
 	if s.tracing() {
@@ -103,7 +104,7 @@
 }
 
 // Attempt counts an attempt's end.
-func (s *Stage) Attempt(q *core.Request, member string, r core.Result) {
+func (s *Stage) Attempt(q *request.Request, member string, r request.Result) {
 	s.Counts.Attempts++
 	s.Counts.Outcomes[r.Outcome]++
 	if s.tracing() {
@@ -114,7 +115,7 @@
 }
 
 // Probe counts a probe's end.
-func (s *Stage) Probe(member string, r core.Result) {
+func (s *Stage) Probe(member string, r request.Result) {
 	s.Counts.Probes++
 	s.Counts.ProbeOutcomes[r.Outcome]++
 }
@@ -128,7 +129,7 @@
 	f := logrus.Fields{"live": live, "taken": c.Taken - s.last.Taken, "served": c.Served - s.last.Served,
 		"refused": c.Refused - s.last.Refused, "failed": c.Failed - s.last.Failed, "left": c.Left - s.last.Left,
 		"rejected": c.Rejected - s.last.Rejected}
-	add := func(prefix string, now, old [nc.Unknown + 1]uint64) {
+	add := func(prefix string, now, old [aspenshed.Unknown + 1]uint64) {
 		for i, n := range now {
 			if n > old[i] {
 				f[prefix+outcomeNames[i]] = n - old[i]
--- a/internal/stage/book/book_test.go
+++ b/internal/dataplane/accounting/accounting_test.go
@@ -1,4 +1,4 @@
-package book
+package accounting
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"aspenshed/internal/core"
+	"aspenshed/internal/dataplane/eventloop"
 )
 
 // Guards the log: an unknown class or tenant is named at once, and once, whatever else is rejected; the names are bounded.
@@ -15,7 +15,7 @@
 	var out strings.Builder
 	log := logrus.New()
 	log.SetOutput(&out)
-	s := New(core.NewLoop(core.NewClock()), logrus.NewEntry(log))
+	s := New(eventloop.NewLoop(eventloop.NewClock()), logrus.NewEntry(log))
 	for range 20 {
 		s.Rejected("malformed message")
 	}
--- a/internal/stage/send/send.go
+++ b/internal/dataplane/dispatch/dispatch.go
@@ -1,42 +1,43 @@
-// Package send is the stage that carries attempts and probes to the members:
+// Package dispatch is the stage that carries attempts and probes to the members:
 // it keeps a pool of links to each, one attempt on a link, and its time-outs.
-package send
+package dispatch
 
 import (
 	"cmp"
 	"slices"
 
-	nc "aspenshed"
+	"aspenshed"
 
 	"github.com/sirupsen/logrus"
 
-	"aspenshed/internal/core"
+	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/dataplane/request"
 )
 
 const (
-	probeTimeout = nc.Nanos(250e6)
-	idleMargin   = nc.Nanos(1e9) // idle links close this long before the member would
-	sweepEvery   = nc.Nanos(500e6)
-	mostLinks    = 3             // that an attempt takes up, as long as its statement has not left on any
-	roomWait     = nc.Nanos(2e6) // for the descriptor of a link that was closed to be given back: its poller does that
+	probeTimeout = aspenshed.Nanos(250e6)
+	idleMargin   = aspenshed.Nanos(1e9) // idle links close this long before the member would
+	sweepEvery   = aspenshed.Nanos(500e6)
+	mostLinks    = 3                    // that an attempt takes up, as long as its statement has not left on any
+	roomWait     = aspenshed.Nanos(2e6) // for the descriptor of a link that was closed to be given back: its poller does that
 )
 
 // Stage sends. All of it runs on the loop.
 type Stage struct {
-	Loop           *core.Loop
+	Loop           *eventloop.Loop
 	Log            *logrus.Entry
-	Backend        core.Backend
-	ConnectTimeout nc.Nanos
-	IdleClose      nc.Nanos // 0: members never close idle links
-	SoftRemoval    bool     // absence from the list does not end a member
-	Get            func(id string) *core.Request
-	Tell           func(nc.Event)
+	Backend        request.Backend
+	ConnectTimeout aspenshed.Nanos
+	IdleClose      aspenshed.Nanos // 0: members never close idle links
+	SoftRemoval    bool            // absence from the list does not end a member
+	Get            func(id string) *request.Request
+	Tell           func(aspenshed.Event)
 	// Answered has a request answered; Settled hears of one that had its answer before its last attempt ended;
 	// Attempted and Probed hear of every end.
-	Answered  func(*core.Request, core.Result)
-	Settled   func(*core.Request)
-	Attempted func(q *core.Request, member string, r core.Result)
-	Probed    func(member string, r core.Result)
+	Answered  func(*request.Request, request.Result)
+	Settled   func(*request.Request)
+	Attempted func(q *request.Request, member string, r request.Result)
+	Probed    func(member string, r request.Result)
 
 	pools    map[string]*pool
 	attempts map[string]*attempt // the one that is out, by request
@@ -51,17 +52,17 @@
 }
 
 type attempt struct {
-	r       *core.Request
+	r       *request.Request
 	n       int
 	p       *pool
 	l       *link
-	at      nc.Nanos
-	end     nc.Nanos // when it is given up
-	leaveBy nc.Nanos // it must not leave later: what is known of the member's data is too old then; 0: no matter
-	lay     nc.Nanos // how long its link had lain idle; 0: a new one
-	links   int      // taken up so far
-	timer   *core.Timer
-	silence *core.Timer // ends a link that does not show that it is alive
+	at      aspenshed.Nanos
+	end     aspenshed.Nanos // when it is given up
+	leaveBy aspenshed.Nanos // it must not leave later: what is known of the member's data is too old then; 0: no matter
+	lay     aspenshed.Nanos // how long its link had lain idle; 0: a new one
+	links   int             // taken up so far
+	timer   *eventloop.Timer
+	silence *eventloop.Timer // ends a link that does not show that it is alive
 	ended   bool
 }
 
@@ -69,14 +70,14 @@
 type link struct {
 	s       *Stage
 	p       *pool
-	c       core.Link
+	c       request.Link
 	up      bool
 	closed  bool
 	a       *attempt
-	idle    nc.Nanos // since when; 0: it has served nothing yet
-	probing bool     // a probe's link, and one is out
-	began   nc.Nanos // that probe
-	timer   *core.Timer
+	idle    aspenshed.Nanos // since when; 0: it has served nothing yet
+	probing bool            // a probe's link, and one is out
+	began   aspenshed.Nanos // that probe
+	timer   *eventloop.Timer
 }
 
 // Start begins the sweep of idle links.
@@ -87,7 +88,7 @@
 
 // Members keeps addresses, and closes what is idle at members that are not up. Those that are gone are forgotten,
 // as ids are always new; what is still out there holds its pool itself.
-func (s *Stage) Members(l nc.MemberList, addresses map[string]string) {
+func (s *Stage) Members(l aspenshed.MemberList, addresses map[string]string) {
 	listed := map[string]bool{}
 	for _, m := range l.Members {
 		listed[m.ID] = true
@@ -100,11 +101,11 @@
 			s.ClosePool(m.ID)
 			p.address = a
 		}
-		p.leaving = m.State != nc.Up
+		p.leaving = m.State != aspenshed.Up
 		if p.wanted = !p.leaving; p.leaving {
 			s.ClosePool(p.id)
 		}
-		if m.State == nc.Gone {
+		if m.State == aspenshed.Gone {
 			delete(s.pools, m.ID)
 		}
 	}
@@ -121,16 +122,18 @@
 }
 
 // Send starts an attempt, the n-th of its request. leaveBy: when its statement must have left, if at all; 0: no matter.
-func (s *Stage) Send(id, member string, n int, giveUpAt, leaveBy nc.Nanos) {
+func (s *Stage) Send(id, member string, n int, giveUpAt, leaveBy aspenshed.Nanos) {
 	r, p := s.Get(id), s.pools[member]
 	if r == nil { // its client left while the module decided, in the same batch: what that counted is given back
-		s.Loop.Post(func() { s.Tell(nc.Answer{ID: id, Attempt: n, Member: member, Outcome: nc.NotSent, Over: true}) })
+		s.Loop.Post(func() {
+			s.Tell(aspenshed.Answer{ID: id, Attempt: n, Member: member, Outcome: aspenshed.NotSent, Over: true})
+		})
 		return
 	}
 	if p == nil || s.attempts[id] != nil {
 		// Guards the rules: never a second copy, never a send to a member that the list does not know.
 		s.Log.WithFields(logrus.Fields{"request": id, "member": member}).Error("send refused: unknown or out already")
-		s.endLater(&attempt{r: r, n: n, p: p, at: s.Loop.Now()}, core.Result{Outcome: nc.NotSent})
+		s.endLater(&attempt{r: r, n: n, p: p, at: s.Loop.Now()}, request.Result{Outcome: aspenshed.NotSent})
 		r.Attempts++
 		return
 	}
@@ -140,7 +143,7 @@
 	if giveUpAt > 0 {
 		a.end = min(a.end, giveUpAt)
 	}
-	a.timer = s.Loop.At(a.end, func() { s.giveUp(a, nc.TimedOut) })
+	a.timer = s.Loop.At(a.end, func() { s.giveUp(a, aspenshed.TimedOut) })
 	s.carry(a)
 }
 
@@ -161,7 +164,7 @@
 			}
 		}
 		if err != nil { // our own want of descriptors: nothing against the member, and no use to wait for it
-			s.endLater(a, core.Result{Outcome: nc.NotSent, Detail: err.Error()})
+			s.endLater(a, request.Result{Outcome: aspenshed.NotSent, Detail: err.Error()})
 			return
 		}
 	}
@@ -176,16 +179,16 @@
 
 // cut ends a link on which the attempt's statement did not leave. The attempt takes up another one, as members and
 // the network drop links unseen; where the member can't be reached, or all are cut, it has not run.
-func (s *Stage) cut(a *attempt, how core.End, detail string) {
+func (s *Stage) cut(a *attempt, how request.End, detail string) {
 	s.Loop.Stop(a.silence)
 	a.l.a = nil
 	a.l.close()
 	a.l, a.r.Out = nil, false // its last byte was let go, maybe, but could not be written
-	if how == core.CutBefore && a.links < mostLinks && !a.p.leaving {
+	if how == request.CutBefore && a.links < mostLinks && !a.p.leaving {
 		s.carry(a)
 		return
 	}
-	s.endLater(a, core.Result{Outcome: nc.NoLink, Detail: detail})
+	s.endLater(a, request.Result{Outcome: aspenshed.NoLink, Detail: detail})
 }
 
 func (s *Stage) takeIdle(p *pool) *link {
@@ -233,30 +236,30 @@
 // Cancel gives one attempt up.
 func (s *Stage) Cancel(id string, n int) {
 	if a := s.attempts[id]; a != nil && a.n == n {
-		s.giveUp(a, nc.Cancelled)
+		s.giveUp(a, aspenshed.Cancelled)
 	}
 }
 
 // giveUp closes the attempt's link before anything else may be sent for its request.
-func (s *Stage) giveUp(a *attempt, o nc.Outcome) {
-	if o == nc.TimedOut && (a.l == nil || !a.l.up || !a.l.c.Out()) {
-		o = nc.NoLink // the statement never left: no link came up in time
+func (s *Stage) giveUp(a *attempt, o aspenshed.Outcome) {
+	if o == aspenshed.TimedOut && (a.l == nil || !a.l.up || !a.l.c.Out()) {
+		o = aspenshed.NoLink // the statement never left: no link came up in time
 	}
 	if a.l != nil {
 		a.l.close()
 	}
-	s.end(a, core.Result{Outcome: o})
+	s.end(a, request.Result{Outcome: o})
 }
 
 // Withdraw takes an attempt back whose request has its answer, or none to wait for it, before the statement has left:
 // nothing may leave for it any more. One that is out is for the module to cancel or to let run.
-func (s *Stage) Withdraw(r *core.Request) {
+func (s *Stage) Withdraw(r *request.Request) {
 	if a := s.attempts[r.ID]; a != nil && !r.Out {
 		if a.l != nil {
 			a.l.a = nil
 			a.l.close()
 		}
-		s.end(a, core.Result{Outcome: nc.NotSent})
+		s.end(a, request.Result{Outcome: aspenshed.NotSent})
 		s.Loop.Post(func() {}) // the module hears of it though this be one of its own actions
 	}
 }
@@ -277,14 +280,14 @@
 }
 
 // Holds tells whether an attempt of the request is out.
-func (s *Stage) Holds(r *core.Request) bool { return s.attempts[r.ID] != nil }
+func (s *Stage) Holds(r *request.Request) bool { return s.attempts[r.ID] != nil }
 
 // endLater ends an attempt in the next batch, so that no decision is taken inside another's actions.
-func (s *Stage) endLater(a *attempt, r core.Result) {
+func (s *Stage) endLater(a *attempt, r request.Result) {
 	s.Loop.Post(func() { s.end(a, r) })
 }
 
-func (s *Stage) end(a *attempt, res core.Result) {
+func (s *Stage) end(a *attempt, res request.Result) {
 	if a.ended { // given up while its end was on the way
 		return
 	}
@@ -298,7 +301,7 @@
 	if a.p != nil {
 		member = a.p.id
 	}
-	neverRan := res.Outcome == nc.Full || res.Outcome == nc.NoLink || res.Outcome == nc.NotSent || res.Outcome == nc.Turned
+	neverRan := res.Outcome == aspenshed.Full || res.Outcome == aspenshed.NoLink || res.Outcome == aspenshed.NotSent || res.Outcome == aspenshed.Turned
 	a.r.Out = false
 	res.Took, res.Lay = s.Loop.Now()-a.at, a.lay
 	a.r.MayHaveRun = a.r.MayHaveRun || !neverRan
@@ -306,13 +309,13 @@
 	if a.r.Final {
 		s.Settled(a.r)
 	}
-	answered := res.Outcome == nc.Served || res.Outcome == nc.Rejected
+	answered := res.Outcome == aspenshed.Served || res.Outcome == aspenshed.Rejected
 	if answered {
 		s.Answered(a.r, res)
-	} else if a.r.LastError = nil; res.Outcome == nc.Errored {
+	} else if a.r.LastError = nil; res.Outcome == aspenshed.Errored {
 		a.r.LastError = res.Value
 	}
-	s.Tell(nc.Answer{ID: a.r.ID, Attempt: a.n, Member: member, Outcome: res.Outcome, Over: answered || a.r.Final,
+	s.Tell(aspenshed.Answer{ID: a.r.ID, Attempt: a.n, Member: member, Outcome: res.Outcome, Over: answered || a.r.Final,
 		Took: s.Loop.Now() - a.at, Role: res.Role, Position: res.Position, Report: res.Report})
 }
 
@@ -325,13 +328,13 @@
 	}
 	if l := p.probe; l != nil {
 		l.close()
-		s.probed(l, core.Result{Outcome: nc.TimedOut})
+		s.probed(l, request.Result{Outcome: aspenshed.TimedOut})
 	}
 	l := s.takeIdle(p)
 	if l == nil {
 		var err error
 		if l, err = s.open(p, true); err != nil {
-			s.Loop.Post(func() { s.probed(&link{s: s, p: p, began: s.Loop.Now()}, core.Result{Outcome: nc.NoLink}) })
+			s.Loop.Post(func() { s.probed(&link{s: s, p: p, began: s.Loop.Now()}, request.Result{Outcome: aspenshed.NoLink}) })
 			return
 		}
 	}
@@ -339,18 +342,18 @@
 	l.probing, l.began = true, s.Loop.Now()
 	l.timer = s.Loop.At(l.began+probeTimeout, func() {
 		l.close()
-		s.probed(l, core.Result{Outcome: nc.TimedOut})
+		s.probed(l, request.Result{Outcome: aspenshed.TimedOut})
 	})
 	if l.up {
 		l.write()
 	}
 }
 
-func (s *Stage) probed(l *link, r core.Result) {
+func (s *Stage) probed(l *link, r request.Result) {
 	l.probing = false
 	s.Loop.Stop(l.timer)
 	s.Probed(l.p.id, r)
-	s.Tell(nc.Probed{Member: l.p.id, Outcome: r.Outcome, Took: s.Loop.Now() - l.began, Report: r.Report})
+	s.Tell(aspenshed.Probed{Member: l.p.id, Outcome: r.Outcome, Took: s.Loop.Now() - l.began, Report: r.Report})
 }
 
 // Busy is the number of probes that are out and of attempts whose statement has not left yet.
@@ -399,24 +402,24 @@
 			return
 		}
 		if l.close(); l.probing {
-			s.Loop.Post(func() { s.probed(l, core.Result{Outcome: nc.NotSent}) })
+			s.Loop.Post(func() { s.probed(l, request.Result{Outcome: aspenshed.NotSent}) })
 		}
 	case a != nil:
 		limit := cmp.Or(s.ConnectTimeout, probeTimeout)
 		a.silence = s.Loop.At(s.Loop.Now()+limit, func() {
-			how := core.Unreachable
+			how := request.Unreachable
 			if a.lay > 0 { // an old link may have been dropped unseen: only a new one tells
-				how, a.links = core.CutBefore, mostLinks-1
+				how, a.links = request.CutBefore, mostLinks-1
 			}
 			s.cut(a, how, "link does not show that it is alive")
 		})
 		if !l.c.Send(a.r.Statement, a.end-s.Loop.Now()) { // the attempt's own remaining wait
-			s.cut(a, core.CutBefore, "link closed before the statement left")
+			s.cut(a, request.CutBefore, "link closed before the statement left")
 		}
 	case l.probing:
 		if !l.c.Probe() {
 			l.close()
-			s.Loop.Post(func() { s.probed(l, core.Result{Outcome: nc.NoLink}) })
+			s.Loop.Post(func() { s.probed(l, request.Result{Outcome: aspenshed.NoLink}) })
 		}
 	}
 }
@@ -447,7 +450,7 @@
 	a := l.a
 	l.a = nil
 	l.close()
-	l.s.endLater(a, core.Result{Outcome: nc.Turned, Detail: why})
+	l.s.endLater(a, request.Result{Outcome: aspenshed.Turned, Detail: why})
 }
 
 // Up is called when the member is ready for a statement.
@@ -460,7 +463,7 @@
 }
 
 // Done is called when what was out has ended.
-func (l *link) Done(r core.Result) {
+func (l *link) Done(r request.Result) {
 	if l.closed {
 		return
 	}
@@ -493,7 +496,7 @@
 }
 
 // Down is called when the link is no more.
-func (l *link) Down(how core.End, err error) {
+func (l *link) Down(how request.End, err error) {
 	if l.closed {
 		return
 	}
@@ -502,12 +505,12 @@
 	if err != nil {
 		detail = err.Error()
 	}
-	r := core.Result{Outcome: nc.NoLink, Detail: detail}
-	if how == core.CutAfter {
-		r.Outcome = nc.LinkBroke
+	r := request.Result{Outcome: aspenshed.NoLink, Detail: detail}
+	if how == request.CutAfter {
+		r.Outcome = aspenshed.LinkBroke
 	}
 	switch a := l.a; {
-	case a != nil && how == core.CutAfter:
+	case a != nil && how == request.CutAfter:
 		l.a = nil
 		l.s.end(a, r)
 	case a != nil:
--- a/internal/stage/send/send_test.go
+++ b/internal/dataplane/dispatch/dispatch_test.go
@@ -1,4 +1,4 @@
-package send
+package dispatch
 
 import (
 	"errors"
@@ -6,32 +6,33 @@
 	"io"
 	"testing"
 
-	nc "aspenshed"
+	"aspenshed"
 
 	"github.com/sirupsen/logrus"
 
-	"aspenshed/internal/core"
+	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/dataplane/request"
 )
 
-const ms = nc.Nanos(1e6)
+const ms = aspenshed.Nanos(1e6)
 
-type clock struct{ now nc.Nanos }
+type clock struct{ now aspenshed.Nanos }
 
-func (c *clock) Now() nc.Nanos { return c.now }
+func (c *clock) Now() aspenshed.Nanos { return c.now }
 
 // fake is a link and the log of what was done to it.
 type fake struct {
-	ev     core.LinkEvents
+	ev     request.LinkEvents
 	asked  bool // a statement waits for the link to show that it is alive
 	sent   bool
 	closed bool
 	broken bool // writes fail
 }
 
-func (f *fake) Send(any, nc.Nanos) bool { f.asked = !f.broken; return f.asked }
-func (f *fake) Probe() bool             { f.sent = !f.broken; return f.sent }
-func (f *fake) Out() bool               { return f.sent }
-func (f *fake) Close()                  { f.closed = true }
+func (f *fake) Send(any, aspenshed.Nanos) bool { f.asked = !f.broken; return f.asked }
+func (f *fake) Probe() bool                    { f.sent = !f.broken; return f.sent }
+func (f *fake) Out() bool                      { return f.sent }
+func (f *fake) Close()                         { f.closed = true }
 
 // up brings the link up; alive shows that it is alive, so that the statement leaves.
 func (f *fake) up()    { f.ev.Up() }
@@ -39,7 +40,7 @@
 
 func (f *fake) done() {
 	f.asked, f.sent = false, false
-	f.ev.Done(core.Result{Outcome: nc.Served})
+	f.ev.Done(request.Result{Outcome: aspenshed.Served})
 }
 
 // rig is a stage over fake links.
@@ -48,14 +49,14 @@
 	t       *testing.T
 	clock   *clock
 	links   []*fake
-	live    map[string]*core.Request
-	ends    []nc.Answer
+	live    map[string]*request.Request
+	ends    []aspenshed.Answer
 	most    int // links open at once
 	lag     int // closed links whose descriptors have yet to be given back
-	leaveBy nc.Nanos
+	leaveBy aspenshed.Nanos
 }
 
-func (g *rig) Open(_ string, _ nc.Nanos, _ bool, ev core.LinkEvents) (core.Link, error) {
+func (g *rig) Open(_ string, _ aspenshed.Nanos, _ bool, ev request.LinkEvents) (request.Link, error) {
 	open := g.lag
 	for _, f := range g.links {
 		if !f.closed {
@@ -71,25 +72,25 @@
 }
 
 func newRig(t *testing.T) *rig {
-	g := &rig{t: t, clock: &clock{1000 * ms}, live: map[string]*core.Request{}, most: 100}
+	g := &rig{t: t, clock: &clock{1000 * ms}, live: map[string]*request.Request{}, most: 100}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	none := func(string, core.Result) {}
-	g.Stage = &Stage{Loop: core.NewLoop(g.clock), Log: logrus.NewEntry(log), Backend: g, ConnectTimeout: 250 * ms, IdleClose: 15000 * ms,
-		Get: func(id string) *core.Request { return g.live[id] }, Answered: func(*core.Request, core.Result) {}, Settled: func(*core.Request) {}, Attempted: func(*core.Request, string, core.Result) {}, Probed: none,
-		Tell: func(e nc.Event) {
-			if a, ok := e.(nc.Answer); ok {
+	none := func(string, request.Result) {}
+	g.Stage = &Stage{Loop: eventloop.NewLoop(g.clock), Log: logrus.NewEntry(log), Backend: g, ConnectTimeout: 250 * ms, IdleClose: 15000 * ms,
+		Get: func(id string) *request.Request { return g.live[id] }, Answered: func(*request.Request, request.Result) {}, Settled: func(*request.Request) {}, Attempted: func(*request.Request, string, request.Result) {}, Probed: none,
+		Tell: func(e aspenshed.Event) {
+			if a, ok := e.(aspenshed.Answer); ok {
 				g.ends = append(g.ends, a)
 			}
 		}}
 	g.Start()
-	g.Members(nc.MemberList{Whole: true, Members: []nc.Member{{ID: "a", State: nc.Up}}}, map[string]string{"a": "h:1"})
+	g.Members(aspenshed.MemberList{Whole: true, Members: []aspenshed.Member{{ID: "a", State: aspenshed.Up}}}, map[string]string{"a": "h:1"})
 	return g
 }
 
 // attempt sends a new request to a and returns the link it got.
 func (g *rig) attempt(id string) *fake {
-	g.live[id] = &core.Request{ID: id, Deadline: g.clock.now + 900*ms}
+	g.live[id] = &request.Request{ID: id, Deadline: g.clock.now + 900*ms}
 	g.Send(id, "a", g.live[id].Attempts, 0, g.leaveBy)
 	if len(g.links) == 0 {
 		return nil
@@ -103,16 +104,16 @@
 	f.up()
 	f.alive()
 	f.done()
-	g.ended(nc.Served)
+	g.ended(aspenshed.Served)
 	return f
 }
 
-func (g *rig) pass(d nc.Nanos) {
+func (g *rig) pass(d aspenshed.Nanos) {
 	g.clock.now += d
 	g.Loop.Turn()
 }
 
-func (g *rig) ended(want nc.Outcome) {
+func (g *rig) ended(want aspenshed.Outcome) {
 	g.t.Helper()
 	g.Loop.Turn()
 	if len(g.ends) != 1 || g.ends[0].Outcome != want {
@@ -125,15 +126,15 @@
 func TestHasItRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		do   func(*rig, *fake)
-		want nc.Outcome
+		want aspenshed.Outcome
 	}{
-		"the member refuses":               {func(_ *rig, f *fake) { f.ev.Down(core.Unreachable, io.EOF) }, nc.NoLink},
-		"cut before the statement leaves":  {func(g *rig, f *fake) { g.cutAll(f) }, nc.NoLink},
-		"cut after the statement has left": {func(_ *rig, f *fake) { f.up(); f.alive(); f.ev.Down(core.CutAfter, io.EOF) }, nc.LinkBroke},
-		"no sign of life":                  {func(g *rig, f *fake) { f.up(); g.pass(250 * ms) }, nc.NoLink},
-		"no answer by the deadline":        {func(g *rig, f *fake) { f.up(); f.alive(); g.pass(900 * ms) }, nc.TimedOut},
-		"no link by the deadline":          {func(g *rig, f *fake) { g.pass(900 * ms) }, nc.NoLink},
-		"given up by the module":           {func(g *rig, f *fake) { f.up(); f.alive(); g.Cancel("q", 0) }, nc.Cancelled},
+		"the member refuses":               {func(_ *rig, f *fake) { f.ev.Down(request.Unreachable, io.EOF) }, aspenshed.NoLink},
+		"cut before the statement leaves":  {func(g *rig, f *fake) { g.cutAll(f) }, aspenshed.NoLink},
+		"cut after the statement has left": {func(_ *rig, f *fake) { f.up(); f.alive(); f.ev.Down(request.CutAfter, io.EOF) }, aspenshed.LinkBroke},
+		"no sign of life":                  {func(g *rig, f *fake) { f.up(); g.pass(250 * ms) }, aspenshed.NoLink},
+		"no answer by the deadline":        {func(g *rig, f *fake) { f.up(); f.alive(); g.pass(900 * ms) }, aspenshed.TimedOut},
+		"no link by the deadline":          {func(g *rig, f *fake) { g.pass(900 * ms) }, aspenshed.NoLink},
+		"given up by the module":           {func(g *rig, f *fake) { f.up(); f.alive(); g.Cancel("q", 0) }, aspenshed.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newRig(t)
@@ -143,10 +144,10 @@
 			if f = g.links[len(g.links)-1]; !f.closed {
 				t.Error("the link is still open: a second copy could be out")
 			}
-			if f.ev.Done(core.Result{Outcome: nc.Served}); len(g.ends) > 0 {
+			if f.ev.Done(request.Result{Outcome: aspenshed.Served}); len(g.ends) > 0 {
 				t.Error("an answer after the end counted")
 			}
-			ran := c.want != nc.NoLink
+			ran := c.want != aspenshed.NoLink
 			if g.live["q"].MayHaveRun != ran || g.live["q"].Out {
 				t.Errorf("may have run: %t, want %t", !ran, ran)
 			}
@@ -155,7 +156,7 @@
 	g := newRig(t)
 	g.most = 0
 	g.attempt("q")
-	g.ended(nc.NotSent)
+	g.ended(aspenshed.NotSent)
 }
 
 // cutAll cuts each link that an attempt takes up, before the statement leaves.
@@ -163,7 +164,7 @@
 	for n := 0; n != len(g.links); f = g.links[len(g.links)-1] {
 		n = len(g.links)
 		f.up()
-		f.ev.Down(core.CutBefore, io.EOF)
+		f.ev.Down(request.CutBefore, io.EOF)
 	}
 }
 
@@ -174,38 +175,38 @@
 	old.up()
 	old.alive()
 	old.done()
-	g.ended(nc.Served)
+	g.ended(aspenshed.Served)
 	g.pass(100 * ms)
 	if g.attempt("r"); !old.asked || len(g.links) != 1 {
 		t.Fatal("the idle link was not taken")
 	}
-	old.ev.Down(core.CutBefore, io.EOF)
+	old.ev.Down(request.CutBefore, io.EOF)
 	next := g.links[len(g.links)-1]
 	next.up()
 	next.alive()
 	next.done()
-	if g.ended(nc.Served); len(g.links) != 2 || g.live["r"].Attempts != 1 {
+	if g.ended(aspenshed.Served); len(g.links) != 2 || g.live["r"].Attempts != 1 {
 		t.Errorf("%d links, %d attempts", len(g.links), g.live["r"].Attempts)
 	}
-	next.ev.Down(core.CutBefore, io.EOF) // while it is idle: nobody's end
+	next.ev.Down(request.CutBefore, io.EOF) // while it is idle: nobody's end
 	if len(g.ends) != 0 {
 		t.Errorf("%+v", g.ends)
 	}
 	g.attempt("s").up()
 	g.pass(250 * ms)
-	g.ended(nc.NoLink)
+	g.ended(aspenshed.NoLink)
 }
 
 // Guards the age of data: a read whose link was slow to come up does not leave.
 func TestTooLateToLeave(t *testing.T) {
-	for wait, want := range map[nc.Nanos]nc.Outcome{20 * ms: nc.Served, 21 * ms: nc.Turned} {
+	for wait, want := range map[aspenshed.Nanos]aspenshed.Outcome{20 * ms: aspenshed.Served, 21 * ms: aspenshed.Turned} {
 		g := newRig(t)
 		g.leaveBy = g.clock.now + 20*ms
 		f := g.attempt("q")
 		g.pass(wait)
 		f.up()
 		f.alive()
-		if f.sent != (want == nc.Served) || f.closed == f.sent {
+		if f.sent != (want == aspenshed.Served) || f.closed == f.sent {
 			t.Errorf("after %d ms: sent %t, closed %t", wait/ms, f.sent, f.closed)
 		}
 		if f.sent {
@@ -220,15 +221,15 @@
 // only absent from a list, where that does not bind, still gets what was on its way.
 func TestNothingLeavesAfterTheWordOfADrain(t *testing.T) {
 	for name, c := range map[string]struct {
-		list nc.MemberList
+		list aspenshed.MemberList
 		soft bool
-		want nc.Outcome // 0: it leaves
+		want aspenshed.Outcome // 0: it leaves
 	}{
-		"draining":     {nc.MemberList{Members: []nc.Member{{ID: "a", State: nc.Draining}}}, true, nc.Turned},
-		"gone":         {nc.MemberList{Members: []nc.Member{{ID: "a", State: nc.Gone}}}, false, nc.Turned},
-		"absent":       {nc.MemberList{Whole: true}, false, nc.Turned},
-		"only absent":  {nc.MemberList{Whole: true}, true, 0},
-		"another word": {nc.MemberList{Members: []nc.Member{{ID: "a", State: nc.Up}}}, false, 0},
+		"draining":     {aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Draining}}}, true, aspenshed.Turned},
+		"gone":         {aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Gone}}}, false, aspenshed.Turned},
+		"absent":       {aspenshed.MemberList{Whole: true}, false, aspenshed.Turned},
+		"only absent":  {aspenshed.MemberList{Whole: true}, true, 0},
+		"another word": {aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Up}}}, false, 0},
 	} {
 		g := newRig(t)
 		g.SoftRemoval = c.soft
@@ -247,17 +248,17 @@
 func TestIdleLinksMakeRoom(t *testing.T) {
 	g := newRig(t)
 	g.most = 2
-	g.Members(nc.MemberList{Members: []nc.Member{{ID: "b", State: nc.Up}}}, map[string]string{"b": "h:2"})
+	g.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "b", State: aspenshed.Up}}}, map[string]string{"b": "h:2"})
 	idle := g.idle("q")
 	for _, id := range []string{"r", "s", "t"} {
-		g.live[id] = &core.Request{ID: id, Deadline: g.clock.now + 900*ms}
+		g.live[id] = &request.Request{ID: id, Deadline: g.clock.now + 900*ms}
 	}
 	g.Send("r", "b", 0, 0, 0)
 	if g.Send("s", "b", 0, 0, 0); !idle.closed || len(g.links) != 3 {
 		t.Errorf("%d links, the idle one closed: %t", len(g.links), idle.closed)
 	}
 	g.Send("t", "b", 0, 0, 0)
-	g.ended(nc.NotSent)
+	g.ended(aspenshed.NotSent)
 }
 
 // Guards what is owed where descriptors are scarce: that of a closed link comes back a moment later.
@@ -265,10 +266,10 @@
 	for _, back := range []bool{true, false} {
 		g := newRig(t)
 		g.most = 1
-		g.Members(nc.MemberList{Members: []nc.Member{{ID: "b", State: nc.Up}}}, map[string]string{"b": "h:2"})
+		g.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "b", State: aspenshed.Up}}}, map[string]string{"b": "h:2"})
 		idle := g.idle("q")
 		g.lag = 1
-		g.live["r"] = &core.Request{ID: "r", Deadline: g.clock.now + 900*ms}
+		g.live["r"] = &request.Request{ID: "r", Deadline: g.clock.now + 900*ms}
 		if g.Send("r", "b", 0, 0, 0); !idle.closed || len(g.links) != 1 || len(g.ends) != 0 {
 			t.Fatalf("idle link closed %t, %d links, ended %+v", idle.closed, len(g.links), g.ends)
 		}
@@ -276,7 +277,7 @@
 			g.lag = 0
 		}
 		if g.pass(roomWait); !back {
-			g.ended(nc.NotSent)
+			g.ended(aspenshed.NotSent)
 		} else if len(g.links) != 2 {
 			t.Errorf("%d links", len(g.links))
 		}
@@ -288,13 +289,13 @@
 	g := newRig(t)
 	g.attempt("q").up()
 	g.Send("q", "a", 1, 0, 0)
-	g.ended(nc.NotSent)
+	g.ended(aspenshed.NotSent)
 	g.Send("gone", "a", 3, 0, 0)
 	if len(g.links) != 1 {
 		t.Errorf("%d links opened", len(g.links))
 	}
 	g.Loop.Turn()
-	if len(g.ends) != 1 || g.ends[0] != (nc.Answer{ID: "gone", Attempt: 3, Member: "a", Outcome: nc.NotSent, Over: true}) {
+	if len(g.ends) != 1 || g.ends[0] != (aspenshed.Answer{ID: "gone", Attempt: 3, Member: "a", Outcome: aspenshed.NotSent, Over: true}) {
 		t.Errorf("the module heard %+v of the request whose client had left: it would count the attempt for ever", g.ends)
 	}
 }
@@ -305,9 +306,9 @@
 	for name, reach := range map[string]func(*rig, *fake){
 		"no link yet":           func(*rig, *fake) {},
 		"link just up":          func(_ *rig, f *fake) { f.up() },
-		"another link":          func(_ *rig, f *fake) { f.up(); f.ev.Down(core.CutBefore, io.EOF) },
-		"last byte not written": func(_ *rig, f *fake) { f.up(); f.ev.Leave(); f.ev.Down(core.CutBefore, io.EOF) },
-		"end on its way":        func(g *rig, f *fake) { g.most = 1; f.up(); f.ev.Down(core.CutBefore, io.EOF) },
+		"another link":          func(_ *rig, f *fake) { f.up(); f.ev.Down(request.CutBefore, io.EOF) },
+		"last byte not written": func(_ *rig, f *fake) { f.up(); f.ev.Leave(); f.ev.Down(request.CutBefore, io.EOF) },
+		"end on its way":        func(g *rig, f *fake) { g.most = 1; f.up(); f.ev.Down(request.CutBefore, io.EOF) },
 	} {
 		g := newRig(t)
 		f := g.attempt("q")
@@ -321,7 +322,7 @@
 				t.Errorf("%s: the statement left", name)
 			}
 		}
-		g.ended(nc.NotSent)
+		g.ended(aspenshed.NotSent)
 		g.pass(1500 * ms)
 		if len(g.ends) != 0 || r.MayHaveRun || g.Holds(r) || g.Busy() != 0 {
 			t.Errorf("%s: ended again as %+v, may have run %t, busy %d", name, g.ends, r.MayHaveRun, g.Busy())
@@ -339,18 +340,18 @@
 
 // Guards drains: the member's state is asked again before the first byte, of a statement as of a probe.
 func TestNoByteLeavesForALeavingMember(t *testing.T) {
-	for _, state := range []nc.MemberState{nc.Draining, nc.Gone} {
+	for _, state := range []aspenshed.MemberState{aspenshed.Draining, aspenshed.Gone} {
 		g := newRig(t)
 		statement := g.attempt("q")
 		g.Probe("a")
 		probe := g.links[1]
-		g.Members(nc.MemberList{Members: []nc.Member{{ID: "a", State: state}}}, nil)
+		g.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: state}}}, nil)
 		statement.up()
 		probe.up()
 		if statement.asked || probe.sent || !statement.closed || !probe.closed {
 			t.Errorf("state %d: statement asked %t, probe sent %t", state, statement.asked, probe.sent)
 		}
-		g.ended(nc.Turned)
+		g.ended(aspenshed.Turned)
 		if g.Busy() != 0 {
 			t.Errorf("%d are busy", g.Busy())
 		}
@@ -363,14 +364,14 @@
 	first.up()
 	first.alive()
 	first.done()
-	g.ended(nc.Served)
+	g.ended(aspenshed.Served)
 	if g.attempt("r"); len(g.links) != 1 || !first.asked {
 		t.Fatal("the idle link was not used again")
 	}
 	first.alive()
 	first.done()
-	g.ended(nc.Served)
-	for past := nc.Nanos(0); past < 14500*ms; past += sweepEvery { // the member closes after 15 s
+	g.ended(aspenshed.Served)
+	for past := aspenshed.Nanos(0); past < 14500*ms; past += sweepEvery { // the member closes after 15 s
 		g.pass(sweepEvery)
 	}
 	if !first.closed {
@@ -380,8 +381,8 @@
 	next.up()
 	next.alive()
 	next.done()
-	g.ended(nc.Served)
-	g.Members(nc.MemberList{Members: []nc.Member{{ID: "a", State: nc.Draining}}}, nil)
+	g.ended(aspenshed.Served)
+	g.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Draining}}}, nil)
 	if !next.closed {
 		t.Error("a draining member keeps an idle link")
 	}
@@ -389,10 +390,10 @@
 
 func TestSilentProbeEndsAndTheNextUsesANewLink(t *testing.T) {
 	g := newRig(t)
-	var got []nc.Probed
+	var got []aspenshed.Probed
 	tell := g.Tell
-	g.Tell = func(e nc.Event) {
-		if p, ok := e.(nc.Probed); ok {
+	g.Tell = func(e aspenshed.Event) {
+		if p, ok := e.(aspenshed.Probed); ok {
 			got = append(got, p)
 		}
 		tell(e)
@@ -403,7 +404,7 @@
 		t.Error("a probe that is out is not counted")
 	}
 	g.pass(probeTimeout)
-	if len(got) != 1 || got[0].Outcome != nc.TimedOut || !g.links[0].closed || g.Busy() != 0 {
+	if len(got) != 1 || got[0].Outcome != aspenshed.TimedOut || !g.links[0].closed || g.Busy() != 0 {
 		t.Fatalf("silent probe: %+v", got)
 	}
 	g.Probe("a")
@@ -420,15 +421,15 @@
 	f.alive()
 	for i := range 100 {
 		id := fmt.Sprint("n", i)
-		g.Members(nc.MemberList{Members: []nc.Member{{ID: id, State: nc.Up}}}, map[string]string{id: "h:2"})
-		g.Members(nc.MemberList{Members: []nc.Member{{ID: id, State: nc.Gone}}}, nil)
+		g.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, State: aspenshed.Up}}}, map[string]string{id: "h:2"})
+		g.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, State: aspenshed.Gone}}}, nil)
 	}
-	g.Members(nc.MemberList{Whole: true, Members: []nc.Member{{ID: "b", State: nc.Up}}}, map[string]string{"b": "h:3"})
+	g.Members(aspenshed.MemberList{Whole: true, Members: []aspenshed.Member{{ID: "b", State: aspenshed.Up}}}, map[string]string{"b": "h:3"})
 	if len(g.pools) != 1 {
 		t.Errorf("%d pools, want that of the one member", len(g.pools))
 	}
-	f.ev.Done(core.Result{Outcome: nc.Served})
-	if g.ended(nc.Served); !f.closed {
+	f.ev.Done(request.Result{Outcome: aspenshed.Served})
+	if g.ended(aspenshed.Served); !f.closed {
 		t.Error("the link of a member that is gone is kept")
 	}
 }
@@ -447,7 +448,7 @@
 		}
 		f.alive()
 		f.done()
-		g.ended(nc.Served)
+		g.ended(aspenshed.Served)
 		g.Probe("a")
 		if f.done(); len(g.links) != 1 {
 			t.Fatalf("the probe opened another link: %d", len(g.links))
--- a/internal/core/loop.go
+++ b/internal/dataplane/eventloop/eventloop.go
@@ -1,30 +1,32 @@
-package core
+package eventloop
 
 import (
 	"container/heap"
 	"sync"
 	"time"
 
-	nc "aspenshed"
+	"aspenshed"
 )
 
 // Clock is monotonic. Its instants are Unix nanoseconds as of the start, so
 // positions and start times on the wire compare with it directly.
-type Clock interface{ Now() nc.Nanos }
+type Clock interface{ Now() aspenshed.Nanos }
 
 type wallClock struct{ start time.Time }
 
 // NewClock maps Unix time to the monotonic clock once.
 func NewClock() Clock { return wallClock{time.Now()} }
 
-func (c wallClock) Now() nc.Nanos { return nc.Nanos(c.start.UnixNano() + int64(time.Since(c.start))) }
+func (c wallClock) Now() aspenshed.Nanos {
+	return aspenshed.Nanos(c.start.UnixNano() + int64(time.Since(c.start)))
+}
 
 // UnixMs is the instant of a Unix time in milliseconds.
-func UnixMs(ms int64) nc.Nanos { return nc.Nanos(ms * 1e6) }
+func UnixMs(ms int64) aspenshed.Nanos { return aspenshed.Nanos(ms * 1e6) }
 
 // Timer is a pending call of a Loop.
 type Timer struct {
-	at    nc.Nanos
+	at    aspenshed.Nanos
 	order uint64
 	index int
 	f     func()
@@ -64,7 +66,7 @@
 }
 
 // At calls f at that time. Only the loop's goroutine may call it.
-func (l *Loop) At(at nc.Nanos, f func()) *Timer {
+func (l *Loop) At(at aspenshed.Nanos, f func()) *Timer {
 	l.order++
 	t := &Timer{at: at, order: l.order, f: f}
 	heap.Push(&l.timers, t)
@@ -82,7 +84,7 @@
 func (l *Loop) Quit() { l.quit = true }
 
 // Turn handles all that is at hand and reports when the next timer is due; 0: never.
-func (l *Loop) Turn() (next nc.Nanos) {
+func (l *Loop) Turn() (next aspenshed.Nanos) {
 	for {
 		l.mu.Lock()
 		box := l.box
--- a/internal/stage/estate/estate_test.go
+++ b/internal/dataplane/pipeline/pipeline_test.go
@@ -1,45 +1,48 @@
-package estate
+package pipeline
 
 import (
 	"fmt"
 	"io"
 	"testing"
 
-	nc "aspenshed"
+	"aspenshed"
 
 	"github.com/sirupsen/logrus"
 
-	"aspenshed/internal/core"
-	"aspenshed/internal/stage/route"
+	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/dataplane/request"
+	"aspenshed/internal/dataplane/routing"
 )
 
-const ms = nc.Nanos(1e6)
+const ms = aspenshed.Nanos(1e6)
 
-type clock struct{ now nc.Nanos }
+type clock struct{ now aspenshed.Nanos }
 
-func (c *clock) Now() nc.Nanos { return c.now }
+func (c *clock) Now() aspenshed.Nanos { return c.now }
 
 // silent is a backend whose links never come up.
 type silent struct{}
 
-func (silent) Open(string, nc.Nanos, bool, core.LinkEvents) (core.Link, error) { return silent{}, nil }
-func (silent) Send(any, nc.Nanos) bool                                         { return true }
-func (silent) Probe() bool                                                     { return true }
-func (silent) Out() bool                                                       { return false }
-func (silent) Close()                                                          {}
+func (silent) Open(string, aspenshed.Nanos, bool, request.LinkEvents) (request.Link, error) {
+	return silent{}, nil
+}
+func (silent) Send(any, aspenshed.Nanos) bool { return true }
+func (silent) Probe() bool                    { return true }
+func (silent) Out() bool                      { return false }
+func (silent) Close()                         {}
 
 // client counts its answers.
-type client struct{ got []core.Final }
+type client struct{ got []request.Final }
 
-func (c *client) Finish(f core.Final) { c.got = append(c.got, f) }
+func (c *client) Finish(f request.Final) { c.got = append(c.got, f) }
 
 // brittle panics when it is told so.
 type brittle struct {
-	route.Decider
+	routing.Decider
 	now *bool
 }
 
-func (b brittle) Step(now nc.Nanos, events []nc.Event) []nc.Action {
+func (b brittle) Step(now aspenshed.Nanos, events []aspenshed.Event) []aspenshed.Action {
 	if *b.now {
 		*b.now = false
 		panic("a defect in the module")
@@ -47,26 +50,26 @@
 	return b.Decider.Step(now, events)
 }
 
-func start(t *testing.T, most int) (*Estate, *clock, *bool) {
+func start(t *testing.T, most int) (*Pipeline, *clock, *bool) {
 	c := &clock{1000 * ms}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	e := New(Config{Loop: core.NewLoop(c), Log: logrus.NewEntry(log), MostHeld: most, Backend: silent{}, Watch: func() {}, Settings: nc.Settings{
-		MayProbe: true, MaxAttempts: 3, AnswerSlack: 20 * ms, Classes: []nc.Class{{Name: "booking", Need: nc.WriteToIt, Aim: 400 * ms,
-			GiveUp: 2000 * ms, Worth: 1, LateWorth: 0.5, Effect: nc.Unsafe}}}})
+	e := New(Config{Loop: eventloop.NewLoop(c), Log: logrus.NewEntry(log), MostHeld: most, Backend: silent{}, Watch: func() {}, Settings: aspenshed.Settings{
+		MayProbe: true, MaxAttempts: 3, AnswerSlack: 20 * ms, Classes: []aspenshed.Class{{Name: "booking", Need: aspenshed.WriteToIt, Aim: 400 * ms,
+			GiveUp: 2000 * ms, Worth: 1, LateWorth: 0.5, Effect: aspenshed.Unsafe}}}})
 	var fail bool
-	e.Route.Make = func(s nc.Settings, seed uint64) (route.Decider, error) {
-		r, err := nc.New(s, seed)
+	e.Routing.Make = func(s aspenshed.Settings, seed uint64) (routing.Decider, error) {
+		r, err := aspenshed.New(s, seed)
 		return brittle{r, &fail}, err
 	}
-	if err := e.Start(nc.MemberList{Whole: true, Members: []nc.Member{{ID: "a", Group: 1, State: nc.Up}}}, map[string]string{"a": "h:1"}); err != nil {
+	if err := e.Start(aspenshed.MemberList{Whole: true, Members: []aspenshed.Member{{ID: "a", Group: 1, State: aspenshed.Up}}}, map[string]string{"a": "h:1"}); err != nil {
 		t.Fatal(err)
 	}
 	return e, c, &fail
 }
 
-func (c *client) ask(e *Estate) *core.Request {
-	return e.Intake.Take(core.Query{Group: 1, Wait: 900 * ms, Client: c}, e.Loop.Now())
+func (c *client) ask(e *Pipeline) *request.Request {
+	return e.Accept.Take(request.Query{Group: 1, Wait: 900 * ms, Client: c}, e.Loop.Now())
 }
 
 // Guards rule 1 against a defect in the module: whoever waits gets an answer, and the next request is decided.
@@ -82,20 +85,20 @@
 	*fail = true
 	e.Loop.Post(func() {})
 	e.Loop.Turn()
-	if len(c.got) != 1 || c.got[0].Verdict != core.Refused || e.Relay.Live() != 0 {
+	if len(c.got) != 1 || c.got[0].Verdict != request.Refused || e.Response.Live() != 0 {
 		t.Fatalf("after the panic: %+v", c.got)
 	}
 	c.ask(e)
 	e.Loop.Post(func() {})
 	e.Loop.Turn()
-	if e.Relay.Live() != 1 || len(c.got) != 1 {
+	if e.Response.Live() != 1 || len(c.got) != 1 {
 		t.Errorf("the next request was not held: %+v", c.got)
 	}
 }
 
 // Guards rule 1 against a module that says nothing: the answer at the deadline promises only what is known.
 func TestDeadlineAnswersWithoutTheModule(t *testing.T) {
-	for out, want := range map[bool]core.Verdict{true: core.Failed, false: core.Refused} {
+	for out, want := range map[bool]request.Verdict{true: request.Failed, false: request.Refused} {
 		e, clock, _ := start(t, 10)
 		var c client
 		r := c.ask(e)
@@ -119,7 +122,7 @@
 	var a, b client
 	a.ask(e)
 	b.ask(e)
-	if len(a.got) != 0 || len(b.got) != 1 || b.got[0].Verdict != core.Refused {
+	if len(a.got) != 0 || len(b.got) != 1 || b.got[0].Verdict != request.Refused {
 		t.Errorf("first %+v, second %+v", a.got, b.got)
 	}
 }
@@ -144,10 +147,10 @@
 	e, _, _ := start(t, 10)
 	for i := range 50 {
 		id := fmt.Sprint("n", i)
-		e.Members(nc.MemberList{Members: []nc.Member{{ID: id, Group: 1, State: nc.Up}}}, map[string]string{id: "h:2"})
-		e.Members(nc.MemberList{Members: []nc.Member{{ID: id, Group: 1, State: nc.Gone}}}, nil)
+		e.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, Group: 1, State: aspenshed.Up}}}, map[string]string{id: "h:2"})
+		e.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, Group: 1, State: aspenshed.Gone}}}, nil)
 	}
-	if got := e.Route.Last(); len(got) != 1 || got[0].ID != "a" {
+	if got := e.Routing.Last(); len(got) != 1 || got[0].ID != "a" {
 		t.Errorf("kept %+v", got)
 	}
 }
@@ -155,21 +158,21 @@
 // Guards "one attempt out per request" where settings allow more: the module must know that a silent attempt is to be given
 // up before the next goes out. Asked for a copy, send would refuse it, and the read stay where nobody answers.
 func TestTheModuleAsksForNoCopies(t *testing.T) {
-	var told []nc.Settings
-	e := New(Config{Loop: core.NewLoop(&clock{1000 * ms}), Log: logrus.NewEntry(logrus.New()), Backend: silent{}, Watch: func() {},
-		Settings: nc.Settings{MayCopy: true, MayCancel: true, Classes: []nc.Class{{Name: "x", Need: nc.AnyData, Aim: ms, GiveUp: ms, Effect: nc.Safe}}}})
-	e.Route.Make = func(s nc.Settings, seed uint64) (route.Decider, error) {
+	var told []aspenshed.Settings
+	e := New(Config{Loop: eventloop.NewLoop(&clock{1000 * ms}), Log: logrus.NewEntry(logrus.New()), Backend: silent{}, Watch: func() {},
+		Settings: aspenshed.Settings{MayCopy: true, MayCancel: true, Classes: []aspenshed.Class{{Name: "x", Need: aspenshed.AnyData, Aim: ms, GiveUp: ms, Effect: aspenshed.Safe}}}})
+	e.Routing.Make = func(s aspenshed.Settings, seed uint64) (routing.Decider, error) {
 		told = append(told, s)
-		return nc.New(s, seed)
+		return aspenshed.New(s, seed)
 	}
-	if err := e.Start(nc.MemberList{}, nil); err != nil || len(told) != 1 || told[0].MayCopy || !told[0].MayCancel {
+	if err := e.Start(aspenshed.MemberList{}, nil); err != nil || len(told) != 1 || told[0].MayCopy || !told[0].MayCancel {
 		t.Errorf("%v: the module was told %+v", err, told)
 	}
 }
 
 // Guards clients that prepare a statement as the gateway ends: nothing has run, so they may come again elsewhere.
 func TestWhatIsOnlyPreparedIsRefused(t *testing.T) {
-	for auxiliary, want := range map[bool]core.Verdict{true: core.Refused, false: core.Failed} {
+	for auxiliary, want := range map[bool]request.Verdict{true: request.Refused, false: request.Failed} {
 		e, _, _ := start(t, 10)
 		var c client
 		r := c.ask(e)
--- a/internal/core/core.go
+++ b/internal/dataplane/request/request.go
@@ -1,16 +1,20 @@
-// Package core holds what the stages of a request share: requests, attempts,
+// Package request holds what the stages of a request share: requests, attempts,
 // outcomes, and the loop that owns them. It knows no wire.
-package core
+package request
 
-import nc "aspenshed"
+import (
+	"aspenshed"
+
+	"aspenshed/internal/dataplane/eventloop"
+)
 
 // Query is a request as a front has parsed it.
 type Query struct {
 	Name                 string // as its client names it; empty: it has no name
 	Class, Group, Tenant int
 	Session              string
-	Wait                 nc.Nanos // how long the client will wait
-	SinceCommit          nc.Nanos // age of the session's last commit; 0: none
+	Wait                 aspenshed.Nanos // how long the client will wait
+	SinceCommit          aspenshed.Nanos // age of the session's last commit; 0: none
 	Repeat               bool
 	Auxiliary            bool // no request of its own: a statement that is only prepared
 	Statement            any  // what a member is sent; only a wire knows its form
@@ -21,13 +25,13 @@
 type Request struct {
 	Query
 	ID                string
-	Arrived, Deadline nc.Nanos
+	Arrived, Deadline aspenshed.Nanos
 	Attempts          int  // given to Send so far
 	Out               bool // an attempt's last byte may have left, and it has not ended
 	MayHaveRun        bool // an ended attempt was not proved never to have run
 	LastError         any  // a member's, as its wire gives it
 	Final             bool
-	Guard             *Timer
+	Guard             *eventloop.Timer
 }
 
 // Verdict says how a request ended.
@@ -44,10 +48,10 @@
 // Final is the one final answer of a request.
 type Final struct {
 	Verdict Verdict
-	Value   any      // Served: what the member answered; Failed: its last error, if there is one
-	RetryIn nc.Nanos // Refused: advice to the client; 0: none
-	Reason  string   // Refused and Failed
-	Bad     bool     // Failed: it was no request at all
+	Value   any             // Served: what the member answered; Failed: its last error, if there is one
+	RetryIn aspenshed.Nanos // Refused: advice to the client; 0: none
+	Reason  string          // Refused and Failed
+	Bad     bool            // Failed: it was no request at all
 }
 
 // Client takes the final answer of its request, once, on the loop.
@@ -55,15 +59,15 @@
 
 // Result is how an attempt or a probe ended.
 type Result struct {
-	Outcome  nc.Outcome
-	Role     nc.Role
-	Position nc.Nanos
-	Report   nc.Report
+	Outcome  aspenshed.Outcome
+	Role     aspenshed.Role
+	Position aspenshed.Nanos
+	Report   aspenshed.Report
 	Value    any
 	Close    bool   // the connection is of no more use
 	Detail   string // for the log
-	Took     nc.Nanos
-	Lay      nc.Nanos // how long the link had lain idle; 0: it was new
+	Took     aspenshed.Nanos
+	Lay      aspenshed.Nanos // how long the link had lain idle; 0: it was new
 }
 
 // End says how a link came to its end.
@@ -92,7 +96,7 @@
 type Link interface {
 	// Send has the member show that the link is alive and that nothing else waits on it. Then it asks Leave, and lets
 	// the statement's last byte go. False: the link is no more.
-	Send(statement any, wait nc.Nanos) bool
+	Send(statement any, wait aspenshed.Nanos) bool
 	// Probe asks for role, position and load.
 	Probe() bool
 	// Out tells whether the last byte of what is out may have left.
@@ -114,5 +118,5 @@
 // Backend opens links. An error means that there is no descriptor for it or that it was refused at once.
 type Backend interface {
 	// probe: it may use the descriptors that are kept back for probes.
-	Open(address string, limit nc.Nanos, probe bool, ev LinkEvents) (Link, error)
+	Open(address string, limit aspenshed.Nanos, probe bool, ev LinkEvents) (Link, error)
 }
--- a/internal/source/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -10,11 +10,11 @@
 	"strings"
 	"time"
 
-	nc "aspenshed"
+	"aspenshed"
 
 	"github.com/sirupsen/logrus"
 
-	"aspenshed/internal/core"
+	"aspenshed/internal/dataplane/eventloop"
 	"aspenshed/internal/netio"
 )
 
@@ -23,13 +23,13 @@
 	// silence ends a watch or a call: while nothing changes an empty line comes every 2 s, and discovery turns away
 	// what has waited that long. What a silent watch misses counts as told 6 s after it fell silent, so the rest of
 	// these is left for the calls of many gateways.
-	silence = nc.Nanos(3e9)
+	silence = aspenshed.Nanos(3e9)
 	// movedEarly: after a move to another discovery news counts as told 2 s sooner than after a silence.
-	movedEarly = nc.Nanos(2e9)
+	movedEarly = aspenshed.Nanos(2e9)
 	// soonest and latest are the pauses before an agent is called again: 2 s are left from what it has being told.
-	soonest, latest = nc.Nanos(50e6), nc.Nanos(500e6)
+	soonest, latest = aspenshed.Nanos(50e6), aspenshed.Nanos(500e6)
 	// leastGap lies between two calls where an answer ends as soon as it has told its list: one without a length does.
-	leastGap = nc.Nanos(250e6)
+	leastGap = aspenshed.Nanos(250e6)
 	// mostLeft is how many members that left are remembered, so that an old list can't bring them back.
 	mostLeft = 4096
 	// mostNamed is how many unknown words are logged: each is bad input, and there may be any number of them.
@@ -66,7 +66,7 @@
 
 // Update is a change of the list or the whole of it.
 type Update struct {
-	List      nc.MemberList
+	List      aspenshed.MemberList
 	Addresses map[string]string
 }
 
@@ -74,7 +74,7 @@
 // understood, with its place; the good part of the list stands beside it. A member of which it is not clear that it
 // is up and where takes nothing new: to send it something might break a drain.
 func Convert(l List, zones []string) (Update, error) {
-	u := Update{List: nc.MemberList{Whole: l.Reset}, Addresses: map[string]string{}}
+	u := Update{List: aspenshed.MemberList{Whole: l.Reset}, Addresses: map[string]string{}}
 	var faults []error
 	at := map[string]int{}
 	for i, x := range l.Instances {
@@ -84,35 +84,35 @@
 		if x.fault != nil {
 			fault(": %v", x.fault)
 		}
-		m := nc.Member{ID: x.ID, Group: x.Cell, Zone: max(slices.Index(zones, x.Zone), 0), Size: 1,
+		m := aspenshed.Member{ID: x.ID, Group: x.Cell, Zone: max(slices.Index(zones, x.Zone), 0), Size: 1,
 			Primary: x.Recovery == "off"}
 		if x.Weight != nil && *x.Weight > 0 {
 			m.Size = *x.Weight
 		}
 		if x.StartedAtMs > 0 {
-			m.StartedAt = core.UnixMs(x.StartedAtMs)
+			m.StartedAt = eventloop.UnixMs(x.StartedAtMs)
 		}
 		switch x.Lifecycle {
 		case "in_service":
-			m.State = nc.Up
+			m.State = aspenshed.Up
 		case "terminating":
-			m.State = nc.Draining
+			m.State = aspenshed.Draining
 		case "terminated":
-			m.State = nc.Gone
+			m.State = aspenshed.Gone
 		case "":
 			fault(".lifecycle missing: taken as draining")
-			m.State = nc.Draining
+			m.State = aspenshed.Draining
 		default:
 			faults = append(faults, Unknown{fmt.Sprintf("instances[%d].lifecycle", i), x.Lifecycle})
-			m.State = nc.Draining
+			m.State = aspenshed.Draining
 		}
 		if x.ID == "" {
 			fault(": instanceId missing: left out")
 			continue
 		}
-		if x.HostPort == "" && m.State == nc.Up {
+		if x.HostPort == "" && m.State == aspenshed.Up {
 			fault(".hostPort missing: taken as draining")
-			m.State = nc.Draining
+			m.State = aspenshed.Draining
 		}
 		if first, twice := at[x.ID]; twice {
 			fault(".instanceId: %q stands there already: what takes less of the two counts", x.ID)
@@ -156,21 +156,21 @@
 
 // Watcher keeps one watch. Its methods run on the loop.
 type Watcher struct {
-	Loop    *core.Loop
+	Loop    *eventloop.Loop
 	Log     *logrus.Entry
 	Net     *netio.Net
 	Address string
 	Zones   []string
 	Index   int64 // the version that the gateway has
 	Changed func(Update)
-	Broke   func(nc.DiscoveryBroke)
+	Broke   func(aspenshed.DiscoveryBroke)
 	// Keep: lists are pushed. An agent on this machine has them at no cost, and what it has counts as told: the watch
 	// is opened at once, and again whenever it breaks, and nobody else is asked.
 	Keep bool
 
 	cur   *watch
-	old   *watch   // at the address before, until cur has told something: no gap between the two
-	again nc.Nanos // Keep: the pause before the next call, while they fail
+	old   *watch          // at the address before, until cur has told something: no gap between the two
+	again aspenshed.Nanos // Keep: the pause before the next call, while they fail
 	left  map[string]left
 	order []string        // of left, the oldest first
 	named map[string]bool // unknown words that were logged
@@ -182,12 +182,12 @@
 	w       *Watcher
 	conn    *netio.Conn
 	in      response
-	timer   *core.Timer
-	version int64    // that it last told
-	heard   nc.Nanos // when it last told anything, though it were that nothing had changed; before that when it was begun
-	began   nc.Nanos
-	moved   nc.Nanos // when the configuration named its address; 0: it did at the start
-	up      bool     // the call came there
+	timer   *eventloop.Timer
+	version int64           // that it last told
+	heard   aspenshed.Nanos // when it last told anything, though it were that nothing had changed; before that when it was begun
+	began   aspenshed.Nanos
+	moved   aspenshed.Nanos // when the configuration named its address; 0: it did at the start
+	up      bool            // the call came there
 	told    bool
 	over    bool
 }
@@ -260,7 +260,7 @@
 	w := x.w
 	w.Log.WithError(err).WithFields(logrus.Fields{"told": x.told, "reached": x.up}).Warn("discovery watch broke")
 	if !w.Keep {
-		b := nc.DiscoveryBroke{Unreached: !x.up}
+		b := aspenshed.DiscoveryBroke{Unreached: !x.up}
 		if x.told || x.up && err == errSilent { // else discovery itself has turned the call down
 			b.Heard = x.heard
 		}
@@ -340,7 +340,7 @@
 	if w.Log.Logger.IsLevelEnabled(logrus.DebugLevel) {
 		var up, off []string
 		for _, m := range u.List.Members {
-			if m.State == nc.Up {
+			if m.State == aspenshed.Up {
 				up = append(up, m.ID)
 			} else {
 				off = append(off, m.ID)
@@ -378,7 +378,7 @@
 		m := &u.List.Members[i]
 		l, known := w.left[m.ID]
 		switch {
-		case m.State != nc.Up:
+		case m.State != aspenshed.Up:
 			if w.left == nil {
 				w.left = map[string]left{}
 			}
@@ -398,6 +398,6 @@
 // left is a member that some list has told to leave.
 type left struct {
 	version int64 // of the newest list that did
-	start   nc.Nanos
-	state   nc.MemberState
+	start   aspenshed.Nanos
+	state   aspenshed.MemberState
 }
--- a/internal/source/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	nc "aspenshed"
+	"aspenshed"
 
 	"github.com/sirupsen/logrus"
 
-	"aspenshed/internal/core"
+	"aspenshed/internal/dataplane/eventloop"
 	"aspenshed/internal/netio"
 )
 
@@ -54,7 +54,7 @@
 func TestConvert(t *testing.T) {
 	x := Instance{ID: "s-1", HostPort: "h:1", Zone: "b", Cell: 3, Lifecycle: "terminating", StartedAtMs: 5, Recovery: "off"}
 	u, err := Convert(List{Reset: true, Instances: []Instance{x}}, []string{"a", "b"})
-	want := nc.Member{ID: "s-1", Group: 3, Zone: 1, Size: 1, StartedAt: 5e6, State: nc.Draining, Primary: true}
+	want := aspenshed.Member{ID: "s-1", Group: 3, Zone: 1, Size: 1, StartedAt: 5e6, State: aspenshed.Draining, Primary: true}
 	if err != nil || !u.List.Whole || u.List.Members[0] != want || u.Addresses["s-1"] != "h:1" {
 		t.Errorf("%v: %+v", err, u)
 	}
@@ -64,19 +64,19 @@
 // not understood is said with its place, and such a member gets nothing new.
 func TestTheGoodPartOfABadListCounts(t *testing.T) {
 	for entry, want := range map[string]struct {
-		state nc.MemberState // 0: left out
+		state aspenshed.MemberState // 0: left out
 		fault string
 	}{
-		`{"instanceId":"x","hostPort":"h:1","lifecycle":"asleep"}`:                     {nc.Draining, `instances[1].lifecycle: unknown value "asleep"`},
-		`{"instanceId":"x","hostPort":"h:1"}`:                                          {nc.Draining, `instances[1].lifecycle missing`},
-		`{"instanceId":"x","lifecycle":"in_service"}`:                                  {nc.Draining, "instances[1].hostPort"},
-		`{"instanceId":"x","hostPort":7,"lifecycle":"in_service"}`:                     {nc.Draining, "instances[1]: json"},
-		`{"instanceId":"x","hostPort":"h:1","lifecycle":"in_service","weight":"much"}`: {nc.Up, "instances[1]: json"},
+		`{"instanceId":"x","hostPort":"h:1","lifecycle":"asleep"}`:                     {aspenshed.Draining, `instances[1].lifecycle: unknown value "asleep"`},
+		`{"instanceId":"x","hostPort":"h:1"}`:                                          {aspenshed.Draining, `instances[1].lifecycle missing`},
+		`{"instanceId":"x","lifecycle":"in_service"}`:                                  {aspenshed.Draining, "instances[1].hostPort"},
+		`{"instanceId":"x","hostPort":7,"lifecycle":"in_service"}`:                     {aspenshed.Draining, "instances[1]: json"},
+		`{"instanceId":"x","hostPort":"h:1","lifecycle":"in_service","weight":"much"}`: {aspenshed.Up, "instances[1]: json"},
 		`{"hostPort":"h:1","lifecycle":"in_service"}`:                                  {0, "instances[1]: instanceId"},
 		`{"instanceId":7,"hostPort":"h:1","lifecycle":"in_service"}`:                   {0, "instances[1]: json"},
 		`7`: {0, "instances[1]: json"},
 		`{"instanceId":"x","hostPort":"h:1","lifecycle":"terminated"},{"instanceId":"x","hostPort":"h:1","lifecycle":"in_service"}`: {
-			nc.Gone, `instances[2].instanceId: "x" stands there already`},
+			aspenshed.Gone, `instances[2].instanceId: "x" stands there already`},
 	} {
 		var l List
 		text := `{"generation":1,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"terminating"},` + entry + `,{"instanceId":"b","hostPort":"h:1","lifecycle":"in_service"}]}`
@@ -85,19 +85,19 @@
 			continue
 		}
 		u, err := Convert(l, nil)
-		got := map[string]nc.MemberState{}
+		got := map[string]aspenshed.MemberState{}
 		for _, m := range u.List.Members {
 			got[m.ID] = m.State
 		}
-		if err == nil || !strings.Contains(err.Error(), want.fault) || got["a"] != nc.Draining || got["b"] != nc.Up || got["x"] != want.state {
+		if err == nil || !strings.Contains(err.Error(), want.fault) || got["a"] != aspenshed.Draining || got["b"] != aspenshed.Up || got["x"] != want.state {
 			t.Errorf("%s: %v, %v", entry, got, err)
 		}
 	}
 }
 
-type clock struct{ now nc.Nanos }
+type clock struct{ now aspenshed.Nanos }
 
-func (c *clock) Now() nc.Nanos { return c.now }
+func (c *clock) Now() aspenshed.Nanos { return c.now }
 
 // server is a connection of a stand-in discovery service.
 type server struct {
@@ -120,17 +120,17 @@
 	clock    *clock
 	asks     chan *server
 	versions []string
-	states   map[string]nc.MemberState
+	states   map[string]aspenshed.MemberState
 	broke    int
-	last     nc.DiscoveryBroke
+	last     aspenshed.DiscoveryBroke
 }
 
 func newRig(t *testing.T) *rig {
-	g := &rig{t: t, clock: &clock{100e9}, asks: make(chan *server, 10), states: map[string]nc.MemberState{}}
+	g := &rig{t: t, clock: &clock{100e9}, asks: make(chan *server, 10), states: map[string]aspenshed.MemberState{}}
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
 	n := g.service()
-	g.Watcher = &Watcher{Loop: core.NewLoop(g.clock), Log: logrus.NewEntry(log), Net: n, Address: n.Addr(), Index: 41, Broke: func(b nc.DiscoveryBroke) { g.broke, g.last = g.broke+1, b },
+	g.Watcher = &Watcher{Loop: eventloop.NewLoop(g.clock), Log: logrus.NewEntry(log), Net: n, Address: n.Addr(), Index: 41, Broke: func(b aspenshed.DiscoveryBroke) { g.broke, g.last = g.broke+1, b },
 		Changed: func(u Update) {
 			g.versions = append(g.versions, fmt.Sprint(u.List.Whole, len(u.List.Members)))
 			for _, m := range u.List.Members {
@@ -208,7 +208,7 @@
 		t.Error("broke too early")
 	}
 	g.clock.now++
-	if g.Loop.Turn(); g.broke != 1 || g.last != (nc.DiscoveryBroke{Heard: g.clock.now - silence}) {
+	if g.Loop.Turn(); g.broke != 1 || g.last != (aspenshed.DiscoveryBroke{Heard: g.clock.now - silence}) {
 		t.Errorf("silence broke the watch %d times: %+v", g.broke, g.last)
 	}
 	g.Watch()
@@ -216,13 +216,13 @@
 		t.Errorf("asked %q", s.line)
 	}
 	g.clock.now += silence
-	if g.Loop.Turn(); g.broke != 2 || g.last != (nc.DiscoveryBroke{Heard: g.clock.now - silence}) {
+	if g.Loop.Turn(); g.broke != 2 || g.last != (aspenshed.DiscoveryBroke{Heard: g.clock.now - silence}) {
 		t.Errorf("a silent call broke %d times: %+v", g.broke, g.last)
 	}
 	g.Watch()
 	_ = g.asked().conn.Write([]byte("HTTP/1.1 503 Service Unavailable\r\n\r\n"))
 	g.until("the refusal", func() bool { return g.broke == 3 })
-	if g.last != (nc.DiscoveryBroke{}) {
+	if g.last != (aspenshed.DiscoveryBroke{}) {
 		t.Errorf("a call turned down: %+v", g.last)
 	}
 }
@@ -269,7 +269,7 @@
 		}
 		if whole {
 			_ = old.conn.Write([]byte(list[len(list)-9:] + "\r\n"))
-			g.until("the rest", func() bool { return g.states["s-1"] == nc.Draining })
+			g.until("the rest", func() bool { return g.states["s-1"] == aspenshed.Draining })
 		} else {
 			old.conn.Close()
 			g.until("the old watch's end", func() bool { return g.old == nil })
@@ -277,7 +277,7 @@
 		_ = next.conn.Write([]byte(head))
 		next.member(44, false, false, "s-2", "in_service")
 		g.until("the new watch's word", func() bool { return g.Index == 44 })
-		if want := map[bool]nc.MemberState{true: nc.Draining, false: nc.Up}[whole]; g.states["s-1"] != want || g.broke != 0 || g.old != nil {
+		if want := map[bool]aspenshed.MemberState{true: aspenshed.Draining, false: aspenshed.Up}[whole]; g.states["s-1"] != want || g.broke != 0 || g.old != nil {
 			t.Errorf("whole %t: s-1 is %d, broke %d times", whole, g.states["s-1"], g.broke)
 		}
 	}
@@ -321,7 +321,7 @@
 		s.member(42+i, false, false, "s-1", word)
 		g.until("the list", func() bool { return g.Index == int64(42+i) })
 	}
-	if len(lines) != 2 || !strings.Contains(lines[0], `"resting"`) || !strings.Contains(lines[1], `"asleep"`) || g.states["s-1"] != nc.Draining {
+	if len(lines) != 2 || !strings.Contains(lines[0], `"resting"`) || !strings.Contains(lines[1], `"asleep"`) || g.states["s-1"] != aspenshed.Draining {
 		t.Errorf("%q, %v", lines, g.states)
 	}
 }
@@ -351,7 +351,7 @@
 	_ = s.conn.Write([]byte(chunk("\n")))
 	s.member(43, false, true, `a "{\`, "terminating")
 	g.until("both lists", func() bool { return g.Index == 43 })
-	if g.broke != 0 || g.states[`a "{\`] != nc.Draining {
+	if g.broke != 0 || g.states[`a "{\`] != aspenshed.Draining {
 		t.Errorf("broke %d times; %v", g.broke, g.states)
 	}
 }
@@ -363,14 +363,14 @@
 	line := `{"generation":43,"instances":[{"instanceId":"s-1","hostPort":"h:1","lifecycle":"terminating"}]}` + "\n"
 	for i, answer := range []string{"\r\n" + line + `{"generation":99,"instances":[`, "Content-Length: " + fmt.Sprint(len(line)) + "\r\n\r\n" + line,
 		"Content-Length: 999\r\n\r\n" + line} {
-		g.Index, g.states = 42, map[string]nc.MemberState{}
+		g.Index, g.states = 42, map[string]aspenshed.MemberState{}
 		g.Watch()
 		s, began := g.asked(), g.clock.now
 		_ = s.conn.Write([]byte("HTTP/1.1 200 OK\r\n" + answer))
 		g.until("the list", func() bool { return g.Index == 43 })
 		s.conn.Close()
 		g.until("the end", func() bool { return g.cur == nil })
-		if g.states["s-1"] != nc.Draining || g.broke != i {
+		if g.states["s-1"] != aspenshed.Draining || g.broke != i {
 			t.Errorf("%q: %v, broke %d times at once", answer, g.states, g.broke)
 		}
 		g.clock.now += leastGap
@@ -399,7 +399,7 @@
 			}
 			return g.broke == i+1
 		})
-		if g.states["s-1"] != nc.Draining || g.Index != int64(42+i) {
+		if g.states["s-1"] != aspenshed.Draining || g.Index != int64(42+i) {
 			t.Errorf("%q: %v at %d", bad, g.states, g.Index)
 		}
 	}
@@ -416,12 +416,12 @@
 	s.member(43, true, false, "drains", "in_service")
 	s.member(44, false, false, "gone", "in_service")
 	g.until("the older lists", func() bool { return len(g.versions) == 4 })
-	if g.states["drains"] != nc.Draining || g.states["gone"] != nc.Gone {
+	if g.states["drains"] != aspenshed.Draining || g.states["gone"] != aspenshed.Gone {
 		t.Errorf("an older list: %v", g.states)
 	}
 	s.member(47, false, false, "gone", "in_service")
 	g.until("a newer list", func() bool { return len(g.versions) == 5 })
-	if g.states["gone"] != nc.Up {
+	if g.states["gone"] != aspenshed.Up {
 		t.Errorf("a newer list: %v", g.states)
 	}
 }
--- a/internal/lab/logread/logread.go
+++ b/internal/experiment/loganalysis/loganalysis.go
@@ -1,6 +1,6 @@
-// Package logread reads the debug lines of many gateways: it follows one request over all of them and counts how
+// Package loganalysis reads the debug lines of many gateways: it follows one request over all of them and counts how
 // requests ended, and what members did, by time.
-package logread
+package loganalysis
 
 import (
 	"bufio"
--- a/internal/lab/logread/logread_test.go
+++ b/internal/experiment/loganalysis/loganalysis_test.go
@@ -1,4 +1,4 @@
-package logread
+package loganalysis
 
 import (
 	"fmt"
@@ -8,32 +8,33 @@
 	"testing"
 	"time"
 
-	nc "aspenshed"
+	"aspenshed"
 
 	"github.com/sirupsen/logrus"
 
-	"aspenshed/internal/core"
-	"aspenshed/internal/stage/book"
+	"aspenshed/internal/dataplane/accounting"
+	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/dataplane/request"
 )
 
-type still nc.Nanos
+type still aspenshed.Nanos
 
-func (c still) Now() nc.Nanos { return nc.Nanos(c) }
+func (c still) Now() aspenshed.Nanos { return aspenshed.Nanos(c) }
 
 // booked is what the program itself writes, behind a platform's prefix, with a line that was cut off.
 func booked(f logrus.Formatter) string {
 	var out strings.Builder
 	log := &logrus.Logger{Out: &out, Formatter: f, Level: logrus.DebugLevel, Hooks: logrus.LevelHooks{}}
-	b := book.New(core.NewLoop(still(80e6)), log.WithTime(time.Date(2026, 12, 1, 10, 0, 1, 4e8, time.UTC)))
-	ask := func(id string, class, attempts int, arrived nc.Nanos) *core.Request {
-		return &core.Request{Query: core.Query{Name: id, Class: class}, Attempts: attempts, Arrived: arrived, Deadline: 160e6}
+	b := accounting.New(eventloop.NewLoop(still(80e6)), log.WithTime(time.Date(2026, 12, 1, 10, 0, 1, 4e8, time.UTC)))
+	ask := func(id string, class, attempts int, arrived aspenshed.Nanos) *request.Request {
+		return &request.Request{Query: request.Query{Name: id, Class: class}, Attempts: attempts, Arrived: arrived, Deadline: 160e6}
 	}
 	q := ask("q1", 1, 2, 35e6)
-	b.Attempt(q, "s-1", core.Result{Outcome: nc.Full, Detail: `53300 no "room"`})
-	b.Attempt(q, "s-2", core.Result{Outcome: nc.Served, Took: 40e6})
-	b.Ended(q, core.Final{Verdict: core.Served})
-	b.Ended(ask("q2", 0, 0, 0), core.Final{Verdict: core.Refused, Reason: "try again"})
-	b.Ended(ask("q4", 0, 0, 80e6), core.Final{Verdict: core.Refused})
+	b.Attempt(q, "s-1", request.Result{Outcome: aspenshed.Full, Detail: `53300 no "room"`})
+	b.Attempt(q, "s-2", request.Result{Outcome: aspenshed.Served, Took: 40e6})
+	b.Ended(q, request.Final{Verdict: request.Served})
+	b.Ended(ask("q2", 0, 0, 0), request.Final{Verdict: request.Refused, Reason: "try again"})
+	b.Ended(ask("q4", 0, 0, 80e6), request.Final{Verdict: request.Refused})
 	return "0.2 " + strings.ReplaceAll(out.String(), "\n", "\n0.3 ") + `time="10:00:03.100" level=debug msg="request en`
 }
 
--- a/internal/lab/scenario/commands_test.go
+++ b/internal/experiment/scenario/commands_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"aspenshed/internal/netio"
-	"aspenshed/internal/proto/mysqlwire"
+	"aspenshed/internal/protocol/mysqlwire"
 )
 
 // talk is a MySQL client that sends what it is told and hears every packet.
--- a/internal/lab/scenario/mysql_test.go
+++ b/internal/experiment/scenario/mysql_test.go
@@ -6,28 +6,29 @@
 	"strings"
 	"sync/atomic"
 
-	nc "aspenshed"
+	"aspenshed"
 
-	"aspenshed/internal/core"
-	"aspenshed/internal/front"
-	"aspenshed/internal/front/mysql"
+	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/dataplane/pipeline"
+	"aspenshed/internal/dataplane/request"
+	"aspenshed/internal/frontend/mysql"
+	"aspenshed/internal/frontend/session"
 	"aspenshed/internal/netio"
-	"aspenshed/internal/proto/mysqlwire"
-	"aspenshed/internal/stage/estate"
+	"aspenshed/internal/protocol/mysqlwire"
 )
 
 // mysqlKit is MySQL's wire, with statements as text or prepared.
 type mysqlKit struct{ prepared bool }
 
-func (mysqlKit) Backend(n *netio.Net, l *core.Loop) core.Backend {
+func (mysqlKit) Backend(n *netio.Net, l *eventloop.Loop) request.Backend {
 	return &mysql.Backend{Net: n, Loop: l, User: "gate", Password: "secret", Database: "fares",
 		Probes: mysql.Probes{Role: "SELECT @@global.read_only", Position: "SELECT applied_ms FROM heartbeat"}}
 }
 
-func (mysqlKit) Front(l *core.Loop, s *nc.Settings, e *estate.Estate) (func(*netio.Conn) netio.Handler, *front.Desk) {
-	f := &mysql.Front{Desk: desk(l, s, e), Accounts: map[string]string{"web": "pass"}, Database: "fares",
+func (mysqlKit) Front(l *eventloop.Loop, s *aspenshed.Settings, e *pipeline.Pipeline) (func(*netio.Conn) netio.Handler, *session.Manager) {
+	f := &mysql.Front{Manager: manager(l, s, e), Accounts: map[string]string{"web": "pass"}, Database: "fares",
 		Defaults: mysql.Defaults{ReadClass: "timetable", WriteClass: "booking", Group: 1, WaitMs: 900}}
-	return f.Accept, &f.Desk
+	return f.Accept, &f.Manager
 }
 
 var challenge = []byte("12345678abcdefghijkl")
--- a/internal/lab/scenario/pg_test.go
+++ b/internal/experiment/scenario/pg_test.go
@@ -4,32 +4,33 @@
 	"fmt"
 	"sync/atomic"
 
-	nc "aspenshed"
+	"aspenshed"
 
-	"aspenshed/internal/core"
-	"aspenshed/internal/front"
-	"aspenshed/internal/front/platform"
+	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/dataplane/pipeline"
+	"aspenshed/internal/dataplane/request"
+	"aspenshed/internal/frontend/postgres"
+	"aspenshed/internal/frontend/session"
 	"aspenshed/internal/netio"
-	"aspenshed/internal/proto/pgwire"
-	"aspenshed/internal/proto/sqltag"
-	"aspenshed/internal/stage/estate"
+	"aspenshed/internal/protocol/pgwire"
+	"aspenshed/internal/protocol/sqlcomment"
 )
 
 // pgKit is the platform's wire.
 type pgKit struct{}
 
-func desk(l *core.Loop, s *nc.Settings, e *estate.Estate) front.Desk {
-	return front.Desk{Loop: l, Settings: s, Limits: front.Limits{Silent: 2000 * ms, Idle: 2000 * ms, Roomy: 7, Spare: 200 * ms},
-		Take: e.Intake.Take, Leave: e.Leave, Rejected: e.Book.Rejected}
+func manager(l *eventloop.Loop, s *aspenshed.Settings, e *pipeline.Pipeline) session.Manager {
+	return session.Manager{Loop: l, Settings: s, Limits: session.Limits{Silent: 2000 * ms, Idle: 2000 * ms, Roomy: 7, Spare: 200 * ms},
+		Take: e.Accept.Take, Leave: e.Leave, Rejected: e.Accounting.Rejected}
 }
 
-func (pgKit) Backend(n *netio.Net, l *core.Loop) core.Backend {
-	return &platform.Backend{Net: n, Loop: l}
+func (pgKit) Backend(n *netio.Net, l *eventloop.Loop) request.Backend {
+	return &postgres.Backend{Net: n, Loop: l}
 }
 
-func (pgKit) Front(l *core.Loop, s *nc.Settings, e *estate.Estate) (func(*netio.Conn) netio.Handler, *front.Desk) {
-	f := &platform.Front{Desk: desk(l, s, e)}
-	return f.Accept, &f.Desk
+func (pgKit) Front(l *eventloop.Loop, s *aspenshed.Settings, e *pipeline.Pipeline) (func(*netio.Conn) netio.Handler, *session.Manager) {
+	f := &postgres.Front{Manager: manager(l, s, e)}
+	return f.Accept, &f.Manager
 }
 
 // peer is one end of a stand-in's connection.
@@ -44,7 +45,7 @@
 func (p *peer) Closed(error)  { p.gone() }
 
 func class(sql string) string {
-	t, _ := sqltag.Parse(sql)
+	t, _ := sqlcomment.Parse(sql)
 	return t.Values["c"]
 }
 
--- a/internal/lab/scenario/platform_test.go
+++ b/internal/experiment/scenario/platform_test.go
@@ -6,13 +6,13 @@
 	"testing"
 	"time"
 
-	nc "aspenshed"
+	"aspenshed"
 
-	"aspenshed/internal/core"
-	"aspenshed/internal/front"
-	"aspenshed/internal/front/platform"
+	"aspenshed/internal/dataplane/request"
+	"aspenshed/internal/frontend/postgres"
+	"aspenshed/internal/frontend/session"
 	"aspenshed/internal/netio"
-	"aspenshed/internal/proto/pgwire"
+	"aspenshed/internal/protocol/pgwire"
 )
 
 // hear is a raw client of the platform's wire: it sends bytes and notes the types of the messages, and the codes of errors.
@@ -112,7 +112,7 @@
 	_ = conn.Write(append(append(sql("booking"), sql("timetable")...), pgwire.Query("")...))
 	slow, quick := next("a"), next("b")
 	quick.Reply("served")
-	p.until("the second answer", func() bool { return p.estate.Book.Counts.Served == 2 })
+	p.until("the second answer", func() bool { return p.pipeline.Accounting.Counts.Served == 2 })
 	slow.Reply("error")
 	if got := heard("I Z "); got != "EERRORXX000 Z T Dv C Z I Z " {
 		t.Errorf("heard %q", got)
@@ -124,10 +124,10 @@
 	for allowed, want := range map[bool]string{true: "EERROR53300250 Z ", false: "EERROR53300 Z "} {
 		s := Settings()
 		s.RetryAdvice = allowed
-		var f *platform.Front
+		var f *postgres.Front
 		p := newPlayer(t, pgKit{}, []string{"a=primary"})
-		f = &platform.Front{Desk: front.Desk{Loop: p.loop, Settings: &s, Rejected: func(string) {}, Take: func(q core.Query, _ nc.Nanos) *core.Request {
-			q.Client.Finish(core.Final{Verdict: core.Refused, RetryIn: 250 * ms, Reason: "try again"})
+		f = &postgres.Front{Manager: session.Manager{Loop: p.loop, Settings: &s, Rejected: func(string) {}, Take: func(q request.Query, _ aspenshed.Nanos) *request.Request {
+			q.Client.Finish(request.Final{Verdict: request.Refused, RetryIn: 250 * ms, Reason: "try again"})
 			return nil
 		}}}
 		n, err := netio.New(netio.Config{Listen: "127.0.0.1:0", Clients: 9, Accept: f.Accept})
@@ -154,9 +154,9 @@
 		all = append(all, pgwire.Query(fmt.Sprintf("INSERT INTO entries VALUES (1) /* id=%d,c=booking,d=5000,cluster=1 */", i))...)
 	}
 	_ = conn.Write(all)
-	p.until("held requests", func() bool { return p.estate.Relay.Live() == many })
+	p.until("held requests", func() bool { return p.pipeline.Response.Live() == many })
 	conn.Close()
-	p.until("its leave", func() bool { return p.estate.Relay.Live() == 0 })
+	p.until("its leave", func() bool { return p.pipeline.Response.Live() == 0 })
 	p.members["a"].Primary.Store(true)
 	p.sent = many
 	p.say("wait 500ms", "y send booking", "a expect booking", "a send served", "y expect served")
--- a/internal/lab/scenario/scenario.go
+++ b/internal/experiment/scenario/scenario.go
@@ -1,4 +1,4 @@
-// Package scenario plays scripts over an estate on loopback sockets, with
+// Package scenario plays scripts over an pipeline on loopback sockets, with
 // stand-in clients and members. Its language has four verbs:
 //
 //	x send booking d=2000    client x sends a request of that class
@@ -25,18 +25,19 @@
 	"testing"
 	"time"
 
-	nc "aspenshed"
+	"aspenshed"
 
 	"github.com/sirupsen/logrus"
 
-	"aspenshed/internal/core"
-	"aspenshed/internal/front"
+	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/dataplane/pipeline"
+	"aspenshed/internal/dataplane/request"
+	"aspenshed/internal/frontend/session"
 	"aspenshed/internal/netio"
-	"aspenshed/internal/stage/estate"
 )
 
 const (
-	ms      = nc.Nanos(1e6)
+	ms      = aspenshed.Nanos(1e6)
 	tick    = 5 * ms
 	patient = 10 * time.Second // for what must come
 )
@@ -45,7 +46,7 @@
 type Clock struct{ at atomic.Int64 }
 
 // Now is the time.
-func (c *Clock) Now() nc.Nanos { return nc.Nanos(c.at.Load()) }
+func (c *Clock) Now() aspenshed.Nanos { return aspenshed.Nanos(c.at.Load()) }
 
 // Got is a statement that a member has received.
 type Got struct {
@@ -98,23 +99,23 @@
 // Kit is one wire, with a gateway's front for it and stand-ins for both its ends.
 type Kit interface {
 	// Backend is the wire towards members.
-	Backend(*netio.Net, *core.Loop) core.Backend
+	Backend(*netio.Net, *eventloop.Loop) request.Backend
 	// Front is the wire towards clients.
-	Front(*core.Loop, *nc.Settings, *estate.Estate) (func(*netio.Conn) netio.Handler, *front.Desk)
+	Front(*eventloop.Loop, *aspenshed.Settings, *pipeline.Pipeline) (func(*netio.Conn) netio.Handler, *session.Manager)
 	Member(*Member, *netio.Conn) netio.Handler
 	Client(net *netio.Net, address string) Client
 }
 
 // Settings are those of the scenarios: the classes of a booking service.
-func Settings() nc.Settings {
-	class := func(name string, n nc.Need, e nc.Effect, aim, giveUp nc.Nanos, late float64) nc.Class {
-		return nc.Class{Name: name, Need: n, Bound: 300 * ms, Aim: aim * ms, GiveUp: giveUp * ms, Worth: 1, LateWorth: late, Effect: e}
+func Settings() aspenshed.Settings {
+	class := func(name string, n aspenshed.Need, e aspenshed.Effect, aim, giveUp aspenshed.Nanos, late float64) aspenshed.Class {
+		return aspenshed.Class{Name: name, Need: n, Bound: 300 * ms, Aim: aim * ms, GiveUp: giveUp * ms, Worth: 1, LateWorth: late, Effect: e}
 	}
-	return nc.Settings{Routers: 1, Quantum: tick, ListTellsRole: true, MayProbe: true, MayCancel: true, MayCopy: true, MaxAttempts: 10,
+	return aspenshed.Settings{Routers: 1, Quantum: tick, ListTellsRole: true, MayProbe: true, MayCancel: true, MayCopy: true, MaxAttempts: 10,
 		ConnectTimeout: 250 * ms, IdleClose: 15000 * ms, AnswerSlack: 20 * ms, DrainGrace: 2000 * ms, StartCapacity: 0.15,
-		ColdFor: 16000 * ms, FallMultiple: 2.5, FallFor: 1500 * ms, PriceProbe: 0.021, Classes: []nc.Class{
-			class("seat-check", nc.Bounded, nc.Safe, 400, 1000, 0.2), class("timetable", nc.AnyData, nc.Safe, 750, 2000, 0),
-			class("booking", nc.WriteToIt, nc.Unsafe, 750, 5000, 0.5)}}
+		ColdFor: 16000 * ms, FallMultiple: 2.5, FallFor: 1500 * ms, PriceProbe: 0.021, Classes: []aspenshed.Class{
+			class("seat-check", aspenshed.Bounded, aspenshed.Safe, 400, 1000, 0.2), class("timetable", aspenshed.AnyData, aspenshed.Safe, 750, 2000, 0),
+			class("booking", aspenshed.WriteToIt, aspenshed.Unsafe, 750, 5000, 0.5)}}
 }
 
 // player plays one script.
@@ -122,9 +123,9 @@
 	t        *testing.T
 	kit      Kit
 	clock    *Clock
-	loop     *core.Loop
-	estate   *estate.Estate
-	desk     *front.Desk
+	loop     *eventloop.Loop
+	pipeline *pipeline.Pipeline
+	manager  *session.Manager
 	net      *netio.Net // of the stand-ins and towards members
 	in       *netio.Net // towards clients
 	address  string
@@ -135,7 +136,7 @@
 	it       *Member // that any was bound to
 }
 
-// Play runs a script over a kit and returns what the estate has counted. The
+// Play runs a script over a kit and returns what the pipeline has counted. The
 // first line names the members: members a=primary b=replica.
 func Play(t *testing.T, kit Kit, script string) (served, refused, failed uint64) {
 	t.Helper()
@@ -151,7 +152,7 @@
 	}
 	p.settle()
 	p.on(func() {
-		c := p.estate.Book.Counts
+		c := p.pipeline.Accounting.Counts
 		served, refused, failed = c.Served, c.Refused, c.Failed
 		p.loop.Quit()
 	})
@@ -173,7 +174,7 @@
 		p.t.Cleanup(n.Stop)
 		return n
 	}
-	known := nc.MemberList{Whole: true}
+	known := aspenshed.MemberList{Whole: true}
 	addresses := map[string]string{}
 	for _, spec := range members {
 		name, role, _ := strings.Cut(spec, "=")
@@ -182,21 +183,21 @@
 		p.members[name] = m
 		n := must(netio.New(netio.Config{Name: name, Listen: "127.0.0.1:0", Clients: 100,
 			Accept: func(c *netio.Conn) netio.Handler { return p.kit.Member(m, c) }}))
-		known.Members = append(known.Members, nc.Member{ID: name, Group: 1, Size: 1, State: nc.Up})
+		known.Members = append(known.Members, aspenshed.Member{ID: name, Group: 1, Size: 1, State: aspenshed.Up})
 		addresses[name] = n.Addr()
 	}
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
-	p.loop = core.NewLoop(p.clock)
+	p.loop = eventloop.NewLoop(p.clock)
 	p.net = must(netio.New(netio.Config{Name: "out", Dials: 100}))
 	s := Settings()
-	p.estate = estate.New(estate.Config{Loop: p.loop, Log: logrus.NewEntry(log), Settings: s, Seed: 1, MostHeld: 100,
+	p.pipeline = pipeline.New(pipeline.Config{Loop: p.loop, Log: logrus.NewEntry(log), Settings: s, Seed: 1, MostHeld: 100,
 		Backend: p.kit.Backend(p.net, p.loop), Watch: func() {}})
-	accept, desk := p.kit.Front(p.loop, &s, p.estate)
-	p.desk = desk
+	accept, manager := p.kit.Front(p.loop, &s, p.pipeline)
+	p.manager = manager
 	p.in = must(netio.New(netio.Config{Name: "in", Listen: "127.0.0.1:0", Clients: 100, Accept: accept}))
 	p.address = p.in.Addr()
-	if err := p.estate.Start(known, addresses); err != nil {
+	if err := p.pipeline.Start(known, addresses); err != nil {
 		p.t.Fatal(err)
 	}
 	go p.loop.Run()
@@ -225,20 +226,20 @@
 		held = held || m.holds
 	}
 	p.until("taken requests", func() bool {
-		c := p.estate.Book.Counts
-		return c.Taken+c.Rejected >= p.sent || held && p.estate.Relay.Live() > 0 && c.Auxiliary > p.prepared
+		c := p.pipeline.Accounting.Counts
+		return c.Taken+c.Rejected >= p.sent || held && p.pipeline.Response.Live() > 0 && c.Auxiliary > p.prepared
 	})
 	if held {
 		return
 	}
 	for range 2 { // what one answer sets off comes with the next batch
-		p.until("probes and links", func() bool { return p.estate.Sender.Busy() == 0 })
+		p.until("probes and links", func() bool { return p.pipeline.Dispatch.Busy() == 0 })
 	}
 }
 
 // recount forgets requests that will never be taken: their client went, or was refused, before it came to them.
 func (p *player) recount() {
-	p.on(func() { p.sent = p.estate.Book.Counts.Taken + p.estate.Book.Counts.Rejected })
+	p.on(func() { p.sent = p.pipeline.Accounting.Counts.Taken + p.pipeline.Accounting.Counts.Rejected })
 }
 
 func (p *player) line(f []string) error {
@@ -279,9 +280,9 @@
 		}
 	case f[1] == "close":
 		var before int
-		p.on(func() { before = p.estate.Relay.Live() })
+		p.on(func() { before = p.pipeline.Response.Live() })
 		p.clients[f[0]].Close()
-		p.until("the client's leave", func() bool { return p.estate.Relay.Live() < max(before, 1) })
+		p.until("the client's leave", func() bool { return p.pipeline.Response.Live() < max(before, 1) })
 		p.recount()
 	default:
 		return fmt.Errorf("unknown verb")
@@ -292,9 +293,9 @@
 // ends has a member end an attempt, and waits until that has come through: time must not pass before.
 func (p *player) ends(f func()) {
 	var before uint64
-	p.on(func() { before = p.estate.Book.Counts.Attempts })
+	p.on(func() { before = p.pipeline.Accounting.Counts.Attempts })
 	f()
-	p.until("the attempt's end", func() bool { return p.estate.Book.Counts.Attempts > before })
+	p.until("the attempt's end", func() bool { return p.pipeline.Accounting.Counts.Attempts > before })
 }
 
 func (p *player) memberExpects(name, class string) error {
@@ -331,7 +332,7 @@
 	half := class == "half"
 	switch {
 	case class == "nothing":
-		p.until("the connection", func() bool { return p.desk.Sessions() >= len(p.clients) })
+		p.until("the connection", func() bool { return p.manager.Sessions() >= len(p.clients) })
 		return
 	case half || class == "rest":
 		class = "booking"
@@ -349,10 +350,10 @@
 		sql = `INSERT INTO entries (ref, payload) VALUES ('r', 'v') RETURNING payload`
 	}
 	var halves int
-	p.on(func() { halves, p.prepared = p.desk.Halfway(), p.estate.Book.Counts.Auxiliary })
+	p.on(func() { halves, p.prepared = p.manager.Halfway(), p.pipeline.Accounting.Counts.Auxiliary })
 	c.Send(half, fmt.Sprintf("%s /* id=%s,c=%s,d=%s,cluster=%s */", sql, tag["id"], class, tag["d"], tag["cluster"]))
 	if half {
-		p.until("half a command", func() bool { return p.desk.Halfway() > halves })
+		p.until("half a command", func() bool { return p.manager.Halfway() > halves })
 	}
 	p.settle()
 }
--- a/internal/lab/scenario/scenario_test.go
+++ b/internal/experiment/scenario/scenario_test.go
@@ -351,8 +351,8 @@
 		t.Run(wire, func(t *testing.T) {
 			p := newPlayer(t, kit, []string{"a=primary", "b=replica"})
 			p.say("x send booking", "a expect booking", "a send served", "x expect served", "a send hold", "x send booking d=5000")
-			p.until("the attempt", func() bool { return p.estate.Relay.Live() == 1 && p.estate.Sender.Busy() > 0 })
-			p.on(func() { p.estate.FailAll("the gateway ends") })
+			p.until("the attempt", func() bool { return p.pipeline.Response.Live() == 1 && p.pipeline.Dispatch.Busy() > 0 })
+			p.on(func() { p.pipeline.FailAll("the gateway ends") })
 			p.say("x expect refused")
 			p.recount()
 			p.say("a send go", "wait 100ms", "y send booking", "a expect booking", "a send served", "y expect served")
@@ -374,17 +374,17 @@
 			stopped, goOn := make(chan bool), make(chan bool)
 			p.loop.Post(func() { close(stopped); <-goOn })
 			<-stopped
-			p.loop.Post(func() { p.desk.CloseIdle() }) // ahead of the request's turn
+			p.loop.Post(func() { p.manager.CloseIdle() }) // ahead of the request's turn
 			p.sent++
 			p.clients["x"].Send(false, "")
-			for end := time.Now().Add(patient); p.desk.Halfway() > 0; runtime.Gosched() { // the loop stands still
+			for end := time.Now().Add(patient); p.manager.Halfway() > 0; runtime.Gosched() { // the loop stands still
 				if time.Now().After(end) {
 					t.Fatal("the request was never read")
 				}
 			}
 			close(goOn)
 			p.say("a expect booking", "a send served", "x expect served", "x expect closed")
-			p.until("the session's end", func() bool { return p.desk.Sessions() == 0 })
+			p.until("the session's end", func() bool { return p.manager.Sessions() == 0 })
 			p.on(p.loop.Quit)
 		})
 	}
@@ -400,7 +400,7 @@
 			for i := range many {
 				p.say(fmt.Sprintf("x%d send booking d=5000", i))
 			}
-			p.until("held requests", func() bool { return p.estate.Relay.Live() == many })
+			p.until("held requests", func() bool { return p.pipeline.Response.Live() == many })
 			stopped, goOn := make(chan bool), make(chan bool)
 			p.loop.Post(func() { close(stopped); <-goOn })
 			<-stopped
@@ -415,12 +415,12 @@
 			p.members["b"].Primary.Store(true)
 			p.clock.at.Add(int64(300 * ms)) // a round is due in the same batch
 			close(goOn)
-			p.until("their leave", func() bool { return p.estate.Relay.Live() == 0 && p.desk.Sessions() == 0 })
+			p.until("their leave", func() bool { return p.pipeline.Response.Live() == 0 && p.manager.Sessions() == 0 })
 			p.recount()
 			p.say("wait 500ms", "y send booking d=5000", "b expect booking", "b send served", "y expect served")
 			p.on(func() {
-				c := p.estate.Book.Counts
-				if n := len(p.members["a"].Got) + len(p.members["b"].Got); n != 0 || c.Left != many || c.Attempts-c.Auxiliary != 1 || p.estate.Sender.Busy() != 0 {
+				c := p.pipeline.Accounting.Counts
+				if n := len(p.members["a"].Got) + len(p.members["b"].Got); n != 0 || c.Left != many || c.Attempts-c.Auxiliary != 1 || p.pipeline.Dispatch.Busy() != 0 {
 					t.Errorf("members got %d more; counts %+v", n, c)
 				}
 				p.loop.Quit()
@@ -442,7 +442,7 @@
 				"a send hold", "x send booking d=5000", "wait 1500ms", "a send go", "a send served", "w expect served",
 				"wait 2s", "a expect booking", "a send served", "x expect served")
 			p.on(func() {
-				if c := p.estate.Book.Counts; len(p.members["a"].Got) != 0 || c.Served != 3 {
+				if c := p.pipeline.Accounting.Counts; len(p.members["a"].Got) != 0 || c.Served != 3 {
 					t.Errorf("a got %d more, counts %+v", len(p.members["a"].Got), c)
 				}
 				p.loop.Quit()
--- a/internal/lab/standin/standin.go
+++ b/internal/experiment/standin/standin.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"aspenshed/internal/netio"
-	"aspenshed/internal/proto/sqltag"
+	"aspenshed/internal/protocol/sqlcomment"
 )
 
 // Wire names what a database speaks.
@@ -141,7 +141,7 @@
 
 // serve takes one statement; answer is called once, later, with what became of it.
 func (d *DB) serve(sql string, answer func(value string, v Verdict)) {
-	tag, _ := sqltag.Parse(sql)
+	tag, _ := sqlcomment.Parse(sql)
 	write := tag.Values["c"] == "booking"
 	now := time.Now().UnixNano()
 	d.mu.Lock()
@@ -164,7 +164,7 @@
 	d.mu.Unlock()
 }
 
-func (g *Group) run(tag sqltag.Tag, write bool) string {
+func (g *Group) run(tag sqlcomment.Tag, write bool) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	id := tag.Values["id"]
--- a/internal/lab/standin/wires.go
+++ b/internal/experiment/standin/wires.go
@@ -6,8 +6,8 @@
 	"strings"
 
 	"aspenshed/internal/netio"
-	"aspenshed/internal/proto/mysqlwire"
-	"aspenshed/internal/proto/pgwire"
+	"aspenshed/internal/protocol/mysqlwire"
+	"aspenshed/internal/protocol/pgwire"
 )
 
 // postgres is one connection that speaks the platform's protocol.
--- a/internal/lab/trial/store.go
+++ b/internal/experiment/trial/store.go
@@ -10,11 +10,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/hashicorp/raft"
 
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/mode"
+	"aspenshed/internal/controlplane/store"
 	"aspenshed/internal/daemon"
-	"aspenshed/internal/decide/catalog"
-	pb "aspenshed/internal/decide/catalog/catalogpb"
-	"aspenshed/internal/decide/mode"
-	"aspenshed/internal/keep/store"
 )
 
 // StoreOptions say how much is measured.
--- a/internal/lab/trial/trial.go
+++ b/internal/experiment/trial/trial.go
@@ -13,16 +13,16 @@
 
 	"github.com/hashicorp/raft"
 
-	nc "aspenshed"
+	"aspenshed"
 
-	"aspenshed/internal/core"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/mode"
+	"aspenshed/internal/controlplane/store"
 	"aspenshed/internal/daemon"
-	pb "aspenshed/internal/decide/catalog/catalogpb"
-	"aspenshed/internal/decide/mode"
-	"aspenshed/internal/keep/store"
-	"aspenshed/internal/lab/standin"
+	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/experiment/standin"
 	"aspenshed/internal/netio"
-	"aspenshed/internal/proto/pgwire"
+	"aspenshed/internal/protocol/pgwire"
 )
 
 // Options of a trial.
@@ -42,8 +42,8 @@
 	rate float64
 }
 
-func (c skewed) Now() nc.Nanos {
-	return nc.Nanos(c.zero.UnixNano() + int64(c.rate*float64(time.Since(c.zero))))
+func (c skewed) Now() aspenshed.Nanos {
+	return aspenshed.Nanos(c.zero.UnixNano() + int64(c.rate*float64(time.Since(c.zero))))
 }
 
 // Report is what came of it.
@@ -139,7 +139,7 @@
 		}
 	}
 	if o.Clocks {
-		opts.Clock = func(i int) core.Clock { return skewed{time.Now(), 0.95 + 0.05*float64(i)} }
+		opts.Clock = func(i int) eventloop.Clock { return skewed{time.Now(), 0.95 + 0.05*float64(i)} }
 	}
 	d, err := daemon.NewDemo(dir, opts)
 	if err != nil {
--- a/internal/lab/trial/trial_test.go
+++ b/internal/experiment/trial/trial_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"aspenshed/internal/lab/standin"
+	"aspenshed/internal/experiment/standin"
 )
 
 // Three instances under load; the leader is cut off while a drain is agreed on that its own older list does not name at the
--- a/internal/front/mysql/backend.go
+++ b/internal/frontend/mysql/backend.go
@@ -7,13 +7,14 @@
 	"strconv"
 	"time"
 
-	nc "aspenshed"
+	"aspenshed"
 
-	"aspenshed/internal/core"
-	"aspenshed/internal/front"
+	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/dataplane/request"
+	"aspenshed/internal/frontend/session"
 	"aspenshed/internal/netio"
-	"aspenshed/internal/proto/mysqlwire"
-	"aspenshed/internal/proto/sqltag"
+	"aspenshed/internal/protocol/mysqlwire"
+	"aspenshed/internal/protocol/sqlcomment"
 )
 
 const (
@@ -23,7 +24,7 @@
 
 // Statement is what the MySQL front has a member do.
 type Statement struct {
-	Tag     sqltag.Tag
+	Tag     sqlcomment.Tag
 	Prepare bool // only prepare it
 	Execute *mysqlwire.Execute
 	Long    []LongData
@@ -44,7 +45,7 @@
 // Backend opens links to MySQL servers.
 type Backend struct {
 	Net                      *netio.Net
-	Loop                     *core.Loop
+	Loop                     *eventloop.Loop
 	User, Password, Database string
 	Probes                   Probes
 }
@@ -52,11 +53,11 @@
 // link is one connection to a server. The poller's goroutine owns the reading
 // side up to whole answers; all else is the loop's.
 type link struct {
-	b    *Backend
-	ev   core.LinkEvents
-	conn *netio.Conn
-	in   mysqlwire.Reader
-	owed front.Owed
+	b       *Backend
+	ev      request.LinkEvents
+	conn    *netio.Conn
+	in      mysqlwire.Reader
+	pending session.PendingResponses
 
 	// The poller's.
 	phase  int // of the login
@@ -65,13 +66,13 @@
 	whole  []mysqlwire.Answer // answers that the bytes at hand have brought to their end
 
 	// The loop's.
-	limit    *core.Timer
+	limit    *eventloop.Timer
 	closed   bool
 	sent     bool // the statement's last byte may have left
 	stmt     *Statement
 	prepared map[string]mysqlwire.Prepared
 	then     func(*mysqlwire.Answer) // what the next whole answer is for
-	report   nc.Report
+	report   aspenshed.Report
 	extra    bool // more came than belongs to the answer: it is good, the link is not
 }
 
@@ -94,7 +95,7 @@
 )
 
 // Open dials. The limit holds until the server has let the link in.
-func (b *Backend) Open(address string, limit nc.Nanos, probe bool, ev core.LinkEvents) (core.Link, error) {
+func (b *Backend) Open(address string, limit aspenshed.Nanos, probe bool, ev request.LinkEvents) (request.Link, error) {
 	l := &link{b: b, ev: ev, in: mysqlwire.Reader{Max: maxAnswer}, prepared: map[string]mysqlwire.Prepared{}}
 	conn, err := b.Net.Dial(address, time.Duration(limit), probe, l)
 	if err != nil {
@@ -116,7 +117,7 @@
 		return
 	}
 	l.Close()
-	l.ev.Down(core.HowEnded(l.sent, errors.Is(err, netio.ErrRefused)), err)
+	l.ev.Down(request.HowEnded(l.sent, errors.Is(err, netio.ErrRefused)), err)
 }
 
 // Close ends the connection without another event.
@@ -133,7 +134,7 @@
 // link, and so does what comes unasked: it could be taken for the next answer.
 func (l *link) Data(b []byte) {
 	err := l.in.Feed(b, l.packet)
-	if err == nil && l.phase == ready && l.owed.Next() == 0 && l.in.Partial() {
+	if err == nil && l.phase == ready && l.pending.Next() == 0 && l.in.Partial() {
 		err = errExtra
 	}
 	whole := l.whole
@@ -164,7 +165,7 @@
 	if l.phase != ready {
 		return l.login(seq, body)
 	}
-	what := l.owed.Next()
+	what := l.pending.Next()
 	if l.answer.First == nil {
 		if what == 0 {
 			return errExtra
@@ -186,7 +187,7 @@
 	if what == forCheck && (a.Err != nil || a.First[0] != 0) {
 		return errSpoilt
 	}
-	l.owed.Done()
+	l.pending.Done()
 	l.whole = append(l.whole, a)
 	return nil
 }
@@ -238,7 +239,7 @@
 	if errors.As(err, &e) && (e.Code == 1040 || e.Code == 1203) {
 		l.b.Loop.Post(func() {
 			if !l.closed {
-				l.ev.Done(core.Result{Outcome: nc.Full, Close: true, Detail: e.Message})
+				l.ev.Done(request.Result{Outcome: aspenshed.Full, Close: true, Detail: e.Message})
 			}
 		})
 		return nil
@@ -249,7 +250,7 @@
 // Send pings: the answer shows that the link is alive and that nothing else came ahead of it. Then it writes the
 // statement. One that is prepared is first prepared here, if this server has not seen it; that runs nothing, so
 // only the execution counts as sent.
-func (l *link) Send(statement any, wait nc.Nanos) bool {
+func (l *link) Send(statement any, wait aspenshed.Nanos) bool {
 	l.stmt = statement.(*Statement)
 	return l.ask(forCheck, mysqlwire.Command(mysqlwire.ComPing), func(*mysqlwire.Answer) {
 		if !l.extra && !l.begin(wait) { // where more came, down follows anyway
@@ -258,7 +259,7 @@
 	})
 }
 
-func (l *link) begin(wait nc.Nanos) bool {
+func (l *link) begin(wait aspenshed.Nanos) bool {
 	s := l.stmt
 	p, known := l.prepared[s.Tag.SQL]
 	switch {
@@ -275,7 +276,7 @@
 
 func (l *link) ask(what int, command []byte, then func(*mysqlwire.Answer)) bool {
 	l.then = then
-	l.owed.Add(what)
+	l.pending.Add(what)
 	if l.conn.Write(command) != nil {
 		l.sent = false
 		return false
@@ -319,11 +320,11 @@
 
 // finish ends an attempt.
 func (l *link) finish(a *mysqlwire.Answer) {
-	r := core.Result{Outcome: nc.Served, Value: a.Raw}
+	r := request.Result{Outcome: aspenshed.Served, Value: a.Raw}
 	if a.Err != nil {
 		r = outcomeOf(*a.Err)
 	} else if l.stmt != nil && !l.stmt.Prepare && isWrite(l.stmt.Tag.SQL) {
-		r.Role = nc.RolePrimary // it has taken a write
+		r.Role = aspenshed.RolePrimary // it has taken a write
 	}
 	l.sent, l.stmt, r.Close = false, nil, l.extra
 	l.ev.Done(r)
@@ -331,22 +332,22 @@
 
 // outcomeOf maps a server's error. What the statement itself got wrong is the
 // answer, as no server would do better; what the server got wrong may be tried elsewhere.
-func outcomeOf(e mysqlwire.Error) core.Result {
-	r := core.Result{Outcome: nc.Errored, Value: e, Detail: strconv.Itoa(int(e.Code)) + " " + e.Message}
+func outcomeOf(e mysqlwire.Error) request.Result {
+	r := request.Result{Outcome: aspenshed.Errored, Value: e, Detail: strconv.Itoa(int(e.Code)) + " " + e.Message}
 	switch {
 	case e.Code == 1290 || e.Code == 1836: // read-only: untouched
-		r.Outcome, r.Role = nc.Turned, nc.RoleReplica
+		r.Outcome, r.Role = aspenshed.Turned, aspenshed.RoleReplica
 	case e.Code == 1040 || e.Code == 1203:
-		r.Outcome = nc.Full
+		r.Outcome = aspenshed.Full
 	case len(e.State) == 5 && e.State >= "21" && e.State < "45":
-		r.Outcome = nc.Rejected
+		r.Outcome = aspenshed.Rejected
 	}
 	return r
 }
 
 // Probe asks for the role, then for the position.
 func (l *link) Probe() bool {
-	l.report, l.stmt = nc.Report{}, nil
+	l.report, l.stmt = aspenshed.Report{}, nil
 	l.sent = true
 	return l.ask(forResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(l.b.Probes.Role)), func(a *mysqlwire.Answer) {
 		if v, _, ok := mysqlwire.LenencString(a.Row); ok {
@@ -363,16 +364,16 @@
 func (l *link) positioned(a *mysqlwire.Answer) {
 	if v, _, ok := mysqlwire.LenencString(a.Row); ok {
 		if ms, err := strconv.ParseInt(v, 10, 64); err == nil && ms > 0 {
-			l.report.HasPosition, l.report.Position = true, core.UnixMs(ms)
+			l.report.HasPosition, l.report.Position = true, eventloop.UnixMs(ms)
 		}
 	}
 	l.probed(a)
 }
 
 func (l *link) probed(a *mysqlwire.Answer) {
-	r := core.Result{Outcome: nc.Served, Report: l.report}
+	r := request.Result{Outcome: aspenshed.Served, Report: l.report}
 	if a.Err != nil {
-		r = core.Result{Outcome: nc.Errored, Detail: a.Err.Message}
+		r = request.Result{Outcome: aspenshed.Errored, Detail: a.Err.Message}
 	}
 	l.sent, r.Close = false, l.extra
 	l.ev.Done(r)
--- a/internal/front/mysql/front.go
+++ b/internal/frontend/mysql/front.go
@@ -11,13 +11,13 @@
 	"strings"
 	"sync/atomic"
 
-	nc "aspenshed"
+	"aspenshed"
 
-	"aspenshed/internal/core"
-	"aspenshed/internal/front"
+	"aspenshed/internal/dataplane/request"
+	"aspenshed/internal/frontend/session"
 	"aspenshed/internal/netio"
-	"aspenshed/internal/proto/mysqlwire"
-	"aspenshed/internal/proto/sqltag"
+	"aspenshed/internal/protocol/mysqlwire"
+	"aspenshed/internal/protocol/sqlcomment"
 )
 
 const (
@@ -35,7 +35,7 @@
 
 // Front serves clients.
 type Front struct {
-	front.Desk
+	session.Manager
 	Accounts map[string]string // passwords by user
 	Database string
 	Defaults Defaults
@@ -43,11 +43,11 @@
 	connections atomic.Uint32
 }
 
-// session is one client connection; the poller's goroutine owns all of it but the desk's session.
-type session struct {
+// clientConn is one client connection; the poller's goroutine owns all of it but the session's session.
+type clientConn struct {
 	f         *Front
 	conn      *netio.Conn
-	desk      *front.Session
+	session   *session.Session
 	in        mysqlwire.Reader
 	challenge []byte
 	user      string // the user, until a switched login is through
@@ -64,7 +64,7 @@
 
 // stmt is a client's prepared statement.
 type stmt struct {
-	tag      sqltag.Tag
+	tag      sqlcomment.Tag
 	params   atomic.Int32 // as the server said; the loop sets it before the client hears of the statement
 	types    []byte
 	long     []LongData
@@ -73,7 +73,7 @@
 
 // Accept makes a session for a new connection.
 func (f *Front) Accept(c *netio.Conn) netio.Handler {
-	s := &session{f: f, conn: c, desk: f.Open(c), in: mysqlwire.Reader{Max: maxPacket}, challenge: make([]byte, 20)}
+	s := &clientConn{f: f, conn: c, session: f.Open(c), in: mysqlwire.Reader{Max: maxPacket}, challenge: make([]byte, 20)}
 	_, _ = rand.Read(s.challenge) // never fails
 	for i, b := range s.challenge {
 		s.challenge[i] = b&0x7f | 1 // no zero byte may stand in it
@@ -82,25 +82,25 @@
 }
 
 // Up greets the client.
-func (s *session) Up() { _ = s.conn.Write(mysqlwire.Greeting(s.f.connections.Add(1), s.challenge)) }
+func (s *clientConn) Up() { _ = s.conn.Write(mysqlwire.Greeting(s.f.connections.Add(1), s.challenge)) }
 
 // Closed is called when the client has gone.
-func (s *session) Closed(error) { s.desk.Gone() }
+func (s *clientConn) Closed(error) { s.session.Gone() }
 
 // Data parses and posts.
-func (s *session) Data(b []byte) {
+func (s *clientConn) Data(b []byte) {
 	err := s.in.Feed(b, s.packet)
-	s.desk.Reading(s.in.Partial())
+	s.session.Reading(s.in.Partial())
 	switch {
 	case errors.Is(err, errBye):
-		s.desk.Gone()
+		s.session.Gone()
 	case errors.Is(err, errAnswered):
 	case err != nil:
 		seq := byte(1)
 		if s.phase != commands {
 			seq = 2
 		}
-		s.desk.Fatal(mysqlwire.Error{Code: 1835, State: "HY000", Message: err.Error()}.Packet(seq), err.Error())
+		s.session.Fatal(mysqlwire.Error{Code: 1835, State: "HY000", Message: err.Error()}.Packet(seq), err.Error())
 	}
 }
 
@@ -109,7 +109,7 @@
 	errAnswered = errors.New("answered already: the connection ends")
 )
 
-func (s *session) packet(seq byte, body, _ []byte) error {
+func (s *clientConn) packet(seq byte, body, _ []byte) error {
 	switch s.phase {
 	case wantLogin:
 		l, err := mysqlwire.ParseResponse(body)
@@ -133,9 +133,9 @@
 	return s.command(body[0], body[1:])
 }
 
-func (s *session) login(seq byte, l mysqlwire.Login) error {
+func (s *clientConn) login(seq byte, l mysqlwire.Login) error {
 	if password, known := s.f.Accounts[l.User]; !known || !l.Matches(s.challenge, password) {
-		s.desk.Fatal(mysqlwire.Error{Code: 1045, State: "28000",
+		s.session.Fatal(mysqlwire.Error{Code: 1045, State: "28000",
 			Message: fmt.Sprintf("Access denied for user '%s'", l.User)}.Packet(seq+1), "access denied")
 		return errAnswered
 	}
@@ -144,14 +144,14 @@
 }
 
 // say answers without a slot. A client that can't be answered has gone: that is no bad input.
-func (s *session) say(b []byte) error {
+func (s *clientConn) say(b []byte) error {
 	if s.conn.Write(b) != nil {
 		return errBye
 	}
 	return nil
 }
 
-func (s *session) command(com byte, body []byte) error {
+func (s *clientConn) command(com byte, body []byte) error {
 	switch com {
 	case mysqlwire.ComQuit:
 		return errBye
@@ -188,18 +188,18 @@
 }
 
 // reply answers a command without asking anybody, in its turn.
-func (s *session) reply(b []byte) { s.desk.Post(func(x *front.Slot) { x.Fill(b) }) }
+func (s *clientConn) reply(b []byte) { s.session.Post(func(x *session.Slot) { x.Fill(b) }) }
 
-func (s *session) refuse(code uint16, state, message string) {
+func (s *clientConn) refuse(code uint16, state, message string) {
 	s.reply(mysqlwire.Error{Code: code, State: state, Message: message}.Packet(1))
 }
 
 // readable looks at a statement's text; what cannot be routed is answered here.
-func (s *session) readable(sql string) (sqltag.Tag, bool) {
-	tag, err := sqltag.Parse(sql)
+func (s *clientConn) readable(sql string) (sqlcomment.Tag, bool) {
+	tag, err := sqlcomment.Parse(sql)
 	verb := mysqlwire.Verb(sql)
 	switch {
-	case err != nil && !errors.Is(err, sqltag.ErrNone):
+	case err != nil && !errors.Is(err, sqlcomment.ErrNone):
 		s.bad(err)
 	case verb == "":
 		s.refuse(1065, "42000", "Query was empty")
@@ -221,14 +221,14 @@
 var transactional = map[string]bool{"BEGIN": true, "START": true, "COMMIT": true, "ROLLBACK": true, "SAVEPOINT": true,
 	"RELEASE": true, "XA": true, "LOCK": true, "UNLOCK": true}
 
-func (s *session) bad(err error) {
-	s.desk.Post(func(x *front.Slot) { x.Ask(core.Query{}, err, 0, s.f.answer) })
+func (s *clientConn) bad(err error) {
+	s.session.Post(func(x *session.Slot) { x.Ask(request.Query{}, err, 0, s.f.answer) })
 }
 
-func (s *session) ask(st *Statement, tag sqltag.Tag, form func(core.Final) []byte) {
+func (s *clientConn) ask(st *Statement, tag sqlcomment.Tag, form func(request.Final) []byte) {
 	arrived := s.f.Loop.Now()
 	q, err := s.f.query(tag, st)
-	s.desk.Post(func(x *front.Slot) { x.Ask(q, err, arrived, form) })
+	s.session.Post(func(x *session.Slot) { x.Ask(q, err, arrived, form) })
 }
 
 // isWrite tells whether a statement is anything but a plain read. Taking one
@@ -243,7 +243,7 @@
 
 // query reads the comment, with the configured defaults behind it. What is not
 // known to be a read counts as a write that must never run twice, whatever class it names.
-func (f *Front) query(tag sqltag.Tag, st *Statement) (core.Query, error) {
+func (f *Front) query(tag sqlcomment.Tag, st *Statement) (request.Query, error) {
 	class := f.Defaults.ReadClass
 	if isWrite(tag.SQL) {
 		class = f.Defaults.WriteClass
@@ -263,14 +263,14 @@
 	switch {
 	case st.Prepare: // runs nothing: any member will do
 		q.Name, q.Class, q.Auxiliary = "", f.Class(f.Defaults.ReadClass), true
-	case isWrite(tag.SQL) && f.Settings.Classes[q.Class].Need != nc.WriteToIt:
+	case isWrite(tag.SQL) && f.Settings.Classes[q.Class].Need != aspenshed.WriteToIt:
 		q.Class = f.Class(f.Defaults.WriteClass)
 	}
 	return q, nil
 }
 
 // prepare has some member prepare the statement, to learn what it looks like.
-func (s *session) prepare(sql string) {
+func (s *clientConn) prepare(sql string) {
 	tag, ok := s.readable(sql)
 	if !ok {
 		return
@@ -282,9 +282,9 @@
 	s.lastID++
 	id, st := s.lastID, &stmt{tag: tag}
 	s.stmts[id] = st
-	s.ask(&Statement{Tag: tag, Prepare: true}, tag, func(x core.Final) []byte {
+	s.ask(&Statement{Tag: tag, Prepare: true}, tag, func(x request.Final) []byte {
 		b := s.f.answer(x)
-		if p, ok := mysqlwire.ParsePrepared(b[4:]); ok && x.Verdict == core.Served {
+		if p, ok := mysqlwire.ParsePrepared(b[4:]); ok && x.Verdict == request.Served {
 			st.params.Store(int32(p.Params))
 			binary.LittleEndian.PutUint32(b[5:], id) // the client knows it by our name
 		}
@@ -292,7 +292,7 @@
 	})
 }
 
-func (s *session) prepared(com byte, id uint32, st *stmt, body []byte) error {
+func (s *clientConn) prepared(com byte, id uint32, st *stmt, body []byte) error {
 	if st == nil {
 		if com != mysqlwire.ComStmtClose && com != mysqlwire.ComStmtSendLongData { // those two have no answer
 			s.refuse(1243, "HY000", fmt.Sprintf("Unknown prepared statement handler (%d)", id))
@@ -328,11 +328,11 @@
 }
 
 // answer is a final answer in bytes.
-func (f *Front) answer(x core.Final) []byte {
+func (f *Front) answer(x request.Final) []byte {
 	switch e, known := x.Value.(mysqlwire.Error); {
-	case x.Verdict == core.Served:
+	case x.Verdict == request.Served:
 		return x.Value.([]byte)
-	case x.Verdict == core.Refused: // 40001 is the state on which clients try again by themselves
+	case x.Verdict == request.Refused: // 40001 is the state on which clients try again by themselves
 		m := "refused, nothing ran: " + x.Reason
 		if x.RetryIn > 0 && f.Settings.RetryAdvice {
 			m += fmt.Sprintf("; retry in %d ms", int64(x.RetryIn+999999)/1e6)
--- a/internal/front/platform/backend.go
+++ b/internal/frontend/postgres/backend.go
@@ -1,4 +1,4 @@
-package platform
+package postgres
 
 import (
 	"errors"
@@ -8,13 +8,14 @@
 	"strings"
 	"time"
 
-	nc "aspenshed"
+	"aspenshed"
 
-	"aspenshed/internal/core"
-	"aspenshed/internal/front"
+	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/dataplane/request"
+	"aspenshed/internal/frontend/session"
 	"aspenshed/internal/netio"
-	"aspenshed/internal/proto/pgwire"
-	"aspenshed/internal/proto/sqltag"
+	"aspenshed/internal/protocol/pgwire"
+	"aspenshed/internal/protocol/sqlcomment"
 )
 
 // maxAnswer is the longest message taken. The protocol speaks of values of 64 KiB, but databases were seen to send
@@ -22,22 +23,22 @@
 const maxAnswer = 512 << 10
 
 // ahead is how far a member's clock may be before ours.
-const ahead = nc.Nanos(1e9)
+const ahead = aspenshed.Nanos(1e9)
 
 // Backend opens links to databases that speak the platform's protocol.
 type Backend struct {
 	Net  *netio.Net
-	Loop *core.Loop
+	Loop *eventloop.Loop
 }
 
 // link is one connection to a database. The poller's goroutine owns the parser
 // state, the loop what was sent; they meet in the loop's mailbox and in owed.
 type link struct {
-	loop *core.Loop
-	ev   core.LinkEvents
-	conn *netio.Conn
-	in   pgwire.Reader
-	owed front.Owed
+	loop    *eventloop.Loop
+	ev      request.LinkEvents
+	conn    *netio.Conn
+	in      pgwire.Reader
+	pending session.PendingResponses
 
 	// The poller's.
 	ready bool
@@ -48,7 +49,7 @@
 	// The loop's.
 	sent   bool   // a statement is out
 	rest   []byte // the last byte of one that is about to leave
-	limit  *core.Timer
+	limit  *eventloop.Timer
 	closed bool
 }
 
@@ -62,7 +63,7 @@
 
 // ended is a whole answer and what it was owed for.
 type ended struct {
-	core.Result
+	request.Result
 	what int
 }
 
@@ -79,7 +80,7 @@
 )
 
 // Open dials. The limit holds until the database is ready for a statement.
-func (b *Backend) Open(address string, limit nc.Nanos, probe bool, ev core.LinkEvents) (core.Link, error) {
+func (b *Backend) Open(address string, limit aspenshed.Nanos, probe bool, ev request.LinkEvents) (request.Link, error) {
 	l := &link{loop: b.Loop, ev: ev, in: pgwire.Reader{Max: maxAnswer}, next: 'R'}
 	conn, err := b.Net.Dial(address, time.Duration(limit), probe, l)
 	if err != nil {
@@ -96,10 +97,10 @@
 
 // Send writes an empty query and the statement, only d in it changed, but for its last byte. The empty query's answer
 // shows that the link is alive and that nothing else came ahead of it: till then a break proves that nothing has run.
-func (l *link) Send(statement any, wait nc.Nanos) bool {
-	sql := pgwire.Query(statement.(sqltag.Tag).WithWait(int64(wait) / 1e6))
+func (l *link) Send(statement any, wait aspenshed.Nanos) bool {
+	sql := pgwire.Query(statement.(sqlcomment.Tag).WithWait(int64(wait) / 1e6))
 	l.rest = sql[len(sql)-1:]
-	l.owed.Add(forCheck)
+	l.pending.Add(forCheck)
 	return l.conn.Write(append(pgwire.Query(""), sql[:len(sql)-1]...)) == nil
 }
 
@@ -108,7 +109,7 @@
 	if !l.ev.Leave() {
 		return
 	}
-	l.owed.Add(forStatement)
+	l.pending.Add(forStatement)
 	l.sent = true
 	if l.conn.Write(l.rest) != nil {
 		l.sent = false
@@ -119,7 +120,7 @@
 // Probe asks for the load report.
 func (l *link) Probe() bool {
 	l.sent = true
-	l.owed.Add(forProbe)
+	l.pending.Add(forProbe)
 	return l.conn.Write(pgwire.Query("SHOW health")) == nil
 }
 
@@ -144,14 +145,14 @@
 		return
 	}
 	l.Close()
-	l.ev.Down(core.HowEnded(l.sent, errors.Is(err, netio.ErrRefused)), err)
+	l.ev.Down(request.HowEnded(l.sent, errors.Is(err, netio.ErrRefused)), err)
 }
 
 // Data parses; only whole answers reach the loop. What can't be read ends the
 // link, and so does what comes unasked: it could be taken for the next answer.
 func (l *link) Data(b []byte) {
 	err := l.in.Feed(b, l.message)
-	if err == nil && l.ready && l.owed.Next() == 0 && l.in.Partial() {
+	if err == nil && l.ready && l.pending.Next() == 0 && l.in.Partial() {
 		err = errExtra
 	}
 	whole := l.whole
@@ -173,7 +174,7 @@
 }
 
 func (l *link) message(m pgwire.Message) error {
-	what := l.owed.Next()
+	what := l.pending.Next()
 	switch {
 	case !l.ready || l.next != 0:
 	case what == 0:
@@ -261,26 +262,26 @@
 
 // finish keeps a whole answer for the loop.
 func (l *link) finish(what int, last bool) {
-	r := core.Result{Close: last, Outcome: nc.Served, Value: l.rows}
+	r := request.Result{Close: last, Outcome: aspenshed.Served, Value: l.rows}
 	if e := l.fault; e != nil {
 		r.Outcome, r.Detail, r.Value = outcomeOf(e.Code, l.ready), e.Code+" "+e.Message, *e
 	}
 	switch l.params["recovery"] {
 	case "off":
-		r.Role = nc.RolePrimary
+		r.Role = aspenshed.RolePrimary
 	case "on":
-		r.Role = nc.RoleReplica
+		r.Role = aspenshed.RoleReplica
 	}
 	now := l.loop.Now()
 	if ms, err := strconv.ParseInt(l.params["lsn_ms"], 10, 64); err == nil && ms > 0 && ms <= int64(now+ahead)/1e6 {
-		r.Position = core.UnixMs(ms)
+		r.Position = eventloop.UnixMs(ms)
 	}
 	health := l.params["health"]
 	if what == forProbe {
 		health = l.row
 	}
 	r.Report = parseReport(health, now)
-	l.owed.Done()
+	l.pending.Done()
 	l.whole = append(l.whole, ended{r, what})
 }
 
@@ -296,23 +297,23 @@
 }
 
 // outcomeOf maps a database's error code. ready: it had accepted the connection, so a statement may be out.
-func outcomeOf(code string, ready bool) nc.Outcome {
+func outcomeOf(code string, ready bool) aspenshed.Outcome {
 	switch {
 	case code == "53300":
-		return nc.Full
+		return aspenshed.Full
 	case !ready:
-		return nc.NoLink
+		return aspenshed.NoLink
 	case code == "25006" || code == "72000":
-		return nc.Turned
+		return aspenshed.Turned
 	case code[:2] == "42" || code[:2] == "22" || code[:2] == "23" || code == "08P01": // no member would do better
-		return nc.Rejected
+		return aspenshed.Rejected
 	}
-	return nc.Errored // XX000 and whatever else: it may have run
+	return aspenshed.Errored // XX000 and whatever else: it may have run
 }
 
 // parseReport reads a load report: x0=1767225600.123,x1=1,queue=3. One that can't be read, or speaks of what
 // is still to come, counts as none: half of it could make a member seem fresh or a primary that is neither.
-func parseReport(s string, now nc.Nanos) (r nc.Report) {
+func parseReport(s string, now aspenshed.Nanos) (r aspenshed.Report) {
 	if s == "" {
 		return r
 	}
@@ -320,11 +321,11 @@
 		k, v, _ := strings.Cut(part, "=")
 		f, err := strconv.ParseFloat(v, 64)
 		if err != nil || !(f >= 0 && f <= float64(now+ahead)/1e9) || k == "x1" && f != 0 && f != 1 {
-			return nc.Report{}
+			return aspenshed.Report{}
 		}
 		switch k {
 		case "x0":
-			r.HasPosition, r.Position = true, nc.Nanos(math.Floor(f*1e3))*1e6
+			r.HasPosition, r.Position = true, aspenshed.Nanos(math.Floor(f*1e3))*1e6
 		case "x1":
 			r.HasRole, r.Primary = true, f == 1
 		case "queue", "backlog":
--- a/internal/front/platform/backend_test.go
+++ b/internal/frontend/postgres/backend_test.go
@@ -1,19 +1,20 @@
-package platform
+package postgres
 
 import (
 	"slices"
 	"testing"
 
-	nc "aspenshed"
+	"aspenshed"
 
-	"aspenshed/internal/core"
+	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/dataplane/request"
 	"aspenshed/internal/netio"
-	"aspenshed/internal/proto/pgwire"
+	"aspenshed/internal/protocol/pgwire"
 )
 
-type fixed nc.Nanos
+type fixed aspenshed.Nanos
 
-func (f fixed) Now() nc.Nanos { return nc.Nanos(f) }
+func (f fixed) Now() aspenshed.Nanos { return aspenshed.Nanos(f) }
 
 const now = fixed(1767225600e9)
 
@@ -21,12 +22,12 @@
 type ears struct {
 	link *link
 	said string
-	last core.Result
+	last request.Result
 }
 
 func (e *ears) Up()         { e.said += "up " }
 func (e *ears) Leave() bool { e.said += "leave "; return false }
-func (e *ears) Done(r core.Result) {
+func (e *ears) Done(r request.Result) {
 	e.last = r
 	e.said += "done"
 	if r.Close {
@@ -35,8 +36,8 @@
 	}
 	e.said += " "
 }
-func (e *ears) Down(how core.End, _ error) {
-	if e.said += "down"; how == core.CutAfter {
+func (e *ears) Down(how request.End, _ error) {
+	if e.said += "down"; how == request.CutAfter {
 		e.said += "+sent"
 	}
 	e.said += " "
@@ -45,11 +46,11 @@
 // hear feeds a link that is up and owed something with what a database writes, in pieces of that size.
 func hear(owed []int, wire string, size int) *ears {
 	e := &ears{}
-	l := &link{loop: core.NewLoop(now), ev: e, conn: &netio.Conn{}, in: pgwire.Reader{Max: maxAnswer}, ready: true,
+	l := &link{loop: eventloop.NewLoop(now), ev: e, conn: &netio.Conn{}, in: pgwire.Reader{Max: maxAnswer}, ready: true,
 		sent: slices.Contains(owed, forStatement)}
 	e.link = l
 	for _, what := range owed {
-		l.owed.Add(what)
+		l.pending.Add(what)
 	}
 	for ; len(wire) > 0; wire = wire[min(size, len(wire)):] {
 		l.Data([]byte(wire[:min(size, len(wire))]))
@@ -118,7 +119,7 @@
 	}
 	for behind, want := range map[string]string{"": "done ", good: "done+close ", "?": "done+close ", "noise behind it": "done+close "} {
 		e := hear(one, good+behind, 1<<20)
-		if e.said != want || string(e.last.Value.([]byte)) != row+data+end || e.last.Role != nc.RolePrimary {
+		if e.said != want || string(e.last.Value.([]byte)) != row+data+end || e.last.Role != aspenshed.RolePrimary {
 			t.Errorf("%q behind a good answer: %q, %+v", behind, e.said, e.last)
 		}
 	}
@@ -131,7 +132,7 @@
 	}
 	for _, s := range []string{"", "x0=1767225599.250,x1=", "x0=1767225599.250,x1=1,queue=\xff", "x0=1767225599.250,x1=7", "x0=1767225599.2.5",
 		"x0=1767229999,x1=0", "x0=-1,x1=0", "x0=1e300,x1=0", "x0=NaN", "x0=Inf,x1=1", "x1=1,", "x1=1,x0", "noise"} {
-		if r := parseReport(s, now.Now()); r != (nc.Report{}) {
+		if r := parseReport(s, now.Now()); r != (aspenshed.Report{}) {
 			t.Errorf("%q: %+v", s, r)
 		}
 	}
