--- a/internal/front/platform/front.go
+++ b/internal/frontend/postgres/front.go
@@ -1,6 +1,6 @@
-// Package platform is the thin front for the platform's protocol: PostgreSQL's
+// Package postgres is the thin front for the platform's protocol: PostgreSQL's
 // wire with simple queries, towards clients (front.go) and databases (backend.go).
-package platform
+package postgres
 
 import (
 	"encoding/binary"
@@ -8,53 +8,53 @@
 	"strconv"
 	"strings"
 
-	"aspenshed/internal/core"
-	"aspenshed/internal/front"
+	"aspenshed/internal/dataplane/request"
+	"aspenshed/internal/frontend/session"
 	"aspenshed/internal/netio"
-	"aspenshed/internal/proto/pgwire"
-	"aspenshed/internal/proto/sqltag"
+	"aspenshed/internal/protocol/pgwire"
+	"aspenshed/internal/protocol/sqlcomment"
 )
 
 const maxQuery = 144 << 10 // a value of 64 KiB in hex, with room for the rest
 
 // Front serves clients.
-type Front struct{ front.Desk }
+type Front struct{ session.Manager }
 
-// session is one client connection; the poller's goroutine owns the parser.
-type session struct {
-	f     *Front
-	conn  *netio.Conn
-	desk  *front.Session
-	in    pgwire.Reader
-	start bool
+// clientConn is one client connection; the poller's goroutine owns the parser.
+type clientConn struct {
+	f       *Front
+	conn    *netio.Conn
+	session *session.Session
+	in      pgwire.Reader
+	start   bool
 }
 
 // Accept makes a session for a new connection.
 func (f *Front) Accept(c *netio.Conn) netio.Handler {
-	return &session{f: f, conn: c, desk: f.Open(c), in: pgwire.Reader{Startup: true, Max: maxQuery}, start: true}
+	return &clientConn{f: f, conn: c, session: f.Open(c), in: pgwire.Reader{Startup: true, Max: maxQuery}, start: true}
 }
 
 // Up has nothing to say: the client speaks first.
-func (s *session) Up() {}
+func (s *clientConn) Up() {}
 
 // Closed is called when the client has gone.
-func (s *session) Closed(error) { s.desk.Gone() }
+func (s *clientConn) Closed(error) { s.session.Gone() }
 
 // Data parses and posts.
-func (s *session) Data(b []byte) {
+func (s *clientConn) Data(b []byte) {
 	err := s.in.Feed(b, s.message)
-	s.desk.Reading(s.in.Partial())
+	s.session.Reading(s.in.Partial())
 	switch {
 	case errors.Is(err, errBye):
-		s.desk.Gone()
+		s.session.Gone()
 	case err != nil:
-		s.desk.Fatal(pgwire.AppendError(nil, pgwire.Error{Severity: "FATAL", Code: "08P01", Message: err.Error()}), err.Error())
+		s.session.Fatal(pgwire.AppendError(nil, pgwire.Error{Severity: "FATAL", Code: "08P01", Message: err.Error()}), err.Error())
 	}
 }
 
 var errBye = errors.New("client ended the connection")
 
-func (s *session) message(m pgwire.Message) error {
+func (s *clientConn) message(m pgwire.Message) error {
 	if s.start {
 		return s.startup(m)
 	}
@@ -66,11 +66,11 @@
 			return pgwire.ErrMalformed
 		}
 		if strings.TrimSpace(sql) == "" {
-			s.desk.Post(func(x *front.Slot) { x.Fill(pgwire.Ready(pgwire.Append(nil, 'I'))) })
+			s.session.Post(func(x *session.Slot) { x.Fill(pgwire.Ready(pgwire.Append(nil, 'I'))) })
 			return nil
 		}
 		q, err := s.f.parse(sql)
-		s.desk.Post(func(x *front.Slot) { x.Ask(q, err, arrived, s.f.answer) })
+		s.session.Post(func(x *session.Slot) { x.Ask(q, err, arrived, s.f.answer) })
 	case 'X':
 		return errBye
 	default:
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func (s *session) startup(m pgwire.Message) error {
+func (s *clientConn) startup(m pgwire.Message) error {
 	switch code := binary.BigEndian.Uint32(m.Body); {
 	case code == pgwire.SSLRequest || code == pgwire.GSSENCRequest:
 		return s.say([]byte{'N'})
@@ -93,7 +93,7 @@
 }
 
 // say answers without a slot. A client that can't be answered has gone: that is no bad input.
-func (s *session) say(b []byte) error {
+func (s *clientConn) say(b []byte) error {
 	if s.conn.Write(b) != nil {
 		return errBye
 	}
@@ -101,25 +101,25 @@
 }
 
 // parse turns a statement into a query.
-func (f *Front) parse(sql string) (core.Query, error) {
-	tag, err := sqltag.Parse(sql)
+func (f *Front) parse(sql string) (request.Query, error) {
+	tag, err := sqlcomment.Parse(sql)
 	if err == nil && tag.Values["id"] == "" {
 		err = errors.New("comment names no id")
 	}
 	if err != nil {
-		return core.Query{}, err
+		return request.Query{}, err
 	}
 	return f.Query(tag, tag)
 }
 
 // answer is a final answer in bytes.
-func (f *Front) answer(x core.Final) []byte {
+func (f *Front) answer(x request.Final) []byte {
 	e := pgwire.Error{Severity: "ERROR", Code: "XX000", Message: "failed: " + x.Reason}
 	own, known := x.Value.(pgwire.Error)
 	switch {
-	case x.Verdict == core.Served:
+	case x.Verdict == request.Served:
 		return pgwire.Ready(x.Value.([]byte))
-	case x.Verdict == core.Refused:
+	case x.Verdict == request.Refused:
 		e.Code, e.Message = "53300", "refused: "+x.Reason
 		if x.RetryIn > 0 && f.Settings.RetryAdvice {
 			e.Detail = strconv.FormatInt(int64(x.RetryIn+999999)/1e6, 10)
--- a/internal/front/owed.go
+++ b/internal/frontend/session/pending.go
@@ -1,24 +1,24 @@
-package front
+package session
 
 import "sync"
 
-// Owed says what a link's member still owes answers to, in order: the loop adds,
+// PendingResponses says what a link's member still owes answers to, in order: the loop adds,
 // the poller takes off. Bytes that come while nothing is owed belong to no
 // answer; without this a second copy of one answer could pass for the next.
-type Owed struct {
+type PendingResponses struct {
 	mu   sync.Mutex
 	what []int
 }
 
 // Add notes what is about to be written.
-func (o *Owed) Add(what int) {
+func (o *PendingResponses) Add(what int) {
 	o.mu.Lock()
 	o.what = append(o.what, what)
 	o.mu.Unlock()
 }
 
 // Next is what the next bytes answer; 0: nothing.
-func (o *Owed) Next() int {
+func (o *PendingResponses) Next() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.what) == 0 {
@@ -28,7 +28,7 @@
 }
 
 // Done takes off what has been answered whole.
-func (o *Owed) Done() {
+func (o *PendingResponses) Done() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.what) > 0 {
--- a/internal/front/desk.go
+++ b/internal/frontend/session/session.go
@@ -1,6 +1,6 @@
-// Package front holds what the two fronts share: sessions whose answers keep the
+// Package session holds what the two fronts share: sessions whose answers keep the
 // order of their commands, and the reading of a statement's comment.
-package front
+package session
 
 import (
 	"cmp"
@@ -9,29 +9,30 @@
 	"strings"
 	"sync/atomic"
 
-	nc "aspenshed"
+	"aspenshed"
 
-	"aspenshed/internal/core"
-	"aspenshed/internal/proto/sqltag"
+	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/dataplane/request"
+	"aspenshed/internal/protocol/sqlcomment"
 )
 
 const (
-	maxPipeline  = 256             // commands of one connection without an answer
-	sweepEvery   = nc.Nanos(100e6) // for clients that say nothing, and often when connections get scarce
-	sweepCrowded = nc.Nanos(20e6)
-	unreadLimit  = nc.Nanos(10e9)  // for a client to read its last answer
-	crowdedLimit = nc.Nanos(100e6) // for a first byte while connections are scarce
+	maxPipeline  = 256                    // commands of one connection without an answer
+	sweepEvery   = aspenshed.Nanos(100e6) // for clients that say nothing, and often when connections get scarce
+	sweepCrowded = aspenshed.Nanos(20e6)
+	unreadLimit  = aspenshed.Nanos(10e9)  // for a client to read its last answer
+	crowdedLimit = aspenshed.Nanos(100e6) // for a first byte while connections are scarce
 )
 
 // Limits bound what a connection may hold on to without a request of its own:
 // clients that connect and say nothing, or ask once and stay, would otherwise
 // use up the descriptors that the others need.
 type Limits struct {
-	Silent nc.Nanos // from connecting to the first whole command, and from a later command's first byte to its last
-	Idle   nc.Nanos // between requests
+	Silent aspenshed.Nanos // from connecting to the first whole command, and from a later command's first byte to its last
+	Idle   aspenshed.Nanos // between requests
 	// Beyond Roomy connections they get scarce: those idle for longest make room, if for Spare at least. 0: never.
 	Roomy int
-	Spare nc.Nanos
+	Spare aspenshed.Nanos
 }
 
 // Conn is a client's connection, whatever its wire.
@@ -44,13 +45,13 @@
 	Close()
 }
 
-// Desk is where a front's sessions meet their estate.
-type Desk struct {
-	Loop     *core.Loop
-	Settings *nc.Settings
+// Manager is where a front's sessions meet their pipeline.
+type Manager struct {
+	Loop     *eventloop.Loop
+	Settings *aspenshed.Settings
 	Limits   Limits
-	Take     func(core.Query, nc.Nanos) *core.Request
-	Leave    func(*core.Request)
+	Take     func(request.Query, aspenshed.Nanos) *request.Request
+	Leave    func(*request.Request)
 	Rejected func(string)
 
 	sessions map[*Session]bool // the loop's
@@ -60,15 +61,15 @@
 // Session is one client connection. The loop owns its slots; the goroutine
 // that reads the connection only calls Post, Fatal and Gone.
 type Session struct {
-	desk *Desk
-	conn Conn
+	manager *Manager
+	conn    Conn
 
 	slots  []*Slot // commands in order, from the first without an answer written
 	closed bool
-	asked  bool     // it has sent a whole command
-	ending bool     // close once the slots are written
-	quiet  nc.Nanos // when it connected or, later, when the last answer was written
-	taken  int64    // of the commands that were read, those that the loop has seen
+	asked  bool            // it has sent a whole command
+	ending bool            // close once the slots are written
+	quiet  aspenshed.Nanos // when it connected or, later, when the last answer was written
+	taken  int64           // of the commands that were read, those that the loop has seen
 
 	read  atomic.Int64 // commands that were read whole
 	begun atomic.Int64 // when the first byte of a command came whose last is still missing; 0: none
@@ -77,15 +78,15 @@
 // Slot keeps a command's place in the order of answers.
 type Slot struct {
 	s      *Session
-	r      *core.Request
-	form   func(core.Final) []byte
+	r      *request.Request
+	form   func(request.Final) []byte
 	answer []byte
 	done   bool
 }
 
 // Open makes a session for a connection.
-func (d *Desk) Open(c Conn) *Session {
-	s := &Session{desk: d, conn: c}
+func (d *Manager) Open(c Conn) *Session {
+	s := &Session{manager: d, conn: c}
 	d.Loop.Post(func() {
 		if d.sessions == nil {
 			d.sessions = map[*Session]bool{}
@@ -103,20 +104,20 @@
 	case !part:
 		s.begun.Store(0)
 	case s.begun.Load() == 0:
-		s.begun.Store(int64(s.desk.Loop.Now()))
+		s.begun.Store(int64(s.manager.Loop.Now()))
 	}
 }
 
 // Post gives a command its slot, in order, and has f called with it on the loop.
 func (s *Session) Post(f func(*Slot)) {
 	s.read.Add(1)
-	s.desk.Loop.Post(func() {
+	s.manager.Loop.Post(func() {
 		s.taken++
 		if s.closed || s.ending {
 			return
 		}
 		if len(s.slots) >= maxPipeline { // those before it are owed their answers
-			s.desk.Rejected("too many commands without an answer on one connection")
+			s.manager.Rejected("too many commands without an answer on one connection")
 			s.ending = true
 			return
 		}
@@ -130,31 +131,31 @@
 // Fatal answers what cannot be read, and closes once the commands before it have their answers.
 func (s *Session) Fatal(answer []byte, problem string) {
 	s.Post(func(x *Slot) {
-		s.desk.Rejected(problem)
+		s.manager.Rejected(problem)
 		s.ending = true
 		x.Fill(answer)
 	})
 }
 
 // Gone ends the session: the client has closed it or taken its leave.
-func (s *Session) Gone() { s.desk.Loop.Post(s.end) }
+func (s *Session) Gone() { s.manager.Loop.Post(s.end) }
 
 // Ask hands a query on; form turns its final answer into bytes. err is why there is no query.
-func (x *Slot) Ask(q core.Query, err error, arrived nc.Nanos, form func(core.Final) []byte) {
+func (x *Slot) Ask(q request.Query, err error, arrived aspenshed.Nanos, form func(request.Final) []byte) {
 	x.form = form
 	if err != nil {
-		x.s.desk.Rejected(err.Error())
-		x.Finish(core.Final{Verdict: core.Failed, Reason: err.Error(), Bad: true})
+		x.s.manager.Rejected(err.Error())
+		x.Finish(request.Final{Verdict: request.Failed, Reason: err.Error(), Bad: true})
 		return
 	}
 	q.Client = x
-	if r := x.s.desk.Take(q, arrived); r != nil && !r.Final {
+	if r := x.s.manager.Take(q, arrived); r != nil && !r.Final {
 		x.r = r
 	}
 }
 
 // Finish takes the one final answer.
-func (x *Slot) Finish(f core.Final) { x.Fill(x.form(f)) }
+func (x *Slot) Finish(f request.Final) { x.Fill(x.form(f)) }
 
 // Fill sets a command's answer and writes all answers that are next in order.
 func (x *Slot) Fill(b []byte) {
@@ -172,9 +173,9 @@
 		if s.slots = s.slots[1:]; len(s.slots) == 0 {
 			s.slots = nil
 		}
-		s.quiet = s.desk.Loop.Now()
+		s.quiet = s.manager.Loop.Now()
 	}
-	if (s.ending || s.desk.closing) && len(s.slots) == 0 && !s.conn.Unsent() { // else sweep ends it
+	if (s.ending || s.manager.closing) && len(s.slots) == 0 && !s.conn.Unsent() { // else sweep ends it
 		s.retire(!s.ending)
 	}
 }
@@ -186,7 +187,7 @@
 		return s.ending || s.read.Load() == s.taken && !(whole && s.begun.Load() > 0)
 	}) {
 		s.closed = true
-		delete(s.desk.sessions, s)
+		delete(s.manager.sessions, s)
 	}
 }
 
@@ -197,17 +198,17 @@
 	}
 	s.closed = true
 	s.conn.Close()
-	delete(s.desk.sessions, s)
+	delete(s.manager.sessions, s)
 	for _, x := range s.slots {
 		if x.r != nil {
-			s.desk.Leave(x.r)
+			s.manager.Leave(x.r)
 		}
 	}
 	s.slots = nil
 }
 
 // sweep closes connections that hold no request and have reached their limits, and makes room where they are scarce.
-func (d *Desk) sweep() {
+func (d *Manager) sweep() {
 	now, next := d.Loop.Now(), sweepEvery
 	crowded := d.Limits.Roomy > 0 && len(d.sessions) > d.Limits.Roomy
 	var spare []*Session
@@ -233,8 +234,8 @@
 }
 
 // limit is when a session without a request is closed.
-func (s *Session) limit(crowded bool) nc.Nanos {
-	begun := nc.Nanos(s.begun.Load())
+func (s *Session) limit(crowded bool) aspenshed.Nanos {
+	begun := aspenshed.Nanos(s.begun.Load())
 	switch {
 	case s.conn.Unsent(): // a slow reader is owed the rest; one that does not read at all is not waited for
 		return s.quiet + unreadLimit
@@ -243,18 +244,18 @@
 	case crowded && !s.asked && begun == 0:
 		return s.quiet + crowdedLimit
 	case !s.asked:
-		return s.quiet + s.desk.Limits.Silent
+		return s.quiet + s.manager.Limits.Silent
 	case begun > 0:
-		return max(s.quiet, begun) + s.desk.Limits.Silent
+		return max(s.quiet, begun) + s.manager.Limits.Silent
 	}
-	return s.quiet + s.desk.Limits.Idle
+	return s.quiet + s.manager.Limits.Idle
 }
 
 // Sessions is the number of open ones.
-func (d *Desk) Sessions() int { return len(d.sessions) }
+func (d *Manager) Sessions() int { return len(d.sessions) }
 
 // Halfway is the number of sessions that have sent part of a command and not yet the rest.
-func (d *Desk) Halfway() (n int) {
+func (d *Manager) Halfway() (n int) {
 	for s := range d.sessions {
 		if s.begun.Load() > 0 {
 			n++
@@ -265,7 +266,7 @@
 
 // CloseIdle closes connections between requests, from now on each as soon as it has its last answer, and reports how
 // many remain.
-func (d *Desk) CloseIdle() (left int) {
+func (d *Manager) CloseIdle() (left int) {
 	d.closing = true
 	for s := range d.sessions {
 		if len(s.slots) == 0 && !s.conn.Unsent() {
@@ -276,17 +277,17 @@
 }
 
 // Query reads what a statement's comment says of it. Class and tenant go by name.
-func (d *Desk) Query(tag sqltag.Tag, statement any) (q core.Query, err error) {
-	q = core.Query{Name: tag.Values["id"], Statement: statement, Repeat: tag.Values["r"] == "1"}
+func (d *Manager) Query(tag sqlcomment.Tag, statement any) (q request.Query, err error) {
+	q = request.Query{Name: tag.Values["id"], Statement: statement, Repeat: tag.Values["r"] == "1"}
 	if q.Class = d.Class(tag.Values["c"]); q.Class < 0 {
-		return q, errors.New("unknown class " + sqltag.Short(tag.Values["c"]))
+		return q, errors.New("unknown class " + sqlcomment.Short(tag.Values["c"]))
 	}
 	if t, ok := tag.Values["t"]; ok && len(d.Settings.Tenants) > 0 {
 		if q.Tenant = d.tenant(t); q.Tenant < 0 {
-			return q, errors.New("unknown tenant " + sqltag.Short(t))
+			return q, errors.New("unknown tenant " + sqlcomment.Short(t))
 		}
 	}
-	if n := d.Settings.Classes[q.Class].Need; n == nc.OwnWrites || n == nc.WriteToIt {
+	if n := d.Settings.Classes[q.Class].Need; n == aspenshed.OwnWrites || n == aspenshed.WriteToIt {
 		q.Session = sessionKey(tag.SQL)
 	}
 	wait, err := tag.Int("d", 0)
@@ -296,7 +297,7 @@
 	if wait <= 0 || wait > 1e7 {
 		return q, errors.New("comment: d is missing or out of range")
 	}
-	q.Wait = nc.Nanos(wait * 1e6)
+	q.Wait = aspenshed.Nanos(wait * 1e6)
 	group, err := tag.Int("cluster", -1)
 	if err != nil {
 		return q, err
@@ -304,13 +305,13 @@
 	q.Group = int(group)
 	after, err := tag.Int("after", 0)
 	if err == nil && after > 0 {
-		q.SinceCommit = max(d.Loop.Now()-core.UnixMs(after), 1)
+		q.SinceCommit = max(d.Loop.Now()-eventloop.UnixMs(after), 1)
 	}
 	return q, err
 }
 
 // Class is the number of a class, or -1.
-func (d *Desk) Class(name string) int {
+func (d *Manager) Class(name string) int {
 	for i, c := range d.Settings.Classes {
 		if c.Name == name {
 			return i
@@ -319,7 +320,7 @@
 	return -1
 }
 
-func (d *Desk) tenant(name string) int {
+func (d *Manager) tenant(name string) int {
 	for i, t := range d.Settings.Tenants {
 		if t.Name == name {
 			return i
--- a/internal/front/desk_test.go
+++ b/internal/frontend/session/session_test.go
@@ -1,18 +1,18 @@
-package front
+package session
 
 import (
 	"testing"
 
-	nc "aspenshed"
+	"aspenshed"
 
-	"aspenshed/internal/core"
+	"aspenshed/internal/dataplane/eventloop"
 )
 
-const ms = nc.Nanos(1e6)
+const ms = aspenshed.Nanos(1e6)
 
-type clock struct{ now nc.Nanos }
+type clock struct{ now aspenshed.Nanos }
 
-func (c *clock) Now() nc.Nanos { return c.now }
+func (c *clock) Now() aspenshed.Nanos { return c.now }
 
 // slow is a client that has not read all that was written.
 type slow struct{ unsent, closed bool }
@@ -31,14 +31,14 @@
 	for _, fatal := range []bool{false, true} {
 		for _, reads := range []bool{true, false} {
 			c := &clock{1000 * ms}
-			d := &Desk{Loop: core.NewLoop(c), Limits: Limits{Silent: 2000 * ms, Idle: 2000 * ms}, Rejected: func(string) {}}
+			d := &Manager{Loop: eventloop.NewLoop(c), Limits: Limits{Silent: 2000 * ms, Idle: 2000 * ms}, Rejected: func(string) {}}
 			conn := &slow{unsent: true}
 			s := d.Open(conn)
 			s.Post(func(x *Slot) { x.Fill([]byte("a long answer")) })
 			if fatal {
 				s.Fatal([]byte("an error"), "noise")
 			}
-			pass := func(span nc.Nanos) {
+			pass := func(span aspenshed.Nanos) {
 				for ; span > 0; span -= sweepEvery {
 					c.now += sweepEvery
 					d.Loop.Turn()
--- a/internal/proto/simwire/encode.go
+++ b/internal/protocol/simwire/encode.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strconv"
 
-	nc "aspenshed"
+	"aspenshed"
 )
 
 // AppendReply appends one reply line, with its newline, to buf.
@@ -37,40 +37,40 @@
 	}
 	for _, d := range actions {
 		switch a := d.Action.(type) {
-		case nc.Send:
+		case aspenshed.Send:
 			open("attempt", d.Driver)
 			text("ticket", a.ID)
 			if a.GiveUpAt != 0 {
 				number("abandonAtNs", int64(a.GiveUpAt))
 			}
 			text("member", a.Member)
-		case nc.Refuse:
+		case aspenshed.Refuse:
 			open("bounce", d.Driver)
 			text("ticket", a.ID)
 			if a.RetryIn > 0 {
 				number("retryInNs", int64(a.RetryIn))
 			}
-		case nc.Fail:
+		case aspenshed.Fail:
 			open("finishError", d.Driver)
 			text("ticket", a.ID)
-		case nc.Cancel:
+		case aspenshed.Cancel:
 			open("undoSend", d.Driver)
 			text("ticket", a.ID)
 			number("seqNo", int64(a.Attempt))
-		case nc.Wake:
+		case aspenshed.Wake:
 			open("arm", d.Driver)
 			number("waitNs", int64(a.After))
 			text("label", a.Label)
-		case nc.Probe:
+		case aspenshed.Probe:
 			open("probe", d.Driver)
 			text("member", a.Member)
-		case nc.ClosePool:
+		case aspenshed.ClosePool:
 			open("closeIdle", d.Driver)
 			text("member", a.Member)
-		case nc.Watch:
+		case aspenshed.Watch:
 			open("subscribe", d.Driver)
 			buf = append(buf, `,"on":true`...)
-		case nc.Note:
+		case aspenshed.Note:
 			open("trace", d.Driver)
 			text("msg", a.Text)
 		default:
--- a/internal/proto/simwire/wire.go
+++ b/internal/protocol/simwire/wire.go
@@ -11,7 +11,7 @@
 	"sort"
 	"strings"
 
-	nc "aspenshed"
+	"aspenshed"
 )
 
 // Item is one event of a batch for one instance. Exactly one of Start, Stop
@@ -20,25 +20,25 @@
 	Driver int64
 	Start  *Start
 	Stop   bool
-	Event  nc.Event
+	Event  aspenshed.Event
 }
 
 // Start is the birth of an instance.
 type Start struct {
 	Seed     uint64
-	Settings nc.Settings
+	Settings aspenshed.Settings
 }
 
 // Batch is one input line.
 type Batch struct {
-	Now   nc.Nanos
+	Now   aspenshed.Nanos
 	Items []Item
 }
 
 // Directed is an action of one instance.
 type Directed struct {
 	Driver int64
-	Action nc.Action
+	Action aspenshed.Action
 }
 
 // Fault reports that an instance's decisions failed.
@@ -51,13 +51,13 @@
 // to the whole process, and what each instance's settings say about the form
 // of its events.
 type Decoder struct {
-	lists map[int64][]nc.Member
-	zero  map[int64]nc.Nanos
+	lists map[int64][]aspenshed.Member
+	zero  map[int64]aspenshed.Nanos
 }
 
 // NewDecoder returns an empty Decoder.
 func NewDecoder() *Decoder {
-	return &Decoder{lists: map[int64][]nc.Member{}, zero: map[int64]nc.Nanos{}}
+	return &Decoder{lists: map[int64][]aspenshed.Member{}, zero: map[int64]aspenshed.Nanos{}}
 }
 
 type event struct {
@@ -132,7 +132,7 @@
 	if raw.Items == nil {
 		return Batch{}, missing("items")
 	}
-	b := Batch{Now: nc.Nanos(*raw.ClockNs)}
+	b := Batch{Now: aspenshed.Nanos(*raw.ClockNs)}
 	for i, data := range *raw.Items {
 		where := fmt.Sprintf("items[%d].", i)
 		var head struct {
@@ -240,7 +240,7 @@
 		it.Stop = true
 	case "sync":
 		if *e.Scope == "broken" {
-			it.Event = nc.DiscoveryBroke{}
+			it.Event = aspenshed.DiscoveryBroke{}
 			break
 		}
 		if e.List == nil {
@@ -255,27 +255,27 @@
 		default:
 			return nil, &FieldError{where + "scope", "unknown value"}
 		}
-		it.Event = nc.MemberList{Whole: *e.Scope != "patch", Remnant: *e.Scope == "stale_copy", Members: ms}
+		it.Event = aspenshed.MemberList{Whole: *e.Scope != "patch", Remnant: *e.Scope == "stale_copy", Members: ms}
 	case "order":
-		it.Event = nc.Request{ID: *e.Ticket, Class: *e.Qos, Group: int(*e.Cluster), Tenant: e.Owner,
-			Session: e.ConnKey, Remaining: nc.Nanos(*e.RemainingNs),
-			SinceCommit: nc.Nanos(math.Floor(e.SinceWriteMs * 1e6)), Repeat: e.IsRetry}
+		it.Event = aspenshed.Request{ID: *e.Ticket, Class: *e.Qos, Group: int(*e.Cluster), Tenant: e.Owner,
+			Session: e.ConnKey, Remaining: aspenshed.Nanos(*e.RemainingNs),
+			SinceCommit: aspenshed.Nanos(math.Floor(e.SinceWriteMs * 1e6)), Repeat: e.IsRetry}
 	case "flowing": // no class streams here; its answer follows
 		return nil, nil
 	case "answer":
-		a := nc.Answer{ID: *e.Ticket, Attempt: *e.SeqNo, Member: *e.Member, Outcome: outcome(*e.StateCode),
-			Over: e.Complete, Took: nc.Nanos(*e.RttNs), Report: d.report(*e.Driver, e.Load)}
-		a.Role = nc.Role(e.Stand & 3)
+		a := aspenshed.Answer{ID: *e.Ticket, Attempt: *e.SeqNo, Member: *e.Member, Outcome: outcome(*e.StateCode),
+			Over: e.Complete, Took: aspenshed.Nanos(*e.RttNs), Report: d.report(*e.Driver, e.Load)}
+		a.Role = aspenshed.Role(e.Stand & 3)
 		if p := e.Stand >> 2; p > 0 {
-			a.Position = d.zero[*e.Driver] + nc.Nanos(p)*1e6
+			a.Position = d.zero[*e.Driver] + aspenshed.Nanos(p)*1e6
 		}
 		it.Event = a
 	case "abandoned":
-		it.Event = nc.Left{ID: *e.Ticket}
+		it.Event = aspenshed.Left{ID: *e.Ticket}
 	case "timer":
-		it.Event = nc.Woke{Label: *e.Label}
+		it.Event = aspenshed.Woke{Label: *e.Label}
 	case "statusBack":
-		it.Event = nc.Probed{Member: *e.Member, Outcome: outcome(*e.StateCode), Took: nc.Nanos(*e.RttNs),
+		it.Event = aspenshed.Probed{Member: *e.Member, Outcome: outcome(*e.StateCode), Took: aspenshed.Nanos(*e.RttNs),
 			Report: d.report(*e.Driver, e.Load)}
 	}
 	return it, nil
@@ -290,8 +290,8 @@
 	return uint64(i), err
 }
 
-func members(entries []entry, where string) ([]nc.Member, error) {
-	ms := make([]nc.Member, 0, len(entries))
+func members(entries []entry, where string) ([]aspenshed.Member, error) {
+	ms := make([]aspenshed.Member, 0, len(entries))
 	for i, e := range entries {
 		at := fmt.Sprintf("%sentries[%d].", where, i)
 		if e.Member == nil {
@@ -300,18 +300,18 @@
 		if e.State == nil {
 			return nil, missing(at + "state")
 		}
-		m := nc.Member{ID: *e.Member, Group: e.Cluster, Zone: e.Az, Size: 1,
-			StartedAt: nc.Nanos(e.UpSinceNs), Primary: e.Leader == 1}
+		m := aspenshed.Member{ID: *e.Member, Group: e.Cluster, Zone: e.Az, Size: 1,
+			StartedAt: aspenshed.Nanos(e.UpSinceNs), Primary: e.Leader == 1}
 		if e.Units != nil && *e.Units > 0 {
 			m.Size = *e.Units
 		}
 		switch *e.State {
 		case "U":
-			m.State = nc.Up
+			m.State = aspenshed.Up
 		case "L":
-			m.State = nc.Draining
+			m.State = aspenshed.Draining
 		case "D":
-			m.State = nc.Gone
+			m.State = aspenshed.Gone
 		default:
 			return nil, &FieldError{at + "state", "unknown value"}
 		}
@@ -320,24 +320,24 @@
 	return ms, nil
 }
 
-var outcomes = map[string]nc.Outcome{
-	"delivered": nc.Served, "app_error": nc.Errored, "shed": nc.Full, "expired": nc.TimedOut,
-	"dial_failed": nc.NoLink, "dropped": nc.LinkBroke, "revoked": nc.Cancelled, "unused": nc.NotSent,
-	"empty": nc.Turned,
+var outcomes = map[string]aspenshed.Outcome{
+	"delivered": aspenshed.Served, "app_error": aspenshed.Errored, "shed": aspenshed.Full, "expired": aspenshed.TimedOut,
+	"dial_failed": aspenshed.NoLink, "dropped": aspenshed.LinkBroke, "revoked": aspenshed.Cancelled, "unused": aspenshed.NotSent,
+	"empty": aspenshed.Turned,
 }
 
-func outcome(code string) nc.Outcome {
+func outcome(code string) aspenshed.Outcome {
 	if o, ok := outcomes[code]; ok {
 		return o
 	}
-	return nc.Unknown
+	return aspenshed.Unknown
 }
 
-func (d *Decoder) report(driver int64, load map[string]*float64) nc.Report {
-	var r nc.Report
+func (d *Decoder) report(driver int64, load map[string]*float64) aspenshed.Report {
+	var r aspenshed.Report
 	if v := load["x0"]; v != nil {
 		r.HasPosition = true
-		r.Position = d.zero[driver] + nc.Nanos(math.Floor(*v*1e9))
+		r.Position = d.zero[driver] + aspenshed.Nanos(math.Floor(*v*1e9))
 	}
 	if v := load["x1"]; v != nil {
 		r.HasRole, r.Primary = true, *v == 1
@@ -436,32 +436,32 @@
 var columns = map[string]bool{"outstanding": true, "backlog": true, "utilization": true, "recent_ms": true,
 	"throughput": true, "errors_per_s": true, "x0": true, "x1": true}
 
-func settings(data []byte, where string) (nc.Settings, error) {
+func settings(data []byte, where string) (aspenshed.Settings, error) {
 	var w setup
 	if err := unmarshal(data, &w, where); err != nil {
-		return nc.Settings{}, err
+		return aspenshed.Settings{}, err
 	}
 	var tree any
 	if err := json.Unmarshal(data, &tree); err != nil {
-		return nc.Settings{}, &FieldError{where, err.Error()}
+		return aspenshed.Settings{}, &FieldError{where, err.Error()}
 	}
 	if w.Balancers < 0 { // absent and 0: it is not told, and there is one at least
-		return nc.Settings{}, &FieldError{where + "balancers", "not a positive number"}
+		return aspenshed.Settings{}, &FieldError{where + "balancers", "not a positive number"}
 	}
 	l, f, ru := w.Limits, w.FamilyInfo, w.Rules
-	s := nc.Settings{
-		Routers: max(w.Balancers, 1), Rank: w.Rank, Zone: w.Zone, Quantum: nc.Nanos(w.QuantumNs),
+	s := aspenshed.Settings{
+		Routers: max(w.Balancers, 1), Rank: w.Rank, Zone: w.Zone, Quantum: aspenshed.Nanos(w.QuantumNs),
 		OverShareWorth: w.OverShareWorth, AskDiscovery: w.Discovery == "on_request",
-		AskWithin: nc.Nanos(ru.AskWithinNs), ListTellsRole: f.ListRole == "late" || f.ListRole == "start",
-		PositionZero: nc.Nanos(f.BaseTimeNs), AnswersPosition: f.TellsPosition,
+		AskWithin: aspenshed.Nanos(ru.AskWithinNs), ListTellsRole: f.ListRole == "late" || f.ListRole == "start",
+		PositionZero: aspenshed.Nanos(f.BaseTimeNs), AnswersPosition: f.TellsPosition,
 		AnswersReport: w.Telemetry.Source == "answers", Remember: f.TokenMode == "remembered",
-		MembersCheck: f.Checks == "wait" || f.Checks == "refuse", CheckWait: nc.Nanos(f.WaitNs),
+		MembersCheck: f.Checks == "wait" || f.Checks == "refuse", CheckWait: aspenshed.Nanos(f.WaitNs),
 		MayProbe: l.Probes, MayCancel: l.Cancelling, MayCopy: l.ParallelTries, RetryAdvice: l.RetryAfter,
-		MaxAttempts: l.SendCap, MaxRetryIn: nc.Nanos(l.MaxRetryAfterNs),
-		ConnectTimeout: nc.Nanos(l.ConnectTimeoutNs), IdleClose: nc.Nanos(l.IdleCloseNs), AnswerSlack: nc.Nanos(ru.AnswerSlackNs),
-		DrainGrace: nc.Nanos(ru.DrainGraceNs), RemovalIsSoft: ru.RemovalNotBinding,
-		StartCapacity: ru.StartCapacity, ColdFor: nc.Nanos(ru.ColdNs), FallMultiple: ru.FallMultiple,
-		FallFor: nc.Nanos(ru.FallNs), PriceProbe: w.Prices["probe"], PriceCrossZone: w.Prices["crossZone"],
+		MaxAttempts: l.SendCap, MaxRetryIn: aspenshed.Nanos(l.MaxRetryAfterNs),
+		ConnectTimeout: aspenshed.Nanos(l.ConnectTimeoutNs), IdleClose: aspenshed.Nanos(l.IdleCloseNs), AnswerSlack: aspenshed.Nanos(ru.AnswerSlackNs),
+		DrainGrace: aspenshed.Nanos(ru.DrainGraceNs), RemovalIsSoft: ru.RemovalNotBinding,
+		StartCapacity: ru.StartCapacity, ColdFor: aspenshed.Nanos(ru.ColdNs), FallMultiple: ru.FallMultiple,
+		FallFor: aspenshed.Nanos(ru.FallNs), PriceProbe: w.Prices["probe"], PriceCrossZone: w.Prices["crossZone"],
 		PriceWaste: w.Prices["waste"], PriceLateFail: w.Prices["lateFail"],
 		Unknown: unknownKeys(tree, reflect.TypeOf(w), ""),
 	}
@@ -470,13 +470,13 @@
 			s.Unknown = append(s.Unknown, "report column "+c)
 		}
 	}
-	effects := map[string]nc.Effect{"free": nc.Safe, "guarded": nc.Keyed, "single_shot": nc.Unsafe}
-	needs := map[string]nc.Need{"any": nc.AnyData, "bounded": nc.Bounded, "session": nc.OwnWrites,
-		"fresh": nc.AllWrites, "write": nc.WriteToIt}
-	scopes := map[string]nc.Scope{"all": nc.ScopeAll, "zone": nc.ScopeZone, "cell": nc.ScopeGroup}
+	effects := map[string]aspenshed.Effect{"free": aspenshed.Safe, "guarded": aspenshed.Keyed, "single_shot": aspenshed.Unsafe}
+	needs := map[string]aspenshed.Need{"any": aspenshed.AnyData, "bounded": aspenshed.Bounded, "session": aspenshed.OwnWrites,
+		"fresh": aspenshed.AllWrites, "write": aspenshed.WriteToIt}
+	scopes := map[string]aspenshed.Scope{"all": aspenshed.ScopeAll, "zone": aspenshed.ScopeZone, "cell": aspenshed.ScopeGroup}
 	for i, c := range w.Classes {
-		k := nc.Class{Name: c.Name, Aim: nc.Nanos(c.AimNs), GiveUp: nc.Nanos(c.GiveUpNs), Worth: c.Worth,
-			LateWorth: c.LateWorth, Effect: effects[c.Effect], RepeatWindow: nc.Nanos(c.RepeatWindowNs)}
+		k := aspenshed.Class{Name: c.Name, Aim: aspenshed.Nanos(c.AimNs), GiveUp: aspenshed.Nanos(c.GiveUpNs), Worth: c.Worth,
+			LateWorth: c.LateWorth, Effect: effects[c.Effect], RepeatWindow: aspenshed.Nanos(c.RepeatWindowNs)}
 		if sc, ok := scopes[c.Group]; ok {
 			k.RepeatScope = sc
 		} else if c.Effect == "guarded" {
@@ -486,12 +486,12 @@
 			k.Need = needs[f.ReadLevel[i]]
 		}
 		if i < len(f.LagAllowedNs) {
-			k.Bound = nc.Nanos(f.LagAllowedNs[i])
+			k.Bound = aspenshed.Nanos(f.LagAllowedNs[i])
 		}
 		s.Classes = append(s.Classes, k)
 	}
 	for _, t := range w.Customers {
-		s.Tenants = append(s.Tenants, nc.Tenant{Name: t.Name, Quota: t.QuotaRps})
+		s.Tenants = append(s.Tenants, aspenshed.Tenant{Name: t.Name, Quota: t.QuotaRps})
 	}
 	return s, nil
 }
@@ -533,4 +533,4 @@
 }
 
 // Settings reads the settings object by itself, as a real gateway's configuration holds it.
-func Settings(data []byte) (nc.Settings, error) { return settings(data, "settings.") }
+func Settings(data []byte) (aspenshed.Settings, error) { return settings(data, "settings.") }
--- a/internal/proto/sqltag/sqltag.go
+++ b/internal/protocol/sqlcomment/sqlcomment.go
@@ -1,6 +1,6 @@
-// Package sqltag reads and rewrites the comment that a statement carries about
+// Package sqlcomment reads and rewrites the comment that a statement carries about
 // itself, on either front: /* id=9b1f,c=basket,t=acme,d=480,cluster=2 */.
-package sqltag
+package sqlcomment
 
 import (
 	"errors"
--- a/internal/proto/sqltag/sqltag_test.go
+++ b/internal/protocol/sqlcomment/sqlcomment_test.go
@@ -1,4 +1,4 @@
-package sqltag
+package sqlcomment
 
 import "testing"
 
