--- a/Makefile
+++ b/Makefile
@@ -9,6 +9,7 @@
 
 lint:
 	go vet ./...
+	go tool -modfile=tools/go.mod staticcheck ./...
 	@test -z "$$(gofmt -l .)" || { gofmt -l .; echo "gofmt: the files above are not formatted"; exit 1; }
 
 # Without any configuration: three instances, two small groups of stand-in databases, all on loopback.
--- a/internal/controlplane/roster/roster.go
+++ b/internal/controlplane/roster/roster.go
@@ -30,7 +30,6 @@
 	version  uint64
 	catalog  map[string]Told
 	drains   map[string]aspenshed.Nanos // member: the newest start for which a drain was heard
-	gone     []string                   // of drains, those on no list
 	last     map[string]Told            // as last told
 	// unsaid are drains that were heard here and that the store has yet to be told.
 	unsaid map[string]aspenshed.Nanos
--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -1,7 +1,6 @@
 package daemon
 
 import (
-	"fmt"
 	"time"
 
 	"github.com/sirupsen/logrus"
@@ -15,7 +14,10 @@
 // What all instances of an installation should have alike (classes, tenants, defaults) is agreed on as well. It takes
 // effect at an instance's start, from its own file; the store tells staff where files have drifted apart.
 
-const agreeAgain = 2 * time.Second
+const (
+	agreeRetryInterval = 2 * time.Second // between two attempts to agree on the configuration
+	leaveLimit         = 5 * time.Second // for the store to answer, before it is asked again
+)
 
 // alike is that part of a configuration.
 func alike(d *config.Deploy) (string, error) {
@@ -37,40 +39,58 @@
 	return string(b), err
 }
 
-// agree makes this instance's configuration the first version, or tells where it differs from the agreed one. renew:
-// its file has been changed and read again: that is the next version.
+// refusedError is a command that the store did not carry out, with the reason that it gives.
+type refusedError struct{ reason string }
+
+func (e refusedError) Error() string { return "store: " + e.reason }
+
+// agree makes this instance's configuration the first version, or logs where it differs from the agreed one. renew: its
+// file has been changed and read again, and is to be the next version. It retries until the store has answered.
 func (d *Daemon) agree(deploy *config.Deploy, renew bool) {
 	text, err := alike(deploy)
-	for err == nil {
-		var have *pb.ConfigVersion
-		version := uint64(0)
-		err = d.Store.ReadLatest(leaveLimit, func(c *catalog.Catalog) { have, version = c.Config(), c.Config().GetVersion() })
-		switch {
-		case err != nil:
-		case have.GetText() == text:
-			return
-		case have != nil && !renew:
-			d.log.WithFields(logrus.Fields{"version": version, "author": have.Author}).
-				Warn("configuration differs from what the instances agreed on")
+	if err != nil {
+		d.log.WithError(err).Error("configuration cannot be compared with that of other instances")
+		return
+	}
+	for failures := 0; ; failures++ {
+		if err = d.agreeOnce(text, renew); err == nil {
 			return
-		default:
-			var r *pb.Result
-			r, err = d.Store.Submit(&pb.Command{Body: &pb.Command_PutConfig{PutConfig: &pb.PutConfig{Base: version, Text: text, Author: d.Store.ID()}}}, leaveLimit)
-			if err == nil && r.Refused == "" {
-				d.log.WithField("version", r.Version).Info("configuration agreed on")
-				return
-			}
-			if err == nil { // another was quicker
-				err = fmt.Errorf("store: %s", r.Refused)
-			}
 		}
-		select { // no majority yet, or another version: look again
+		if failures == 0 { // it goes on by its own file meanwhile: one line is enough
+			d.log.WithError(err).Warn("configuration not agreed on yet")
+		}
+		select {
 		case <-d.ended:
 			return
-		case <-time.After(agreeAgain):
-			err = nil
+		case <-time.After(agreeRetryInterval):
 		}
 	}
 }
 
-const leaveLimit = 5 * time.Second // for the store to answer, before it is asked again
+// agreeOnce compares text with the newest version that is agreed on and proposes it where it is due. An error says that
+// nothing is settled: there is no majority, or another instance was quicker.
+func (d *Daemon) agreeOnce(text string, renew bool) error {
+	var agreed *pb.ConfigVersion
+	err := d.Store.ReadLatest(leaveLimit, func(c *catalog.Catalog) { agreed = c.Config() })
+	if err != nil {
+		return err
+	}
+	if agreed.GetText() == text {
+		return nil
+	}
+	if agreed != nil && !renew {
+		d.log.WithFields(logrus.Fields{"version": agreed.Version, "author": agreed.Author}).
+			Warn("configuration differs from what the instances agreed on")
+		return nil
+	}
+	put := &pb.PutConfig{Base: agreed.GetVersion(), Text: text, Author: d.Store.ID()}
+	result, err := d.Store.Submit(&pb.Command{Body: &pb.Command_PutConfig{PutConfig: put}}, leaveLimit)
+	if err != nil {
+		return err
+	}
+	if result.Refused != "" {
+		return refusedError{result.Refused}
+	}
+	d.log.WithField("version", result.Version).Info("configuration agreed on")
+	return nil
+}
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -367,11 +367,17 @@
 // end gives the descriptor back and tells the handler, unless it closed itself.
 func (x *Conn) end(err error) {
 	x.budget.Add(-1)
-	x.reading.Lock()   // what was read before is handed on first: nbio tells of an end on a goroutine of its own
-	x.reading.Unlock() // only the order matters
+	x.waitForReader()
 	x.fail(err)
 }
 
+// waitForReader returns once the handler has had all that was read. nbio reports the end of a connection on a goroutine
+// of its own, which may overtake the one that reads. A read that begins later finds the connection ended.
+func (x *Conn) waitForReader() {
+	x.reading.Lock()
+	defer x.reading.Unlock()
+}
+
 func (x *Conn) fail(err error) {
 	if !x.closed.Swap(true) {
 		x.h.Closed(err)
--- a/random_test.go
+++ b/random_test.go
@@ -9,7 +9,7 @@
 // fake is a member as the random test plays it.
 type fake struct {
 	Member
-	hung, dead bool
+	hung       bool
 	pos        Nanos
 	lag        Nanos
 	told       Nanos // when the router was told that it drains; 0: it does not
