--- /dev/null
+++ b/internal/experiment/pgclient/pgclient.go
@@ -0,0 +1,108 @@
+// Package pgclient is a client of the platform's protocol for experiments: one connection, one statement at a time.
+package pgclient
+
+import (
+	"errors"
+	"sync"
+	"time"
+
+	"aspenshed/internal/netio"
+	"aspenshed/internal/protocol/pgwire"
+)
+
+const (
+	dialLimit   = time.Second
+	greetLimit  = 2 * time.Second
+	answerLimit = 3 * time.Second
+	maxMessage  = 1 << 20 // bytes of one message
+	user        = "web"
+	database    = "orders"
+)
+
+// The errors of a connection. After one of them it can't be used any more.
+var (
+	ErrEnded   = errors.New("pgclient: the connection has ended")
+	ErrTimeout = errors.New("pgclient: no answer in time")
+)
+
+// Client is one connection. It is used by one goroutine at a time.
+type Client struct {
+	conn    *netio.Conn
+	reader  pgwire.Reader
+	up      chan struct{}
+	answers chan string // an answer's error code; empty: served
+	ended   chan struct{}
+	once    sync.Once
+	code    string // of the answer that is under way
+}
+
+// Dial connects and is greeted.
+func Dial(n *netio.Net, address string) (*Client, error) {
+	c := &Client{reader: pgwire.Reader{Max: maxMessage}, up: make(chan struct{}), answers: make(chan string, 4), ended: make(chan struct{})}
+	conn, err := n.Dial(address, dialLimit, false, c)
+	if err != nil {
+		return nil, err
+	}
+	c.conn = conn
+	select {
+	case <-c.up:
+	case <-c.ended:
+		return nil, ErrEnded
+	}
+	if err := conn.Write(pgwire.Startup(user, database)); err != nil {
+		return nil, err
+	}
+	if _, err := c.answer(greetLimit); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// Query asks one statement and returns the error code of its answer; empty: it was served.
+func (c *Client) Query(sql string) (code string, err error) {
+	if err := c.conn.Write(pgwire.Query(sql)); err != nil {
+		return "", err
+	}
+	return c.answer(answerLimit)
+}
+
+func (c *Client) answer(limit time.Duration) (code string, err error) {
+	select {
+	case code = <-c.answers:
+		return code, nil
+	case <-c.ended:
+		return "", ErrEnded
+	case <-time.After(limit):
+		c.conn.Close()
+		return "", ErrTimeout
+	}
+}
+
+// Close ends the connection.
+func (c *Client) Close() { c.conn.Close() }
+
+// Up is of netio.Handler.
+func (c *Client) Up() { close(c.up) }
+
+// Closed is of netio.Handler.
+func (c *Client) Closed(error) { c.once.Do(func() { close(c.ended) }) }
+
+// Data is of netio.Handler.
+func (c *Client) Data(b []byte) {
+	if err := c.reader.Feed(b, c.message); err != nil {
+		c.conn.Close()
+		c.Closed(err)
+	}
+}
+
+func (c *Client) message(m pgwire.Message) error {
+	switch m.Type {
+	case 'E':
+		e, _ := pgwire.ParseError(m.Body)
+		c.code = e.Code
+	case 'Z':
+		c.answers <- c.code
+		c.code = ""
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/experiment/scale/workload.go
@@ -0,0 +1,25 @@
+package scale
+
+import (
+	"fmt"
+
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+)
+
+const (
+	membersOfGroup = 6 // a primary and five replicas: 3,500 groups at 21,000 members
+	memberWire     = "mysql"
+)
+
+// Member is database number i as its revision-th inventory entry describes it: the address changes with each.
+func Member(i, revision int) *pb.Entry {
+	address := fmt.Sprintf("10.%d.%d.%d:%d", i>>16&0xff, i>>8&0xff, i&0xff, 6000+revision%1000)
+	return &pb.Entry{Id: MemberID(i), Address: address, Site: siteOf(i), Group: int32(i / membersOfGroup), Kind: "std-4core",
+		State: "in_service", Wire: memberWire}
+}
+
+// MemberID names database number i.
+func MemberID(i int) string { return fmt.Sprintf("db-%07d", i) }
+
+// siteOf is the zone that database i stands in: the members of a group stand in different ones.
+func siteOf(i int) string { return Zones()[i%len(Zones())].Name }
--- a/internal/experiment/trial/trial.go
+++ b/internal/experiment/trial/trial.go
@@ -20,9 +20,9 @@
 	"aspenshed/internal/controlplane/store"
 	"aspenshed/internal/daemon"
 	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/experiment/pgclient"
 	"aspenshed/internal/experiment/standin"
 	"aspenshed/internal/netio"
-	"aspenshed/internal/protocol/pgwire"
 )
 
 // Options of a trial.
@@ -281,11 +281,13 @@
 
 func (l *load) client(i, k int, pause time.Duration) {
 	defer l.wg.Done()
-	var c *conn
+	var c *pgclient.Client
 	for n := 0; !l.quit.Load(); n++ {
 		time.Sleep(pause) // a pace, not an order
 		if c == nil {
-			if c = l.dial(*l.address[i].Load()); c == nil {
+			var err error
+			if c, err = pgclient.Dial(l.net, *l.address[i].Load()); err != nil {
+				c = nil
 				continue
 			}
 		}
@@ -297,8 +299,8 @@
 			class = "timetable"
 		}
 		id := l.ids.Add(1)
-		switch code, ok := c.ask(fmt.Sprintf(verb, id%100, id, class)); {
-		case !ok: // the connection ended
+		switch code, err := c.Query(fmt.Sprintf(verb, id%100, id, class)); {
+		case err != nil: // the connection ended
 			l.failed.Add(1)
 			c = nil
 		case code == "":
@@ -319,76 +321,3 @@
 	l.gap[i] = max(l.gap[i], now.Sub(l.last[i]))
 	l.last[i] = now
 }
-
-// conn is one client's connection.
-type conn struct {
-	c    *netio.Conn
-	in   pgwire.Reader
-	up   chan struct{}
-	got  chan string // an answer's code; empty: served
-	gone chan struct{}
-	once sync.Once
-	code string
-}
-
-func (l *load) dial(address string) *conn {
-	c := &conn{in: pgwire.Reader{Max: 1 << 20}, up: make(chan struct{}), got: make(chan string, 4), gone: make(chan struct{})}
-	x, err := l.net.Dial(address, time.Second, false, c)
-	if err != nil {
-		return nil
-	}
-	c.c = x
-	select {
-	case <-c.up:
-	case <-c.gone:
-		return nil
-	}
-	if x.Write(pgwire.Startup("web", "orders")) != nil {
-		return nil
-	}
-	select {
-	case <-c.got:
-		return c
-	case <-c.gone:
-	case <-time.After(2 * time.Second):
-		x.Close()
-	}
-	return nil
-}
-
-func (c *conn) ask(sql string) (code string, ok bool) {
-	if c.c.Write(pgwire.Query(sql)) != nil {
-		return "", false
-	}
-	select {
-	case code = <-c.got:
-		return code, true
-	case <-c.gone:
-	case <-time.After(3 * time.Second):
-		c.c.Close()
-	}
-	return "", false
-}
-
-func (c *conn) Up() { close(c.up) }
-
-func (c *conn) Closed(error) { c.once.Do(func() { close(c.gone) }) }
-
-func (c *conn) Data(b []byte) {
-	if c.in.Feed(b, c.message) != nil {
-		c.c.Close()
-		c.Closed(nil)
-	}
-}
-
-func (c *conn) message(m pgwire.Message) error {
-	switch m.Type {
-	case 'E':
-		e, _ := pgwire.ParseError(m.Body)
-		c.code = e.Code
-	case 'Z':
-		c.got <- c.code
-		c.code = ""
-	}
-	return nil
-}
