--- a/internal/controlplane/catalog/catalog.go
+++ b/internal/controlplane/catalog/catalog.go
@@ -12,6 +12,7 @@
 	"google.golang.org/protobuf/proto"
 
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/revision"
 )
 
 // The bounds. What lies beyond one is turned down with a reason, or the oldest goes, as said here.
@@ -19,13 +20,13 @@
 	mostConfigs   = 8         // versions kept; the oldest goes
 	mostPairs     = 1024      // further keys are turned down
 	mostValue     = 64 << 10  // bytes of a pair's value or of the configuration
-	mostMembers   = 20000     // of an inventory
+	maxMembers    = 20000     // of an inventory
 	mostLater     = 1024      // commands of later releases; further ones are counted in later_lost
 	mostOrigins   = 1024      // writers whose last commands are known; the one longest silent goes
 	mostRecent    = 64        // results remembered of each writer: as many as one batch holds
 	mostLeases    = 4         // that one instance may hold of one member: the one in force and those running out
 	spareTombs    = 256       // tombstones kept beyond twice the members present; the oldest goes
-	mostGroups    = 4096      // groups that an instance may speak of
+	maxGroups     = 4096      // groups that an instance may speak of
 	mostClasses   = 256       // classes
 	freshWord     = 2.5e9     // ns: words of rates that are older than the newest by more are not added to it
 	longAgo       = 600 * 1e9 // ns: a start told as older than this is past its cold time, whatever the clocks' offset
@@ -67,6 +68,9 @@
 	instances map[string]*pb.Instance
 	origins   map[string]*pb.Origin
 	pairs     map[string]*pb.Pair
+	primaries map[string]*pb.Primary // by the group's name
+	groups    map[Group]int          // how many members each group has
+	recorder  recorder
 	// Versions rise with each change of their part, for those who look at it again and again.
 	membersVersion, learnedVersion, leasesVersion uint64
 }
@@ -92,8 +96,10 @@
 	c.s.Index = max(c.s.Index, index)
 	out := make([]*pb.Result, 0, len(b.Commands))
 	for _, x := range b.Commands {
+		c.recorder.at = x.At
 		out = append(out, c.once(x))
 	}
+	c.recordChanges(index)
 	return out
 }
 
@@ -169,6 +175,12 @@
 		return c.set(b.Set)
 	case *pb.Command_SetRules:
 		return c.setRules(b.SetRules.GetRules())
+	case *pb.Command_UpsertMembers:
+		return c.upsertMembers(b.UpsertMembers)
+	case *pb.Command_RemoveMembers:
+		return c.removeMembers(b.RemoveMembers)
+	case *pb.Command_ReportPrimary:
+		return c.reportPrimary(b.ReportPrimary)
 	}
 	if len(c.s.Later) >= mostLater {
 		c.s.LaterLost++
@@ -189,6 +201,7 @@
 	case len(p.Text) > mostValue:
 		return refused("the configuration has %d bytes, %d at most", len(p.Text), mostValue)
 	}
+	c.touch(revision.ConfigKey)
 	if len(c.s.Configs) >= mostConfigs {
 		c.s.Configs = slices.Delete(c.s.Configs, 0, 1)
 	}
@@ -198,6 +211,7 @@
 
 func (c *Catalog) set(p *pb.Set) *pb.Result {
 	x := c.pairs[p.Key]
+	c.touch(revision.PairPrefix + p.Key)
 	switch {
 	case p.Key == "" || len(p.Key) > 256:
 		return refused("a key has 1 to 256 bytes")
@@ -229,6 +243,7 @@
 			return refused("%s is cold: rules change only while no member is", m.Entry.Id)
 		}
 	}
+	c.touch(revision.RulesKey)
 	c.s.Rules, c.s.RulesSet = r, true
 	c.membersVersion++
 	return &pb.Result{}
@@ -268,18 +283,14 @@
 	if x == nil {
 		return refused("no instance %q is known", l.Instance)
 	}
-	groups := map[Group]bool{}
-	for _, m := range c.members {
-		groups[GroupOf(m.Entry)] = true
-	}
 	// What the instance's other front has said stands: its groups and classes may have the same numbers and names.
 	x.Groups = slices.DeleteFunc(x.Groups, func(g *pb.GroupWord) bool { return g.Wire == l.Wire })
 	x.Classes = slices.DeleteFunc(x.Classes, func(k *pb.ClassWord) bool { return k.Wire == l.Wire })
 	x.Learned = c.s.Now
 	for _, g := range l.Groups {
 		g.Wire = l.Wire
-		at := Group{g.Wire, g.Group}
-		if len(x.Groups) >= mostGroups || !groups[at] || !(g.WarmRate >= 0 && g.WarmRate < 1e9) {
+		at := Group{Wire: g.Wire, ID: g.Group}
+		if len(x.Groups) >= maxGroups || c.groups[at] == 0 || !(g.WarmRate >= 0 && g.WarmRate < 1e9) {
 			continue
 		}
 		if m := c.members[g.Primary]; m == nil || GroupOf(m.Entry) != at {
@@ -306,20 +317,22 @@
 }
 
 // Group is a group of members: each wire, and so each customer that it serves, has groups of its own.
-type Group struct {
-	Wire string
-	ID   int32
-}
+type Group = revision.Group
 
 // GroupOf is the group of a member.
-func GroupOf(e *pb.Entry) Group { return Group{e.Wire, e.Group} }
+func GroupOf(e *pb.Entry) Group { return Group{Wire: e.Wire, ID: e.Group} }
 
 // Words are those of all groups.
 func (c *Catalog) Words() map[Group]Word {
 	out := map[Group]Word{}
+	for _, p := range c.primaries {
+		if c.members[p.Member] != nil {
+			out[Group{Wire: p.Wire, ID: p.Group}] = Word{Primary: p.Member, PrimaryAt: p.At}
+		}
+	}
 	for _, x := range values(c.instances) {
 		for _, g := range x.Groups {
-			at := Group{g.Wire, g.Group}
+			at := Group{Wire: g.Wire, ID: g.Group}
 			w := out[at]
 			if c.s.Now <= x.Learned+freshWord {
 				w.WarmRate += g.WarmRate
--- a/internal/controlplane/catalog/catalog_test.go
+++ b/internal/controlplane/catalog/catalog_test.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"reflect"
 	"strings"
 	"testing"
 
@@ -11,6 +12,7 @@
 	"pgregory.net/rapid"
 
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/revision"
 )
 
 // rig applies commands one an entry, as one writer.
@@ -167,7 +169,7 @@
 	id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "member")
 	inst := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "instance")
 	start := rapid.Int64Range(0, 5).Draw(t, "start") * 1e9
-	switch rapid.IntRange(0, 9).Draw(t, "kind") {
+	switch rapid.IntRange(0, 15).Draw(t, "kind") {
 	case 0:
 		ids := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 0, 3, rapid.ID).Draw(t, "ids")
 		return inventory(rapid.Uint64Range(0, 3).Draw(t, "base"), ids...)
@@ -185,15 +187,47 @@
 	case 8:
 		return &pb.Command{Body: &pb.Command_Learn{Learn: &pb.Learn{Instance: inst, Groups: []*pb.GroupWord{{Primary: id, PrimaryAt: start, WarmRate: 3}}}}}
 	}
+	group := rapid.Int32Range(0, 1).Draw(t, "group")
+	switch rapid.IntRange(0, 5).Draw(t, "more") {
+	case 0:
+		state := rapid.SampledFrom([]string{"in_service", "draining"}).Draw(t, "state")
+		e := &pb.Entry{Id: id, Address: id + ":2", Site: inst, Group: group, State: state, Started: start}
+		return &pb.Command{Body: &pb.Command_UpsertMembers{UpsertMembers: &pb.UpsertMembers{Members: []*pb.Entry{e}}}}
+	case 1:
+		return &pb.Command{Body: &pb.Command_RemoveMembers{RemoveMembers: &pb.RemoveMembers{Members: []string{id}}}}
+	case 2, 3:
+		return &pb.Command{Body: &pb.Command_ReportPrimary{ReportPrimary: &pb.ReportPrimary{Group: group, Member: id, At: start}}}
+	case 4:
+		return &pb.Command{Body: &pb.Command_Set{Set: &pb.Set{Key: id, Value: []byte(inst)}}}
+	}
 	return &pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: inst}}}
 }
 
+// follow applies changes as a subscriber does, and checks that they continue what it holds.
+func follow(t *rapid.T, subscriber *Catalog, changes []revision.Change) {
+	for _, x := range changes {
+		if held := subscriber.record(x.Key); !reflect.DeepEqual(held, x.Before) {
+			t.Fatalf("%q was %v before, not %v", x.Key, held, x.Before)
+		}
+		err := error(nil)
+		if x.Removed {
+			err = subscriber.RemoveRecord(x.Key)
+		} else {
+			err = subscriber.SetRecord(x.Record)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
 // Guards replicas from one another: one that is fed everything twice and late, and restarted from snapshots at any
 // point, is equal to one that is not. On the way no drain is taken back and no pool is passed.
 func TestReplicasStayEqualAndKeepTheirRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New("t"), New("t")
 		drained := map[string]int64{}
+		subscriber := New("t")
 		var old []*pb.Command
 		for i := range rapid.IntRange(1, 60).Draw(t, "commands") {
 			c := aCommand(t)
@@ -208,6 +242,14 @@
 			if ra[0].Refused != rb[0].Refused || rb[1].Refused != rb[0].Refused || !rb[1].Repeated {
 				t.Fatalf("answers differ: %v, %v", ra, rb)
 			}
+			changes := a.TakeChanges()
+			if also := b.TakeChanges(); !reflect.DeepEqual(changes, also) {
+				t.Fatalf("equal replicas changed %v and %v", changes, also)
+			}
+			follow(t, subscriber, changes)
+			if want, have := a.Records(), subscriber.Records(); !reflect.DeepEqual(want, have) {
+				t.Fatalf("after %v a subscriber holds\n%v\nnot\n%v", c, have, want)
+			}
 			if rapid.IntRange(0, 5).Draw(t, "restart") == 0 {
 				snap, err := b.Encode()
 				if err == nil {
@@ -234,6 +276,10 @@
 			}
 		}
 		da, _ := a.Digest()
+		again := New("t")
+		if err := again.ResetRecords(a.Index(), a.Records()); err != nil || !reflect.DeepEqual(again.Records(), a.Records()) {
+			t.Fatalf("built from all records at once: %v, %v", again.Records(), err)
+		}
 		if db, _ := b.Digest(); da != db {
 			t.Fatalf("replicas differ:\n%v\n%v", a.Counts(), b.Counts())
 		}
--- /dev/null
+++ b/internal/controlplane/catalog/changes.go
@@ -0,0 +1,155 @@
+package catalog
+
+import (
+	"bytes"
+	"strings"
+
+	"google.golang.org/protobuf/proto"
+
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/revision"
+)
+
+// recorder collects which records the entry that is being applied changes. A record that an entry changes several times
+// is one change: nobody sees the states between.
+type recorder struct {
+	at      int64 // of the command that is being applied, Unix ns
+	touched map[string]touch
+	changes []revision.Change // of entries applied since the last TakeChanges
+}
+
+// touch is a record as it was before the entry, and when the newest command touched it.
+type touch struct {
+	before           *revision.Record // nil: there was none
+	start, drainedAt int64            // of a member
+	at               int64
+}
+
+// TakeChanges returns what the entries applied since the last call have changed, in order; within one entry by key.
+// Who calls Apply takes the changes of each entry, as they are kept until then.
+func (c *Catalog) TakeChanges() []revision.Change {
+	out := c.recorder.changes
+	c.recorder.changes = nil
+	return out
+}
+
+// touch is called before anything of the record under key may change.
+func (c *Catalog) touch(key string) {
+	t, known := c.recorder.touched[key]
+	if !known {
+		t.before = c.record(key)
+		if id, isMember := strings.CutPrefix(key, revision.MemberPrefix); isMember && c.members[id] != nil {
+			t.start, t.drainedAt = c.members[id].Start, c.members[id].DrainedAt
+		}
+	}
+	t.at = c.recorder.at
+	if c.recorder.touched == nil {
+		c.recorder.touched = map[string]touch{}
+	}
+	c.recorder.touched[key] = t
+}
+
+func (c *Catalog) touchMember(id string) { c.touch(revision.MemberPrefix + id) }
+
+// recordChanges turns what one entry has touched into changes.
+func (c *Catalog) recordChanges(index uint64) {
+	for _, key := range sorted(c.recorder.touched) {
+		t := c.recorder.touched[key]
+		after := c.record(key)
+		change := revision.Change{Revision: index, Before: t.before, CommittedAt: t.at}
+		switch {
+		case after == nil && t.before == nil:
+			continue
+		case after == nil:
+			change.Record = revision.Record{Key: key, Placement: t.before.Placement}
+			change.Removed = true
+		case t.before != nil && bytes.Equal(t.before.Value, after.Value):
+			continue
+		default:
+			change.Record = *after
+		}
+		change.Binding = c.isBinding(key, t, change.Removed)
+		c.recorder.changes = append(c.recorder.changes, change)
+	}
+	c.recorder.touched = nil
+}
+
+// isBinding reports whether a change must reach every subscriber: a new drain, a new start, the removal of a member, or
+// whatever concerns a primary.
+func (c *Catalog) isBinding(key string, before touch, removed bool) bool {
+	if strings.HasPrefix(key, revision.PrimaryPrefix) {
+		return true
+	}
+	id, isMember := strings.CutPrefix(key, revision.MemberPrefix)
+	if !isMember || removed {
+		return isMember
+	}
+	m := c.members[id]
+	newDrain := m.DrainedAt != 0 && m.DrainedAt != before.drainedAt
+	newStart := before.before != nil && m.Start != before.start
+	return newDrain || newStart
+}
+
+// record is the record under a key as it stands, nil if there is none.
+func (c *Catalog) record(key string) *revision.Record {
+	if id, ok := strings.CutPrefix(key, revision.MemberPrefix); ok {
+		if m := c.members[id]; m != nil {
+			return memberRecord(m)
+		}
+		return nil
+	}
+	if name, ok := strings.CutPrefix(key, revision.PairPrefix); ok {
+		if p := c.pairs[name]; p != nil {
+			return plainRecord(key, p)
+		}
+		return nil
+	}
+	if name, ok := strings.CutPrefix(key, revision.PrimaryPrefix); ok {
+		if p := c.primaries[name]; p != nil {
+			return plainRecord(key, p)
+		}
+		return nil
+	}
+	switch {
+	case key == revision.ConfigKey && c.Config() != nil:
+		return plainRecord(key, c.Config())
+	case key == revision.RulesKey && c.s.RulesSet:
+		return plainRecord(key, c.s.Rules)
+	}
+	return nil
+}
+
+// memberRecord is a member's record. Leases are no part of it: they concern their holders alone.
+func memberRecord(m *pb.Member) *revision.Record {
+	r := plainRecord(revision.MemberPrefix+m.Entry.Id, &pb.Member{Entry: m.Entry, Start: m.Start, ColdSince: m.ColdSince,
+		WarmAt: m.WarmAt, DrainedAt: m.DrainedAt, DrainReason: m.DrainReason})
+	r.Placement = revision.Placement{Group: GroupOf(m.Entry), Site: m.Entry.Site}
+	return r
+}
+
+// plainRecord encodes a value. Equal values give equal bytes.
+func plainRecord(key string, value proto.Message) *revision.Record {
+	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(value)
+	if err != nil { // a string that is not UTF-8, which no command that was read from the log can hold
+		b = nil
+	}
+	return &revision.Record{Key: key, Value: b}
+}
+
+// IsRedundant reports whether a command says only what this catalog holds already: a drain that is recorded for that
+// start, a start that is known, a primary whose report is not newer. Later entries never make it necessary again.
+func (c *Catalog) IsRedundant(x *pb.Command) bool {
+	switch b := x.Body.(type) {
+	case *pb.Command_Drain:
+		m := c.members[b.Drain.GetMember()]
+		return m != nil && m.DrainedAt != 0 && b.Drain.Start == m.Start
+	case *pb.Command_Start:
+		m := c.members[b.Start.GetMember()]
+		return m != nil && b.Start.Start <= m.Start
+	case *pb.Command_ReportPrimary:
+		group := Group{Wire: b.ReportPrimary.GetWire(), ID: b.ReportPrimary.GetGroup()}
+		known := c.primaries[group.String()]
+		return known != nil && (b.ReportPrimary.At <= known.At || isRefresh(known, b.ReportPrimary))
+	}
+	return false
+}
--- a/internal/controlplane/catalog/members.go
+++ b/internal/controlplane/catalog/members.go
@@ -1,11 +1,17 @@
 package catalog
 
 import (
+	"fmt"
 	"slices"
 
+	"google.golang.org/protobuf/proto"
+
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
+// inService is the state of an inventory's member that may be sent requests.
+const inService = "in_service"
+
 // The members: inventory, drains, starts, and leases of cold capacity.
 
 // isCold tells whether a member's start has not been agreed to be warm.
@@ -14,49 +20,151 @@
 // Cold tells whether m is cold as far as this replica has heard.
 func Cold(m *pb.Member) bool { return m.ColdSince != 0 && m.WarmAt == 0 }
 
+// putInventory replaces the whole list.
 func (c *Catalog) putInventory(p *pb.PutInventory) *pb.Result {
 	if p.Base != c.s.Inventory {
 		return refused("the inventory is at version %d, not %d", c.s.Inventory, p.Base)
 	}
-	if len(p.Members) > mostMembers {
-		return refused("%d members, %d at most", len(p.Members), mostMembers)
+	listed, problem := checkEntries(p.Members)
+	if problem == "" && len(p.Members) > maxMembers {
+		problem = fmt.Sprintf("%d members, %d at most", len(p.Members), maxMembers)
+	}
+	if problem != "" {
+		return refused("%s", problem)
+	}
+	c.upsert(p.Members)
+	for _, id := range sorted(c.members) {
+		if !listed[id] {
+			c.remove(id)
+		}
+	}
+	c.trimTombs()
+	c.inventoryChanged(p.Author)
+	return &pb.Result{Version: c.s.Inventory}
+}
+
+// upsertMembers changes or adds the members that it names.
+func (c *Catalog) upsertMembers(p *pb.UpsertMembers) *pb.Result {
+	listed, problem := checkEntries(p.Members)
+	if problem != "" {
+		return refused("%s", problem)
+	}
+	if p.Checked && p.Base != c.s.Inventory {
+		return refused("the inventory is at version %d, not %d", c.s.Inventory, p.Base)
+	}
+	total := len(c.members)
+	for id := range listed {
+		if c.members[id] == nil {
+			total++
+		}
+	}
+	if total > maxMembers {
+		return refused("%d members, %d at most", total, maxMembers)
+	}
+	if c.upsert(p.Members) {
+		c.inventoryChanged(p.Author)
 	}
-	listed := map[string]bool{}
-	for i, e := range p.Members {
+	return &pb.Result{Version: c.s.Inventory}
+}
+
+// removeMembers takes members off the list. Those that are not on it stay away.
+func (c *Catalog) removeMembers(p *pb.RemoveMembers) *pb.Result {
+	if slices.Contains(p.Members, "") {
+		return refused("a member needs an id")
+	}
+	removed := false
+	for _, id := range p.Members {
+		removed = c.remove(id) || removed
+	}
+	if removed {
+		c.trimTombs()
+		c.inventoryChanged(p.Author)
+	}
+	return &pb.Result{Version: c.s.Inventory}
+}
+
+func (c *Catalog) inventoryChanged(author string) {
+	c.s.Inventory++
+	c.s.InventoryAuthor, c.s.InventoryAt = author, c.s.Now
+	c.membersVersion++
+}
+
+// checkEntries returns the ids that a list names, or what is wrong with the list.
+func checkEntries(list []*pb.Entry) (ids map[string]bool, problem string) {
+	ids = make(map[string]bool, len(list))
+	for i, e := range list {
 		switch {
 		case e.GetId() == "" || e.Address == "":
-			return refused("members[%d]: id or address missing", i)
-		case listed[e.Id]:
-			return refused("members[%d]: %q is named twice", i, e.Id)
+			return nil, fmt.Sprintf("members[%d]: id or address missing", i)
+		case ids[e.Id]:
+			return nil, fmt.Sprintf("members[%d]: %q is named twice", i, e.Id)
 		}
-		listed[e.Id] = true
+		ids[e.Id] = true
 	}
+	return ids, ""
+}
+
+// upsert takes in checked entries and reports whether they changed anything.
+func (c *Catalog) upsert(list []*pb.Entry) (changed bool) {
 	known := map[string]bool{} // wires that the installation has had members of
-	for _, m := range c.members {
-		known[m.Entry.Wire] = true
+	for group := range c.groups {
+		known[group.Wire] = true
 	}
-	for _, e := range p.Members {
+	for _, e := range list {
+		c.touchMember(e.Id)
 		m := c.members[e.Id]
-		if m == nil {
+		switch {
+		case m == nil:
 			m = c.appear(e, !known[e.Wire])
-		} else if m.Entry = e; e.Started > m.Start {
-			c.begin(m, e.Started)
+			changed = true
+		case !proto.Equal(m.Entry, e):
+			c.replaceEntry(m, e)
+			changed = true
 		}
-		if e.State != "" && e.State != "in_service" {
+		if m.DrainedAt == 0 && isDraining(e) {
 			c.markDrain(m, "the inventory says "+e.State)
+			changed = true
 		}
 	}
-	for _, id := range sorted(c.members) {
-		if m := c.members[id]; !listed[id] {
-			delete(c.members, id)
-			c.tombs[id] = &pb.Tombstone{Member: id, Start: m.Start, At: c.s.Now, Drained: m.DrainedAt != 0}
-		}
+	return changed
+}
+
+// isDraining reports whether an inventory says that a member is to get nothing new.
+func isDraining(e *pb.Entry) bool { return e.State != "" && e.State != inService }
+
+func (c *Catalog) replaceEntry(m *pb.Member, e *pb.Entry) {
+	from, to := GroupOf(m.Entry), GroupOf(e)
+	m.Entry = e
+	if from != to {
+		c.countMember(from, -1)
+		c.countMember(to, 1)
+		c.forgetPrimary(from, e.Id)
 	}
-	c.trimTombs()
-	c.s.Inventory++
-	c.s.InventoryAuthor, c.s.InventoryAt = p.Author, c.s.Now
-	c.membersVersion++
-	return &pb.Result{Version: c.s.Inventory}
+	if e.Started > m.Start {
+		c.begin(m, e.Started)
+	}
+}
+
+// countMember keeps the number of members of each group that has any.
+func (c *Catalog) countMember(group Group, n int) {
+	c.groups[group] += n
+	if c.groups[group] <= 0 {
+		delete(c.groups, group)
+	}
+}
+
+// remove takes a member off the list and keeps its start and drain, in case that it comes back.
+func (c *Catalog) remove(id string) bool {
+	m := c.members[id]
+	if m == nil {
+		return false
+	}
+	c.touchMember(id)
+	delete(c.members, id)
+	c.countMember(GroupOf(m.Entry), -1)
+	c.forgetPrimary(GroupOf(m.Entry), id)
+	c.tombs[id] = &pb.Tombstone{Member: id, Start: m.Start, At: c.s.Now, Drained: m.DrainedAt != 0}
+	return true
 }
 
 // appear takes in a member that was not present. What is new to a running installation is cold; at the first
@@ -64,6 +172,7 @@
 func (c *Catalog) appear(e *pb.Entry, first bool) *pb.Member {
 	m := &pb.Member{Entry: e}
 	c.members[e.Id] = m
+	c.countMember(GroupOf(e), 1)
 	t := c.tombs[e.Id]
 	delete(c.tombs, e.Id)
 	switch {
@@ -88,6 +197,7 @@
 // begin makes a new start of m: cold, not draining, without leases. How long it has run already is not believed, as
 // clocks may be apart, unless it is very long.
 func (c *Catalog) begin(m *pb.Member, start int64) {
+	c.touchMember(m.Entry.Id)
 	m.Start, m.WarmAt, m.DrainedAt, m.DrainReason, m.Leases = start, 0, 0, "", nil
 	if m.ColdSince = max(c.s.Now, 1); c.s.Now-start > longAgo {
 		m.ColdSince = 0
@@ -109,6 +219,7 @@
 
 func (c *Catalog) markDrain(m *pb.Member, reason string) {
 	if m.DrainedAt == 0 {
+		c.touchMember(m.Entry.Id)
 		m.DrainedAt, m.DrainReason = max(c.s.Now, 1), reason
 	}
 }
@@ -153,6 +264,7 @@
 	if m == nil || m.Start != w.Start || !c.isCold(m) {
 		return refused("%s is not cold since that start", w.Member)
 	}
+	c.touchMember(w.Member)
 	m.WarmAt, m.Leases = max(c.s.Now, 1), nil
 	c.membersVersion++
 	c.leasesVersion++
--- /dev/null
+++ b/internal/controlplane/catalog/primaries.go
@@ -0,0 +1,55 @@
+package catalog
+
+import (
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/revision"
+)
+
+const (
+	// primaryRefresh (ns) is how much newer a report of the known primary must be to count: every gateway that sees a
+	// change of primary reports it, and only the first of them must reach all the others.
+	primaryRefresh = 10e9
+	// maxClockAhead (ns) is how far a report's time may lie ahead of the leader's clock. One from a clock that runs
+	// further ahead would hide all later reports.
+	maxClockAhead = 60e9
+)
+
+func primaryGroup(p *pb.Primary) Group { return Group{Wire: p.Wire, ID: p.Group} }
+
+// reportPrimary takes the newest report of who takes a group's writes.
+func (c *Catalog) reportPrimary(r *pb.ReportPrimary) *pb.Result {
+	group := Group{Wire: r.Wire, ID: r.Group}
+	known := c.primaries[group.String()]
+	m := c.members[r.Member]
+	switch {
+	case m == nil || GroupOf(m.Entry) != group:
+		return refused("no member %q is in group %s", r.Member, group)
+	case r.At <= 0 || r.At > c.s.Now+maxClockAhead:
+		return refused("the report's time is not one of the last moments")
+	case known != nil && r.At <= known.At:
+		return refused("a newer report of %s is known", group)
+	case known == nil && len(c.primaries) >= maxGroups:
+		return refused("primaries of %d groups are known already", maxGroups)
+	case isRefresh(known, r):
+		return &pb.Result{}
+	}
+	c.touch(revision.PrimaryPrefix + group.String())
+	c.primaries[group.String()] = &pb.Primary{Wire: r.Wire, Group: r.Group, Member: r.Member, At: r.At}
+	c.learnedVersion++
+	return &pb.Result{}
+}
+
+// isRefresh reports whether a report says what is known and is hardly newer.
+func isRefresh(known *pb.Primary, r *pb.ReportPrimary) bool {
+	return known != nil && known.Member == r.Member && r.At <= known.At+primaryRefresh
+}
+
+// forgetPrimary drops a group's primary if it is that member, which has left the group.
+func (c *Catalog) forgetPrimary(group Group, member string) {
+	key := group.String()
+	if p := c.primaries[key]; p != nil && p.Member == member {
+		c.touch(revision.PrimaryPrefix + key)
+		delete(c.primaries, key)
+		c.learnedVersion++
+	}
+}
--- a/internal/controlplane/catalog/snapshot.go
+++ b/internal/controlplane/catalog/snapshot.go
@@ -34,7 +34,7 @@
 func (c *Catalog) Encode() ([]byte, error) {
 	s := proto.Clone(c.s).(*pb.State)
 	s.Members, s.Tombstones, s.Instances = values(c.members), values(c.tombs), values(c.instances)
-	s.Origins, s.Pairs = values(c.origins), values(c.pairs)
+	s.Origins, s.Pairs, s.Primaries = values(c.origins), values(c.pairs), values(c.primaries)
 	out := make([]byte, headSize, headSize+proto.Size(s))
 	out, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(out, s)
 	if err != nil {
@@ -90,9 +90,16 @@
 	index := func(n int) int { return n + 16 }
 	c.members, c.tombs = make(map[string]*pb.Member, index(len(s.Members))), map[string]*pb.Tombstone{}
 	c.instances, c.origins, c.pairs = map[string]*pb.Instance{}, map[string]*pb.Origin{}, map[string]*pb.Pair{}
+	c.primaries, c.groups = map[string]*pb.Primary{}, map[Group]int{}
 	for _, m := range s.Members {
 		c.members[m.Entry.Id] = m
 	}
+	for _, m := range c.members {
+		c.countMember(GroupOf(m.Entry), 1)
+	}
+	for _, p := range s.Primaries {
+		c.primaries[primaryGroup(p).String()] = p
+	}
 	for _, t := range s.Tombstones {
 		c.tombs[t.Member] = t
 	}
@@ -105,7 +112,7 @@
 	for _, p := range s.Pairs {
 		c.pairs[p.Key] = p
 	}
-	s.Members, s.Tombstones, s.Instances, s.Origins, s.Pairs = nil, nil, nil, nil, nil
+	s.Members, s.Tombstones, s.Instances, s.Origins, s.Pairs, s.Primaries = nil, nil, nil, nil, nil, nil
 	c.s = s
 	c.membersVersion, c.learnedVersion, c.leasesVersion = 1, 1, 1
 }
@@ -125,6 +132,7 @@
 	for _, x := range known {
 		c.apply(x)
 	}
+	c.recorder = recorder{} // who reads a snapshot takes all records anew
 }
 
 // Adopt takes over all that another catalog holds, with versions above those told so far.
