--- a/internal/controlplane/store/config.go
+++ b/internal/controlplane/store/config.go
@@ -12,6 +12,7 @@
 	"github.com/hashicorp/raft"
 	"github.com/sirupsen/logrus"
 
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 	"aspenshed/internal/dataplane/eventloop"
 )
 
@@ -64,6 +65,10 @@
 	Clock   eventloop.Clock `yaml:"-"` // nil: the wall's
 	// Changed hears that the catalog has changed. It must not block.
 	Changed func() `yaml:"-"`
+	// Publisher hears what each entry of the log changes; nil: nobody does.
+	Publisher Publisher `yaml:"-"`
+	// Rollout counts the subscribers of this instance alone by a revision; nil: it has none.
+	Rollout func(rev uint64) *pb.RolloutStatus `yaml:"-"`
 	// Damaged hears of damage found while the store runs; at the start it is Open's error.
 	Damaged func(error) `yaml:"-"`
 	// Quick shortens the time-outs of elections, for tests on loopback.
--- a/internal/controlplane/store/fsm.go
+++ b/internal/controlplane/store/fsm.go
@@ -12,15 +12,32 @@
 
 	"aspenshed/internal/controlplane/catalog"
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/revision"
 )
 
+// Publisher hears what the log changes, in the order of the log. It must not block.
+type Publisher interface {
+	// Publish hands over what the entry with that index has changed; often that is nothing.
+	Publish(rev uint64, changes []revision.Change)
+	// Reset hands over all that is distributed, where it has been replaced.
+	Reset(rev uint64, records []revision.Record)
+}
+
+// nobody is the Publisher where none is configured.
+type nobody struct{}
+
+func (nobody) Publish(uint64, []revision.Change) {}
+func (nobody) Reset(uint64, []revision.Record)   {}
+
 // machine lets raft drive the catalog.
 type machine struct {
-	mu      sync.RWMutex
-	cat     *catalog.Catalog
-	cluster string
-	changed func()
-	later   func(string) // hears of commands of a later release
+	order     sync.Mutex // held while an entry or a snapshot is applied and published: one after the other
+	mu        sync.RWMutex
+	cat       *catalog.Catalog
+	cluster   string
+	changed   func()
+	later     func(string) // hears of commands of a later release
+	publisher Publisher
 }
 
 // Apply carries out one agreed entry. What cannot be read as a batch changes nothing on any replica.
@@ -29,19 +46,57 @@
 	if err := proto.Unmarshal(l.Data, b); err != nil {
 		return fmt.Errorf("entry %d is no batch: %w", l.Index, err)
 	}
+	return m.apply(b, func() uint64 { return l.Index })
+}
+
+// applyNext carries out a batch as the entry after the last: for an instance without a log.
+func (m *machine) applyNext(b *pb.Batch) []*pb.Result {
+	return m.apply(b, func() uint64 { return m.cat.Index() + 1 })
+}
+
+func (m *machine) apply(b *pb.Batch, index func() uint64) []*pb.Result {
+	m.order.Lock()
+	defer m.order.Unlock()
 	m.mu.Lock()
+	at := index()
 	was, _ := m.cat.Later()
 	n := len(was)
-	results := m.cat.Apply(l.Index, b)
+	results := m.cat.Apply(at, b)
 	kept, _ := m.cat.Later()
+	changes := m.cat.TakeChanges()
 	m.mu.Unlock()
 	if len(kept) > n {
 		m.later(results[len(results)-1].Refused)
 	}
+	m.publisher.Publish(at, changes)
 	m.changed()
 	return results
 }
 
+// replace takes over all that another catalog holds.
+func (m *machine) replace(c *catalog.Catalog) {
+	m.order.Lock()
+	defer m.order.Unlock()
+	m.adopt(c)
+}
+
+// replaceNext does so as the entry after the last: for an instance without a log.
+func (m *machine) replaceNext(c *catalog.Catalog) {
+	m.order.Lock()
+	defer m.order.Unlock()
+	c.SetIndex(max(c.Index(), m.cat.Index()) + 1)
+	m.adopt(c)
+}
+
+func (m *machine) adopt(c *catalog.Catalog) {
+	rev, records := c.Index(), c.Records()
+	m.mu.Lock()
+	m.cat.Adopt(c)
+	m.mu.Unlock()
+	m.publisher.Reset(rev, records)
+	m.changed()
+}
+
 // Snapshot freezes the catalog.
 func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.RLock()
@@ -61,10 +116,7 @@
 	if err != nil {
 		return err
 	}
-	m.mu.Lock()
-	m.cat.Adopt(c)
-	m.mu.Unlock()
-	m.changed()
+	m.replace(c)
 	return nil
 }
 
--- a/internal/controlplane/store/lead.go
+++ b/internal/controlplane/store/lead.go
@@ -57,11 +57,7 @@
 
 func (s *Store) applyAlone(b *pb.Batch) []*pb.Result {
 	s.stamp(b)
-	s.m.mu.Lock()
-	out := s.m.cat.Apply(s.m.cat.Index()+1, b)
-	s.m.mu.Unlock()
-	s.m.changed()
-	return out
+	return s.m.applyNext(b)
 }
 
 func (s *Store) stamp(b *pb.Batch) {
@@ -409,27 +405,34 @@
 	return writeWhole(path, b)
 }
 
-// Load has all instances hold what a file says. Only the leader takes it, and only a whole file of this cluster.
+// restoreGap is how far beyond the log's end (entries) a restored state is put: entries that are appended meanwhile must
+// not reach it, as a revision belongs to one state only.
+const restoreGap = 1 << 10
+
+// Load has all instances hold what a file says. Only the leader takes it, and only a whole file of this cluster. What
+// they hold then has a revision above all earlier ones.
 func (s *Store) Load(data []byte) error {
 	c, err := read(data, s.cfg.Cluster)
 	if err != nil {
 		return err
 	}
+	if s.cfg.Address == "" {
+		s.m.replaceNext(c)
+		return nil
+	}
 	r := s.raft.Load()
 	if r == nil {
-		if s.cfg.Address == "" {
-			s.m.mu.Lock()
-			s.m.cat.Adopt(c)
-			s.m.mu.Unlock()
-			s.m.changed()
-			return nil
-		}
 		return ErrUnavailable
 	}
 	if r.State() != raft.Leader {
 		_, id := r.LeaderWithID()
 		return fmt.Errorf("store: %q leads: restore there", id)
 	}
-	meta := &raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Size: int64(len(data)), Index: c.Index(), Term: r.CurrentTerm()}
+	before := max(c.Index(), r.LastIndex()) + restoreGap
+	c.SetIndex(before + 1) // raft puts the restored state one entry after the index that it is told
+	if data, err = c.Encode(); err != nil {
+		return err
+	}
+	meta := &raft.SnapshotMeta{Version: raft.SnapshotVersionMax, Size: int64(len(data)), Index: before, Term: r.CurrentTerm()}
 	return r.Restore(meta, bytes.NewReader(data), 10*time.Second)
 }
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -79,6 +79,9 @@
 	if c.Changed == nil {
 		c.Changed = func() {}
 	}
+	if c.Publisher == nil {
+		c.Publisher = nobody{}
+	}
 	if c.Damaged == nil {
 		c.Damaged = func(error) {}
 	}
@@ -87,7 +90,7 @@
 		return nil, err
 	}
 	s = &Store{cfg: c, log: c.Log, boot: hex.EncodeToString(boot), ctx: make(chan struct{}), grants: lease.NewGrantor()}
-	s.m = &machine{cat: catalog.New(c.Cluster), cluster: c.Cluster, changed: c.Changed, later: func(what string) {
+	s.m = &machine{cat: catalog.New(c.Cluster), cluster: c.Cluster, changed: c.Changed, publisher: c.Publisher, later: func(what string) {
 		s.log.WithField("reason", what).Warn("store keeps a command of a later release")
 	}}
 	s.q = newQueue(s.origin(), s.carry, s.ctx)
