--- a/internal/controlplane/revision/record.go
+++ b/internal/controlplane/revision/record.go
@@ -77,3 +77,12 @@
 	_, _ = h.Write(value)
 	return Digest(h.Sum64())
 }
+
+// hashOf is Hash of a value that is kept as a string.
+func hashOf(key, value string) Digest {
+	h := xxhash.New()
+	_, _ = h.WriteString(key)
+	_, _ = h.Write([]byte{0})
+	_, _ = h.WriteString(value)
+	return Digest(h.Sum64())
+}
--- /dev/null
+++ b/internal/controlplane/subscription/encoder.go
@@ -0,0 +1,199 @@
+package subscription
+
+import (
+	"fmt"
+	"strings"
+
+	"aspenshed"
+	"aspenshed/internal/controlplane/revision"
+)
+
+const (
+	// maxSteps are kept encoded, a window's bytes each at most: 16 MiB. Sessions that keep up are all at one or two
+	// cursors; beyond the bound all are dropped and made again as they are needed.
+	maxSteps = 64
+	// maxScopes are remembered with their snapshots. Beyond it all are dropped, and sessions keep those that they hold.
+	maxScopes = 64
+	// snapshotReuse is how long a snapshot serves those who ask for one though commits have come since, ns: encoding one
+	// of 21,000 members takes some 10 ms, so at one a second it stays at 1% of a core however many commits come.
+	snapshotReuse = second
+)
+
+// encoder makes the frames that sessions are sent, each once for all sessions at the same cursor and scope.
+type encoder struct {
+	state      *revision.State
+	log        *revision.Log
+	stepBytes  int // how much one step may hold; a commit that alone is larger is a step of its own
+	steps      map[stepKey]*step
+	scopes     map[string]*scopeOf
+	snapshotOf map[*scopeOf]*keptSnapshot
+	faults     *faults
+}
+
+// scopeOf is a scope that sessions share.
+type scopeOf struct{ revision.Scope }
+
+type stepKey struct {
+	cursor uint64
+	scope  *scopeOf
+}
+
+// step is encoded changes from one revision through another.
+type step struct {
+	through uint64
+	head    uint64 // of the log when it was made
+	changes int
+	frames  []body
+	bytes   int
+}
+
+func (p *step) empty() bool { return p.changes == 0 }
+
+type keptSnapshot struct {
+	*snapshot
+	madeAt aspenshed.Nanos
+}
+
+func newEncoder(state *revision.State, log *revision.Log, stepBytes int, f *faults) *encoder {
+	e := &encoder{state: state, log: log, stepBytes: stepBytes, faults: f, scopes: map[string]*scopeOf{}}
+	e.reset()
+	return e
+}
+
+// reset forgets everything encoded.
+func (e *encoder) reset() {
+	e.steps = map[stepKey]*step{}
+	e.snapshotOf = map[*scopeOf]*keptSnapshot{}
+}
+
+// scope is the one value that stands for equal scopes.
+func (e *encoder) scope(s revision.Scope) *scopeOf {
+	name := scopeName(s)
+	if known := e.scopes[name]; known != nil {
+		return known
+	}
+	if len(e.scopes) >= maxScopes {
+		clear(e.scopes)
+		clear(e.snapshotOf)
+	}
+	made := &scopeOf{s}
+	e.scopes[name] = made
+	return made
+}
+
+func scopeName(s revision.Scope) string {
+	var b strings.Builder
+	for _, g := range s.Groups {
+		fmt.Fprintf(&b, "%q ", g)
+	}
+	for _, site := range s.Sites {
+		fmt.Fprintf(&b, "at %q ", site)
+	}
+	return b.String()
+}
+
+// digestAt is the scope's digest at a revision that the log still reaches back to: the newest without what came since.
+func (e *encoder) digestAt(rev uint64, scope *scopeOf) (revision.Digest, error) {
+	changes, err := e.log.Since(rev)
+	if err != nil {
+		return 0, err
+	}
+	return e.state.Digest(scope.Scope) - digestOf(changes, scope.Scope), nil
+}
+
+// digestOf is by how much changes moved the digest of a scope.
+func digestOf(changes []revision.Change, scope revision.Scope) (sum revision.Digest) {
+	for i := range changes {
+		c := &changes[i]
+		if !c.Removed && scope.Contains(c.Key, c.Placement) {
+			sum += revision.Hash(c.Key, c.Value)
+		}
+		if c.Before != nil && scope.Contains(c.Key, c.Before.Placement) {
+			sum -= revision.Hash(c.Key, c.Before.Value)
+		}
+	}
+	return sum
+}
+
+// step is the next step of a session from its cursor: through the newest revision, or as many commits as fit one step.
+func (e *encoder) step(cursor uint64, scope *scopeOf) (*step, error) {
+	key := stepKey{cursor, scope}
+	if p := e.steps[key]; p != nil && (p.head == e.log.Head() || p.through < p.head) && cursor >= e.log.Oldest() {
+		return p, nil
+	}
+	changes, err := e.log.Since(cursor)
+	if err != nil {
+		return nil, err
+	}
+	if e.faults.resumeOneTooLate && len(changes) > 0 {
+		changes = changes[endOfCommit(changes, 0):]
+	}
+	seen, taken := e.take(changes, scope.Scope)
+	through := e.log.Head()
+	if taken < len(changes) {
+		through = changes[taken-1].Revision
+	}
+	digest := e.state.Digest(scope.Scope) - digestOf(changes[taken:], scope.Scope)
+	p := &step{through: through, head: e.log.Head(), changes: len(seen)}
+	p.frames = encodeChanges(cursor, through, digest, seen)
+	p.bytes = sizeOf(p.frames)
+	if len(e.steps) >= maxSteps {
+		clear(e.steps)
+	}
+	e.steps[key] = p
+	return p, nil
+}
+
+// take selects whole commits whose changes, as the scope sees them and coalesced, fit one step, but at least one.
+func (e *encoder) take(changes []revision.Change, scope revision.Scope) (seen []revision.Change, taken int) {
+	bytes := 0
+	newest := map[string]int{} // what each key's newest change that may yet be dropped counts for
+	for taken < len(changes) {
+		end := endOfCommit(changes, taken)
+		visible := len(seen)
+		for _, c := range changes[taken:end] {
+			if c, within := scope.Project(c); within {
+				seen = append(seen, c)
+			}
+		}
+		for _, c := range seen[visible:] {
+			size := len(c.Key) + len(c.Value) + recordOverhead
+			bytes += size - newest[c.Key]
+			if newest[c.Key] = size; c.Binding {
+				newest[c.Key] = 0
+			}
+		}
+		if bytes > e.stepBytes && taken > 0 {
+			seen = seen[:visible]
+			break
+		}
+		taken = end
+	}
+	return e.faults.coalesce(seen), taken
+}
+
+// endOfCommit is the index after the last change of the commit that begins at an index.
+func endOfCommit(changes []revision.Change, first int) int {
+	end := first
+	for end < len(changes) && changes[end].Revision == changes[first].Revision {
+		end++
+	}
+	return end
+}
+
+// snapshot is the newest of a scope, or one made within the last second from which the log goes on.
+func (e *encoder) snapshot(now aspenshed.Nanos, scope *scopeOf) *snapshot {
+	kept := e.snapshotOf[scope]
+	if kept != nil && kept.revision >= e.log.Oldest() &&
+		(kept.revision == e.state.Revision() || now < kept.madeAt+snapshotReuse) {
+		return kept.snapshot
+	}
+	kept = &keptSnapshot{snapshot: encodeSnapshot(e.state, scope.Scope), madeAt: now}
+	e.snapshotOf[scope] = kept
+	return kept.snapshot
+}
+
+// snapshotBytes is how much a snapshot of the scope would be.
+func (e *encoder) snapshotBytes(now aspenshed.Nanos, scope *scopeOf) int {
+	return e.snapshot(now, scope).bytes
+}
--- /dev/null
+++ b/internal/controlplane/subscription/server.go
@@ -0,0 +1,290 @@
+package subscription
+
+import (
+	"cmp"
+	"errors"
+	"slices"
+
+	"aspenshed"
+	"aspenshed/internal/controlplane/admission"
+	catalogpb "aspenshed/internal/controlplane/catalog/catalogpb"
+	pb "aspenshed/internal/controlplane/controlpb"
+	"aspenshed/internal/controlplane/revision"
+	"aspenshed/internal/controlplane/rollout"
+)
+
+// scanInterval is how often all sessions are looked at for heartbeats and stalls at most, ns: a walk over 2,400 of them
+// takes well under 0.1 ms, ten times a second.
+const scanInterval = 100 * millisecond
+
+// bindingGap is the shortest time between two flushes for binding changes, ns: the first goes at once, and what follows
+// in a burst of commits goes fifty times a second rather than as a frame for each commit and subscriber.
+const bindingGap = 20 * millisecond
+
+// Server serves the state to subscribers. Its methods take note of what happened; what has to be done about it is told
+// by Step, which has to follow them.
+type Server struct {
+	config    ServerConfig
+	state     *revision.State
+	log       *revision.Log
+	encoder   *encoder
+	admission *admission.Bucket
+	tracker   *rollout.Tracker
+	random    random
+	faults    faults
+
+	sessions map[SessionID]*session
+	byName   map[string]*session // those that have subscribed
+	touched  []*session          // to be looked at in the next Step
+	out      []Output
+
+	urgent   bool            // binding changes wait
+	waiting  bool            // other changes wait
+	flushAt  aspenshed.Nanos // when these are due; never: not set yet
+	lastSend aspenshed.Nanos // the last flush
+	flushed  uint64          // the revision up to which sessions may be sent changes
+	scanned  aspenshed.Nanos
+	scanNext aspenshed.Nanos // the earliest heartbeat or stall
+	stopping bool
+}
+
+// NewServer has no state yet and is at revision 0.
+func NewServer(c ServerConfig) *Server {
+	c = c.withDefaults()
+	s := &Server{config: c, state: revision.NewState(), log: revision.NewLog(c.LogBytes),
+		admission: admission.NewBucket(c.SnapshotRate, c.SnapshotBurst), tracker: rollout.NewTracker(),
+		random: random{c.Seed}, sessions: map[SessionID]*session{}, byName: map[string]*session{},
+		flushAt: never, lastSend: -never, scanned: -never, scanNext: never}
+	s.encoder = newEncoder(s.state, s.log, c.WindowBytes, &s.faults)
+	return s
+}
+
+// Reset replaces the state, after a start or a snapshot of the replicated log. Sessions that are not at this revision
+// are closed by the next Step, as there is no way from theirs to it.
+func (s *Server) Reset(rev uint64, records []revision.Record) {
+	s.state.Reset(rev, records)
+	s.log.Reset(rev)
+	s.encoder.reset()
+	s.flushed = rev
+	s.waiting, s.urgent, s.flushAt = false, false, never
+	for _, x := range s.sessions {
+		s.touch(x)
+	}
+}
+
+// Commit takes one commit's changes; commits come in the order of their revisions.
+func (s *Server) Commit(rev uint64, changes []revision.Change) {
+	if rev <= s.log.Head() {
+		return
+	}
+	for i := range changes {
+		s.state.Apply(changes[i])
+		s.urgent = s.urgent || changes[i].Binding
+	}
+	s.state.Advance(rev)
+	s.log.Append(rev, changes)
+	s.waiting = s.waiting || len(changes) > 0
+}
+
+// Open takes a connection.
+func (s *Server) Open(now aspenshed.Nanos, id SessionID) {
+	x := &session{id: id, heartbeatAt: never, progress: now}
+	s.sessions[id] = x
+	s.touch(x)
+	switch {
+	case s.stopping:
+		s.close(x, pb.Closing_SHUTTING_DOWN, errStopping, 0)
+	case len(s.sessions) > s.config.MaxSessions:
+		s.close(x, pb.Closing_BUSY, errFull, s.spread(s.config.StallTimeout))
+	}
+}
+
+// Receive takes a frame of a session. Frames of one that has been closed are dropped.
+func (s *Server) Receive(now aspenshed.Nanos, id SessionID, f *pb.SubscriberFrame) {
+	x := s.sessions[id]
+	if x == nil {
+		return
+	}
+	s.touch(x)
+	if err := s.receive(now, x, f); err != nil {
+		s.closeBad(x, err)
+	}
+}
+
+func (s *Server) receive(now aspenshed.Nanos, x *session, f *pb.SubscriberFrame) error {
+	switch m := f.GetBody().(type) {
+	case *pb.SubscriberFrame_Subscribe:
+		return s.subscribe(now, x, m.Subscribe)
+	case *pb.SubscriberFrame_Ack:
+		return s.acknowledge(now, x, m.Ack)
+	case *pb.SubscriberFrame_Submit:
+		return s.submit(now, x, m.Submit)
+	}
+	return errUnknownKind
+}
+
+// BadFrame ends a session from which something came that is no frame.
+func (s *Server) BadFrame(_ aspenshed.Nanos, id SessionID, err error) {
+	if x := s.sessions[id]; x != nil {
+		s.closeBad(x, err)
+	}
+}
+
+// Disconnected forgets a session whose connection has ended.
+func (s *Server) Disconnected(id SessionID) {
+	if x := s.sessions[id]; x != nil {
+		s.forget(x)
+	}
+}
+
+// Submitted answers a session's Submit; an answer for one that has ended is dropped.
+func (s *Server) Submitted(now aspenshed.Nanos, id SessionID, r *pb.Submitted) {
+	x := s.sessions[id]
+	if x == nil || x.submissions == 0 {
+		return
+	}
+	x.submissions--
+	s.send(now, x, encodeBody(&pb.ServerFrame{Body: &pb.ServerFrame_Submitted{Submitted: r}}))
+	s.touch(x)
+}
+
+// Stop closes all sessions and those that come from now on.
+func (s *Server) Stop(aspenshed.Nanos) {
+	s.stopping = true
+	for _, id := range s.sessionIDs() {
+		s.close(s.sessions[id], pb.Closing_SHUTTING_DOWN, errStopping, 0)
+	}
+}
+
+// Step tells what is due, and when it has to be called again at the latest if nothing happens before.
+func (s *Server) Step(now aspenshed.Nanos) (out []Output, next aspenshed.Nanos) {
+	s.setFlush(now)
+	switch {
+	case now >= s.flushAt:
+		s.flushed, s.lastSend = s.log.Head(), now
+		s.urgent, s.waiting, s.flushAt = false, false, never
+		s.scan(now)
+	case now >= max(s.scanNext, s.scanned+scanInterval):
+		s.scan(now)
+	default:
+		s.serveTouched(now)
+	}
+	out, s.out = s.out, nil
+	return out, min(s.flushAt, max(s.scanNext, s.scanned+scanInterval))
+}
+
+// setFlush sets when waiting changes go out.
+func (s *Server) setFlush(now aspenshed.Nanos) {
+	if s.waiting && s.flushAt == never {
+		s.flushAt = now + s.config.Flush
+	}
+	if s.urgent {
+		s.flushAt = min(s.flushAt, max(now, s.lastSend+bindingGap))
+	}
+}
+
+// scan serves every session.
+func (s *Server) scan(now aspenshed.Nanos) {
+	s.clearTouched()
+	s.scanned, s.scanNext = now, never
+	for _, id := range s.sessionIDs() {
+		s.serve(now, s.sessions[id])
+	}
+}
+
+// sessionIDs is in order, so that equal histories give equal outputs.
+func (s *Server) sessionIDs() []SessionID {
+	ids := make([]SessionID, 0, len(s.sessions))
+	for id := range s.sessions {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	return ids
+}
+
+func (s *Server) serveTouched(now aspenshed.Nanos) {
+	slices.SortFunc(s.touched, func(a, b *session) int { return cmp.Compare(a.id, b.id) })
+	for _, x := range s.touched {
+		if x.touched && s.sessions[x.id] == x {
+			s.serve(now, x)
+		}
+	}
+	s.clearTouched()
+}
+
+func (s *Server) touch(x *session) {
+	if !x.touched {
+		x.touched = true
+		s.touched = append(s.touched, x)
+	}
+}
+
+func (s *Server) clearTouched() {
+	for _, x := range s.touched {
+		x.touched = false
+	}
+	clear(s.touched)
+	s.touched = s.touched[:0]
+}
+
+// Rollout is how far this server's subscribers are with a revision; 0 is the newest.
+func (s *Server) Rollout(rev uint64) *catalogpb.RolloutStatus {
+	if rev == 0 {
+		rev = s.log.Head()
+	}
+	return s.tracker.Status(rev)
+}
+
+// Subscribers lists the sessions that have subscribed, in the order of their names.
+func (s *Server) Subscribers() []SubscriberStatus {
+	out := make([]SubscriberStatus, 0, len(s.byName))
+	for _, x := range s.byName {
+		out = append(out, x.status())
+	}
+	slices.SortFunc(out, func(a, b SubscriberStatus) int { return cmp.Compare(a.Subscriber, b.Subscriber) })
+	return out
+}
+
+// closeBad ends a session for what it sent.
+func (s *Server) closeBad(x *session, err error) {
+	reason := pb.Closing_BAD_FRAME
+	if errors.Is(err, errCluster) {
+		reason = pb.Closing_WRONG_CLUSTER
+	}
+	s.close(x, reason, err, 0)
+}
+
+// close sends the reason as the session's last frame, and forgets the session.
+func (s *Server) close(x *session, reason pb.Closing_Reason, err error, retryAfter aspenshed.Nanos) {
+	x.sent++
+	closing := &pb.Closing{Reason: reason, Detail: err.Error(), RetryAfter: int64(retryAfter)}
+	frame := encodeBody(&pb.ServerFrame{Body: &pb.ServerFrame_Closing{Closing: closing}}).number(x.sent)
+	s.out = append(s.out, Output{Session: x.id, Frame: frame, Close: true, Log: closeLine(x, reason, err)})
+	s.forget(x)
+}
+
+// closeLine is what the operators hear of it: what the operation of the fleet brings along is no warning.
+func closeLine(x *session, reason pb.Closing_Reason, err error) *LogLine {
+	line := &LogLine{Level: Warn, Message: messageSessionClosed, Session: x.id, Subscriber: x.subscriber, Revision: x.cursor}
+	line.Err = &SubscriberError{Subscriber: x.subscriber, Session: x.id, Revision: x.cursor, Reason: reason, Err: err}
+	switch reason {
+	case pb.Closing_BUSY, pb.Closing_SHUTTING_DOWN, pb.Closing_FUTURE_REVISION:
+		line.Level = Info
+	case pb.Closing_BAD_FRAME, pb.Closing_WRONG_CLUSTER:
+		line.Message = messageBadSubscriber
+	}
+	return line
+}
+
+func (s *Server) forget(x *session) {
+	delete(s.sessions, x.id)
+	if x.subscriber != "" && s.byName[x.subscriber] == x {
+		delete(s.byName, x.subscriber)
+		s.tracker.Remove(x.subscriber)
+	}
+}
+
+// spread is between half of a span and all of it, at random.
+func (s *Server) spread(span aspenshed.Nanos) aspenshed.Nanos {
+	return span/2 + aspenshed.Nanos(s.random.next()*float64(span/2))
+}
