--- a/internal/controlplane/revision/record.go
+++ b/internal/controlplane/revision/record.go
@@ -78,11 +78,11 @@
 	return Digest(h.Sum64())
 }
 
-// hashOf is Hash of a value that is kept as a string.
-func hashOf(key, value string) Digest {
+// hashEntry is Hash of a packed record.
+func hashEntry(e entry) Digest {
 	h := xxhash.New()
-	_, _ = h.WriteString(key)
+	_, _ = h.Write(e.key)
 	_, _ = h.Write([]byte{0})
-	_, _ = h.WriteString(value)
+	_, _ = h.Write(e.value)
 	return Digest(h.Sum64())
 }
