--- a/internal/experiment/scale/baseline.go
+++ b/internal/experiment/scale/baseline.go
@@ -18,7 +18,6 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 	"aspenshed/internal/controlplane/mode"
 	"aspenshed/internal/controlplane/store"
-	"aspenshed/internal/daemon"
 	"aspenshed/internal/experiment/measure"
 )
 
@@ -88,15 +87,13 @@
 
 func startVoting(dir string, n int, quick bool) (v *votingInstances, err error) {
 	v = &votingInstances{}
+	addresses, err := freeAddresses(2 * n)
+	if err != nil {
+		return v, err
+	}
 	var peers []store.Peer
 	for i := range n {
-		var addresses [2]string
-		for k := range addresses {
-			if addresses[k], err = daemon.FreeAddress(); err != nil {
-				return v, err
-			}
-		}
-		peers = append(peers, store.Peer{ID: fmt.Sprint("i", i), Address: addresses[0], Service: addresses[1]})
+		peers = append(peers, store.Peer{ID: fmt.Sprint("i", i), Address: addresses[2*i], Service: addresses[2*i+1]})
 	}
 	for i, p := range peers {
 		c := store.Config{Cluster: "baseline", ID: p.ID, Address: p.Address, Service: p.Service, Peers: peers, DataDir: filepath.Join(dir, p.ID), Quick: quick}
