--- /dev/null
+++ b/internal/controlplane/commandqueue/queue_test.go
@@ -0,0 +1,58 @@
+package commandqueue
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+)
+
+func set(key, value string) *pb.Command {
+	return &pb.Command{Body: &pb.Command_Set{Set: &pb.Set{Key: key, Value: []byte(value)}}}
+}
+
+// A queue that nobody empties turns away what it cannot hold, says of the rest that nothing was done, and keeps only
+// the newest of what is offered under one key.
+func TestAStoreSlowerThanItsTraffic(t *testing.T) {
+	block, end := make(chan struct{}), make(chan struct{})
+	var got []*pb.Batch
+	q := New("o", func(b *pb.Batch) ([]*pb.Result, bool, error) {
+		<-block
+		got = append(got, b)
+		return make([]*pb.Result, len(b.Commands)), false, nil
+	}, end)
+	done := make(chan struct{})
+	errs := make(chan error, 2*maxSubmitted)
+	for i := range 2 * maxSubmitted {
+		go func() {
+			_, err := q.Submit(set(fmt.Sprint(i), ""), 20*time.Millisecond)
+			errs <- err
+		}()
+	}
+	busy := 0
+	for range 2 * maxSubmitted {
+		if err := <-errs; errors.Is(err, ErrBusy) {
+			busy++
+		} else if !errors.Is(err, ErrUnavailable) {
+			t.Errorf("nobody took it up: %v", err)
+		}
+	}
+	if q.Waiting() != 0 {
+		t.Errorf("%d are still held", q.Waiting())
+	}
+	for i := range 100 {
+		q.Offer("same", set("k", fmt.Sprint(i)))
+	}
+	go func() { q.Run(); close(done) }()
+	close(block)
+	for q.Waiting() > 0 {
+		time.Sleep(time.Millisecond)
+	}
+	close(end)
+	<-done
+	if len(got) != 1 || len(got[0].Commands) != 1 || string(got[0].Commands[0].GetSet().Value) != "99" {
+		t.Errorf("carried: %v (%d turned away)", got, busy)
+	}
+}
--- a/internal/controlplane/imports_test.go
+++ b/internal/controlplane/imports_test.go
@@ -38,7 +38,7 @@
 
 // ioPackages are the packages below this one that connect the state machines to disk, network and goroutines. All
 // others are state machines.
-var ioPackages = []string{"store", "agent"}
+var ioPackages = []string{"store", "agent", "stream", "subscriber", "commandqueue"}
 
 // doesIO reports whether a path below the control plane lies in one of the I/O packages.
 func doesIO(path string) bool {
--- a/internal/controlplane/store/config.go
+++ b/internal/controlplane/store/config.go
@@ -12,15 +12,16 @@
 	"github.com/hashicorp/raft"
 	"github.com/sirupsen/logrus"
 
+	"aspenshed/internal/controlplane/commandqueue"
 	"aspenshed/internal/dataplane/eventloop"
 )
 
 // The errors that callers tell apart. Only after ErrUnknown may a command have been carried out.
 var (
-	ErrBusy        = errors.New("store: too many commands wait")
-	ErrUnavailable = errors.New("store: no leader could be reached; nothing was done")
-	ErrUnknown     = errors.New("store: no answer in time; it may have been done")
-	ErrClosed      = errors.New("store: closed")
+	ErrBusy        = commandqueue.ErrBusy
+	ErrUnavailable = commandqueue.ErrUnavailable
+	ErrUnknown     = commandqueue.ErrUnknown
+	ErrClosed      = commandqueue.ErrClosed
 	ErrAlone       = errors.New("store: this instance is the only one, in memory")
 )
 
--- a/internal/controlplane/store/faults_test.go
+++ b/internal/controlplane/store/faults_test.go
@@ -363,50 +363,6 @@
 	}
 }
 
-// A queue that nobody empties turns away what it cannot hold, says of the rest that nothing was done, and keeps only
-// the newest of what is offered under one key.
-func TestAStoreSlowerThanItsTraffic(t *testing.T) {
-	block, ctx := make(chan struct{}), make(chan struct{})
-	var got []*pb.Batch
-	q := newQueue("o", func(b *pb.Batch) ([]*pb.Result, bool, error) {
-		<-block
-		got = append(got, b)
-		return make([]*pb.Result, len(b.Commands)), false, nil
-	}, ctx)
-	done := make(chan struct{})
-	errs := make(chan error, 2*mostWaiting)
-	for i := range 2 * mostWaiting {
-		go func() {
-			_, err := q.submit(set(fmt.Sprint(i), ""), 20*time.Millisecond)
-			errs <- err
-		}()
-	}
-	busy := 0
-	for range 2 * mostWaiting {
-		if err := <-errs; errors.Is(err, ErrBusy) {
-			busy++
-		} else if !errors.Is(err, ErrUnavailable) {
-			t.Errorf("nobody took it up: %v", err)
-		}
-	}
-	if q.waiting() != 0 {
-		t.Errorf("%d are still held", q.waiting())
-	}
-	for i := range 100 {
-		q.offer("same", set("k", fmt.Sprint(i)))
-	}
-	go func() { q.run(); close(done) }()
-	close(block)
-	for q.waiting() > 0 {
-		time.Sleep(time.Millisecond)
-	}
-	close(ctx)
-	<-done
-	if len(got) != 1 || len(got[0].Commands) != 1 || string(got[0].Commands[0].GetSet().Value) != "99" {
-		t.Errorf("carried: %v (%d turned away)", got, busy)
-	}
-}
-
 // store is an instance's, or nil while it is down.
 func (c *cluster) store(id string) *Store {
 	c.mu.Lock()
--- a/internal/controlplane/store/lead.go
+++ b/internal/controlplane/store/lead.go
@@ -12,13 +12,12 @@
 
 	"aspenshed/internal/controlplane/catalog"
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/commandqueue"
 	"aspenshed/internal/controlplane/membership"
 )
 
 const mostDoors = 8 // services named by hand to join through; the oldest goes
 
-func kindOf(c *pb.Command) uint32 { return catalog.Kind(c) }
-
 // rules are those that a new cluster begins with; nil: they are none.
 func (c Config) rules() *pb.Rules {
 	r := catalog.DefaultRules()
@@ -143,8 +142,8 @@
 }
 
 func (s *Store) submitHere(r *raft.Raft, b *pb.Batch) *pb.Reply {
-	if len(b.GetCommands()) == 0 || len(b.Commands) > batchMost {
-		return &pb.Reply{Refused: fmt.Sprintf("a batch has 1 to %d commands", batchMost)}
+	if len(b.GetCommands()) == 0 || len(b.Commands) > commandqueue.MaxBatch {
+		return &pb.Reply{Refused: fmt.Sprintf("a batch has 1 to %d commands", commandqueue.MaxBatch)}
 	}
 	s.stamp(b)
 	data, err := proto.Marshal(b)
--- a/internal/controlplane/store/service.go
+++ b/internal/controlplane/store/service.go
@@ -1,7 +1,6 @@
 package store
 
 import (
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"sync"
@@ -11,12 +10,12 @@
 
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 	"aspenshed/internal/netio"
+	"aspenshed/internal/protocol/frame"
 )
 
 const (
-	mostFrame  = 4 << 20 // bytes of one call or reply; a longer one closes its connection
-	mostServed = 64      // calls that are served at once; further ones are told to come again
-	mostPeers  = 1100    // connections in, and out: of every instance that may exist, and of commands
+	mostServed = 64   // calls that are served at once; further ones are told to come again
+	mostPeers  = 1100 // connections in, and out: of every instance that may exist, and of commands
 	dialLimit  = time.Second
 )
 
@@ -53,46 +52,11 @@
 	return nil
 }
 
-// frames cuts a stream into messages.
-type frames struct{ buf []byte }
-
-var errFrame = errors.New("a frame of no valid length")
-
-func (f *frames) feed(b []byte, each func([]byte) error) error {
-	f.buf = append(f.buf, b...)
-	for len(f.buf) >= 4 {
-		n := int(binary.BigEndian.Uint32(f.buf))
-		if n > mostFrame {
-			return errFrame
-		}
-		if len(f.buf) < 4+n {
-			return nil
-		}
-		if err := each(f.buf[4 : 4+n]); err != nil {
-			return err
-		}
-		f.buf = f.buf[4+n:]
-	}
-	if len(f.buf) == 0 {
-		f.buf = nil
-	}
-	return nil
-}
-
-func frame(m proto.Message) ([]byte, error) {
-	b, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, 4), m)
-	if err != nil || len(b)-4 > mostFrame {
-		return nil, errors.Join(errFrame, err)
-	}
-	binary.BigEndian.PutUint32(b, uint32(len(b)-4))
-	return b, nil
-}
-
 // incoming is a connection of another instance.
 type incoming struct {
 	v  *service
 	c  *netio.Conn
-	in frames
+	in frame.Reader
 }
 
 func (i *incoming) Up() {}
@@ -100,7 +64,7 @@
 func (i *incoming) Closed(error) {}
 
 func (i *incoming) Data(b []byte) {
-	err := i.in.feed(b, func(m []byte) error {
+	err := i.in.Feed(b, func(m []byte) error {
 		c := &pb.Call{}
 		if err := proto.Unmarshal(m, c); err != nil {
 			return err
@@ -125,7 +89,7 @@
 
 func (i *incoming) reply(id uint64, r *pb.Reply) {
 	r.Id = id
-	if b, err := frame(r); err == nil {
+	if b, err := frame.Append(nil, r); err == nil {
 		_ = i.c.Write(b) // a connection that broke: its caller asks again
 	}
 }
@@ -135,7 +99,7 @@
 	v    *service
 	addr string
 	c    *netio.Conn
-	in   frames
+	in   frame.Reader
 	up   chan struct{}
 
 	mu    sync.Mutex
@@ -146,7 +110,7 @@
 func (o *outgoing) Up() { close(o.up) }
 
 func (o *outgoing) Data(b []byte) {
-	err := o.in.feed(b, func(m []byte) error {
+	err := o.in.Feed(b, func(m []byte) error {
 		r := &pb.Reply{}
 		if err := proto.Unmarshal(m, r); err != nil {
 			return err
@@ -236,7 +200,7 @@
 		return nil, ErrUnavailable
 	}
 	c.Id = id
-	b, err := frame(c)
+	b, err := frame.Append(nil, c)
 	if err != nil {
 		return nil, errors.Join(ErrUnavailable, err)
 	}
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -20,6 +20,7 @@
 
 	"aspenshed/internal/controlplane/catalog"
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/commandqueue"
 	"aspenshed/internal/controlplane/lease"
 	"aspenshed/internal/controlplane/membership"
 	"aspenshed/internal/controlplane/mode"
@@ -39,7 +40,7 @@
 	log  *logrus.Entry
 	boot string
 	m    *machine
-	q    *queue
+	q    *commandqueue.Queue
 
 	raft   atomic.Pointer[raft.Raft] // nil: alone, or not yet part of a cluster
 	disk   *disk
@@ -90,7 +91,7 @@
 	s.m = &machine{cat: catalog.New(c.Cluster), cluster: c.Cluster, changed: c.Changed, later: func(what string) {
 		s.log.WithField("reason", what).Warn("store keeps a command of a later release")
 	}}
-	s.q = newQueue(s.origin(), s.carry, s.ctx)
+	s.q = commandqueue.New(s.origin(), s.carry, s.ctx)
 	if c.Address != "" {
 		if err := s.openReplica(); err != nil {
 			return nil, errors.Join(err, s.Close())
@@ -98,7 +99,7 @@
 	} else {
 		s.mode = mode.Alone
 	}
-	s.spawn(s.q.run)
+	s.spawn(s.q.Run)
 	s.spawn(s.ticks)
 	return s, nil
 }
@@ -237,14 +238,14 @@
 		fresh, rules = c.Index() > 0 && !c.RulesSet(), c.Rules()
 	})
 	for _, c := range s.grants.Step(now, seen.Leads || seen.Alone, s.cold, rules) {
-		s.q.offer(fmt.Sprint("grant ", c), c)
+		s.q.Offer(fmt.Sprint("grant ", c), c)
 	}
 	if r := s.cfg.rules(); fresh && seen.Leads && r != nil {
-		s.q.offer("rules", &pb.Command{Body: &pb.Command_SetRules{SetRules: &pb.SetRules{Rules: r}}})
+		s.q.Offer("rules", &pb.Command{Body: &pb.Command_SetRules{SetRules: &pb.SetRules{Rules: r}}})
 	}
 	if m != mode.Alone && m != mode.CutOff && (now >= s.lastBeat+beatEvery || changed) {
 		s.lastBeat = now
-		s.q.offer("beat", &pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: s.cfg.ID, Boot: s.boot,
+		s.q.Offer("beat", &pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: s.cfg.ID, Boot: s.boot,
 			Service: s.cfg.Service, Release: s.cfg.Release, Mode: m.String()}}})
 	}
 }
@@ -289,7 +290,7 @@
 	}
 	end := time.Now().Add(limit)
 	index := uint64(0)
-	for wait := firstWait; ; wait = min(2*wait, lastWait) {
+	for wait := commandqueue.MinRetryDelay; ; wait = min(2*wait, commandqueue.MaxRetryDelay) {
 		r, err := s.askLeader(&pb.Call{Body: &pb.Call_ReadIndex{ReadIndex: &pb.ReadIndex{}}}, time.Until(end))
 		if err == nil && r.Refused == "" {
 			index = r.Index
@@ -332,11 +333,11 @@
 
 // Submit has a command carried out, from whichever instance, and waits for its result.
 func (s *Store) Submit(c *pb.Command, limit time.Duration) (*pb.Result, error) {
-	return s.q.submit(c, limit)
+	return s.q.Submit(c, limit)
 }
 
 // Offer has a command carried out some time; a later one with the same key takes the place of one that still waits.
-func (s *Store) Offer(key string, c *pb.Command) { s.q.offer(key, c) }
+func (s *Store) Offer(key string, c *pb.Command) { s.q.Offer(key, c) }
 
 // Mode is the instance's mode as last decided.
 func (s *Store) Mode() mode.Mode {
@@ -382,7 +383,7 @@
 
 // Status tells how this instance stands.
 func (s *Store) Status() Status {
-	out := Status{Cluster: s.cfg.Cluster, ID: s.cfg.ID, Mode: s.Mode().String(), Waiting: s.q.waiting()}
+	out := Status{Cluster: s.cfg.Cluster, ID: s.cfg.ID, Mode: s.Mode().String(), Waiting: s.q.Waiting()}
 	known := map[string]*pb.Instance{}
 	s.Read(func(c *catalog.Catalog) {
 		d, _ := c.Digest()
