--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -19,7 +19,6 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 	"aspenshed/internal/controlplane/lease"
 	"aspenshed/internal/controlplane/roster"
-	"aspenshed/internal/controlplane/store"
 	"aspenshed/internal/dataplane/eventloop"
 )
 
@@ -37,15 +36,29 @@
 	Learned() (aspenshed.Learned, bool)
 }
 
+// Store is what an agent needs of the control plane: an instance's own replica, or a subscriber's copy.
+type Store interface {
+	ID() string
+	Boot() string
+	Read(func(*catalog.Catalog))
+	ReadLatest(limit time.Duration, f func(*catalog.Catalog)) error
+	Offer(key string, c *pb.Command)
+	Submit(c *pb.Command, limit time.Duration) (*pb.Result, error)
+}
+
 // Config is what an agent is made of.
 type Config struct {
-	Store    *store.Store
+	Store    Store
 	Loop     *eventloop.Loop
 	Log      *logrus.Entry
 	Pipeline Pipeline
 	Wire     string // of the catalog's members only these are the pipeline's
 	Classes  []aspenshed.Class
 	Lease    aspenshed.Nanos // 0: no leases are asked for
+	// KeepLearned keeps learned rates and times to this instance: a subscriber's are of no use to the others one by one.
+	KeepLearned bool
+	// InForce hears, on the loop, of each revision that the pipeline has come to go by; nil: nobody does.
+	InForce func(rev uint64)
 }
 
 // Agent is one pipeline's.
@@ -69,6 +82,7 @@
 	shares   map[string]aspenshed.ColdShare // as told
 	saidAt   map[string]aspenshed.Nanos
 	learntAt aspenshed.Nanos
+	posted   uint64 // the revision that the loop has last been told of
 }
 
 // Start begins; own is the instance's own list, as far as it has one.
@@ -144,7 +158,9 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	news := a.ownNew
+	var rev uint64
 	a.cfg.Store.Read(func(c *catalog.Catalog) {
+		rev = c.Index()
 		m, l, s := c.Versions()
 		was := a.seen
 		a.seen = [3]uint64{m, l, s}
@@ -180,6 +196,7 @@
 		}
 	}
 	a.tellShares(now, news)
+	a.tellInForce(rev)
 	a.sayDrains(now)
 	if now >= a.learntAt+learnEvery {
 		a.learntAt = now
@@ -187,6 +204,15 @@
 	}
 }
 
+// tellInForce follows what was posted to the loop for a revision.
+func (a *Agent) tellInForce(rev uint64) {
+	if a.cfg.InForce == nil || rev == a.posted {
+		return
+	}
+	a.posted = rev
+	a.cfg.Loop.Post(func() { a.cfg.InForce(rev) })
+}
+
 // want is the work a second that this instance sees in a group.
 func (a *Agent) want(group int32) float64 {
 	for _, g := range a.learned.Groups {
@@ -275,41 +301,6 @@
 	maps.DeleteFunc(a.saidAt, func(id string, _ aspenshed.Nanos) bool { _, still := unsaid[id]; return !still })
 }
 
-// learn has the loop tell what the Router knows, and passes on what the store has not heard.
-func (a *Agent) learn() {
-	a.cfg.Loop.Post(func() {
-		l, ok := a.cfg.Pipeline.Learned()
-		if !ok {
-			return
-		}
-		go a.Learn(l) // the loop must not wait for the store's lock
-	})
-}
-
-// Learn takes what the Router knows.
-func (a *Agent) Learn(l aspenshed.Learned) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.learned = l
-	x := &pb.Learn{Instance: a.cfg.Store.ID(), Wire: a.cfg.Wire}
-	for _, g := range l.Groups {
-		x.Groups = append(x.Groups, &pb.GroupWord{Group: int32(g.Group), Primary: g.Primary, PrimaryAt: int64(g.PrimaryAt), WarmRate: g.Warm})
-	}
-	for i, t := range l.Typical {
-		if i < len(a.cfg.Classes) {
-			x.Classes = append(x.Classes, &pb.ClassWord{Name: a.cfg.Classes[i].Name, Typical: int64(t)})
-		}
-	}
-	a.cfg.Store.Offer("learn "+a.cfg.Wire, &pb.Command{Body: &pb.Command_Learn{Learn: x}})
-	a.cfg.Store.Read(func(c *catalog.Catalog) {
-		for _, b := range l.Back { // another may have told of that start already
-			if m := c.Member(b.Member); m != nil && m.Start < int64(b.Gone) {
-				a.cfg.Store.Offer("start "+b.Member, &pb.Command{Body: &pb.Command_Start{Start: &pb.Start{Member: b.Member, Start: int64(b.Seen)}}})
-			}
-		}
-	})
-}
-
 // mine are the members that speak the pipeline's wire.
 func (a *Agent) mine(all []*pb.Member) []*pb.Member {
 	return slices.DeleteFunc(all, func(m *pb.Member) bool { return m.Entry.Wire != a.cfg.Wire })
--- a/internal/controlplane/catalog/primaries.go
+++ b/internal/controlplane/catalog/primaries.go
@@ -39,6 +39,9 @@
 	return &pb.Result{}
 }
 
+// Primary is the newest report of a group, nil if there is none. It must not be changed.
+func (c *Catalog) Primary(group Group) *pb.Primary { return c.primaries[group.String()] }
+
 // isRefresh reports whether a report says what is known and is hardly newer.
 func isRefresh(known *pb.Primary, r *pb.ReportPrimary) bool {
 	return known != nil && known.Member == r.Member && r.At <= known.At+primaryRefresh
--- /dev/null
+++ b/internal/controlplane/subscriber/apply.go
@@ -0,0 +1,117 @@
+package subscriber
+
+import (
+	"fmt"
+
+	"google.golang.org/protobuf/proto"
+
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/controlpb"
+	"aspenshed/internal/controlplane/revision"
+	"aspenshed/internal/controlplane/stream"
+)
+
+// maxRefusals is the number of refused changes of one update that are told; further ones are counted in the last.
+const maxRefusals = 64
+
+const messageRefused = "control state: a change is refused, what was held stays"
+
+// apply takes an update over. What can't be taken is refused with its reason, and the rest still counts.
+func (s *Subscriber) apply(u stream.Update) {
+	var refused []*controlpb.RefusedChange
+	s.mu.Lock()
+	if u.Whole {
+		refused = s.replaceAll(u)
+	} else {
+		refused = s.applyChanges(u.Changes)
+	}
+	s.catalog.SetIndex(u.Revision)
+	s.mu.Unlock()
+	s.tellRefused(u.Revision, refused)
+	if rev, advanced := s.inForce.held(u.Revision); advanced {
+		s.client.InForce(rev, nil)
+	}
+	s.config.Changed()
+}
+
+func (s *Subscriber) applyChanges(changes []revision.Change) (refused []*controlpb.RefusedChange) {
+	for i := range changes {
+		if err := s.applyChange(&changes[i]); err != nil {
+			refused = append(refused, &controlpb.RefusedChange{Revision: changes[i].Revision, Key: changes[i].Key, Reason: err.Error()})
+		}
+	}
+	return refused
+}
+
+func (s *Subscriber) applyChange(c *revision.Change) error {
+	if c.Removed {
+		return s.catalog.RemoveRecord(c.Key)
+	}
+	if err := s.check(c.Record); err != nil {
+		return err
+	}
+	return s.catalog.SetRecord(c.Record)
+}
+
+// replaceAll takes over every record that is good; the configuration that is held stays if the new one is not.
+func (s *Subscriber) replaceAll(u stream.Update) (refused []*controlpb.RefusedChange) {
+	config := s.catalog.Config()
+	scratch := catalog.New(s.config.Cluster)
+	var good []revision.Record
+	for r := range u.State.Records(revision.Scope{}) {
+		err := s.check(r)
+		if err == nil {
+			err = scratch.SetRecord(r)
+		}
+		if err == nil {
+			good = append(good, r)
+			continue
+		}
+		refused = append(refused, &controlpb.RefusedChange{Revision: u.Revision, Key: r.Key, Reason: err.Error()})
+		if r.Key == revision.ConfigKey && config != nil {
+			good = append(good, configRecord(config))
+		}
+	}
+	if err := s.catalog.ResetRecords(u.Revision, good); err != nil {
+		refused = append(refused, &controlpb.RefusedChange{Revision: u.Revision, Reason: err.Error()})
+	}
+	return refused
+}
+
+// configRecord is the record that a configuration came from.
+func configRecord(v *pb.ConfigVersion) revision.Record {
+	b, err := proto.Marshal(v)
+	if err != nil { // it was read from such bytes
+		return revision.Record{Key: revision.ConfigKey}
+	}
+	return revision.Record{Key: revision.ConfigKey, Value: b}
+}
+
+// check says what this gateway has against a record, beside what the catalog itself finds.
+func (s *Subscriber) check(r revision.Record) error {
+	if r.Key != revision.ConfigKey || s.config.Check == nil {
+		return nil
+	}
+	version := &pb.ConfigVersion{}
+	if err := proto.Unmarshal(r.Value, version); err != nil {
+		return fmt.Errorf("configuration: %w", err)
+	}
+	return s.config.Check(version)
+}
+
+// tellRefused logs the first refusal of an update and sends all of them back.
+func (s *Subscriber) tellRefused(rev uint64, refused []*controlpb.RefusedChange) {
+	if len(refused) == 0 {
+		return
+	}
+	if s.config.Log != nil {
+		s.config.Log.WithField("revision", rev).WithField("key", refused[0].Key).WithField("reason", refused[0].Reason).
+			WithField("refused", len(refused)).Warn(messageRefused)
+	}
+	if over := len(refused) - maxRefusals; over > 0 {
+		refused = refused[:maxRefusals]
+		refused[maxRefusals-1].Reason += fmt.Sprintf(" (and %d more)", over)
+	}
+	s.client.InForce(0, refused)
+}
--- /dev/null
+++ b/internal/controlplane/subscriber/subscriber_test.go
@@ -0,0 +1,292 @@
+package subscriber
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	logtest "github.com/sirupsen/logrus/hooks/test"
+	"google.golang.org/protobuf/proto"
+
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/commandqueue"
+	"aspenshed/internal/controlplane/revision"
+	"aspenshed/internal/controlplane/stream"
+)
+
+// testLimit ends a test that waits in vain.
+const testLimit = 20 * time.Second
+
+// voter is a catalog with a control stream, as a voter has them.
+type voter struct {
+	t       *testing.T
+	server  *stream.Server
+	catalog *catalog.Catalog
+	batches chan *pb.Batch
+}
+
+func newVoter(t *testing.T, listen string) *voter {
+	t.Helper()
+	v := &voter{t: t, catalog: catalog.New("test"), batches: make(chan *pb.Batch, 64)}
+	var err error
+	v.server, err = stream.NewServer(stream.ServerConfig{Listen: listen, Cluster: "test", Carry: func(b *pb.Batch) *pb.Reply {
+		v.batches <- b
+		return &pb.Reply{Results: make([]*pb.Result, len(b.Commands))}
+	}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(v.server.Stop)
+	return v
+}
+
+// commit carries commands out as the next entry and returns its revision.
+func (v *voter) commit(commands ...*pb.Command) uint64 {
+	v.t.Helper()
+	rev := v.catalog.Index() + 1
+	for i, c := range commands {
+		c.Origin, c.Seq, c.Kind, c.At = "voter", 100*rev+uint64(i), catalog.Kind(c), time.Now().UnixNano()
+	}
+	for _, r := range v.catalog.Apply(rev, &pb.Batch{Commands: commands}) {
+		if r.Refused != "" {
+			v.t.Fatal(r.Refused)
+		}
+	}
+	v.server.Publish(rev, v.catalog.TakeChanges())
+	return rev
+}
+
+func open(t *testing.T, change func(*Config), servers ...string) (*Subscriber, *logtest.Hook) {
+	t.Helper()
+	log, hook := logtest.NewNullLogger()
+	c := Config{Cluster: "test", ID: "gw1", Servers: servers, Seed: 1, Log: logrus.NewEntry(log)}
+	if change != nil {
+		change(&c)
+	}
+	s, err := Open(c)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(s.Close)
+	return s, hook
+}
+
+// eventually looks again and again until something holds.
+func eventually(t *testing.T, what string, holds func() bool) {
+	t.Helper()
+	for end := time.Now().Add(testLimit); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("not within %v: %s", testLimit, what)
+		}
+	}
+}
+
+func (s *Subscriber) revision() (rev uint64) {
+	s.Read(func(c *catalog.Catalog) { rev = c.Index() })
+	return rev
+}
+
+func at(t *testing.T, s *Subscriber, rev uint64) {
+	t.Helper()
+	eventually(t, fmt.Sprint("revision ", rev), func() bool { return s.revision() >= rev })
+}
+
+func member(id, site string, group int32) *pb.Entry {
+	return &pb.Entry{Id: id, Address: id + ":3306", Site: site, Group: group, Wire: "mysql", Kind: "replica", State: "in_service"}
+}
+
+func upsert(entries ...*pb.Entry) *pb.Command {
+	return &pb.Command{Body: &pb.Command_UpsertMembers{UpsertMembers: &pb.UpsertMembers{Members: entries, Author: "test"}}}
+}
+
+func drain(id string, start int64) *pb.Command {
+	return &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: id, Start: start, Reason: "test"}}}
+}
+
+func config(base uint64, text string) *pb.Command {
+	return &pb.Command{Body: &pb.Command_PutConfig{PutConfig: &pb.PutConfig{Base: base, Text: text, Author: "test"}}}
+}
+
+// ids are those of the members that are held, and which of them drain.
+func ids(s *Subscriber) (out string) {
+	s.Read(func(c *catalog.Catalog) {
+		for _, m := range c.Members() {
+			out += m.Entry.Id
+			if m.DrainedAt != 0 {
+				out += "-"
+			}
+		}
+	})
+	return out
+}
+
+func TestTheCatalogFollowsTheVoter(t *testing.T) {
+	v := newVoter(t, "127.0.0.1:0")
+	first := v.commit(upsert(member("a", "z1", 1), member("b", "z2", 2)))
+	s, _ := open(t, nil, v.server.Addr())
+	at(t, s, first)
+	if got := ids(s); got != "ab" {
+		t.Errorf("members %s", got)
+	}
+	var start int64
+	s.Read(func(c *catalog.Catalog) { start = c.Member("a").Start })
+	at(t, s, v.commit(drain("a", start)))
+	if got := ids(s); got != "a-b" {
+		t.Errorf("after the drain: %s", got)
+	}
+	remove := &pb.Command{Body: &pb.Command_RemoveMembers{RemoveMembers: &pb.RemoveMembers{Members: []string{"b"}}}}
+	at(t, s, v.commit(remove, upsert(member("c", "z1", 1))))
+	if got := ids(s); got != "a-c" {
+		t.Errorf("after the removal: %s", got)
+	}
+}
+
+func TestScope(t *testing.T) {
+	v := newVoter(t, "127.0.0.1:0")
+	v.commit(upsert(member("a", "z1", 1), member("b", "z2", 2), member("c", "z3", 3)))
+	s, _ := open(t, func(c *Config) {
+		c.Scope = revision.Scope{Groups: []revision.Group{{Wire: "mysql", ID: 1}}, Sites: []string{"z3"}}
+	}, v.server.Addr())
+	at(t, s, v.commit(upsert(member("d", "z2", 2), member("e", "z1", 1))))
+	if got := ids(s); got != "ace" {
+		t.Errorf("members %s", got)
+	}
+}
+
+// What a gateway has seen goes up under its own origin; a repeat of a batch carries the same numbers.
+func TestCommandsGoUp(t *testing.T) {
+	v := newVoter(t, "127.0.0.1:0")
+	rev := v.commit(upsert(member("a", "z1", 1)))
+	s, _ := open(t, nil, v.server.Addr())
+	at(t, s, rev)
+	if _, err := s.Submit(drain("a", 1), testLimit); err != nil {
+		t.Fatal(err)
+	}
+	b := <-v.batches
+	if c := b.Commands[0]; c.Origin != "gw1/"+s.Boot() || c.Seq == 0 || c.GetDrain().GetMember() != "a" {
+		t.Errorf("went up: %v", c)
+	}
+	if err := s.ReadLatest(testLimit, func(*catalog.Catalog) {}); !errors.Is(err, ErrNoVote) {
+		t.Errorf("a read of the latest: %v", err)
+	}
+}
+
+// Without a server a command is not carried out, and what is held stays; a server that comes back serves both.
+func TestTheServerIsGoneForAWhile(t *testing.T) {
+	v := newVoter(t, "127.0.0.1:0")
+	rev := v.commit(upsert(member("a", "z1", 1)))
+	s, hook := open(t, nil, v.server.Addr())
+	at(t, s, rev)
+	v.server.Stop()
+	eventually(t, "the loss", func() bool { return !s.Stats().Subscribed })
+	if _, err := s.Submit(drain("a", 1), 50*time.Millisecond); !errors.Is(err, commandqueue.ErrUnavailable) && !errors.Is(err, commandqueue.ErrUnknown) {
+		t.Errorf("without a server: %v", err)
+	}
+	if got := ids(s); got != "a" {
+		t.Errorf("without a server it holds %q", got)
+	}
+	again := newVoter(t, v.server.Addr())
+	again.catalog = v.catalog
+	again.server.Reset(v.catalog.Index(), v.catalog.Records())
+	at(t, s, again.commit(upsert(member("b", "z1", 1))))
+	if got := ids(s); got != "ab" {
+		t.Errorf("after its return: %q", got)
+	}
+	lines := map[string]int{}
+	for _, e := range hook.AllEntries() {
+		lines[e.Message]++
+	}
+	if lines["control stream lost"] != 1 || lines["control stream established"] != 1 {
+		t.Errorf("logged %v", lines)
+	}
+}
+
+// A configuration that this gateway can't read is refused: it keeps the last good one, the reason goes back, and other
+// changes count.
+func TestARefusedChangeGoesBackWithItsReason(t *testing.T) {
+	v := newVoter(t, "127.0.0.1:0")
+	check := func(c *Config) {
+		c.Check = func(v *pb.ConfigVersion) error {
+			if strings.HasPrefix(v.Text, "bad") {
+				return errors.New("line 1: no mapping")
+			}
+			return nil
+		}
+	}
+	s, hook := open(t, check, v.server.Addr())
+	at(t, s, v.commit(config(0, "good")))
+	rev := v.commit(config(1, "bad"), upsert(member("a", "z1", 1)))
+	at(t, s, rev)
+	text := func(s *Subscriber) (text string) {
+		s.Read(func(c *catalog.Catalog) { text = c.Config().GetText() })
+		return text
+	}
+	if text(s) != "good" || ids(s) != "a" {
+		t.Errorf("configuration %q, members %s", text(s), ids(s))
+	}
+	eventually(t, "the reason at the voter", func() bool {
+		r := v.server.Rollout(rev).GetRefusals()
+		return len(r) == 1 && r[0].Subscriber == "gw1" && r[0].Key == "config" && strings.Contains(r[0].Reason, "no mapping")
+	})
+	if got := hook.LastEntry(); got == nil || got.Message != messageRefused {
+		t.Errorf("logged %v", got)
+	}
+	other := newVoter(t, "127.0.0.1:0") // its snapshots hold the bad one alone
+	other.server.Reset(rev, v.catalog.Records())
+	late, _ := open(t, func(c *Config) { check(c); c.ID = "gw2" }, other.server.Addr())
+	at(t, late, rev)
+	if text(late) != "" || ids(late) != "a" {
+		t.Errorf("after a snapshot: configuration %q, members %s", text(late), ids(late))
+	}
+}
+
+// A revision is in force once every pipeline goes by it.
+func TestInForceOnceAllPipelinesHaveIt(t *testing.T) {
+	f := newInForce([]string{"mysql", "postgres"})
+	type step struct {
+		pipeline string
+		rev      uint64
+		told     uint64 // 0: nothing new
+	}
+	for _, x := range []step{{"mysql", 5, 0}, {"postgres", 4, 4}, {"postgres", 7, 5}, {"mysql", 6, 6}, {"mysql", 6, 0}, {"mysql", 9, 7}} {
+		rev, advanced := f.reported(x.pipeline, x.rev)
+		if advanced != (x.told != 0) || advanced && rev != x.told {
+			t.Errorf("%+v: revision %d, advanced %v", x, rev, advanced)
+		}
+	}
+	if _, advanced := f.held(100); advanced {
+		t.Error("in force without the pipelines")
+	}
+	if rev, advanced := newInForce(nil).held(3); rev != 3 || !advanced {
+		t.Error("without pipelines what is held is in force")
+	}
+}
+
+// A record of a kind that a later release adds is refused, and all others count.
+func TestARecordOfALaterRelease(t *testing.T) {
+	v := newVoter(t, "127.0.0.1:0")
+	v.commit(upsert(member("a", "z1", 1)))
+	records := append(v.catalog.Records(), revision.Record{Key: "weather/today", Value: []byte("rain")})
+	v.server.Reset(50, records)
+	s, _ := open(t, nil, v.server.Addr())
+	at(t, s, 50)
+	if got := ids(s); got != "a" {
+		t.Errorf("members %s", got)
+	}
+	good, err := proto.Marshal(&pb.Pair{Key: "k", Value: []byte("v"), Version: 1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	v.server.Publish(51, []revision.Change{{Revision: 51, Record: revision.Record{Key: "weather/today", Value: []byte("sun")}, Before: &records[len(records)-1]},
+		{Revision: 51, Record: revision.Record{Key: "pair/k", Value: good}}})
+	at(t, s, 51)
+	s.Read(func(c *catalog.Catalog) {
+		if string(c.Pair("k").GetValue()) != "v" {
+			t.Errorf("pair %v", c.Pair("k"))
+		}
+	})
+}
