--- a/cmd/aspenshed/experiment.go
+++ b/cmd/aspenshed/experiment.go
@@ -15,7 +15,7 @@
 func newExperiment(o *options) *cobra.Command {
 	c := &cobra.Command{Use: "experiment", Short: "Trials on loopback with stand-in databases", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return errors.New("cut, store or scale is expected") }}
-	c.AddCommand(newCut(o), newStoreBench(o), newScale(o))
+	c.AddCommand(newCut(o), newStoreBench(o), newScale(o), newHollow())
 	return c
 }
 
--- a/cmd/aspenshed/experiment_scale.go
+++ b/cmd/aspenshed/experiment_scale.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -18,31 +19,101 @@
 )
 
 func newScale(o *options) *cobra.Command {
-	baseline, out := false, ""
+	x := &scaleCommand{}
 	c := &cobra.Command{Use: "scale", Short: "Measure how the control plane grows with gateways, members and changes", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			logrus.SetLevel(logrus.ErrorLevel)
-			ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGTERM, os.Interrupt)
-			defer stop()
-			begin := time.Now()
-			progress := func(format string, a ...any) {
-				_, _ = fmt.Fprintf(c.ErrOrStderr(), "%6.1fs  %s\n", time.Since(begin).Seconds(), fmt.Sprintf(format, a...))
-			}
-			if !baseline {
-				return errors.New("--baseline is expected")
-			}
-			b := scale.DefaultBaseline()
-			b.Progress = progress
-			run, err := scale.Baseline(ctx, b)
-			run.Command = "aspenshed " + strings.Join(os.Args[1:], " ")
-			return errors.Join(err, showRun(c, o, run, out))
-		}}
+		RunE: func(c *cobra.Command, _ []string) error { return x.run(c, o) }}
 	f := c.Flags()
-	f.BoolVar(&baseline, "baseline", false, "measure the design in which every instance is a raft voter")
-	f.StringVar(&out, "out", "", "file that the result is written to as JSON, beside what --output shows")
+	f.BoolVar(&x.baseline, "baseline", false, "measure the design in which every instance is a raft voter")
+	f.BoolVar(&x.full, "full", false, "all sizes up to 2,400 gateways and 21,000 members, some ten minutes; else a short form")
+	f.StringVar(&x.out, "out", "", "file that the result is written to as JSON, beside what --output shows; COMMIT in it is replaced")
+	f.IntVar(&x.voters, "voters", 5, "processes that vote, 1 to 5")
+	f.IntVar(&x.gateways, "gateways", 2, "real gateways with clients, 0 to 3")
+	f.IntVar(&x.largest, "largest", 0, "of the numbers of hollow gateways, leave out those above this; 0: none")
+	f.Uint64Var(&x.seed, "seed", 1, "of all random choices")
 	return c
 }
 
+// newHollow is what the runner of a scale run starts: it takes orders on standard input.
+func newHollow() *cobra.Command {
+	return &cobra.Command{Use: "hollow", Short: "Run hollow gateways as the runner of a scale run orders, until standard input ends",
+		Args: cobra.NoArgs, Hidden: true, RunE: func(c *cobra.Command, _ []string) error {
+			logrus.SetLevel(logrus.ErrorLevel)
+			return new(scale.Worker).Serve(c.Context(), c.InOrStdin(), c.OutOrStdout())
+		}}
+}
+
+// scaleCommand is the command's flags.
+type scaleCommand struct {
+	baseline, full            bool
+	out                       string
+	voters, gateways, largest int
+	seed                      uint64
+}
+
+var errScaleFlags = errors.New("--voters is 1 to 5, --gateways 0 to 3")
+
+func (x *scaleCommand) run(c *cobra.Command, o *options) error {
+	if x.voters < 1 || x.voters > 5 || x.gateways < 0 || x.gateways > 3 {
+		return errScaleFlags
+	}
+	logrus.SetLevel(logrus.ErrorLevel)
+	ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGTERM, os.Interrupt)
+	defer stop()
+	begin := time.Now()
+	progress := func(format string, a ...any) {
+		_, _ = fmt.Fprintf(c.ErrOrStderr(), "%6.1fs  %s\n", time.Since(begin).Seconds(), fmt.Sprintf(format, a...))
+	}
+	run, err := x.measure(ctx, progress)
+	run.Command = x.commandLine()
+	if err != nil {
+		run.Notes = append(run.Notes, "the run ended early: "+err.Error())
+	}
+	err = errors.Join(err, showRun(c, o, run, strings.ReplaceAll(x.out, "COMMIT", run.Commit)))
+	if failed := scale.Failed(run); len(failed) > 0 {
+		err = errors.Join(err, fmt.Errorf("%d checks failed: %s", len(failed), strings.Join(failed, "; ")))
+	}
+	return err
+}
+
+// commandLine is what makes the same run, without where its result goes.
+func (x *scaleCommand) commandLine() string {
+	if x.baseline {
+		return "aspenshed experiment scale --baseline"
+	}
+	line := fmt.Sprintf("aspenshed experiment scale --voters %d --gateways %d --largest %d --seed %d", x.voters, x.gateways, x.largest, x.seed)
+	if x.full {
+		line += " --full"
+	}
+	return line
+}
+
+func (x *scaleCommand) measure(ctx context.Context, progress func(string, ...any)) (run measure.Run, err error) {
+	if x.baseline {
+		b := scale.DefaultBaseline()
+		b.Progress = progress
+		return scale.Baseline(ctx, b)
+	}
+	dir, err := os.MkdirTemp("", "scale-")
+	if err != nil {
+		return run, err
+	}
+	defer func() { err = errors.Join(err, os.RemoveAll(dir)) }()
+	program, err := os.Executable()
+	if err != nil {
+		return run, err
+	}
+	options := scale.ProcessOptions(scale.Command{Path: program}, dir)
+	options.Voters, options.RealGateways, options.Seed, options.Progress = x.voters, x.gateways, x.seed, progress
+	plan := scale.ShortPlan()
+	if x.full {
+		plan = scale.FullPlan()
+	} else {
+		options.PerWorker = plan.Gateways[0]
+	}
+	plan.Limit(x.largest)
+	return scale.Run(ctx, options, plan)
+}
+
 // showRun writes a run to its file and shows it.
 func showRun(c *cobra.Command, o *options, run measure.Run, out string) error {
 	encoded, err := json.MarshalIndent(run, "", " ")
--- /dev/null
+++ b/internal/experiment/scale/figures.go
@@ -0,0 +1,159 @@
+package scale
+
+import (
+	"fmt"
+	"math"
+	"time"
+
+	"aspenshed/internal/experiment/measure"
+)
+
+// The operators' bounds for the control side of one gateway.
+const (
+	BoundBytes  = 7000        // a second, both directions
+	BoundCores  = 0.021       // of a core
+	BoundMemory = 128_000_000 // bytes
+)
+
+// figures are what one steady window tells, by the name of the series that it goes into.
+type figures map[string]float64
+
+// quantity describes a series of a role.
+type quantity struct {
+	name, role, y, unit string
+}
+
+var quantities = []quantity{
+	{"gateway.bytes", RoleGateway, "control bytes of one gateway, both directions", "B/s"},
+	{"gateway.messages", RoleGateway, "control messages of one gateway, both directions", "1/s"},
+	{"gateway.cpu", RoleGateway, "processor time of one hollow gateway, less the empty process", "core"},
+	{"gateway.memory", RoleGateway, "memory of one hollow gateway, less the empty process", "B"},
+	{"gateway.real-cpu", RoleGateway, "processor time of a real gateway, data path under load included", "core"},
+	{"gateway.real-memory", RoleGateway, "memory of a real gateway, data path included", "B"},
+	{"gateway.in-force-p50", RoleGateway, "from commit to in force, median", "s"},
+	{"gateway.in-force-p99", RoleGateway, "from commit to in force, 99th percentile", "s"},
+	{"gateway.in-force-max", RoleGateway, "from commit to in force, slowest", "s"},
+	{"voter.cpu", RoleVoter, "processor time of all voters together", "core"},
+	{"voter.cpu-max", RoleVoter, "processor time of the busiest voter", "core"},
+	{"voter.memory-max", RoleVoter, "memory of the largest voter", "B"},
+	{"voter.bytes-out", RoleVoter, "bytes written by all voters together, sockets and log", "B/s"},
+	{"voter.writes", RoleVoter, "system calls that write, of all voters together", "1/s"},
+	{"voter.disk-bytes", RoleVoter, "bytes to disk of all voters together", "B/s"},
+	{"voter.log-entries", RoleVoter, "entries of the replicated log", "1/s"},
+}
+
+// figures of a window.
+func (r *runner) figures(w *windowResult) figures {
+	f := figures{"gateway.bytes": w.event.GatewayBytes, "gateway.messages": w.messages, "gateway.in-force-p50": w.event.InForce.P50,
+		"gateway.in-force-p99": w.event.InForce.P99, "gateway.in-force-max": w.event.InForce.Max, "voter.log-entries": w.logEntries}
+	f["gateway.cpu"], f["gateway.memory"] = r.hollowGateway(w)
+	for _, used := range w.gateways {
+		f["gateway.real-cpu"] += used.Cores / float64(len(w.gateways))
+		f["gateway.real-memory"] = max(f["gateway.real-memory"], used.Memory)
+	}
+	for _, used := range w.voters {
+		f["voter.cpu"] += used.Cores
+		f["voter.cpu-max"] = max(f["voter.cpu-max"], used.Cores)
+		f["voter.memory-max"] = max(f["voter.memory-max"], used.Memory)
+		f["voter.bytes-out"] += used.Written
+		f["voter.writes"] += used.Writes
+		f["voter.disk-bytes"] += used.ToDisk
+	}
+	return f
+}
+
+// hollowGateway is the processor time and memory of one hollow gateway: its worker's, less an empty worker's, by its count.
+func (r *runner) hollowGateway(w *windowResult) (cores, memory float64) {
+	gateways, workers := 0, 0
+	for _, u := range w.event.Roles {
+		if u.Role != RoleHollow || u.Hosts == 0 {
+			continue
+		}
+		cores += u.Cores
+		memory += u.Memory
+		gateways += u.Hosts
+		workers++
+	}
+	if gateways == 0 {
+		return 0, 0
+	}
+	memory -= float64(workers) * float64(r.empty.Memory)
+	return cores / float64(gateways), memory / float64(gateways)
+}
+
+// seriesPoints collects the figures of windows that differ in one thing.
+type seriesPoints struct {
+	xs   []float64
+	rows []figures
+}
+
+func (p *seriesPoints) add(x float64, f figures) {
+	p.xs = append(p.xs, x)
+	p.rows = append(p.rows, f)
+}
+
+// series are named QUANTITY-by-AXIS.
+func (p *seriesPoints) series(axis, x, unit, held string) (out []measure.Series) {
+	for _, q := range quantities {
+		var points []measure.Point
+		for i, row := range p.rows {
+			if y, there := row[q.name]; there {
+				points = append(points, measure.Point{X: p.xs[i], Y: y})
+			}
+		}
+		if len(points) > 0 {
+			out = append(out, seriesOf(measure.Series{Name: q.name + "-by-" + axis, Role: q.role, X: x, XUnit: unit, Y: q.y, YUnit: q.unit, Held: held}, points))
+		}
+	}
+	return out
+}
+
+// holdSteadyBounds holds the operators' bounds against a steady window.
+func (r *runner) holdSteadyBounds(w *windowResult) {
+	f := r.figures(w)
+	r.steadyBytes = w.event.GatewayBytes
+	r.run.Checks = append(r.run.Checks,
+		atMost("bound: control bytes of a gateway, mean", f["gateway.bytes"], BoundBytes, "B/s", ""),
+		atMost("bound: processor time of a hollow gateway's control side", f["gateway.cpu"], BoundCores, "core", ""),
+		atMost("bound: memory of a hollow gateway's control side", f["gateway.memory"], BoundMemory, "B", ""),
+		atMost("bound: memory of a real gateway, data path included", f["gateway.real-memory"], BoundMemory, "B", "at light load"))
+}
+
+// holdMinuteBound holds the operators' bound against the minute of an event. A window shorter than that is filled up with the
+// steady rate.
+func (r *runner) holdMinuteBound(w *windowResult) {
+	seconds := w.total.Window.Seconds()
+	inMinute := float64(w.total.MaxBytes)
+	if rest := time.Minute.Seconds() - seconds; rest > 0 {
+		inMinute += r.steadyBytes * rest
+	} else {
+		inMinute *= time.Minute.Seconds() / seconds
+	}
+	r.run.Checks = append(r.run.Checks, atMost("bound: "+w.event.Name+": control bytes in its minute, of the gateway with most",
+		inMinute/time.Minute.Seconds(), BoundBytes, "B/s", fmt.Sprintf("watched for %.0f s", seconds)))
+}
+
+// growthCheck holds that a quantity grows less than linearly: the slope of its logarithm over that of x.
+func growthCheck(name string, all []measure.Series) measure.Check {
+	for _, s := range all {
+		if s.Name != name {
+			continue
+		}
+		var points []measure.Point
+		for _, p := range s.Points {
+			points = append(points, measure.Point{X: math.Log(p.X), Y: math.Log(p.Y)})
+		}
+		fit, err := measure.LeastSquares(points)
+		if err != nil {
+			return measure.Check{Name: "growth of " + name, Unit: "1", Detail: err.Error()}
+		}
+		return measure.Check{Name: "growth of " + name, Bound: 1, Value: fit.Slope, Unit: "1", Passed: fit.Slope < 1,
+			Detail: "slope between logarithms; 1 would be linear"}
+	}
+	return measure.Check{Name: "growth of " + name, Unit: "1", Detail: "not measured"}
+}
+
+// atMost is a check that passes where value is within bound.
+func atMost(name string, value, bound float64, unit, detail string) measure.Check {
+	return measure.Check{Name: name, Bound: bound, Value: value, Unit: unit, Passed: value <= bound, Detail: detail}
+}
--- /dev/null
+++ b/internal/experiment/scale/fleet_test.go
@@ -0,0 +1,161 @@
+package scale
+
+import (
+	"bufio"
+	"encoding/json"
+	"io"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/revision"
+	"aspenshed/internal/controlplane/stream"
+)
+
+// memberChange is a commit that sets one member, drained or not.
+func memberChange(t *testing.T, rev uint64, number int, drainedAt, start int64) revision.Change {
+	t.Helper()
+	m := &pb.Member{Entry: Member(number, int(rev)), DrainedAt: drainedAt, Start: start}
+	value, err := proto.Marshal(m)
+	if err != nil {
+		t.Fatal(err)
+	}
+	placement := revision.Placement{Group: revision.Group{Wire: memberWire, ID: m.Entry.Group}, Site: m.Entry.Site}
+	return revision.Change{Revision: rev, Binding: drainedAt != 0, CommittedAt: time.Now().UnixNano(),
+		Record: revision.Record{Key: revision.MemberPrefix + m.Entry.Id, Value: value, Placement: placement}}
+}
+
+// startFleet is a server with one record, and gateways that have it.
+func startFleet(t *testing.T, gateways int) (*stream.Server, *Worker) {
+	t.Helper()
+	server, err := stream.NewServer(stream.ServerConfig{Listen: "127.0.0.1:0", Cluster: clusterName})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(server.Stop)
+	server.Reset(1, []revision.Record{memberChange(t, 1, 0, 0, 0).Record})
+	w := &Worker{}
+	t.Cleanup(w.Close)
+	do(t, w, Order{Configure: &Configure{Cluster: clusterName, Servers: []string{server.Addr()}, Delays: true, Seed: 1}})
+	do(t, w, Order{Start: &Start{Until: gateways}})
+	return server, w
+}
+
+func do(t *testing.T, w Doer, o Order) Answer {
+	t.Helper()
+	a, err := w.Do(t.Context(), o)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return a
+}
+
+// waitInForce waits until all gateways have a revision in force.
+func waitInForce(t *testing.T, w Doer, rev uint64) (state *FleetState) {
+	t.Helper()
+	err := waitUntil(t.Context(), "a revision in force everywhere", testLimit, func() bool {
+		state = do(t, w, Order{Report: &Report{Expected: rev}}).Fleet
+		return state.InForce == state.Gateways-state.Cut
+	})
+	if err != nil {
+		t.Fatalf("%v: %+v", err, state)
+	}
+	return state
+}
+
+func TestFleetTakesChangesAndSnapshots(t *testing.T) {
+	server, w := startFleet(t, 20)
+	waitInForce(t, w, 1)
+	server.Publish(2, []revision.Change{memberChange(t, 2, 1, 0, 0)})
+	state := waitInForce(t, w, 2)
+	if len(state.Digests) != 1 || state.Connected != 20 || state.Snapshots != 20 || state.Bytes == 0 {
+		t.Errorf("%+v", state)
+	}
+	total := newFleetTotal()
+	if err := total.add(state, 1); err != nil || total.inForce.TotalCount() != 20 || total.snapshots.TotalCount() != 20 {
+		t.Errorf("%v, %d changes, %d snapshots", err, total.inForce.TotalCount(), total.snapshots.TotalCount())
+	}
+	zone := 1
+	do(t, w, Order{Restart: &Restart{Zone: &zone}})
+	if state := waitInForce(t, w, 2); state.Snapshots != 21 {
+		t.Errorf("gateway 1 alone is of zone 1: %+v", state)
+	}
+	do(t, w, Order{Stop: &Stop{From: 5, Until: 20}})
+	if state := waitInForce(t, w, 2); state.Gateways != 5 {
+		t.Errorf("%+v", state)
+	}
+}
+
+func TestFleetSeesADrainUndone(t *testing.T) {
+	server, w := startFleet(t, 2)
+	waitInForce(t, w, 1)
+	server.Publish(2, []revision.Change{memberChange(t, 2, 0, 77, 0)})
+	server.Publish(3, []revision.Change{memberChange(t, 3, 0, 77, 0)})
+	if state := waitInForce(t, w, 3); state.Undone != 0 {
+		t.Errorf("the drain holds: %+v", state)
+	}
+	server.Publish(4, []revision.Change{memberChange(t, 4, 0, 0, 100)})
+	if state := waitInForce(t, w, 4); state.Undone != 0 {
+		t.Errorf("a newer start ends a drain: %+v", state)
+	}
+	server.Publish(5, []revision.Change{memberChange(t, 5, 0, 77, 100)})
+	waitInForce(t, w, 5)
+	server.Publish(6, []revision.Change{memberChange(t, 6, 0, 0, 100)})
+	if state := waitInForce(t, w, 6); state.Undone != 2 {
+		t.Errorf("both gateways have lost a drain: %+v", state)
+	}
+}
+
+func TestCutRegionHearsNothingUntilItIsHealed(t *testing.T) {
+	server, w := startFleet(t, 19)
+	waitInForce(t, w, 1)
+	do(t, w, Order{Cut: &Cut{Region: cutRegion}})
+	server.Publish(2, []revision.Change{memberChange(t, 2, 1, 0, 0)})
+	state := waitInForce(t, w, 2)
+	if state.Cut != 2 || state.InForce != 17 {
+		t.Errorf("two zones of 19 are of the region: %+v", state)
+	}
+	do(t, w, Order{Cut: &Cut{Region: cutRegion, Healed: true}})
+	if state := waitInForce(t, w, 2); state.Cut != 0 || state.InForce != 19 {
+		t.Errorf("%+v", state)
+	}
+}
+
+func TestWorkerServesOrdersLineByLine(t *testing.T) {
+	orders, in := io.Pipe()
+	out, answers := io.Pipe()
+	done := make(chan error, 1)
+	go func() { done <- new(Worker).Serve(t.Context(), orders, answers) }()
+	lines := bufio.NewScanner(out)
+	ask := func(line string) (a Answer) {
+		if _, err := io.WriteString(in, line+"\n"); err != nil {
+			t.Fatal(err)
+		}
+		if !lines.Scan() || json.Unmarshal(lines.Bytes(), &a) != nil {
+			t.Fatalf("%q: %q %v", line, lines.Text(), lines.Err())
+		}
+		return a
+	}
+	for line, want := range map[string]string{
+		`{"start":{"until":1}}`: ErrConfigure.Error(), `{`: "unexpected end of JSON input", `{"start":{"until":"x"}}`: "json: cannot unmarshal string into Go struct field Start.start.until of type int",
+	} {
+		if a := ask(line); a.Error != want {
+			t.Errorf("%s: %q", line, a.Error)
+		}
+	}
+	if a := ask(`{"configure":{"cluster":"c"}}`); a.Error != "" {
+		t.Error(a.Error)
+	}
+	if a := ask(`{"start":{"until":100000}}`); a.Error == "" {
+		t.Error("a fleet has a bound")
+	}
+	if a := ask(`{"report":{}}`); a.Fleet == nil || a.Fleet.Gateways != 0 || a.Fleet.Usage.Memory == 0 {
+		t.Errorf("%+v", a)
+	}
+	_ = in.Close()
+	if err := <-done; err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/experiment/scale/installation.go
@@ -0,0 +1,331 @@
+package scale
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"sync"
+	"time"
+)
+
+// Options of a run.
+type Options struct {
+	Dir          string // for configuration and data; it is there
+	Voters       int
+	RealGateways int
+	Clients      int // of each real gateway
+	PerWorker    int // hollow gateways of one worker
+	Members      int // at the start
+	Delays       bool
+	Join         time.Duration // over which the gateways of one worker start
+	Seed         uint64
+	MaxMemory    int64 // bytes of all processes together
+
+	NewInstance func() Instance       // of a daemon
+	NewWorker   func() (Doer, error)  // of hollow gateways, or of the load
+	Progress    func(string, ...any)  // may be called from any goroutine
+	Empty       func() (Usage, error) // what a worker without gateways uses; nil: not measured
+	WorkerPID   func(Doer) (pid int)  // the process that a worker runs in
+	Kill        func(Doer)            // ends a worker at once, as its machine's loss would
+}
+
+const (
+	loadDatabases = 6
+	loadPause     = 50 * time.Millisecond
+)
+
+// installation is all that runs: voters, real gateways, workers with hollow gateways, and one with the load.
+type installation struct {
+	options   Options
+	voters    []*Node
+	gateways  []*Node
+	load      Doer
+	workersMu sync.Mutex
+	workers   []Doer // the i-th runs the hollow gateways from i*PerWorker on
+	observer  *Observer
+
+	mu           sync.Mutex // one batch at a time
+	submitter    *Submitter
+	ledger       *Ledger
+	changes      *Changes
+	insideAgreed []change // handed up by a gateway that was cut off
+}
+
+// newInstallation starts voters, real gateways and their load.
+func newInstallation(ctx context.Context, o Options, next func(int) int) (x *installation, err error) {
+	x = &installation{options: o, ledger: NewLedger()}
+	x.changes = &Changes{ledger: x.ledger, next: next}
+	for _, step := range []func(context.Context) error{x.startLoad, x.startVoters, x.startGateways, x.observe, x.addMembers} {
+		if err := step(ctx); err != nil {
+			return x, err
+		}
+	}
+	return x, nil
+}
+
+// startLoad starts the stand-in databases; their clients come once there are gateways.
+func (x *installation) startLoad(ctx context.Context) (err error) {
+	if x.options.RealGateways == 0 {
+		return nil
+	}
+	if x.load, err = x.options.NewWorker(); err != nil {
+		return err
+	}
+	_, err = x.load.Do(ctx, Order{Load: &Load{Databases: loadDatabases}})
+	return err
+}
+
+func (x *installation) databases(ctx context.Context) ([]Database, error) {
+	if x.load == nil {
+		return nil, nil
+	}
+	answer, err := x.load.Do(ctx, Order{Report: &Report{}})
+	if err != nil {
+		return nil, err
+	}
+	return answer.Load.Databases, nil
+}
+
+func (x *installation) startVoters(ctx context.Context) error {
+	databases, err := x.databases(ctx)
+	if err != nil {
+		return err
+	}
+	for i := range x.options.Voters {
+		n, err := newNode(x.options.Dir, fmt.Sprint("voter-", i), x.options.NewInstance())
+		if err != nil {
+			return err
+		}
+		x.voters = append(x.voters, n)
+	}
+	for _, v := range x.voters {
+		if err := v.writeVoter(x.voters, databases); err != nil {
+			return err
+		}
+		if err := v.Start(); err != nil {
+			return err
+		}
+	}
+	return waitUntil(ctx, "a leader of the voters", startLimit, func() bool { return leaderOf(x.voters) != nil })
+}
+
+func (x *installation) startGateways(ctx context.Context) error {
+	databases, err := x.databases(ctx)
+	if err != nil {
+		return err
+	}
+	var fronts []string
+	for i := range x.options.RealGateways {
+		n, err := newNode(x.options.Dir, fmt.Sprint("gateway-", i), x.options.NewInstance())
+		if err != nil {
+			return err
+		}
+		x.gateways = append(x.gateways, n)
+		if err := n.writeGateway(x.servers(), zones[ZoneOf(i)], databases); err != nil {
+			return err
+		}
+		if err := n.Start(); err != nil {
+			return err
+		}
+		fronts = append(fronts, n.Front)
+	}
+	if len(fronts) == 0 {
+		return nil
+	}
+	_, err = x.load.Do(ctx, Order{Load: &Load{Gateways: fronts, Clients: x.options.Clients, Pause: loadPause}})
+	return err
+}
+
+// servers are the addresses of the control streams.
+func (x *installation) servers() (out []string) {
+	for _, v := range x.voters {
+		out = append(out, v.Subscribers)
+	}
+	return out
+}
+
+func (x *installation) configuration() Configure {
+	return Configure{Cluster: clusterName, Servers: x.servers(), Delays: x.options.Delays, Seed: x.options.Seed}
+}
+
+func (x *installation) observe(ctx context.Context) (err error) {
+	var services []string
+	for _, v := range x.voters {
+		services = append(services, v.Service)
+	}
+	x.submitter = NewSubmitter(clusterName, fmt.Sprint("runner/", x.options.Seed), services)
+	x.observer, err = NewObserver(x.configuration())
+	return err
+}
+
+const entriesOfCommand = 500 // members that one command brings in
+
+// addMembers brings in members until there are so many as the options name.
+func (x *installation) addMembers(ctx context.Context) error {
+	return x.growMembers(ctx, x.options.Members)
+}
+
+func (x *installation) growMembers(ctx context.Context, members int) error {
+	for from := x.changes.count; from < members; from += entriesOfCommand {
+		if err := x.submit(ctx, x.changes.add(from, min(from+entriesOfCommand, members))); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// submit has changes agreed on and enters them into the ledger.
+func (x *installation) submit(ctx context.Context, changes ...change) error {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	for _, c := range changes {
+		if err := x.submitter.Submit(ctx, c.command); err != nil {
+			return err
+		}
+		c.agreed()
+	}
+	return nil
+}
+
+// settle marks the state and returns the revision at which the control plane distributes the mark: whoever has it in force
+// has all that was agreed on before.
+func (x *installation) settle(ctx context.Context) (uint64, error) {
+	x.mu.Lock()
+	mark := x.changes.mark()
+	value := fmt.Sprint(x.changes.marker)
+	x.mu.Unlock()
+	if err := x.submit(ctx, mark); err != nil {
+		return 0, err
+	}
+	err := waitUntil(ctx, "a mark at the observer", writeLimit, func() bool { return x.observer.Pair(markerKey) == value })
+	return x.observer.Revision(), err
+}
+
+// grow starts or ends workers until there are so many hollow gateways.
+func (x *installation) grow(ctx context.Context, gateways int) error {
+	for first := len(x.workers) * x.options.PerWorker; first < gateways; first += x.options.PerWorker {
+		w, err := x.startWorker(ctx)
+		if err != nil {
+			return err
+		}
+		x.addWorker(w)
+		start := Start{From: first, Until: min(first+x.options.PerWorker, gateways), Spread: x.options.Join}
+		if _, err := w.Do(ctx, Order{Start: &start}); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (x *installation) startWorker(ctx context.Context) (Doer, error) {
+	w, err := x.options.NewWorker()
+	if err != nil {
+		return nil, err
+	}
+	configuration := x.configuration()
+	if _, err := w.Do(ctx, Order{Configure: &configuration}); err != nil {
+		w.Close()
+		return nil, err
+	}
+	return w, nil
+}
+
+func (x *installation) addWorker(w Doer) {
+	x.workersMu.Lock()
+	defer x.workersMu.Unlock()
+	x.workers = append(x.workers, w)
+}
+
+// replaceWorker starts the gateways of a worker that was lost, anew.
+func (x *installation) replaceWorker(ctx context.Context, i int) error {
+	w, err := x.startWorker(ctx)
+	if err != nil {
+		return err
+	}
+	start := Start{From: i * x.options.PerWorker, Until: (i + 1) * x.options.PerWorker, Spread: x.options.Join}
+	if _, err = w.Do(ctx, Order{Start: &start}); err != nil {
+		w.Close()
+		return err
+	}
+	x.addWorker(w)
+	return nil
+}
+
+// tellAll hands an order to all workers side by side.
+func (x *installation) tellAll(ctx context.Context, o Order) ([]Answer, error) {
+	answers, errs := make([]Answer, len(x.workers)), make([]error, len(x.workers))
+	var wait sync.WaitGroup
+	for i, w := range x.workers {
+		wait.Add(1)
+		go func() {
+			defer wait.Done()
+			answers[i], errs[i] = w.Do(ctx, o)
+		}()
+	}
+	wait.Wait()
+	return answers, errors.Join(errs...)
+}
+
+// report is how all hollow gateways stand, added up.
+func (x *installation) report(ctx context.Context, o Report) (fleetTotal, error) {
+	answers, err := x.tellAll(ctx, Order{Report: &o})
+	if err != nil {
+		return fleetTotal{}, err
+	}
+	total := newFleetTotal()
+	for i, a := range answers {
+		if err := total.add(a.Fleet, x.options.WorkerPID(x.workers[i])); err != nil {
+			return total, err
+		}
+	}
+	return total, nil
+}
+
+// close ends all that was started.
+func (x *installation) close() (err error) {
+	if x.submitter != nil {
+		x.submitter.Close()
+	}
+	if x.observer != nil {
+		x.observer.Close()
+	}
+	var wait sync.WaitGroup
+	for _, w := range append(x.workers, x.load) {
+		if w == nil {
+			continue
+		}
+		wait.Add(1)
+		go func() {
+			defer wait.Done()
+			w.Close()
+		}()
+	}
+	wait.Wait()
+	for _, n := range append(x.gateways, x.voters...) {
+		err = errors.Join(err, n.Instance.Kill())
+	}
+	return err
+}
+
+// memory is what all processes hold that this run has started, and this one.
+func (x *installation) memory() (bytes int64, err error) {
+	pids := map[int]bool{os.Getpid(): true}
+	for _, w := range append(x.workers, x.load) {
+		if w != nil {
+			pids[x.options.WorkerPID(w)] = true
+		}
+	}
+	for _, n := range append(x.gateways, x.voters...) {
+		pids[n.Instance.PID()] = true
+	}
+	delete(pids, 0)
+	for pid := range pids {
+		u, err := ReadUsage(pid)
+		if err != nil {
+			return 0, err
+		}
+		bytes += u.Memory
+	}
+	return bytes, nil
+}
--- /dev/null
+++ b/internal/experiment/scale/ledger_test.go
@@ -0,0 +1,85 @@
+package scale
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/revision"
+)
+
+// recordsOf is the state that a ledger asks for.
+func recordsOf(t *testing.T, l *Ledger) map[string][]byte {
+	t.Helper()
+	records := map[string][]byte{}
+	put := func(key string, m proto.Message) {
+		value, err := proto.Marshal(m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		records[key] = value
+	}
+	for id, version := range l.members {
+		m := &pb.Member{Entry: Member(l.numbers[id], version)}
+		if l.drained[id] {
+			m.DrainedAt = 1
+		}
+		put(revision.MemberPrefix+id, m)
+	}
+	for key, member := range l.primaries {
+		put(key, &pb.Primary{Member: member})
+	}
+	for key, value := range l.pairs {
+		put(revision.PairPrefix+key, &pb.Pair{Key: key, Value: []byte(value)})
+	}
+	return records
+}
+
+func TestLedgerNamesWhatWasLost(t *testing.T) {
+	l := NewLedger()
+	c := &Changes{ledger: l, next: func(n int) int { return n / 2 }}
+	for _, x := range []change{c.add(0, 12), c.rewrite(3), c.drain(MemberID(5)), c.primary(1, MemberID(7), time.Now().UnixNano()), c.mark()} {
+		x.agreed()
+	}
+	if lost := l.Lost(recordsOf(t, l)); len(lost) != 0 {
+		t.Errorf("nothing is lost: %v", lost)
+	}
+	for key, damaged := range map[string]proto.Message{
+		revision.MemberPrefix + MemberID(1): nil,
+		revision.MemberPrefix + MemberID(3): &pb.Member{Entry: Member(3, 0)},
+		revision.MemberPrefix + MemberID(5): &pb.Member{Entry: Member(5, 0)},
+		revision.PrimaryPrefix + "mysql/1":  &pb.Primary{Member: MemberID(6)},
+		revision.PairPrefix + markerKey:     nil,
+	} {
+		records := recordsOf(t, l)
+		delete(records, key)
+		if damaged != nil {
+			records[key], _ = proto.Marshal(damaged)
+		}
+		if lost := l.Lost(records); len(lost) != 1 || !strings.Contains(lost[0], key[strings.LastIndexByte(key, '/')+1:]) && !strings.Contains(lost[0], key) {
+			t.Errorf("%s: %v", key, lost)
+		}
+	}
+}
+
+func TestOrdinaryChangesAreOfAllKinds(t *testing.T) {
+	c := &Changes{ledger: NewLedger(), next: func(n int) int { return n - 1 }}
+	c.add(0, 12).agreed()
+	kinds := map[string]int{}
+	for n := range 40 {
+		switch c.ordinary(n, int64(n)).command.Body.(type) {
+		case *pb.Command_UpsertMembers:
+			kinds["rewrite"]++
+		case *pb.Command_Drain:
+			kinds["drain"]++
+		case *pb.Command_ReportPrimary:
+			kinds["primary"]++
+		}
+	}
+	if kinds["rewrite"] != 36 || kinds["drain"] != 2 || kinds["primary"] != 2 {
+		t.Errorf("%v", kinds)
+	}
+}
--- /dev/null
+++ b/internal/experiment/scale/load.go
@@ -0,0 +1,158 @@
+package scale
+
+import (
+	"fmt"
+	"os"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"aspenshed/internal/experiment/pgclient"
+	"aspenshed/internal/experiment/standin"
+	"aspenshed/internal/netio"
+)
+
+const (
+	databasesOfGroup = 3
+	maxDatabases     = 12
+	maxLoadClients   = 200
+	// FirstLoadGroup is the first group of stand-in databases.
+	FirstLoadGroup = 1
+)
+
+// loadGenerator is stand-in databases, and clients that ask real gateways one request after another.
+type loadGenerator struct {
+	groups []*standin.Group
+	net    *netio.Net
+	quit   chan struct{}
+	wait   sync.WaitGroup
+
+	ids, served, refused, failed atomic.Int64
+}
+
+// newLoad starts stand-in databases of both roles, in groups of three.
+func newLoad(databases int) (*loadGenerator, error) {
+	if databases > maxDatabases {
+		return nil, fmt.Errorf("scale: %d databases, %d at most", databases, maxDatabases)
+	}
+	n, err := netio.New(netio.Config{Name: "load", Dials: maxLoadClients})
+	if err != nil {
+		return nil, err
+	}
+	l := &loadGenerator{net: n, quit: make(chan struct{})}
+	for first := 0; first < databases; first += databasesOfGroup {
+		var ids []string
+		for i := first; i < min(first+databasesOfGroup, databases); i++ {
+			ids = append(ids, fmt.Sprintf("standin-%02d", i))
+		}
+		group, err := standin.NewGroup(standin.Postgres, standin.DefaultLimits(), ids...)
+		if err != nil {
+			l.close()
+			return nil, err
+		}
+		l.groups = append(l.groups, group)
+	}
+	return l, nil
+}
+
+func (l *loadGenerator) close() {
+	close(l.quit)
+	l.wait.Wait()
+	for _, g := range l.groups {
+		g.Stop()
+	}
+	l.net.Stop()
+}
+
+// ask starts clients of the gateways' fronts.
+func (l *loadGenerator) ask(o Load) error {
+	if n := o.Clients * len(o.Gateways); n > maxLoadClients {
+		return fmt.Errorf("scale: %d clients, %d at most", n, maxLoadClients)
+	}
+	for _, address := range o.Gateways {
+		for i := range o.Clients {
+			l.wait.Add(1)
+			go func() {
+				defer l.wait.Done()
+				l.client(address, i, o.Pause)
+			}()
+		}
+	}
+	return nil
+}
+
+// client asks one request after another until the end, with pauses that bound the load.
+func (l *loadGenerator) client(address string, number int, rest time.Duration) {
+	var c *pgclient.Client
+	for n := number; ; n++ {
+		select {
+		case <-l.quit:
+			if c != nil {
+				c.Close()
+			}
+			return
+		case <-time.After(rest):
+		}
+		if c == nil {
+			var err error
+			if c, err = pgclient.Dial(l.net, address); err != nil {
+				c = nil
+				continue
+			}
+		}
+		code, err := c.Query(l.statement(n))
+		l.count(code, err)
+		if err != nil {
+			c = nil
+		}
+	}
+}
+
+// statement is the n-th of a client: one in five writes.
+func (l *loadGenerator) statement(n int) string {
+	id := l.ids.Add(1)
+	group := FirstLoadGroup + n%len(l.groups)
+	if n%5 == 0 {
+		return fmt.Sprintf(`INSERT INTO entries (ref, payload) VALUES ('k%d', '\x00') RETURNING payload /* id=%d,c=booking,d=900,cluster=%d */`, id%100, id, group)
+	}
+	return fmt.Sprintf("SELECT payload FROM entries WHERE ref = 'k%d' /* id=%d,c=timetable,d=900,cluster=%d */", id%100, id, group)
+}
+
+func (l *loadGenerator) count(code string, err error) {
+	switch {
+	case err != nil:
+		l.failed.Add(1)
+	case code == "":
+		l.served.Add(1)
+	case code == "53300" || code == "57P03":
+		l.refused.Add(1)
+	default:
+		l.failed.Add(1)
+	}
+}
+
+// drain has a database note from when on nothing new may come.
+func (l *loadGenerator) drain(id string) error {
+	for _, g := range l.groups {
+		for _, d := range g.DBs() {
+			if d.ID == id {
+				d.Drain()
+				return nil
+			}
+		}
+	}
+	return fmt.Errorf("scale: no database %q", id)
+}
+
+func (l *loadGenerator) state() (*LoadState, error) {
+	s := &LoadState{Served: l.served.Load(), Refused: l.refused.Load(), Failed: l.failed.Load()}
+	for i, g := range l.groups {
+		for _, d := range g.DBs() {
+			s.Databases = append(s.Databases, Database{ID: d.ID, Address: d.Address(), Group: int32(FirstLoadGroup + i)})
+			s.LateDrains += d.Report().LateDrain
+		}
+	}
+	var err error
+	s.Usage, err = ReadUsage(os.Getpid())
+	return s, err
+}
--- /dev/null
+++ b/internal/experiment/scale/process.go
@@ -0,0 +1,61 @@
+package scale
+
+import (
+	"context"
+	"strconv"
+	"time"
+)
+
+const (
+	// memoryShare is the part of the machine's memory that a run may take at most, all of its processes together.
+	memoryShare = 2
+	// workerMemory is the Go runtime's soft limit for a worker: 150 gateways hold some 2.6 MB each at 21,000 members, and
+	// 16 workers stay below memoryShare of 24 GB.
+	workerMemory = "GOMEMLIMIT=500MiB"
+	perWorker    = 150
+	emptySettle  = 2 * time.Second // for an empty worker's start
+	loadClients  = 8
+)
+
+// ProcessOptions run daemons and workers as processes of a program, which has the commands serve and experiment hollow.
+func ProcessOptions(program Command, dir string) Options {
+	return Options{
+		Dir: dir, Voters: 5, RealGateways: 2, Clients: loadClients, PerWorker: perWorker, Delays: true, MaxMemory: machineMemory() / memoryShare,
+		NewInstance: func() Instance { return &ProcessInstance{Command: program} },
+		NewWorker:   func() (Doer, error) { return startWorkerProcess(program) },
+		Progress:    func(string, ...any) {},
+		Empty:       func() (Usage, error) { return emptyWorker(program) },
+		WorkerPID:   func(d Doer) int { return d.(*Child).PID() },
+		Kill:        func(d Doer) { d.(*Child).Kill() },
+	}
+}
+
+func startWorkerProcess(program Command) (Doer, error) {
+	program.Args = append(append([]string(nil), program.Args...), "experiment", "hollow")
+	program.Env = append(append([]string(nil), program.Env...), workerMemory)
+	return StartChild(program)
+}
+
+// emptyWorker is what a worker uses that has its engine and no gateway.
+func emptyWorker(program Command) (Usage, error) {
+	w, err := startWorkerProcess(program)
+	if err != nil {
+		return Usage{}, err
+	}
+	defer w.Close()
+	if _, err := w.Do(context.Background(), Order{Configure: &Configure{Cluster: clusterName}}); err != nil {
+		return Usage{}, err
+	}
+	time.Sleep(emptySettle)
+	return ReadUsage(w.(*Child).PID())
+}
+
+// machineMemory is that of the machine, bytes.
+func machineMemory() int64 {
+	const unknown = 8 << 30
+	kilobytes, err := strconv.ParseInt(firstField("/proc/meminfo", "MemTotal:"), 10, 64)
+	if err != nil {
+		return unknown
+	}
+	return kilobytes << 10
+}
--- /dev/null
+++ b/internal/experiment/scale/scale.go
@@ -0,0 +1,241 @@
+package scale
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"time"
+
+	"aspenshed/internal/experiment/measure"
+)
+
+// Plan says what a run goes through, in this order: members at the first number of gateways, rates of changes there, numbers
+// of gateways at the last number of members, and then the events.
+type Plan struct {
+	Members  []int
+	Rates    []float64 // changes a second, beside OrdinaryRate
+	Gateways []int     // rising
+	Steady   time.Duration
+	Join     time.Duration // over which the gateways of one worker start
+	Events   eventTimes
+	Bounds   bool // hold the operators' bounds against the last number of gateways
+}
+
+// FullPlan is what `make scale` runs: some ten minutes.
+func FullPlan() Plan {
+	return Plan{Members: []int{2100, 10500, 21000}, Rates: []float64{2.92, 7.3}, Gateways: []int{150, 300, 600, 1200, 2400}, Steady: 20 * time.Second, Join: 2 * time.Second, Bounds: true,
+		Events: eventTimes{steady: 20 * time.Second, leaderGone: 10 * time.Second, rackGone: 10 * time.Second, cut: time.Minute,
+			restarts: 30 * time.Second, compressed: 200, converge: 90 * time.Second, stalledSubs: 50, burst: BurstChanges}}
+}
+
+// ShortPlan takes half a minute: it is for tests, whose verdict does not depend on how fast the machine is.
+func ShortPlan() Plan {
+	return Plan{Members: []int{60, 180}, Rates: []float64{10}, Gateways: []int{19, 38}, Steady: time.Second, Join: 200 * time.Millisecond,
+		Events: eventTimes{steady: time.Second, leaderGone: time.Second, rackGone: time.Second, cut: 3 * time.Second,
+			restarts: time.Second, compressed: 10, converge: InForceBound, stalledSubs: 4, burst: 150}}
+}
+
+// Limit leaves out numbers of gateways above a limit; 0: none.
+func (p *Plan) Limit(gateways int) {
+	if gateways > 0 {
+		p.Gateways = slices.DeleteFunc(slices.Clone(p.Gateways), func(n int) bool { return n > gateways })
+	}
+}
+
+// ErrEmptyPlan says that a plan has no number of members or gateways.
+var ErrEmptyPlan = errors.New("scale: a plan needs members and gateways")
+
+// Run starts an installation, goes through a plan, and ends all that it has started.
+func Run(ctx context.Context, o Options, p Plan) (run measure.Run, err error) {
+	run = measure.Run{Experiment: "scale", Commit: commit(), Started: time.Now(), Machine: machine()}
+	defer func() { run.Seconds = time.Since(run.Started).Seconds() }()
+	if len(p.Members) == 0 || len(p.Gateways) == 0 {
+		return run, ErrEmptyPlan
+	}
+	o.Members, o.Join = p.Members[0], p.Join
+	rng := rand.New(rand.NewPCG(o.Seed, 0))
+	x, err := newInstallation(ctx, o, rng.IntN)
+	defer func() { err = errors.Join(err, x.close()) }()
+	if err != nil {
+		return run, err
+	}
+	r := &runner{installation: x, plan: p, run: &run}
+	for _, step := range []func(context.Context) error{r.measureEmpty, r.measureMembers, r.measureRates, r.measureGateways, r.measureEvents, r.judge} {
+		if err := step(ctx); err != nil {
+			return run, err
+		}
+	}
+	return run, nil
+}
+
+// runner goes through a plan.
+type runner struct {
+	*installation
+	plan        Plan
+	run         *measure.Run
+	empty       Usage   // a worker without gateways
+	steadyBytes float64 // a second and gateway, at the last number of gateways
+}
+
+func (r *runner) measureEmpty(context.Context) (err error) {
+	if r.options.Empty != nil {
+		r.empty, err = r.options.Empty()
+	}
+	return err
+}
+
+// steady measures a window without any disturbance.
+func (r *runner) steady(ctx context.Context, name string, rate float64) (*windowResult, error) {
+	return r.window(ctx, windowPlan{name: name, lasts: r.plan.Steady, rate: rate})
+}
+
+func (r *runner) window(ctx context.Context, p windowPlan) (*windowResult, error) {
+	w, err := r.measureWindow(ctx, p)
+	if w != nil {
+		r.run.Events = append(r.run.Events, w.event)
+		r.run.Checks = append(r.run.Checks, w.checks...)
+	}
+	return w, err
+}
+
+func (r *runner) measureMembers(ctx context.Context) error {
+	if err := r.grow(ctx, r.plan.Gateways[0]); err != nil {
+		return err
+	}
+	var points seriesPoints
+	for _, members := range r.plan.Members {
+		if err := r.growMembers(ctx, members); err != nil {
+			return err
+		}
+		if _, err := r.window(ctx, windowPlan{name: fmt.Sprintf("growth-to-%d-members", members), lasts: r.plan.Steady / 4}); err != nil {
+			return err
+		}
+		w, err := r.steady(ctx, fmt.Sprintf("steady-%d-gateways-%d-members", r.plan.Gateways[0], members), OrdinaryRate)
+		if err != nil {
+			return err
+		}
+		points.add(float64(members), r.figures(w))
+	}
+	held := fmt.Sprintf("%d gateways, %d voters, %.2f changes/s", r.plan.Gateways[0], r.options.Voters, OrdinaryRate)
+	r.run.Series = append(r.run.Series, points.series("members", "members", "1", held)...)
+	return nil
+}
+
+func (r *runner) measureRates(ctx context.Context) error {
+	var points seriesPoints
+	for _, rate := range append([]float64{OrdinaryRate}, r.plan.Rates...) {
+		w, err := r.steady(ctx, fmt.Sprintf("steady-%.2f-changes", rate), rate)
+		if err != nil {
+			return err
+		}
+		points.add(rate, r.figures(w))
+	}
+	held := fmt.Sprintf("%d gateways, %d voters, %d members", r.plan.Gateways[0], r.options.Voters, r.changes.count)
+	r.run.Series = append(r.run.Series, points.series("changes", "changes", "1/s", held)...)
+	return nil
+}
+
+func (r *runner) measureGateways(ctx context.Context) error {
+	var points seriesPoints
+	for _, gateways := range r.plan.Gateways {
+		if err := r.grow(ctx, gateways); err != nil {
+			return err
+		}
+		join := windowPlan{name: fmt.Sprintf("join-to-%d-gateways", gateways), lasts: r.plan.Steady / 4, converge: r.plan.Events.converge}
+		if _, err := r.window(ctx, join); err != nil {
+			return err
+		}
+		w, err := r.steady(ctx, fmt.Sprintf("steady-%d-gateways", gateways), OrdinaryRate)
+		if err != nil {
+			return err
+		}
+		points.add(float64(gateways), r.figures(w))
+		if r.plan.Bounds && gateways == r.plan.Gateways[len(r.plan.Gateways)-1] {
+			r.holdSteadyBounds(w)
+		}
+	}
+	held := fmt.Sprintf("%d members, %d voters, %.2f changes/s", r.changes.count, r.options.Voters, OrdinaryRate)
+	r.run.Series = append(r.run.Series, points.series("gateways", "gateways", "1", held)...)
+	if r.plan.Bounds {
+		r.run.Checks = append(r.run.Checks, growthCheck("gateway.in-force-p99-by-gateways", r.run.Series))
+	}
+	return nil
+}
+
+func (r *runner) measureEvents(ctx context.Context) error {
+	for _, e := range r.events(r.plan.Events) {
+		w, err := r.window(ctx, e)
+		if err != nil {
+			return err
+		}
+		if r.plan.Bounds {
+			r.holdMinuteBound(w)
+		}
+	}
+	return nil
+}
+
+// judge compares all states and looks for what was agreed on.
+func (r *runner) judge(ctx context.Context) error {
+	expected, err := r.settle(ctx)
+	if err != nil {
+		return err
+	}
+	err = waitUntil(ctx, "equal states", InForceBound, func() bool {
+		total, err := r.report(ctx, Report{Expected: expected})
+		return err == nil && len(total.Digests) == 1 && total.states()[0] == r.observer.Digest()
+	})
+	var late *TimeoutError
+	if err != nil && !errors.As(err, &late) {
+		return err
+	}
+	total, err := r.report(ctx, Report{Expected: expected})
+	if err != nil {
+		return err
+	}
+	states := total.states()
+	equal := total.Digests[r.observer.Digest()]
+	lost := r.ledger.Lost(r.observer.Records())
+	r.run.Checks = append(r.run.Checks,
+		atMost("end: gateways whose state differs", float64(total.Gateways-equal), 0, "1", fmt.Sprintf("%d states, %v", len(states), states[:min(len(states), 3)])),
+		atMost("end: agreed changes that were lost", float64(len(lost)), 0, "1", strings.Join(lost[:min(len(lost), 5)], "; ")),
+		atMost("end: drains undone", float64(total.Undone), 0, "1", ""))
+	return r.judgeNodes(ctx)
+}
+
+// judgeNodes compares the catalogs of voters, and what the real gateways hold.
+func (r *runner) judgeNodes(ctx context.Context) error {
+	digests := func() map[string]int {
+		out := map[string]int{}
+		for _, n := range r.voters {
+			s, err := n.Status()
+			if err != nil {
+				s.Digest = err.Error()
+			}
+			out[s.Digest]++
+		}
+		return out
+	}
+	err := waitUntil(ctx, "equal catalogs", InForceBound, func() bool { return len(digests()) == 1 })
+	var late *TimeoutError
+	if err != nil && !errors.As(err, &late) {
+		return err
+	}
+	r.run.Checks = append(r.run.Checks, atMost("end: different catalogs of voters", float64(len(digests())), 1, "1", fmt.Sprint(digests())))
+	if r.load == nil {
+		return nil
+	}
+	answer, err := r.load.Do(ctx, Order{Report: &Report{}})
+	if err != nil {
+		return err
+	}
+	l := answer.Load
+	r.run.Checks = append(r.run.Checks,
+		measure.Check{Name: "real gateways: requests served", Bound: 1, Value: float64(l.Served), Unit: "1", Passed: l.Served > 0,
+			Detail: fmt.Sprintf("%d refused, %d failed", l.Refused, l.Failed)},
+		atMost("real gateways: requests at a draining database later than the grace", float64(l.LateDrains), 0, "1", ""))
+	return nil
+}
--- /dev/null
+++ b/internal/experiment/scale/stalled.go
@@ -0,0 +1,86 @@
+package scale
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"time"
+
+	pbstream "aspenshed/internal/controlplane/controlpb"
+	"aspenshed/internal/protocol/frame"
+)
+
+const (
+	stalledReadBuffer = 4 << 10 // bytes that the system takes for a subscriber that never reads
+	settleLimit       = 3 * time.Second
+)
+
+// stalledSubscriber subscribes and never reads.
+type stalledSubscriber struct{ conn net.Conn }
+
+func stall(c Configure, number int) (*stalledSubscriber, error) {
+	conn, err := net.DialTimeout("tcp", c.Servers[number%len(c.Servers)], time.Second)
+	if err != nil {
+		return nil, err
+	}
+	s := &stalledSubscriber{conn}
+	subscribe := &pbstream.Subscribe{Cluster: c.Cluster, Subscriber: fmt.Sprint("stalled-", number), Boot: "1", Release: "scale"}
+	message, err := frame.Append(nil, &pbstream.SubscriberFrame{Body: &pbstream.SubscriberFrame_Subscribe{Subscribe: subscribe}})
+	if err == nil {
+		err = conn.(*net.TCPConn).SetReadBuffer(stalledReadBuffer)
+	}
+	if err == nil {
+		_, err = conn.Write(message)
+	}
+	if err != nil {
+		s.close()
+		return nil, err
+	}
+	return s, nil
+}
+
+// ended reads what the system still holds, and tells whether the server has closed the connection behind it.
+func (s *stalledSubscriber) ended() bool {
+	if err := s.conn.SetReadDeadline(time.Now().Add(settleLimit)); err != nil {
+		return true
+	}
+	_, err := io.Copy(io.Discard, s.conn)
+	return !errors.Is(err, os.ErrDeadlineExceeded)
+}
+
+func (s *stalledSubscriber) close() { _ = s.conn.Close() }
+
+// Stall opens slow subscribers, or looks which of them the servers have closed.
+func (f *Fleet) Stall(o Stall) error {
+	if o.Settle {
+		f.settleStalled()
+		return nil
+	}
+	for i := range min(o.Count, maxFleet) {
+		s, err := stall(f.config, i)
+		if err != nil {
+			return err
+		}
+		f.slow = append(f.slow, s)
+		f.stalled++
+	}
+	return nil
+}
+
+func (f *Fleet) settleStalled() {
+	results := make(chan bool)
+	for _, s := range f.slow {
+		go func() {
+			results <- s.ended()
+			s.close()
+		}()
+	}
+	for range f.slow {
+		if <-results {
+			f.closed++
+		}
+	}
+	f.slow = nil
+}
--- /dev/null
+++ b/internal/experiment/scale/submitter.go
@@ -0,0 +1,142 @@
+package scale
+
+import (
+	"bufio"
+	"context"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/protocol/frame"
+)
+
+const (
+	callLimit    = 4 * time.Second // for one voter to answer
+	callRetry    = 50 * time.Millisecond
+	writeLimit   = 30 * time.Second // for a batch to be agreed on, a leader's loss included
+	maxBatchSize = 64               // commands of one batch, as the store takes them
+)
+
+// Submitter brings commands to the voters as another instance of the store would: to the leader's service, again and again
+// until it is known whether they were carried out. Its numbers keep them from being carried out twice.
+type Submitter struct {
+	cluster  string
+	origin   string
+	services []string
+	sequence uint64
+	at       int // the service that is asked next
+	conn     net.Conn
+	reader   *bufio.Reader
+}
+
+// NewSubmitter asks the voters whose services are named.
+func NewSubmitter(cluster, origin string, services []string) *Submitter {
+	return &Submitter{cluster: cluster, origin: origin, services: services}
+}
+
+// Close ends its connection.
+func (s *Submitter) Close() {
+	if s.conn != nil {
+		_ = s.conn.Close()
+	}
+	s.conn = nil
+}
+
+// Submit has commands carried out, in batches. It fails on the first that the catalog refuses.
+func (s *Submitter) Submit(ctx context.Context, commands ...*pb.Command) error {
+	for len(commands) > 0 {
+		n := min(len(commands), maxBatchSize)
+		if err := s.submitBatch(ctx, s.number(commands[:n])); err != nil {
+			return err
+		}
+		commands = commands[n:]
+	}
+	return nil
+}
+
+// number gives commands their origin and sequence.
+func (s *Submitter) number(commands []*pb.Command) *pb.Batch {
+	for _, c := range commands {
+		s.sequence++
+		c.Origin, c.Seq, c.Kind = s.origin, s.sequence, catalog.Kind(c)
+	}
+	return &pb.Batch{Commands: commands}
+}
+
+func (s *Submitter) submitBatch(ctx context.Context, b *pb.Batch) error {
+	call := &pb.Call{Cluster: s.cluster, Body: &pb.Call_Submit{Submit: b}}
+	for end := time.Now().Add(writeLimit); ; {
+		reply, err := s.call(call)
+		if err == nil && reply.Refused == "" {
+			return firstRefusal(reply.Results)
+		}
+		if err == nil && !reply.Retry {
+			err = refusedError{reply.Refused}
+		}
+		if time.Now().After(end) {
+			return errors.Join(err, &TimeoutError{"agreement on a batch", writeLimit})
+		}
+		s.next(reply)
+		if err := pause(ctx, callRetry); err != nil {
+			return err
+		}
+	}
+}
+
+// next turns to the leader that a reply names, else to another voter.
+func (s *Submitter) next(reply *pb.Reply) {
+	s.Close()
+	for i, service := range s.services {
+		if reply != nil && service == reply.LeaderService {
+			s.at = i
+			return
+		}
+	}
+	s.at = (s.at + 1) % len(s.services)
+}
+
+func (s *Submitter) call(call *pb.Call) (*pb.Reply, error) {
+	if s.conn == nil {
+		conn, err := net.DialTimeout("tcp", s.services[s.at], time.Second)
+		if err != nil {
+			return nil, err
+		}
+		s.conn, s.reader = conn, bufio.NewReader(conn)
+	}
+	call.Id++
+	message, err := frame.Append(nil, call)
+	if err == nil {
+		err = s.conn.SetDeadline(time.Now().Add(callLimit))
+	}
+	if err == nil {
+		_, err = s.conn.Write(message)
+	}
+	if err != nil {
+		return nil, err
+	}
+	return s.readReply()
+}
+
+func (s *Submitter) readReply() (*pb.Reply, error) {
+	var length [4]byte
+	if _, err := io.ReadFull(s.reader, length[:]); err != nil {
+		return nil, err
+	}
+	size := binary.BigEndian.Uint32(length[:])
+	if size > frame.MaxSize {
+		return nil, &frame.SizeError{Size: int(size), Limit: frame.MaxSize}
+	}
+	message := make([]byte, size)
+	if _, err := io.ReadFull(s.reader, message); err != nil {
+		return nil, fmt.Errorf("a reply cut short: %w", err)
+	}
+	reply := &pb.Reply{}
+	return reply, proto.Unmarshal(message, reply)
+}
--- /dev/null
+++ b/internal/experiment/scale/total.go
@@ -0,0 +1,81 @@
+package scale
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"aspenshed/internal/experiment/measure"
+)
+
+// fleetTotal is how the hollow gateways of all workers stand.
+type fleetTotal struct {
+	FleetState
+	inForce, snapshots *hdrhistogram.Histogram
+	usage              map[int]Usage // of workers, by process
+	hosts              map[int]int   // gateways, by process
+}
+
+func newFleetTotal() fleetTotal {
+	return fleetTotal{FleetState: FleetState{Digests: map[string]int{}}, inForce: newHistogram(), snapshots: newHistogram(),
+		usage: map[int]Usage{}, hosts: map[int]int{}}
+}
+
+func (t *fleetTotal) add(s *FleetState, pid int) error {
+	t.Gateways += s.Gateways
+	t.Cut += s.Cut
+	t.Connected += s.Connected
+	t.InForce += s.InForce
+	t.Undone += s.Undone
+	t.Backward += s.Backward
+	t.Bytes += s.Bytes
+	t.Messages += s.Messages
+	t.Snapshots += s.Snapshots
+	t.Reconnects += s.Reconnects
+	t.Stalled += s.Stalled
+	t.StalledClosed += s.StalledClosed
+	t.MaxBytes = max(t.MaxBytes, s.MaxBytes)
+	t.Window = max(t.Window, s.Window)
+	if t.MinRevision == 0 || s.MinRevision != 0 && s.MinRevision < t.MinRevision {
+		t.MinRevision = s.MinRevision
+	}
+	t.Submissions.Pending += s.Submissions.Pending
+	t.Submissions.Done += s.Submissions.Done
+	t.Submissions.Failed = append(t.Submissions.Failed, s.Submissions.Failed...)
+	for state, n := range s.Digests {
+		t.Digests[state] += n
+	}
+	t.usage[pid] = s.Usage
+	t.hosts[pid] += s.Gateways
+	return t.merge(s)
+}
+
+func (t *fleetTotal) merge(s *FleetState) error {
+	for _, part := range []struct {
+		into    *hdrhistogram.Histogram
+		encoded []byte
+	}{{t.inForce, s.InForceTimes}, {t.snapshots, s.SnapshotTimes}} {
+		h, err := hdrhistogram.Decode(part.encoded)
+		if err != nil {
+			return err
+		}
+		part.into.Merge(h)
+	}
+	return nil
+}
+
+// quantilesOf a histogram of microseconds, in seconds.
+func quantilesOf(h *hdrhistogram.Histogram) measure.Quantiles {
+	seconds := func(us int64) float64 { return (time.Duration(us) * time.Microsecond).Seconds() }
+	if h.TotalCount() == 0 {
+		return measure.Quantiles{}
+	}
+	return measure.Quantiles{Count: h.TotalCount(), P50: seconds(h.ValueAtQuantile(50)), P99: seconds(h.ValueAtQuantile(99)), Max: seconds(h.Max())}
+}
+
+// states are the states that gateways are in, the most frequent first.
+func (t *fleetTotal) states() []string {
+	return slices.SortedFunc(maps.Keys(t.Digests), func(a, b string) int { return t.Digests[b] - t.Digests[a] })
+}
--- /dev/null
+++ b/internal/experiment/scale/voter.go
@@ -0,0 +1,179 @@
+package scale
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"time"
+
+	"aspenshed/internal/controlplane/store"
+	"aspenshed/internal/daemon"
+)
+
+const clusterName = "scale"
+
+// Instance runs one daemon: as a process of its own, or within a test.
+type Instance interface {
+	Start(deployPath string) error
+	Kill() error // at once, as a crash would; it can be started again
+	PID() int
+}
+
+// ProcessInstance is `aspenshed serve` as a process.
+type ProcessInstance struct {
+	Command Command // without its arguments
+	cmd     *exec.Cmd
+}
+
+// Start starts it with a deploy file. Its log goes into the file's folder.
+func (p *ProcessInstance) Start(deployPath string) error {
+	log, err := os.OpenFile(filepath.Join(filepath.Dir(deployPath), "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		return err
+	}
+	defer log.Close()
+	command := p.Command
+	command.Args = append(append([]string(nil), command.Args...), "serve", "--log-level", "warn", "--deploy", deployPath)
+	p.cmd = command.exec()
+	p.cmd.Stderr = log
+	// Without its runner it would go on for ever.
+	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	return p.cmd.Start()
+}
+
+// Kill ends it.
+func (p *ProcessInstance) Kill() error {
+	if p.cmd == nil {
+		return nil
+	}
+	err := p.cmd.Process.Kill()
+	_ = p.cmd.Wait() // it was killed: that is its error
+	p.cmd = nil
+	return err
+}
+
+// PID is its process; 0: it does not run.
+func (p *ProcessInstance) PID() int {
+	if p.cmd == nil {
+		return 0
+	}
+	return p.cmd.Process.Pid
+}
+
+// Node is one daemon of the installation, a voter or a real gateway.
+type Node struct {
+	ID          string
+	Dir         string
+	Address     string // replication
+	Service     string // commands of other instances
+	Subscribers string // control streams
+	Front       string // PostgreSQL's wire
+	Instance    Instance
+}
+
+func newNode(dir, id string, instance Instance) (*Node, error) {
+	addresses, err := freeAddresses(4)
+	if err != nil {
+		return nil, err
+	}
+	n := &Node{ID: id, Dir: filepath.Join(dir, id), Instance: instance, Address: addresses[0], Service: addresses[1],
+		Subscribers: addresses[2], Front: addresses[3]}
+	return n, os.MkdirAll(n.Dir, 0o700)
+}
+
+func (n *Node) deployPath() string { return filepath.Join(n.Dir, "aspenshed.yaml") }
+
+func (n *Node) socket() string { return filepath.Join(n.Dir, "s") }
+
+// Start starts the daemon.
+func (n *Node) Start() error { return n.Instance.Start(n.deployPath()) }
+
+// Status asks the daemon how its store stands.
+func (n *Node) Status() (s store.Status, err error) {
+	answer, err := daemon.Call(n.socket(), daemon.Ask{Do: "status"})
+	if err != nil {
+		return s, err
+	}
+	return s, json.Unmarshal(answer, &s)
+}
+
+// Usage is the account of its process.
+func (n *Node) Usage() (Usage, error) { return ReadUsage(n.Instance.PID()) }
+
+const deployFront = `postgres:
+  listen: %s
+  inventory: inventory.csv
+  clients: 200
+  links: 100
+  classes:
+    - {name: timetable, read: any, aim: 750ms, give_up: 2s, worth: 2, effect: safe}
+    - {name: booking, read: write, aim: 750ms, give_up: 5s, worth: 6, late_worth: 0.5, effect: unsafe}
+  attempts: 10
+  connect_timeout: 250ms
+  idle_close: 60s
+  client_idle: 10m
+admin: {socket: s}
+`
+
+const deployVoter = `store:
+  cluster: %s
+  id: %s
+  address: %s
+  service: %s
+  subscribers: %s
+  data_dir: data
+  peers:
+%s`
+
+const deployGateway = `store:
+  cluster: %s
+  id: %s
+  subscribe: [%s]
+  region: %s
+  zone: %s
+`
+
+// writeVoter writes a voter's folder.
+func (n *Node) writeVoter(voters []*Node, databases []Database) error {
+	peers := ""
+	for _, v := range voters {
+		peers += fmt.Sprintf("    - {id: %s, address: %s, service: %s}\n", v.ID, v.Address, v.Service)
+	}
+	return n.write(fmt.Sprintf(deployVoter, clusterName, n.ID, n.Address, n.Service, n.Subscribers, peers), databases)
+}
+
+// writeGateway writes a real gateway's folder.
+func (n *Node) writeGateway(servers []string, zone Zone, databases []Database) error {
+	return n.write(fmt.Sprintf(deployGateway, clusterName, n.ID, strings.Join(servers, ", "), RegionName(zone.Region), zone.Name), databases)
+}
+
+func (n *Node) write(storePart string, databases []Database) error {
+	deploy := fmt.Sprintf(deployFront, n.Front) + storePart
+	if err := os.WriteFile(n.deployPath(), []byte(deploy), 0o600); err != nil {
+		return err
+	}
+	list := []byte("id,address,site,group,kind,state\n")
+	for _, d := range databases {
+		list = fmt.Appendf(list, "%s,%s,%s,%d,std-4core,in_service\n", d.ID, d.Address, zones[0].Name, d.Group)
+	}
+	return os.WriteFile(filepath.Join(n.Dir, "inventory.csv"), list, 0o600)
+}
+
+// leaderOf is the voter that leads, by its own account; nil: none does.
+func leaderOf(voters []*Node) *Node {
+	for _, v := range voters {
+		if v.Instance.PID() == 0 {
+			continue
+		}
+		if s, err := v.Status(); err == nil && s.Leader == s.ID {
+			return v
+		}
+	}
+	return nil
+}
+
+const startLimit = 60 * time.Second // for voters to agree on a leader
