--- a/internal/controlplane/catalog/catalog.go
+++ b/internal/controlplane/catalog/catalog.go
@@ -15,24 +15,27 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// The bounds. What lies beyond one is turned down with a reason, or the oldest goes, as said here.
+// The bounds. What lies beyond one is turned down with a reason, or the oldest goes, as said here. Those of members,
+// groups, instances and origins are at least twice the fleet that is planned for: 21,000 members in 3,500 groups and
+// 2,400 gateways.
 const (
-	mostConfigs   = 8         // versions kept; the oldest goes
-	mostPairs     = 1024      // further keys are turned down
-	mostValue     = 64 << 10  // bytes of a pair's value or of the configuration
-	maxMembers    = 20000     // of an inventory
-	mostLater     = 1024      // commands of later releases; further ones are counted in later_lost
-	mostOrigins   = 1024      // writers whose last commands are known; the one longest silent goes
-	mostRecent    = 64        // results remembered of each writer: as many as one batch holds
-	mostLeases    = 4         // that one instance may hold of one member: the one in force and those running out
-	spareTombs    = 256       // tombstones kept beyond twice the members present; the oldest goes
-	maxGroups     = 4096      // groups that an instance may speak of
-	mostClasses   = 256       // classes
-	freshWord     = 2.5e9     // ns: words of rates that are older than the newest by more are not added to it
-	longAgo       = 600 * 1e9 // ns: a start told as older than this is past its cold time, whatever the clocks' offset
-	leastShare    = 1e-4      // part of a cold member's budget too small to be worth a lease: a fifth of what 1,024 instances get
-	leastWeight   = 0.1       // of the mean want: what an instance without traffic still counts for
-	mostInstances = 1024      // most_instances allows fewer; further ones are turned down
+	maxConfigs       = 8               // versions kept; the oldest goes
+	maxPairs         = 1024            // further keys are turned down
+	maxValue         = 64 << 10        // bytes of a pair's value or of the configuration
+	maxMembers       = 4 * 21000       // twice the fleet, and as many again while one inventory takes the place of another
+	maxLater         = 1024            // commands of later releases; further ones are counted in later_lost
+	maxOrigins       = 8192            // writers whose last commands are known, three for each gateway as they restart
+	forgottenOrigins = maxOrigins / 16 // dropped at once when there are too many: those longest silent
+	maxRecent        = 64              // results remembered of each writer: as many as one batch holds
+	maxLeases        = 4               // that one instance may hold of one member: the one in force and those running out
+	spareTombs       = 256             // tombstones kept beyond twice the members present; the oldest goes
+	maxGroups        = 8192            // groups that an instance may speak of, and whose primaries are known
+	maxClasses       = 256             // classes
+	freshWord        = 2.5e9           // ns: words of rates that are older than the newest by more are not added to it
+	longAgo          = 600 * 1e9       // ns: a start told as older than this is past its cold time, whatever the clocks' offset
+	minShare         = 2e-5            // part of a cold member's budget too small to be worth a lease: a fifth of what 4,800 instances get
+	minWeight        = 0.1             // of the mean want: what an instance without traffic still counts for
+	maxInstances     = 2 * 2400        // most_instances allows fewer; further ones are turned down
 )
 
 // DefaultRules are in force until a command sets others.
@@ -49,8 +52,8 @@
 		return "cold_longest must be at least cold_for by the slowest clock"
 	case !(r.ClockBound >= 0 && r.ClockBound <= 0.2):
 		return "clock_bound must lie within 0 and 0.2"
-	case r.MostInstances < 1 || r.MostInstances > mostInstances:
-		return fmt.Sprintf("most_instances must lie within 1 and %d", mostInstances)
+	case r.MostInstances < 1 || r.MostInstances > maxInstances:
+		return fmt.Sprintf("most_instances must lie within 1 and %d", maxInstances)
 	case !(r.Pool >= 0 && r.Pool <= 1):
 		return "pool must lie within 0 and 1"
 	}
@@ -120,29 +123,28 @@
 		return &pb.Result{Seq: x.Seq, Refused: "an earlier command that comes late", Repeated: true}
 	}
 	if o == nil {
-		if len(c.origins) >= mostOrigins {
-			c.forgetOrigin()
+		if len(c.origins) >= maxOrigins {
+			c.forgetOrigins()
 		}
 		o = &pb.Origin{Name: x.Origin}
 		c.origins[x.Origin] = o
 	}
 	r := c.apply(x)
 	r.Seq = x.Seq
-	if o.Seq, o.At = x.Seq, c.s.Now; len(o.Recent) >= mostRecent {
+	if o.Seq, o.At = x.Seq, c.s.Now; len(o.Recent) >= maxRecent {
 		o.Recent = slices.Delete(o.Recent, 0, 1)
 	}
 	o.Recent = append(o.Recent, r)
 	return r
 }
 
-func (c *Catalog) forgetOrigin() {
-	oldest := ""
-	for _, name := range sorted(c.origins) {
-		if oldest == "" || c.origins[name].At < c.origins[oldest].At {
-			oldest = name
-		}
+// forgetOrigins drops the origins that have been silent for longest: some at once, as finding them takes a sort.
+func (c *Catalog) forgetOrigins() {
+	all := values(c.origins)
+	slices.SortStableFunc(all, func(a, b *pb.Origin) int { return cmp.Compare(a.At, b.At) })
+	for _, o := range all[:forgottenOrigins] {
+		delete(c.origins, o.Name)
 	}
-	delete(c.origins, oldest)
 }
 
 func refused(format string, a ...any) *pb.Result {
@@ -182,7 +184,7 @@
 	case *pb.Command_ReportPrimary:
 		return c.reportPrimary(b.ReportPrimary)
 	}
-	if len(c.s.Later) >= mostLater {
+	if len(c.s.Later) >= maxLater {
 		c.s.LaterLost++
 		return refused("kind %d of a later release: too many are kept already", x.Kind)
 	}
@@ -198,11 +200,11 @@
 	switch {
 	case p.Base != have:
 		return refused("the configuration is at version %d, not %d", have, p.Base)
-	case len(p.Text) > mostValue:
-		return refused("the configuration has %d bytes, %d at most", len(p.Text), mostValue)
+	case len(p.Text) > maxValue:
+		return refused("the configuration has %d bytes, %d at most", len(p.Text), maxValue)
 	}
 	c.touch(revision.ConfigKey)
-	if len(c.s.Configs) >= mostConfigs {
+	if len(c.s.Configs) >= maxConfigs {
 		c.s.Configs = slices.Delete(c.s.Configs, 0, 1)
 	}
 	c.s.Configs = append(c.s.Configs, &pb.ConfigVersion{Version: have + 1, Text: p.Text, Author: p.Author, At: c.s.Now})
@@ -215,12 +217,12 @@
 	switch {
 	case p.Key == "" || len(p.Key) > 256:
 		return refused("a key has 1 to 256 bytes")
-	case len(p.Value) > mostValue:
-		return refused("the value has %d bytes, %d at most", len(p.Value), mostValue)
+	case len(p.Value) > maxValue:
+		return refused("the value has %d bytes, %d at most", len(p.Value), maxValue)
 	case p.Checked && x.GetVersion() != p.Base:
 		return refused("%s is at version %d, not %d", p.Key, x.GetVersion(), p.Base)
-	case x == nil && len(c.pairs) >= mostPairs:
-		return refused("%d keys are held already", mostPairs)
+	case x == nil && len(c.pairs) >= maxPairs:
+		return refused("%d keys are held already", maxPairs)
 	case x == nil:
 		x = &pb.Pair{Key: p.Key}
 		c.pairs[p.Key] = x
@@ -299,7 +301,7 @@
 		x.Groups = append(x.Groups, g)
 	}
 	for _, k := range l.Classes {
-		if k.Wire = l.Wire; len(x.Classes) < mostClasses && k.Typical > 0 {
+		if k.Wire = l.Wire; len(x.Classes) < maxClasses && k.Typical > 0 {
 			x.Classes = append(x.Classes, k)
 		}
 	}
--- a/internal/controlplane/catalog/members.go
+++ b/internal/controlplane/catalog/members.go
@@ -308,7 +308,7 @@
 		}
 	}
 	share := min(c.fair(m, a), c.s.Rules.Pool-taken)
-	if held >= mostLeases || share < leastShare {
+	if held >= maxLeases || share < minShare {
 		return refused("no share of %s is free", a.Member)
 	}
 	c.s.Serial++
@@ -344,7 +344,7 @@
 		}
 		wants, sum = append(wants, w), sum+w
 	}
-	least := leastWeight * sum / float64(len(wants))
+	least := minWeight * sum / float64(len(wants))
 	if sum == 0 {
 		least, own = 1, 1
 	}
--- a/internal/controlplane/catalog/records.go
+++ b/internal/controlplane/catalog/records.go
@@ -156,10 +156,10 @@
 	switch {
 	case name == "" || p.Key != name:
 		return &RecordError{r.Key, fmt.Sprintf("it is of key %q", p.Key)}
-	case len(p.Value) > mostValue:
-		return &RecordError{r.Key, fmt.Sprintf("the value has %d bytes, %d at most", len(p.Value), mostValue)}
-	case c.pairs[name] == nil && len(c.pairs) >= mostPairs:
-		return &RecordError{r.Key, fmt.Sprintf("%d keys are held already", mostPairs)}
+	case len(p.Value) > maxValue:
+		return &RecordError{r.Key, fmt.Sprintf("the value has %d bytes, %d at most", len(p.Value), maxValue)}
+	case c.pairs[name] == nil && len(c.pairs) >= maxPairs:
+		return &RecordError{r.Key, fmt.Sprintf("%d keys are held already", maxPairs)}
 	}
 	c.pairs[name] = p
 	return nil
@@ -191,8 +191,8 @@
 	switch {
 	case v.Version == 0:
 		return &RecordError{r.Key, "version missing"}
-	case len(v.Text) > mostValue:
-		return &RecordError{r.Key, fmt.Sprintf("the configuration has %d bytes, %d at most", len(v.Text), mostValue)}
+	case len(v.Text) > maxValue:
+		return &RecordError{r.Key, fmt.Sprintf("the configuration has %d bytes, %d at most", len(v.Text), maxValue)}
 	}
 	c.s.Configs = []*pb.ConfigVersion{v}
 	return nil
--- /dev/null
+++ b/internal/controlplane/catalog/records_test.go
@@ -0,0 +1,269 @@
+package catalog
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/revision"
+)
+
+func entry(id, wire string, group int32) *pb.Entry {
+	return &pb.Entry{Id: id, Address: id + ":1", Wire: wire, Group: group, Site: "oslo", State: inService}
+}
+
+func upsertOf(entries ...*pb.Entry) *pb.Command {
+	return &pb.Command{Body: &pb.Command_UpsertMembers{UpsertMembers: &pb.UpsertMembers{Members: entries, Author: "t"}}}
+}
+
+func removal(ids ...string) *pb.Command {
+	return &pb.Command{Body: &pb.Command_RemoveMembers{RemoveMembers: &pb.RemoveMembers{Members: ids, Author: "t"}}}
+}
+
+func reported(wire string, group int32, member string, at int64) *pb.Command {
+	return &pb.Command{Body: &pb.Command_ReportPrimary{ReportPrimary: &pb.ReportPrimary{Wire: wire, Group: group, Member: member, At: at}}}
+}
+
+// summary is what a change says, without its values.
+func summary(x revision.Change) string {
+	out := x.Key
+	for _, word := range []struct {
+		applies bool
+		name    string
+	}{{x.Before == nil, "new"}, {x.Removed, "removed"}, {x.Binding, "binding"}} {
+		if word.applies {
+			out += " " + word.name
+		}
+	}
+	return out
+}
+
+// Each command changes the records that it should, and marks what must reach every subscriber.
+func TestChangesOfEachCommand(t *testing.T) {
+	r := newRig()
+	for i, x := range []struct {
+		c    *pb.Command
+		want string // of all changes, in order
+	}{
+		{upsertOf(entry("a", "mysql", 1), entry("b", "mysql", 1)), "member/a new; member/b new"},
+		{upsertOf(entry("a", "mysql", 1)), ""},
+		{drain("a", 0), "member/a binding"},
+		{drain("a", 0), ""},
+		{started("a", 2e18), "member/a binding"},
+		{reported("mysql", 1, "a", 1e18), "primary/mysql/1 new binding"},
+		{reported("mysql", 1, "a", 1e18+5e9), ""}, // another gateway's report of the same change
+		{reported("mysql", 1, "b", 1e18-1), ""},
+		{reported("mysql", 1, "b", 1e18+6e9), "primary/mysql/1 binding"},
+		{reported("mysql", 2, "b", 1e18+7e9), ""}, // of another group
+		{reported("mysql", 1, "a", 9e18), ""},     // of a clock that runs years ahead
+		{upsertOf(entry("b", "mysql", 2)), "member/b; primary/mysql/1 removed binding"},
+		{reported("mysql", 2, "b", 1e18+8e9), "primary/mysql/2 new binding"},
+		{removal("b", "zz"), "member/b removed binding; primary/mysql/2 removed binding"},
+		{removal("b"), ""},
+		{&pb.Command{Body: &pb.Command_Set{Set: &pb.Set{Key: "k", Value: []byte("v")}}}, "pair/k new"},
+		{&pb.Command{Body: &pb.Command_PutConfig{PutConfig: &pb.PutConfig{Text: "x"}}}, "config new"},
+		{&pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: "i"}}}, ""},
+		{&pb.Command{Body: &pb.Command_Learn{Learn: &pb.Learn{Instance: "i"}}}, ""},
+		{&pb.Command{Body: &pb.Command_Ask{Ask: &pb.Ask{Member: "a", Start: 2e18, Instance: "i", Nonce: "n", Want: 1, Duration: 1e9}}}, ""},
+		{&pb.Command{Body: &pb.Command_Warm{Warm: &pb.Warm{Member: "a", Start: 2e18}}}, "member/a"},
+		{&pb.Command{Body: &pb.Command_SetRules{SetRules: &pb.SetRules{Rules: DefaultRules()}}}, "rules new"},
+	} {
+		r.do(x.c)
+		var got []string
+		for _, change := range r.TakeChanges() {
+			if change.Revision != r.index || change.CommittedAt != r.at {
+				t.Errorf("command %d: %+v", i, change)
+			}
+			got = append(got, summary(change))
+		}
+		if strings.Join(got, "; ") != x.want {
+			t.Errorf("command %d, %v: changes %q, want %q", i, x.c, strings.Join(got, "; "), x.want)
+		}
+	}
+}
+
+// A member that leaves and comes back with the same start is draining still, whichever command names it.
+func TestRemovalAndUpsertHoldDrains(t *testing.T) {
+	r := newRig()
+	r.do(upsertOf(entry("a", "mysql", 1)))
+	r.do(started("a", 5e18))
+	r.do(drain("a", 5e18))
+	r.do(removal("a"))
+	back := entry("a", "mysql", 1)
+	back.Started = 5e18
+	r.do(upsertOf(back))
+	if r.Member("a").DrainedAt == 0 {
+		t.Error("it is no longer draining")
+	}
+	fresh := proto.Clone(back).(*pb.Entry)
+	fresh.Started = 5e18 + 1
+	if r.do(upsertOf(fresh)); r.Member("a").DrainedAt != 0 {
+		t.Error("a new start is draining")
+	}
+	stopped := proto.Clone(fresh).(*pb.Entry)
+	stopped.State = "draining"
+	if r.do(upsertOf(stopped)); r.Member("a").DrainedAt == 0 {
+		t.Error("the inventory's drain was not taken")
+	}
+}
+
+func TestUpsertsAreChecked(t *testing.T) {
+	r := newRig()
+	r.do(upsertOf(entry("a", "mysql", 1)))
+	checked := upsertOf(entry("b", "mysql", 1))
+	checked.GetUpsertMembers().Checked = true
+	before := r.Records()
+	for _, c := range []*pb.Command{checked, upsertOf(entry("b", "", 0), &pb.Entry{Id: "c"}), upsertOf(entry("b", "", 0), entry("b", "", 0)),
+		upsertOf(&pb.Entry{Address: "x"}), removal("a", ""), reported("mysql", 1, "a", 0), reported("postgres", 1, "a", 1e18)} {
+		if x := r.do(c); x.Refused == "" || !reflect.DeepEqual(r.Records(), before) || r.Inventory() != 1 {
+			t.Errorf("%v: %v", c, x)
+		}
+	}
+}
+
+// Guards the caps: twice the planned fleet fits, and one member more than the cap is turned down.
+func TestTwiceThePlannedFleetFits(t *testing.T) {
+	r := newRig()
+	const fleet, groups = 2 * 21000, 2 * 3500
+	p := &pb.PutInventory{}
+	for i := range fleet {
+		p.Members = append(p.Members, entry(fmt.Sprint("m", i), "mysql", int32(i%groups)))
+	}
+	if x := r.do(&pb.Command{Body: &pb.Command_PutInventory{PutInventory: p}}); x.Refused != "" {
+		t.Fatal(x.Refused)
+	}
+	for i := range groups {
+		if x := r.do(reported("mysql", int32(i), fmt.Sprint("m", i), r.at)); x.Refused != "" {
+			t.Fatal(x.Refused)
+		}
+	}
+	if n := len(r.TakeChanges()); n != fleet+groups {
+		t.Errorf("%d changes", n)
+	}
+	var more []*pb.Entry
+	for i := range maxMembers - fleet + 1 {
+		more = append(more, entry(fmt.Sprint("n", i), "mysql", 0))
+	}
+	if x := r.do(upsertOf(more...)); x.Refused == "" || len(r.Members()) != fleet {
+		t.Errorf("beyond the cap: %v, %d members", x, len(r.Members()))
+	}
+	if x := r.do(upsertOf(more[1:]...)); x.Refused != "" {
+		t.Error(x.Refused)
+	}
+}
+
+func encodedRecord(key string, value proto.Message) revision.Record {
+	b, err := proto.Marshal(value)
+	if err != nil {
+		panic(err)
+	}
+	return revision.Record{Key: key, Value: b}
+}
+
+// A record that is unreadable or absurd is named, and changes nothing, neither alone nor among good ones.
+func TestBadRecordsChangeNothing(t *testing.T) {
+	s := New("t")
+	good := []revision.Record{encodedRecord("member/a", &pb.Member{Entry: entry("a", "mysql", 1)}), encodedRecord("pair/k", &pb.Pair{Key: "k"})}
+	if err := s.ResetRecords(7, good); err != nil {
+		t.Fatal(err)
+	}
+	before, _ := s.Digest()
+	for _, bad := range []revision.Record{
+		{Key: "member/a", Value: []byte{0xff}},
+		{Key: "member/a"},
+		{Key: "member/"},
+		{Key: ""},
+		{Key: "novelty/x"},
+		encodedRecord("member/b", &pb.Member{Entry: entry("a", "mysql", 1)}),
+		encodedRecord("member/", &pb.Member{Entry: &pb.Entry{Address: "x"}}),
+		encodedRecord("member/a", &pb.Member{Entry: &pb.Entry{Id: "a"}}),
+		encodedRecord("member/a", &pb.Member{Entry: entry("a", "mysql", 1), Start: -1}),
+		encodedRecord("member/a", &pb.Member{Entry: entry("a", "mysql", 1), Leases: []*pb.Lease{{Instance: "x"}}}),
+		encodedRecord("pair/", &pb.Pair{}),
+		encodedRecord("pair/k", &pb.Pair{Key: "l"}),
+		encodedRecord("pair/k", &pb.Pair{Key: "k", Value: make([]byte, maxValue+1)}),
+		encodedRecord("primary/mysql/1", &pb.Primary{Wire: "mysql", Group: 2, Member: "a", At: 1}),
+		encodedRecord("primary/mysql/1", &pb.Primary{Wire: "mysql", Group: 1, At: 1}),
+		encodedRecord("primary/mysql/1", &pb.Primary{Wire: "mysql", Group: 1, Member: "a"}),
+		encodedRecord("config", &pb.ConfigVersion{Text: "x"}),
+		encodedRecord("rules", &pb.Rules{}),
+	} {
+		for name, set := range map[string]func() error{
+			"alone": func() error { return s.SetRecord(bad) },
+			"among": func() error { return s.ResetRecords(9, append([]revision.Record{good[0]}, bad)) },
+		} {
+			err := set()
+			var typed *RecordError
+			after, _ := s.Digest()
+			if !errors.As(err, &typed) || typed.Key != bad.Key || after != before {
+				t.Errorf("%s, %q %x: %v", name, bad.Key, bad.Value, err)
+			}
+		}
+	}
+	if err := s.RemoveRecord("novelty/x"); err == nil {
+		t.Error("an unknown kind was removed")
+	}
+	if err := s.RemoveRecord("member/zz"); err != nil {
+		t.Error(err)
+	}
+}
+
+// A subscriber's versions rise where its readers must look again; the inventory's only where its list has changed.
+func TestASubscribersVersions(t *testing.T) {
+	s := New("t")
+	if err := s.ResetRecords(1, []revision.Record{encodedRecord("member/a", &pb.Member{Entry: entry("a", "mysql", 1)})}); err != nil {
+		t.Fatal(err)
+	}
+	inventory, members := s.Inventory(), func() uint64 { m, _, _ := s.Versions(); return m }
+	was := members()
+	draining := encodedRecord("member/a", &pb.Member{Entry: entry("a", "mysql", 1), DrainedAt: 3})
+	if err := s.SetRecord(draining); err != nil || s.Inventory() != inventory || members() == was {
+		t.Errorf("a drain: %v, inventory %d after %d, members %d", err, s.Inventory(), inventory, members())
+	}
+	if err := s.RemoveRecord("member/a"); err != nil || s.Inventory() == inventory {
+		t.Errorf("a removal: %v, inventory %d after %d", err, s.Inventory(), inventory)
+	}
+	s.SetIndex(9)
+	if s.Index() != 9 {
+		t.Error(s.Index())
+	}
+}
+
+// A snapshot that the release before primaries and records wrote is read, and goes on from there.
+func TestASnapshotOfTheEarlierRelease(t *testing.T) {
+	b, err := os.ReadFile("testdata/snapshot-without-primaries.bin")
+	if err != nil {
+		t.Fatal(err)
+	}
+	c, err := Decode(b)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := &rig{Catalog: c, at: c.Now(), seq: 100, index: c.Index()}
+	if got := r.do(reported("mysql", 1, "b", r.at)); got.Refused != "" {
+		t.Error(got.Refused)
+	}
+	var keys []string
+	for _, x := range r.Records() {
+		keys = append(keys, x.Key)
+	}
+	if want := "config member/a member/b member/c pair/k primary/mysql/1"; strings.Join(keys, " ") != want {
+		t.Errorf("it holds %v", keys)
+	}
+	if r.Member("a").DrainedAt == 0 || r.Words()[Group{Wire: "mysql", ID: 0}].Primary != "a" {
+		t.Errorf("%v, %v", r.Member("a"), r.Words())
+	}
+	again, err := r.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if d, err := Decode(again); err != nil || !reflect.DeepEqual(d.Records(), r.Records()) {
+		t.Errorf("written again: %v", err)
+	}
+}
--- a/internal/controlplane/catalog/snapshot.go
+++ b/internal/controlplane/catalog/snapshot.go
@@ -16,10 +16,10 @@
 
 // A snapshot is a head of 24 bytes and the state: magic, format, length of the state, its CRC32C.
 const (
-	magic    = "ASPCATLG"
-	format   = 1
-	headSize = 8 + 4 + 8 + 4
-	mostSnap = 1 << 30
+	magic       = "ASPCATLG"
+	format      = 1
+	headSize    = 8 + 4 + 8 + 4
+	maxSnapshot = 1 << 30
 )
 
 // ErrDamaged says that a snapshot is not what was written.
@@ -62,7 +62,7 @@
 		return nil, fmt.Errorf("snapshot has format %d, this release reads %d at most", f, format)
 	}
 	body := b[headSize:]
-	if n := binary.BigEndian.Uint64(b[12:]); n != uint64(len(body)) || n > mostSnap {
+	if n := binary.BigEndian.Uint64(b[12:]); n != uint64(len(body)) || n > maxSnapshot {
 		return nil, fmt.Errorf("%w: %d bytes follow the head, not %d", ErrDamaged, len(body), n)
 	}
 	if Checksum(body) != binary.BigEndian.Uint32(b[20:]) {
