--- /dev/null
+++ b/cmd/aspenshed/rollout.go
@@ -0,0 +1,57 @@
+package main
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"aspenshed/internal/controlplane/store"
+	"aspenshed/internal/daemon"
+)
+
+func newRollout(o *options) *cobra.Command {
+	return &cobra.Command{Use: "rollout [REVISION]", Short: "How many gateways have a revision in force (by default the newest), and which lag",
+		Args: cobra.MaximumNArgs(1), RunE: func(c *cobra.Command, args []string) error {
+			q := daemon.Ask{Do: "rollout"}
+			if len(args) > 0 {
+				revision, err := strconv.ParseUint(args[0], 10, 64)
+				if err != nil || revision == 0 {
+					return fmt.Errorf("%q is no revision: a number from 1", args[0])
+				}
+				q.Revision = revision
+			}
+			var r store.RolloutReport
+			if err := o.ask(q, &r); err != nil {
+				return err
+			}
+			if o.output == "json" {
+				return asJSON(c, r)
+			}
+			return showRollout(c, o, r)
+		}}
+}
+
+// showRollout prints the counts, then the gateways that lag and what was refused, where there are any.
+func showRollout(c *cobra.Command, o *options, r store.RolloutReport) error {
+	out := c.OutOrStdout()
+	fmt.Fprintf(out, "revision %d: in force at %d of %d subscribers, by the voters %s\n", r.Revision, r.InForce, r.Subscribers, strings.Join(r.Answered, ", "))
+	if len(r.Silent) > 0 {
+		fmt.Fprintf(out, "no answer from %s: their subscribers are not counted\n", strings.Join(r.Silent, ", "))
+	}
+	if len(r.Lagging) > 0 {
+		fmt.Fprintln(out)
+		err := show(c, o, r.Lagging, table{"lagging", "in force"}, func(x store.LaggingSubscriber) []any { return []any{x.Subscriber, x.InForce} })
+		if err != nil {
+			return err
+		}
+	}
+	if len(r.Refusals) == 0 {
+		return nil
+	}
+	fmt.Fprintln(out)
+	return show(c, o, r.Refusals, table{"refused by", "revision", "key", "reason"}, func(x store.RolloutRefusal) []any {
+		return []any{x.Subscriber, x.Revision, x.Key, x.Reason}
+	})
+}
--- a/cmd/aspenshed/store.go
+++ b/cmd/aspenshed/store.go
@@ -93,7 +93,7 @@
 		RunE: func(*cobra.Command, []string) error { return errors.New("save or restore is expected") }}
 	snapshot.AddCommand(one("save FILE", "Write the catalog as the daemon holds it", "save", "saved", true),
 		one("restore FILE", "Have all instances hold what a file says; only the leader takes it", "restore", "restored", true))
-	c.AddCommand(newStatus(o), newMembers(o), newGet(o), newPut(o), snapshot,
+	c.AddCommand(newStatus(o), newMembers(o), newRollout(o), newGet(o), newPut(o), snapshot,
 		one("drain MEMBER", "Send nothing new to a member until it starts again", "drain", "draining", false),
 		one("restart MEMBER", "Say that a member has started anew: it is cold, and no longer draining", "restart", "taken as started now", false),
 		one("join SERVICE", "Have this daemon come in through the service of one that is in", "join", "joined through it", false),
--- a/internal/controlplane/store/lead.go
+++ b/internal/controlplane/store/lead.go
@@ -39,26 +39,6 @@
 // Rules are those that a new cluster begins with, by this configuration.
 func (c Config) Rules() *pb.Rules { return c.rules() }
 
-// carry brings a batch to the leader, wherever that is.
-func (s *Store) carry(b *pb.Batch) ([]*pb.Result, bool, error) {
-	if s.cfg.Address == "" {
-		return s.applyAlone(b), false, nil
-	}
-	r, err := s.askLeader(&pb.Call{Body: &pb.Call_Submit{Submit: b}}, leaderLimit+time.Second)
-	switch {
-	case err != nil:
-		return nil, !errors.Is(err, ErrUnavailable), err
-	case r.Refused != "":
-		return nil, !r.Retry, errors.New(r.Refused)
-	}
-	return r.Results, true, nil
-}
-
-func (s *Store) applyAlone(b *pb.Batch) []*pb.Result {
-	s.stamp(b)
-	return s.m.applyNext(b)
-}
-
 func (s *Store) stamp(b *pb.Batch) {
 	now := int64(s.cfg.Clock.Now())
 	for _, c := range b.Commands {
@@ -115,6 +95,9 @@
 		// What was begun and never agreed on anything may be begun again, together with who asks.
 		return &pb.Reply{Exists: r != nil && r.LastIndex() > 1}
 	}
+	if query, ok := c.Body.(*pb.Call_Rollout); ok {
+		return s.answerRollout(query.Rollout)
+	}
 	if r == nil || r.State() != raft.Leader {
 		x := &pb.Reply{Refused: "another instance leads", Retry: true}
 		if r != nil {
--- /dev/null
+++ b/internal/controlplane/store/publish_test.go
@@ -0,0 +1,181 @@
+package store
+
+import (
+	"fmt"
+	"reflect"
+	"sync"
+	"testing"
+
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/revision"
+)
+
+// follower is a Publisher that holds what it has heard.
+type follower struct {
+	t *testing.T
+
+	mu     sync.Mutex
+	cat    *catalog.Catalog
+	rev    uint64
+	resets int
+}
+
+func newFollower(t *testing.T) *follower { return &follower{t: t, cat: catalog.New("t")} }
+
+func (f *follower) Publish(rev uint64, changes []revision.Change) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if rev <= f.rev {
+		f.t.Errorf("revision %d after %d", rev, f.rev)
+	}
+	f.rev = rev
+	for _, x := range changes {
+		err := error(nil)
+		if x.Removed {
+			err = f.cat.RemoveRecord(x.Key)
+		} else {
+			err = f.cat.SetRecord(x.Record)
+		}
+		if err != nil || x.Revision != rev || x.CommittedAt == 0 {
+			f.t.Errorf("revision %d: %+v: %v", rev, x, err)
+		}
+	}
+}
+
+func (f *follower) Reset(rev uint64, records []revision.Record) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if rev <= f.rev {
+		f.t.Errorf("reset to revision %d after %d", rev, f.rev)
+	}
+	f.rev = rev
+	f.resets++
+	if err := f.cat.ResetRecords(rev, records); err != nil {
+		f.t.Error(err)
+	}
+}
+
+// holds reports whether the follower holds all that s distributes.
+func (f *follower) holds(s *Store) (same bool) {
+	s.Read(func(c *catalog.Catalog) {
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		same = reflect.DeepEqual(f.cat.Records(), c.Records())
+	})
+	return same
+}
+
+func (f *follower) count() int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.resets
+}
+
+func upsert(ids ...string) *pb.Command {
+	p := &pb.UpsertMembers{Author: "t"}
+	for _, id := range ids {
+		p.Members = append(p.Members, &pb.Entry{Id: id, Address: id + ":1", State: "in_service"})
+	}
+	return &pb.Command{Body: &pb.Command_UpsertMembers{UpsertMembers: p}}
+}
+
+func drainOf(id string) *pb.Command {
+	return &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: id, Reason: "test"}}}
+}
+
+// Who follows a voter's changes holds what the voter holds: while it writes, after a snapshot of the leader took the
+// place of log entries that it missed, and after a state was restored by hand, which has a newer revision.
+func TestWhoFollowsThePublishedChangesHoldsTheCatalog(t *testing.T) {
+	c := newCluster(t, "a", "b", "c")
+	followers := map[string]*follower{}
+	reopen := func(id string) {
+		c.kill(id)
+		followers[id] = newFollower(t)
+		c.nodes[id].cfg.Publisher = followers[id]
+		c.open(id)
+	}
+	for _, id := range []string{"a", "b", "c"} {
+		reopen(id)
+	}
+	same := func(when string) {
+		t.Helper()
+		c.equal(nil)
+		for id, f := range followers {
+			c.until(fmt.Sprint("what ", id, " publishes ", when), func() bool { return f.holds(c.nodes[id].store) })
+		}
+	}
+	c.leader()
+	c.submit("a", upsert("m1", "m2", "m3"))
+	c.submit("b", drainOf("m2"))
+	c.put("c", "k", "v")
+	c.submit("c", &pb.Command{Body: &pb.Command_RemoveMembers{RemoveMembers: &pb.RemoveMembers{Members: []string{"m3"}}}})
+	same("after writes")
+	away := c.follower()
+	c.kill(away)
+	writer := c.leader()
+	for i := range 300 { // more than the log keeps
+		c.put(writer, fmt.Sprint("k", i%7), fmt.Sprint(i))
+	}
+	reopen(away)
+	c.until("a snapshot at who was away", func() bool { return followers[away].count() > 0 })
+	same("after a snapshot")
+	lead := c.leader()
+	saved := encoded(t, c.nodes[lead].store)
+	c.put(lead, "k", "later")
+	before := followers[lead].count()
+	if err := c.nodes[lead].store.Load(saved); err != nil {
+		t.Fatal(err)
+	}
+	if followers[lead].count() == before {
+		t.Error("the restored state was not published")
+	}
+	c.put(lead, "after", "the restore")
+	same("after a restore by hand")
+	c.equal(map[string]string{"k": "v", "after": "the restore"})
+}
+
+func encoded(t *testing.T, s *Store) (b []byte) {
+	t.Helper()
+	var err error
+	if s.Read(func(c *catalog.Catalog) { b, err = c.Encode() }); err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// submit has a command carried out.
+func (c *cluster) submit(from string, x *pb.Command) {
+	c.t.Helper()
+	if r, err := c.nodes[from].store.Submit(x, patient); err != nil || r.Refused != "" {
+		c.t.Fatalf("%v: %v %v", x, r, err)
+	}
+}
+
+// An instance without a log publishes in the same way.
+func TestAnInstanceAlonePublishes(t *testing.T) {
+	f := newFollower(t)
+	s, err := Open(Config{Cluster: "t", ID: "only", Publisher: f})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer s.Close()
+	for _, x := range []*pb.Command{upsert("m1", "m2"), drainOf("m1"), set("k", "v")} {
+		if r, err := s.Submit(x, patient); err != nil || r.Refused != "" {
+			t.Fatal(r, err)
+		}
+	}
+	saved := encoded(t, s)
+	if r, err := s.Submit(set("k", "w"), patient); err != nil || r.Refused != "" {
+		t.Fatal(r, err)
+	}
+	if !f.holds(s) {
+		t.Error("it does not publish what it holds")
+	}
+	if err := s.Load(saved); err != nil {
+		t.Fatal(err)
+	}
+	if !f.holds(s) || f.count() != 1 || get(s, "k") != "v" {
+		t.Errorf("after a restore: %d resets, k=%q", f.count(), get(s, "k"))
+	}
+}
--- /dev/null
+++ b/internal/controlplane/store/rollout.go
@@ -0,0 +1,152 @@
+package store
+
+import (
+	"cmp"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+)
+
+// maxRolloutRows is the number of lagging subscribers, and of refusals, that a report names: the voters name 20 each.
+const maxRolloutRows = 20
+
+// RolloutReport tells how far a revision has come: at the subscribers of all voters that answered.
+type RolloutReport struct {
+	Revision    uint64              `json:"revision"`
+	Subscribers uint64              `json:"subscribers"`
+	InForce     uint64              `json:"in_force"`
+	Lagging     []LaggingSubscriber `json:"lagging"`  // those furthest behind
+	Refusals    []RolloutRefusal    `json:"refusals"` // changes of the revision that a subscriber could not take
+	Answered    []string            `json:"answered"`
+	Silent      []string            `json:"silent"` // voters that did not answer: their subscribers are not counted
+}
+
+// LaggingSubscriber has not got the revision in force.
+type LaggingSubscriber struct {
+	Subscriber string `json:"subscriber"`
+	InForce    uint64 `json:"in_force"` // the newest revision that it has
+}
+
+// RolloutRefusal is one change that a subscriber could not take.
+type RolloutRefusal struct {
+	Subscriber string `json:"subscriber"`
+	Revision   uint64 `json:"revision"`
+	Key        string `json:"key"`
+	Reason     string `json:"reason"`
+}
+
+// Rollout asks every voter, within limit, how far its subscribers are with a revision; 0: the newest that is applied
+// here.
+func (s *Store) Rollout(rev uint64, limit time.Duration) (RolloutReport, error) {
+	if rev == 0 {
+		s.Read(func(c *catalog.Catalog) { rev = c.Index() })
+	}
+	report := RolloutReport{Revision: rev, Lagging: []LaggingSubscriber{}, Refusals: []RolloutRefusal{}, Answered: []string{}, Silent: []string{}}
+	others, err := s.otherVoters()
+	if err != nil {
+		return report, err
+	}
+	report.add(s.cfg.ID, s.ownRollout(rev))
+	for id, status := range s.askRollout(others, rev, limit) {
+		report.add(id, status)
+	}
+	report.order()
+	return report, nil
+}
+
+// ownRollout counts the subscribers of this instance.
+func (s *Store) ownRollout(rev uint64) *pb.RolloutStatus {
+	if s.cfg.Rollout == nil {
+		return &pb.RolloutStatus{Revision: rev}
+	}
+	return s.cfg.Rollout(rev)
+}
+
+// answerRollout serves another voter's query.
+func (s *Store) answerRollout(q *pb.RolloutQuery) *pb.Reply {
+	rev := q.GetRevision()
+	if rev == 0 {
+		s.Read(func(c *catalog.Catalog) { rev = c.Index() })
+	}
+	return &pb.Reply{Rollout: s.ownRollout(rev)}
+}
+
+// otherVoters are the ids of the voters besides this instance.
+func (s *Store) otherVoters() (ids []string, err error) {
+	if s.cfg.Address == "" {
+		return nil, nil
+	}
+	r := s.raft.Load()
+	if r == nil {
+		return nil, ErrUnavailable
+	}
+	f := r.GetConfiguration()
+	if err := f.Error(); err != nil {
+		return nil, err
+	}
+	for _, v := range f.Configuration().Servers {
+		if v.Suffrage == raft.Voter && string(v.ID) != s.cfg.ID {
+			ids = append(ids, string(v.ID))
+		}
+	}
+	return ids, nil
+}
+
+// askRollout asks all of them at once. One that does not answer has a nil status.
+func (s *Store) askRollout(ids []string, rev uint64, limit time.Duration) map[string]*pb.RolloutStatus {
+	var mu sync.Mutex
+	var wg sync.WaitGroup
+	statuses := make(map[string]*pb.RolloutStatus, len(ids))
+	for _, id := range ids {
+		wg.Add(1)
+		go func() {
+			defer wg.Done()
+			var status *pb.RolloutStatus
+			call := &pb.Call{Body: &pb.Call_Rollout{Rollout: &pb.RolloutQuery{Revision: rev}}}
+			if reply, err := s.call(s.serviceOf(id), call, limit); err == nil {
+				status = reply.Rollout
+			}
+			mu.Lock()
+			defer mu.Unlock()
+			statuses[id] = status
+		}()
+	}
+	wg.Wait()
+	return statuses
+}
+
+// add counts one voter's answer; nil: there was none.
+func (r *RolloutReport) add(voter string, status *pb.RolloutStatus) {
+	if status == nil {
+		r.Silent = append(r.Silent, voter)
+		return
+	}
+	r.Answered = append(r.Answered, voter)
+	r.Subscribers += status.Subscribers
+	r.InForce += status.InForce
+	for _, x := range status.Lagging {
+		r.Lagging = append(r.Lagging, LaggingSubscriber{x.Subscriber, x.InForce})
+	}
+	for _, x := range status.Refusals {
+		r.Refusals = append(r.Refusals, RolloutRefusal{x.Subscriber, x.Revision, x.Key, x.Reason})
+	}
+}
+
+// order puts the furthest behind first, and bounds the lists.
+func (r *RolloutReport) order() {
+	slices.Sort(r.Answered)
+	slices.Sort(r.Silent)
+	slices.SortFunc(r.Lagging, func(a, b LaggingSubscriber) int {
+		return cmp.Or(cmp.Compare(a.InForce, b.InForce), cmp.Compare(a.Subscriber, b.Subscriber))
+	})
+	slices.SortFunc(r.Refusals, func(a, b RolloutRefusal) int {
+		return cmp.Or(cmp.Compare(b.Revision, a.Revision), cmp.Compare(a.Subscriber, b.Subscriber), cmp.Compare(a.Key, b.Key))
+	})
+	r.Lagging = r.Lagging[:min(len(r.Lagging), maxRolloutRows)]
+	r.Refusals = r.Refusals[:min(len(r.Refusals), maxRolloutRows)]
+}
--- a/internal/controlplane/store/service.go
+++ b/internal/controlplane/store/service.go
@@ -14,9 +14,12 @@
 )
 
 const (
-	mostServed = 64   // calls that are served at once; further ones are told to come again
-	mostPeers  = 1100 // connections in, and out: of every instance that may exist, and of commands
-	dialLimit  = time.Second
+	// maxServed calls are served at once; further ones are told to come again. Each waits for a majority, and a burst
+	// of reports of 2,400 gateways comes through a few voters.
+	maxServed = 1024
+	// maxConnections in, and out: twice as many as instances in the planned fleet of 2,400, with room for commands.
+	maxConnections = 5000
+	dialLimit      = time.Second
 )
 
 // Caller carries a call to another instance's service. An error other than ErrUnavailable means that it may have
@@ -37,10 +40,11 @@
 }
 
 func newService(s *Store) (*service, error) {
-	v := &service{s: s, most: make(chan struct{}, mostServed), out: map[string]*outgoing{}}
+	v := &service{s: s, most: make(chan struct{}, maxServed), out: map[string]*outgoing{}}
 	var err error
-	v.net, err = netio.New(netio.Config{Name: "store", Listen: s.cfg.Service, Clients: mostPeers, Dials: mostPeers,
-		Accept: func(c *netio.Conn) netio.Handler { return &incoming{v: v, c: c} }})
+	v.net, err = netio.New(netio.Config{Name: "store", Listen: s.cfg.Service, Clients: maxConnections, Dials: maxConnections,
+		WriteBuffer: 2 * (frame.MaxSize + 4), // the longest message, and another behind it
+		Accept:      func(c *netio.Conn) netio.Handler { return &incoming{v: v, c: c} }})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -23,6 +23,7 @@
 	adminClients = 16
 	adminLine    = 256 << 10
 	adminLimit   = 15 * time.Second
+	rolloutLimit = 3 * time.Second // for the other voters to answer: one that is cut off must not hide the others' counts
 )
 
 // Ask is one question.
@@ -33,6 +34,8 @@
 	Base   uint64 `json:"base,omitempty"`
 	Check  bool   `json:"check,omitempty"`  // put only over version Base
 	Latest bool   `json:"latest,omitempty"` // read what all have agreed on, not what is held here
+	// Revision is the one that a rollout is asked of; 0: the newest.
+	Revision uint64 `json:"revision,omitempty"`
 }
 
 // Answer is its answer.
@@ -110,6 +113,8 @@
 		return st.Status(), nil
 	case "members":
 		return a.d.Members(), nil
+	case "rollout":
+		return st.Rollout(q.Revision, rolloutLimit)
 	case "get":
 		return a.get(q)
 	case "put":
--- a/internal/daemon/admin_test.go
+++ b/internal/daemon/admin_test.go
@@ -45,6 +45,9 @@
 	if got, err := ask(Ask{Do: "get", Key: "k", Latest: true}); err != nil || !strings.Contains(got, `"value":"v"`) {
 		t.Errorf("get: %s %v", got, err)
 	}
+	if got, err := ask(Ask{Do: "rollout"}); err != nil || !strings.Contains(got, `"answered":["a","b","c"],"silent":[]`) {
+		t.Errorf("rollout: %s %v", got, err)
+	}
 	path := filepath.Join(t.TempDir(), "saved")
 	for _, c := range []struct {
 		q    Ask
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -4,6 +4,7 @@
 package netio
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"fmt"
@@ -30,7 +31,7 @@
 	ErrClosed  = errors.New("connection closed")
 )
 
-const maxWriteBuffer = 2 << 20 // of one connection; nbio closes one that queues more
+const maxWriteBuffer = 2 << 20 // bytes of one connection, where Config.WriteBuffer is 0; nbio closes one that queues more
 
 const (
 	stopLimit = 2 * time.Second // for an engine to end
@@ -70,6 +71,8 @@
 	// Clients and Dials are the descriptors for each way in and out. Of the latter the last
 	// Reserved are for discovery and probes: without those no link would be of use.
 	Clients, Dials, Reserved int
+	// WriteBuffer bounds the bytes that one connection queues; one that queues more is closed. 0: 2 MiB.
+	WriteBuffer int
 }
 
 // Net is one engine.
@@ -97,7 +100,7 @@
 // New starts an engine.
 func New(cfg Config) (*Net, error) {
 	n := &Net{cfg: cfg, logAway: rate.Sometimes{Interval: time.Second}}
-	nc := nbio.Config{Name: cfg.Name, NPoller: 1, ReadBufferSize: readSize, MaxWriteBufferSize: maxWriteBuffer,
+	nc := nbio.Config{Name: cfg.Name, NPoller: 1, ReadBufferSize: readSize, MaxWriteBufferSize: cmp.Or(cfg.WriteBuffer, maxWriteBuffer),
 		Listen: n.listen}
 	if cfg.Listen != "" {
 		network, addr := split(cfg.Listen)
