--- a/internal/controlplane/admission/admission.go
+++ b/internal/controlplane/admission/admission.go
@@ -21,6 +21,8 @@
 	ticketLife = 15 * aspenshed.Nanos(time.Second)
 	// jitterPart of a wait is added to it at random, so that clocks and equal figures don't line the comers up.
 	jitterPart = 0.1
+	// longAgo is before every instant: a clock may start anywhere.
+	longAgo = aspenshed.Nanos(-1 << 62)
 )
 
 // Bucket admits transfers by their bytes. Who is turned away holds a ticket for the bytes that it has reserved, so that
@@ -38,7 +40,8 @@
 // NewBucket gives out so many bytes a second, and after a pause as many as burst at once.
 func NewBucket(bytesPerSecond, burst float64) *Bucket {
 	whole := max(1, int(burst))
-	return &Bucket{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), whole), burst: whole, tickets: map[string]ticket{}}
+	return &Bucket{limiter: rate.NewLimiter(rate.Limit(bytesPerSecond), whole), burst: whole,
+		tickets: map[string]ticket{}, swept: longAgo}
 }
 
 // Admit says whether a transfer may begin now, or how long its asker shall stay away. Random is from [0, 1).
--- /dev/null
+++ b/internal/controlplane/rollout/rollout_test.go
@@ -0,0 +1,50 @@
+package rollout
+
+import (
+	"fmt"
+	"testing"
+)
+
+func TestStatusCountsAndNamesThoseFurthestBehind(t *testing.T) {
+	k := NewTracker()
+	for i := range 100 {
+		k.InForce(fmt.Sprintf("g%03d", i), uint64(i))
+	}
+	k.Remove("g000")
+	s := k.Status(60)
+	if s.Subscribers != 99 || s.InForce != 40 || len(s.Lagging) != maxLagging {
+		t.Fatalf("%v", s)
+	}
+	if first, last := s.Lagging[0], s.Lagging[maxLagging-1]; first.Subscriber != "g001" || last.InForce != 20 {
+		t.Errorf("lagging from %v to %v", first, last)
+	}
+	if s := k.Status(0); s.InForce != 99 || len(s.Lagging) != 0 {
+		t.Errorf("%v", s)
+	}
+}
+
+func TestRefusalsAreBoundedAndNewestFirst(t *testing.T) {
+	k := NewTracker()
+	for i := range maxRefusals + 50 {
+		k.Refused(fmt.Sprint("g", i), uint64(i%2), "config", "no such group")
+	}
+	if len(k.refusals) != maxRefusals {
+		t.Errorf("%d kept", len(k.refusals))
+	}
+	s := k.Status(1)
+	if len(s.Refusals) != maxReported || s.Refusals[0].Subscriber != fmt.Sprint("g", maxRefusals+49) ||
+		s.Refusals[1].Subscriber != fmt.Sprint("g", maxRefusals+47) || s.Refusals[0].Reason != "no such group" {
+		t.Errorf("%v", s.Refusals)
+	}
+}
+
+func BenchmarkInForce(b *testing.B) {
+	k := NewTracker()
+	names := make([]string, 2400)
+	for i := range names {
+		names[i] = fmt.Sprint("gateway-", i)
+	}
+	for i := range b.N {
+		k.InForce(names[i%len(names)], uint64(i))
+	}
+}
--- a/internal/controlplane/subscription/client.go
+++ b/internal/controlplane/subscription/client.go
@@ -89,7 +89,7 @@
 	}
 	c.checkTimes(now)
 	actions, c.actions = c.actions, nil
-	return actions, c.next()
+	return actions, max(now, c.next())
 }
 
 func (c *Client) take(now aspenshed.Nanos, e Event) {
--- a/internal/controlplane/subscription/encode.go
+++ b/internal/controlplane/subscription/encode.go
@@ -21,6 +21,8 @@
 	lengthBytes = 4
 	// frameNumberField is ServerFrame.number.
 	frameNumberField = 1
+	// frameOverhead is what a frame has beside its body at most: length prefix, tag and number.
+	frameOverhead = lengthBytes + 1 + 10
 )
 
 // body is an encoded ServerFrame without its number, shared by all sessions that are sent it.
@@ -44,17 +46,20 @@
 	return append(out, b...)
 }
 
+// size is how large the frame of a body is at most.
+func (b body) size() int { return len(b) + frameOverhead }
+
 func sizeOf(bodies []body) (sum int) {
 	for _, b := range bodies {
-		sum += len(b)
+		sum += b.size()
 	}
 	return sum
 }
 
 // encodeChanges makes the frames of one step; without changes it is one frame, a heartbeat.
-func encodeChanges(from, through uint64, digest revision.Digest, changes []revision.Change) (out []body) {
+func (e *encoder) encodeChanges(from, through uint64, digest revision.Digest, changes []revision.Change) (out []body) {
 	for {
-		n := countThatFit(changes, func(c *revision.Change) int { return len(c.Key) + len(c.Value) })
+		n := countThatFit(changes, e.frameBytes, func(c *revision.Change) int { return len(c.Key) + len(c.Value) })
 		message := &pb.Changes{From: from, Through: through, More: n < len(changes)}
 		if !message.More {
 			message.Digest = uint64(digest)
@@ -78,11 +83,11 @@
 }
 
 // countThatFit is how many of the items go into one frame: at least one, if there is any.
-func countThatFit[T any](items []T, size func(*T) int) int {
+func countThatFit[T any](items []T, frameBytes int, size func(*T) int) int {
 	bytes := 0
 	for i := range items {
 		bytes += size(&items[i]) + recordOverhead
-		if bytes > maxFrameBytes && i > 0 {
+		if bytes > frameBytes && i > 0 {
 			return i
 		}
 	}
@@ -96,7 +101,8 @@
 	bytes    int
 }
 
-func encodeSnapshot(s *revision.State, scope revision.Scope) *snapshot {
+func (e *encoder) encodeSnapshot(scope revision.Scope) *snapshot {
+	s := e.state
 	var records []*pb.Record
 	for r := range s.Records(scope) {
 		records = append(records, &pb.Record{Key: r.Key, Value: r.Value})
@@ -104,7 +110,7 @@
 	total := uint64(len(records))
 	var chunks []body
 	for len(records) > 0 {
-		n := countThatFit(records, func(r **pb.Record) int { return len((*r).Key) + len((*r).Value) })
+		n := countThatFit(records, e.frameBytes, func(r **pb.Record) int { return len((*r).Key) + len((*r).Value) })
 		chunk := &pb.SnapshotChunk{Index: uint32(len(chunks)), Records: records[:n]}
 		chunks = append(chunks, encodeBody(&pb.ServerFrame{Body: &pb.ServerFrame_SnapshotChunk{SnapshotChunk: chunk}}))
 		records = records[n:]
--- a/internal/controlplane/subscription/encoder.go
+++ b/internal/controlplane/subscription/encoder.go
@@ -24,6 +24,7 @@
 	state      *revision.State
 	log        *revision.Log
 	stepBytes  int // how much one step may hold; a commit that alone is larger is a step of its own
+	frameBytes int // maxFrameBytes, less in tests
 	steps      map[stepKey]*step
 	scopes     map[string]*scopeOf
 	snapshotOf map[*scopeOf]*keptSnapshot
@@ -55,7 +56,8 @@
 }
 
 func newEncoder(state *revision.State, log *revision.Log, stepBytes int, f *faults) *encoder {
-	e := &encoder{state: state, log: log, stepBytes: stepBytes, faults: f, scopes: map[string]*scopeOf{}}
+	e := &encoder{state: state, log: log, stepBytes: stepBytes, frameBytes: maxFrameBytes, faults: f,
+		scopes: map[string]*scopeOf{}}
 	e.reset()
 	return e
 }
@@ -128,6 +130,9 @@
 	if e.faults.resumeOneTooLate && len(changes) > 0 {
 		changes = changes[endOfCommit(changes, 0):]
 	}
+	if e.faults.coalesceFirst {
+		changes = revision.Coalesce(changes)
+	}
 	seen, taken := e.take(changes, scope.Scope)
 	through := e.log.Head()
 	if taken < len(changes) {
@@ -135,7 +140,7 @@
 	}
 	digest := e.state.Digest(scope.Scope) - digestOf(changes[taken:], scope.Scope)
 	p := &step{through: through, head: e.log.Head(), changes: len(seen)}
-	p.frames = encodeChanges(cursor, through, digest, seen)
+	p.frames = e.encodeChanges(cursor, through, digest, seen)
 	p.bytes = sizeOf(p.frames)
 	if len(e.steps) >= maxSteps {
 		clear(e.steps)
@@ -188,7 +193,7 @@
 		(kept.revision == e.state.Revision() || now < kept.madeAt+snapshotReuse) {
 		return kept.snapshot
 	}
-	kept = &keptSnapshot{snapshot: encodeSnapshot(e.state, scope.Scope), madeAt: now}
+	kept = &keptSnapshot{snapshot: e.encodeSnapshot(scope.Scope), madeAt: now}
 	e.snapshotOf[scope] = kept
 	return kept.snapshot
 }
--- a/internal/controlplane/subscription/faults.go
+++ b/internal/controlplane/subscription/faults.go
@@ -10,6 +10,8 @@
 type faults struct {
 	coalesceBinding  bool // the server drops binding changes that a newer change of the key follows
 	ignoreWindow     bool // the server sends whatever there is
+	coalesceFirst    bool // the server coalesces before it projects changes into the scope
+	keepStalled      bool // the server doesn't close sessions that acknowledge nothing
 	resumeOneTooLate bool // the server leaves out the first commit after what the subscriber has
 	applyHalf        bool // the client takes a snapshot's first chunk for the whole
 	skipDigest       bool // the client doesn't compare digests
@@ -21,9 +23,9 @@
 	if !f.coalesceBinding {
 		return revision.Coalesce(changes)
 	}
-	changes = slices.Clone(changes)
-	for i := range changes {
-		changes[i].Binding = false
+	newest := map[string]uint64{}
+	for _, c := range changes {
+		newest[c.Key] = c.Revision
 	}
-	return revision.Coalesce(changes)
+	return slices.DeleteFunc(slices.Clone(changes), func(c revision.Change) bool { return c.Revision < newest[c.Key] })
 }
--- a/internal/controlplane/subscription/session.go
+++ b/internal/controlplane/subscription/session.go
@@ -205,7 +205,7 @@
 // stalled closes a session that has not subscribed, or has acknowledged nothing, for too long.
 func (s *Server) stalled(now aspenshed.Nanos, x *session) bool {
 	switch {
-	case now < x.progress+s.config.StallTimeout:
+	case now < x.progress+s.config.StallTimeout || s.faults.keepStalled:
 		return false
 	case x.scope == nil:
 		s.close(x, pb.Closing_TOO_SLOW, errNoSubscribe, 0)
@@ -276,7 +276,7 @@
 		return err
 	}
 	for _, b := range x.snapshot.frames[x.nextFrame:] {
-		if s.exceeds(x, len(b)) {
+		if s.exceeds(x, b.size()) {
 			return nil
 		}
 		s.send(now, x, b)
