--- a/cmd/aspenshed/gateway.go
+++ b/cmd/aspenshed/gateway.go
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	if deploy.MySQL.Listen != "" {
-		if g.fares, err = daemon.NewMySQL(&deploy.MySQL, g.loop, node.SeedNumber()+1, nil, 0); err != nil {
+		if g.fares, err = daemon.NewMySQL(&deploy.MySQL, g.loop, node.SeedNumber()+1, nil); err != nil {
 			return nil, err
 		}
 	}
--- a/cmd/aspenshed/serve.go
+++ b/cmd/aspenshed/serve.go
@@ -17,7 +17,7 @@
 			if err != nil {
 				return err
 			}
-			if d.MySQL.Listen == "" && d.Postgres.Listen == "" {
+			if d.Empty() {
 				return demonstrate()
 			}
 			return serve(d, o.deploy)
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -10,16 +10,14 @@
 	"time"
 
 	"aspenshed"
-
-	"aspenshed/internal/controlplane/store"
 )
 
 // Deploy is deploy/aspenshed.yaml: the fronts of our own installations, the store and the daemon's own settings. Paths
 // in it are relative to its folder.
 type Deploy struct {
-	MySQL    MySQL        `yaml:"mysql"`
-	Postgres Postgres     `yaml:"postgres"`
-	Store    store.Config `yaml:"store"`
+	MySQL    MySQL    `yaml:"mysql"`
+	Postgres Postgres `yaml:"postgres"`
+	Store    Store    `yaml:"store"`
 	Admin    struct {
 		Socket string `yaml:"socket"` // a unix socket for the command line; empty: none
 	} `yaml:"admin"`
@@ -104,9 +102,7 @@
 	d := &Deploy{Text: data}
 	c := newChecker(path, data)
 	c.decode(d)
-	for _, f := range d.Store.Faults() {
-		c.bad("store."+f.Field, "%s", f.Problem)
-	}
+	d.Store.check(c)
 	dir := filepath.Dir(path)
 	if d.Store.DataDir != "" {
 		d.Store.DataDir = within(dir, d.Store.DataDir)
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"os"
+	"slices"
 	"sync"
 	"time"
 
@@ -13,6 +14,7 @@
 
 	"aspenshed/internal/controlplane/catalog"
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/subscriber"
 	"aspenshed/internal/netio"
 )
 
@@ -106,11 +108,17 @@
 	}()
 }
 
+// needVote are the requests that a subscriber can't serve.
+var needVote = []string{"rollout", "join", "leave", "save", "restore"}
+
 func (a *admin) do(q Ask) (any, error) {
 	st := a.d.Store
+	if st == nil && slices.Contains(needVote, q.Do) {
+		return nil, subscriber.ErrNoVote
+	}
 	switch q.Do {
 	case "status":
-		return st.Status(), nil
+		return a.d.Status(), nil
 	case "members":
 		return a.d.Members(), nil
 	case "rollout":
@@ -157,7 +165,7 @@
 // drainHere has this instance hold a drain before anything is agreed on: a split must not delay it.
 func (d *Daemon) drainHere(member string) (held bool) {
 	wire := ""
-	d.Store.Read(func(c *catalog.Catalog) {
+	d.control.Store.Read(func(c *catalog.Catalog) {
 		if m := c.Member(member); m != nil {
 			wire, held = m.Entry.Wire, true
 		}
@@ -176,12 +184,12 @@
 func (a *admin) told(err error) (any, error) { return done{Done: err == nil}, err }
 
 func (a *admin) submit(c *pb.Command) (any, error) {
-	r, err := a.d.Store.Submit(c, adminLimit)
+	r, err := a.d.control.Store.Submit(c, adminLimit)
 	if err == nil && r.Refused != "" {
 		err = errors.New(r.Refused)
 	}
 	if err == nil { // who looks at this instance next sees what was done; a majority has it already
-		_ = a.d.Store.ReadLatest(time.Second, func(*catalog.Catalog) {})
+		_ = a.d.control.Store.ReadLatest(time.Second, func(*catalog.Catalog) {})
 	}
 	return done{err == nil, r.GetVersion()}, err
 }
@@ -200,9 +208,9 @@
 		found, out = p != nil, Pair{q.Key, string(p.GetValue()), p.GetVersion()}
 	}
 	if q.Latest {
-		err = a.d.Store.ReadLatest(adminLimit, look)
+		err = a.d.control.Store.ReadLatest(adminLimit, look)
 	} else {
-		a.d.Store.Read(look)
+		a.d.control.Store.Read(look)
 	}
 	if err == nil && !found {
 		err = fmt.Errorf("no key %q", q.Key)
@@ -226,7 +234,7 @@
 
 // Members are those that the store knows.
 func (d *Daemon) Members() (out []Member) {
-	d.Store.Read(func(c *catalog.Catalog) {
+	d.control.Store.Read(func(c *catalog.Catalog) {
 		words := c.Words()
 		for _, m := range c.Members() {
 			x := Member{ID: m.Entry.Id, Address: m.Entry.Address, Wire: m.Entry.Wire, Group: m.Entry.Group, State: "in_service",
--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"errors"
 	"time"
 
 	"github.com/sirupsen/logrus"
@@ -19,22 +20,24 @@
 	leaveLimit         = 5 * time.Second // for the store to answer, before it is asked again
 )
 
+// agreedPart is what all instances should have alike of one front.
+type agreedPart struct {
+	Classes     []config.Class `yaml:"classes"`
+	Tenants     []string       `yaml:"tenants"`
+	Attempts    int            `yaml:"attempts"`
+	RetryAdvice bool           `yaml:"retry_advice"`
+	More        any            `yaml:"more,omitempty"`
+}
+
 // alike is that part of a configuration.
 func alike(d *config.Deploy) (string, error) {
-	type part struct {
-		Classes     []config.Class `yaml:"classes"`
-		Tenants     []string       `yaml:"tenants"`
-		Attempts    int            `yaml:"attempts"`
-		RetryAdvice bool           `yaml:"retry_advice"`
-		More        any            `yaml:"more,omitempty"`
-	}
-	of := func(s config.Service, more any) *part {
+	of := func(s config.Service, more any) *agreedPart {
 		if s.Listen == "" {
 			return nil
 		}
-		return &part{s.Classes, s.Tenants, s.Attempts, s.RetryAdvice, more}
+		return &agreedPart{s.Classes, s.Tenants, s.Attempts, s.RetryAdvice, more}
 	}
-	b, err := yaml.Marshal(map[string]*part{"mysql": of(d.MySQL.Service, []any{d.MySQL.Database, d.MySQL.Probe, d.MySQL.Defaults}),
+	b, err := yaml.Marshal(map[string]*agreedPart{"mysql": of(d.MySQL.Service, []any{d.MySQL.Database, d.MySQL.Probe, d.MySQL.Defaults}),
 		"postgres": of(d.Postgres.Service, nil)})
 	return string(b), err
 }
@@ -70,6 +73,9 @@
 // agreeOnce compares text with the newest version that is agreed on and proposes it where it is due. An error says that
 // nothing is settled: there is no majority, or another instance was quicker.
 func (d *Daemon) agreeOnce(text string, renew bool) error {
+	if d.Subscriber != nil {
+		return d.compareHeld(text)
+	}
 	var agreed *pb.ConfigVersion
 	err := d.Store.ReadLatest(leaveLimit, func(c *catalog.Catalog) { agreed = c.Config() })
 	if err != nil {
@@ -79,8 +85,7 @@
 		return nil
 	}
 	if agreed != nil && !renew {
-		d.log.WithFields(logrus.Fields{"version": agreed.Version, "author": agreed.Author}).
-			Warn("configuration differs from what the instances agreed on")
+		d.logDiffers(agreed)
 		return nil
 	}
 	put := &pb.PutConfig{Base: agreed.GetVersion(), Text: text, Author: d.Store.ID()}
@@ -94,3 +99,24 @@
 	d.log.WithField("version", result.Version).Info("configuration agreed on")
 	return nil
 }
+
+// errNothingHeld says that a subscriber has not heard of anything yet.
+var errNothingHeld = errors.New("no server of the control stream has been reached yet")
+
+// compareHeld logs where a subscriber's configuration differs from the agreed one. The voters alone propose versions.
+func (d *Daemon) compareHeld(text string) (err error) {
+	d.Subscriber.Read(func(c *catalog.Catalog) {
+		switch agreed := c.Config(); {
+		case c.Index() == 0:
+			err = errNothingHeld
+		case agreed != nil && agreed.Text != text:
+			d.logDiffers(agreed)
+		}
+	})
+	return err
+}
+
+func (d *Daemon) logDiffers(agreed *pb.ConfigVersion) {
+	d.log.WithFields(logrus.Fields{"version": agreed.Version, "author": agreed.Author}).
+		Warn("configuration differs from what the instances agreed on")
+}
--- /dev/null
+++ b/internal/daemon/control.go
@@ -0,0 +1,134 @@
+package daemon
+
+import (
+	"fmt"
+	"time"
+
+	"aspenshed"
+
+	"go.yaml.in/yaml/v3"
+
+	"aspenshed/internal/config"
+	"aspenshed/internal/controlplane/agent"
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/revision"
+	"aspenshed/internal/controlplane/store"
+	"aspenshed/internal/controlplane/stream"
+	"aspenshed/internal/controlplane/subscriber"
+	"aspenshed/internal/controlplane/subscription"
+)
+
+// Control connects a front to the control plane.
+type Control struct {
+	Store agent.Store
+	Lease time.Duration // of cold capacity; 0: none is asked for
+	// Subscriber is set where the instance has no vote: it publishes no list, and keeps learned rates to itself.
+	Subscriber bool
+	// InForce hears, on the loop, of each revision that a wire's pipeline has come to go by; nil: nobody does.
+	InForce func(wire string, rev uint64)
+}
+
+// openControl opens the store, or subscribes to one.
+func (d *Daemon) openControl() error {
+	if d.cfg.Deploy.Store.Subscribes() {
+		return d.openSubscriber()
+	}
+	return d.openStore()
+}
+
+func (d *Daemon) openStore() (err error) {
+	sc := d.cfg.Deploy.Store.Config
+	sc.Release, sc.Log, sc.Clock, sc.Changed = d.cfg.Release, d.log, d.cfg.Clock, d.changed
+	sc.Damaged = func(err error) {
+		select {
+		case d.broken <- err:
+		default:
+		}
+	}
+	if d.cfg.Store != nil {
+		d.cfg.Store(&sc)
+	}
+	if listen := d.cfg.Deploy.Store.Subscribers; listen != "" {
+		if d.Server, err = d.newServer(listen, sc.Cluster); err != nil {
+			return fmt.Errorf("field store.subscribers: %w", err)
+		}
+		sc.Publisher, sc.Rollout = d.Server, d.Server.Rollout
+	}
+	d.Store, err = store.Open(sc)
+	close(d.opened)
+	if err != nil {
+		return err
+	}
+	d.control = &Control{Store: d.Store, Lease: leaseOf(sc)}
+	return nil
+}
+
+// leaseOf is what a lease of cold capacity lasts; alone there is nobody to share with.
+func leaseOf(sc store.Config) time.Duration {
+	switch {
+	case sc.Address == "" || sc.NoLeases:
+		return 0
+	case sc.Lease == 0:
+		return defaultLease
+	}
+	return sc.Lease
+}
+
+// newServer serves the control stream. The store is opened after it, as the store feeds it from then on.
+func (d *Daemon) newServer(listen, cluster string) (*stream.Server, error) {
+	return stream.NewServer(stream.ServerConfig{Listen: listen, Cluster: cluster, Log: d.log, Clock: d.cfg.Clock,
+		Machine: subscription.ServerConfig{Seed: d.cfg.Seed},
+		Carry: func(b *pb.Batch) *pb.Reply {
+			if <-d.opened; d.Store == nil {
+				return &pb.Reply{Refused: "the store did not open", Retry: true}
+			}
+			return d.Store.Carry(b)
+		},
+		Records: func() (rev uint64, records []revision.Record) {
+			if <-d.opened; d.Store == nil {
+				return 0, nil
+			}
+			d.Store.Read(func(c *catalog.Catalog) { rev, records = c.Index(), c.Records() })
+			return rev, records
+		}})
+}
+
+func (d *Daemon) openSubscriber() (err error) {
+	section := &d.cfg.Deploy.Store
+	d.Subscriber, err = subscriber.Open(subscriber.Config{Cluster: section.Cluster, ID: section.ID, Region: section.Region, Zone: section.Zone,
+		Release: d.cfg.Release, Scope: section.Scope.Revisions(), Servers: section.Subscribe, Seed: d.cfg.Seed, Pipelines: wiresOf(d.cfg.Deploy),
+		Check: checkAgreed, Changed: d.changed, Log: d.log, Clock: d.cfg.Clock, Network: d.cfg.Network})
+	if err != nil {
+		return err
+	}
+	d.control = &Control{Store: d.Subscriber, Subscriber: true, InForce: d.Subscriber.InForce}
+	return nil
+}
+
+// wiresOf are those of the fronts that are on.
+func wiresOf(c *config.Deploy) (wires []string) {
+	if c.MySQL.Listen != "" {
+		wires = append(wires, WireMySQL)
+	}
+	if c.Postgres.Listen != "" {
+		wires = append(wires, WirePostgres)
+	}
+	return wires
+}
+
+// checkAgreed says what is wrong with a configuration that the voters have agreed on.
+func checkAgreed(v *pb.ConfigVersion) error {
+	var parts map[string]*agreedPart
+	return yaml.Unmarshal([]byte(v.Text), &parts)
+}
+
+// followRules has a Router hold cold members by what the instances agree on: its leases and the safe share, or the safe
+// share alone where it gets no leases.
+func (c *Control) followRules(s *aspenshed.Settings, rules *pb.Rules) {
+	s.ListTellsRole = true
+	if c.Lease == 0 && !c.Subscriber {
+		return
+	}
+	s.SafeShare, s.ColdFor, s.ColdLongest = catalog.SafeShare(rules), aspenshed.Nanos(rules.ColdFor), aspenshed.Nanos(rules.ColdLongest)
+}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -13,8 +13,9 @@
 	"github.com/sirupsen/logrus"
 
 	"aspenshed/internal/config"
-	"aspenshed/internal/controlplane/catalog"
 	"aspenshed/internal/controlplane/store"
+	"aspenshed/internal/controlplane/stream"
+	"aspenshed/internal/controlplane/subscriber"
 	"aspenshed/internal/dataplane/eventloop"
 )
 
@@ -36,20 +37,26 @@
 	Clock   eventloop.Clock // nil: the wall's
 	// Store, where it is set, changes the store's configuration: seams for faults.
 	Store func(*store.Config)
+	// Network carries a subscriber's stream; nil: sockets. It is the seam for delays and cuts.
+	Network stream.Network
 }
 
 // Daemon is one instance.
 type Daemon struct {
-	Store  *store.Store
-	Fronts []*Front
+	Store      *store.Store           // nil: it subscribes
+	Server     *stream.Server         // nil: it serves no subscribers
+	Subscriber *subscriber.Subscriber // nil: it has a store of its own
+	Fronts     []*Front
 
-	cfg    Config
-	loop   *eventloop.Loop
-	log    *logrus.Entry
-	admin  *admin
-	once   sync.Once
-	ended  chan struct{}
-	broken chan error
+	cfg     Config
+	control *Control
+	loop    *eventloop.Loop
+	log     *logrus.Entry
+	admin   *admin
+	once    sync.Once
+	opened  chan struct{} // closed once there is a store
+	ended   chan struct{}
+	broken  chan error
 }
 
 // New starts an instance. It serves as soon as it knows members: from its own files at once, from the store once that
@@ -58,58 +65,21 @@
 	if c.Clock == nil {
 		c.Clock = eventloop.NewClock()
 	}
-	d = &Daemon{cfg: c, loop: eventloop.NewLoop(c.Clock), ended: make(chan struct{}), broken: make(chan error, 1),
+	d = &Daemon{cfg: c, loop: eventloop.NewLoop(c.Clock), opened: make(chan struct{}), ended: make(chan struct{}), broken: make(chan error, 1),
 		log: logrus.WithField("instance", c.Deploy.Store.ID)}
 	d.loop.Panicked = func(p any) {
 		d.log.WithFields(logrus.Fields{"panic": p, "stack": string(debug.Stack())}).Error("panic on the loop: it goes on")
 	}
-	sc := c.Deploy.Store
-	sc.Release, sc.Log, sc.Clock, sc.Changed = c.Release, d.log, c.Clock, d.changed
-	sc.Damaged = func(err error) {
-		select {
-		case d.broken <- err:
-		default:
-		}
-	}
-	if c.Store != nil {
-		c.Store(&sc)
-	}
-	if d.Store, err = store.Open(sc); err != nil {
-		return nil, err
-	}
 	defer func() {
 		if err != nil {
 			err = errors.Join(err, d.close())
 		}
 	}()
-	lease := sc.Lease
-	if lease == 0 {
-		lease = defaultLease
-	}
-	if sc.Address == "" || sc.NoLeases { // alone there is nobody to share with
-		lease = 0
+	if err = d.openControl(); err != nil {
+		return nil, err
 	}
-	for _, f := range []struct {
-		on   bool
-		make func() (*Front, error)
-	}{
-		{c.Deploy.MySQL.Listen != "", func() (*Front, error) {
-			agreed(&c.Deploy.MySQL.Settings, sc, lease)
-			return NewMySQL(&c.Deploy.MySQL, d.loop, c.Seed, d.Store, lease)
-		}},
-		{c.Deploy.Postgres.Listen != "", func() (*Front, error) {
-			agreed(&c.Deploy.Postgres.Settings, sc, lease)
-			return NewPostgres(&c.Deploy.Postgres, d.loop, c.Seed+1, d.Store, lease)
-		}},
-	} {
-		if !f.on {
-			continue
-		}
-		x, err := f.make()
-		if err != nil {
-			return nil, err
-		}
-		d.Fronts = append(d.Fronts, x)
+	if err = d.openFronts(); err != nil {
+		return nil, err
 	}
 	if c.Deploy.Admin.Socket != "" {
 		if d.admin, err = newAdmin(d, c.Deploy.Admin.Socket); err != nil {
@@ -125,14 +95,26 @@
 	return d, nil
 }
 
-// agreed has a Router go by what the instances agree on. Members name their primary through the store's word too.
-func agreed(s *aspenshed.Settings, c store.Config, lease time.Duration) {
-	s.ListTellsRole = true
-	if lease == 0 {
-		return
+// openFronts starts the fronts that are on.
+func (d *Daemon) openFronts() error {
+	deploy, rules := d.cfg.Deploy, d.cfg.Deploy.Store.Rules()
+	if deploy.MySQL.Listen != "" {
+		d.control.followRules(&deploy.MySQL.Settings, rules)
+		front, err := NewMySQL(&deploy.MySQL, d.loop, d.cfg.Seed, d.control)
+		if err != nil {
+			return err
+		}
+		d.Fronts = append(d.Fronts, front)
+	}
+	if deploy.Postgres.Listen != "" {
+		d.control.followRules(&deploy.Postgres.Settings, rules)
+		front, err := NewPostgres(&deploy.Postgres, d.loop, d.cfg.Seed+1, d.control)
+		if err != nil {
+			return err
+		}
+		d.Fronts = append(d.Fronts, front)
 	}
-	r := c.Rules()
-	s.SafeShare, s.ColdFor, s.ColdLongest = catalog.SafeShare(r), aspenshed.Nanos(r.ColdFor), aspenshed.Nanos(r.ColdLongest)
+	return nil
 }
 
 // changed has the agents look at once.
@@ -252,7 +234,15 @@
 	for _, f := range d.Fronts {
 		f.Stop()
 	}
-	err = d.Store.Close()
+	if d.Server != nil { // subscribers hear of the end, and go to another voter
+		d.Server.Stop()
+	}
+	if d.Subscriber != nil {
+		d.Subscriber.Close()
+	}
+	if d.Store != nil {
+		err = d.Store.Close()
+	}
 	for _, f := range d.Fronts {
 		f.Net.Stop()
 	}
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -16,7 +16,6 @@
 	"aspenshed/internal/controlplane/agent"
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 	"aspenshed/internal/controlplane/roster"
-	"aspenshed/internal/controlplane/store"
 	"aspenshed/internal/dataplane/eventloop"
 	"aspenshed/internal/dataplane/pipeline"
 	"aspenshed/internal/dataplane/request"
@@ -47,40 +46,40 @@
 	Manager  *session.Manager
 	Pipeline *pipeline.Pipeline
 
-	cfg   *config.Service
-	log   *logrus.Entry
-	agent *agent.Agent // nil: there is no store
-	store *store.Store
+	cfg     *config.Service
+	log     *logrus.Entry
+	control *Control     // nil: there is no control plane
+	agent   *agent.Agent // nil: the same
 }
 
-// NewMySQL makes the MySQL front. Without a store its members are those of the inventory alone.
-func NewMySQL(c *config.MySQL, loop *eventloop.Loop, seed uint64, st *store.Store, lease time.Duration) (*Front, error) {
+// NewMySQL makes the MySQL front. Without a control plane its members are those of the inventory alone.
+func NewMySQL(c *config.MySQL, loop *eventloop.Loop, seed uint64, control *Control) (*Front, error) {
 	var f mysql.Front
-	x := &Front{Wire: WireMySQL, cfg: &c.Service, Manager: &f.Manager, store: st}
+	x := &Front{Wire: WireMySQL, cfg: &c.Service, Manager: &f.Manager, control: control}
 	backend := &mysql.Backend{Loop: loop, User: c.Server.User, Password: c.Password, Database: c.Database,
 		Probes: mysql.Probes{Role: c.Probe.Role, Position: c.Probe.Position}}
 	f.Accounts, f.Database = c.Passwords, c.Database
 	f.Defaults = mysql.Defaults{ReadClass: c.Defaults.ReadClass, WriteClass: c.Defaults.WriteClass, Tenant: c.Defaults.Tenant,
 		Group: c.Defaults.Group, WaitMs: c.Defaults.Wait.Milliseconds()}
-	err := x.start(loop, seed, lease, loginLimit, f.Accept, func(n *netio.Net) request.Backend { backend.Net = n; return backend })
+	err := x.start(loop, seed, loginLimit, f.Accept, func(n *netio.Net) request.Backend { backend.Net = n; return backend })
 	return x, err
 }
 
 // NewPostgres makes a front that speaks the platform's protocol.
-func NewPostgres(c *config.Postgres, loop *eventloop.Loop, seed uint64, st *store.Store, lease time.Duration) (*Front, error) {
+func NewPostgres(c *config.Postgres, loop *eventloop.Loop, seed uint64, control *Control) (*Front, error) {
 	var f postgres.Front
-	x := &Front{Wire: WirePostgres, cfg: &c.Service, Manager: &f.Manager, store: st}
+	x := &Front{Wire: WirePostgres, cfg: &c.Service, Manager: &f.Manager, control: control}
 	backend := &postgres.Backend{Loop: loop}
-	err := x.start(loop, seed, lease, startLimit, f.Accept, func(n *netio.Net) request.Backend { backend.Net = n; return backend })
+	err := x.start(loop, seed, startLimit, f.Accept, func(n *netio.Net) request.Backend { backend.Net = n; return backend })
 	return x, err
 }
 
-func (f *Front) start(loop *eventloop.Loop, seed uint64, lease time.Duration, silent aspenshed.Nanos, accept func(*netio.Conn) netio.Handler,
+func (f *Front) start(loop *eventloop.Loop, seed uint64, silent aspenshed.Nanos, accept func(*netio.Conn) netio.Handler,
 	backend func(*netio.Net) request.Backend) (err error) {
 	c := f.cfg
 	f.log = logrus.WithField("front", f.Wire)
 	own, err := f.read()
-	if err != nil && (f.store == nil || !errors.Is(err, os.ErrNotExist)) {
+	if err != nil && (f.control == nil || !errors.Is(err, os.ErrNotExist)) {
 		return err
 	}
 	*f.Manager = session.Manager{Loop: loop, Settings: &c.Settings, Limits: session.Limits{Silent: silent, Idle: aspenshed.Nanos(c.ClientIdle),
@@ -98,25 +97,34 @@
 		Backend: backend(f.Net), Watch: func() {}})
 	f.Manager.Take, f.Manager.Leave, f.Manager.Rejected = f.Pipeline.Accept.Take, f.Pipeline.Leave, f.Pipeline.Accounting.Rejected
 	list, addresses := aspenshed.MemberList{Whole: true}, map[string]string{}
-	if f.store == nil {
+	if f.control == nil {
 		list, addresses = inventory.List(own)
 	}
 	if err := f.Pipeline.Start(list, addresses); err != nil {
 		f.Net.Stop()
 		return err
 	}
-	if f.store != nil {
-		f.agent = agent.Start(agent.Config{Store: f.store, Loop: loop, Log: f.log, Pipeline: f.Pipeline, Wire: f.Wire,
-			Classes: c.Settings.Classes, Lease: aspenshed.Nanos(lease)}, f.told(own))
-		if len(own) > 0 {
-			go f.first(own)
-		}
+	if f.control != nil {
+		f.startAgent(loop, own)
 	}
 	close(ready)
 	f.log.WithFields(logrus.Fields{"listen": f.Net.Addr(), "members": len(own)}).Info("ready")
 	return nil
 }
 
+// startAgent connects the pipeline to the control plane.
+func (f *Front) startAgent(loop *eventloop.Loop, own []inventory.Member) {
+	c := agent.Config{Store: f.control.Store, Loop: loop, Log: f.log, Pipeline: f.Pipeline, Wire: f.Wire,
+		Classes: f.cfg.Settings.Classes, Lease: aspenshed.Nanos(f.control.Lease), KeepLearned: f.control.Subscriber}
+	if f.control.InForce != nil {
+		c.InForce = func(rev uint64) { f.control.InForce(f.Wire, rev) }
+	}
+	f.agent = agent.Start(c, f.told(own))
+	if len(own) > 0 && !f.control.Subscriber {
+		go f.first(own)
+	}
+}
+
 func (f *Front) read() ([]inventory.Member, error) {
 	if f.cfg.Inventory == "" {
 		return nil, nil
@@ -163,6 +171,9 @@
 		return
 	}
 	f.agent.Own(f.told(members))
+	if f.control.Subscriber { // the voters alone publish lists
+		return
+	}
 	go func() { // the loop must not wait for a majority
 		if err := f.agent.Publish(entries(f.Wire, members)); err != nil {
 			f.log.WithError(err).Warn("inventory not stored")
