--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -4,7 +4,6 @@
 package agent
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 	"sync"
@@ -13,7 +12,6 @@
 	"aspenshed"
 
 	"github.com/sirupsen/logrus"
-	"google.golang.org/protobuf/proto"
 
 	"aspenshed/internal/controlplane/catalog"
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
@@ -24,10 +22,9 @@
 )
 
 const (
-	tickEvery   = 100 * time.Millisecond
-	learnEvery  = aspenshed.Nanos(1e9)
-	sayAgain    = aspenshed.Nanos(1e9) // between two tellings of the store of a drain that it does not show yet
-	publishWait = 10 * time.Second
+	tickEvery  = 100 * time.Millisecond
+	learnEvery = aspenshed.Nanos(1e9)
+	sayAgain   = aspenshed.Nanos(1e9) // between two tellings of the store of a drain that it does not show yet
 )
 
 // Pipeline is what an agent tells; its methods are called on the loop.
@@ -314,41 +311,3 @@
 func (a *Agent) mine(all []*pb.Member) []*pb.Member {
 	return slices.DeleteFunc(all, func(m *pb.Member) bool { return m.Entry.Wire != a.cfg.Wire })
 }
-
-// Publish makes the instance's own list the inventory of all, on top of the version that it has seen.
-func (a *Agent) Publish(own []*pb.Entry) error { return a.publish(own, false) }
-
-// First does so only where the catalog knows no member of this wire: at the first start of an installation.
-func (a *Agent) First(own []*pb.Entry) (err error) {
-	for wait := tickEvery; ; wait = min(2*wait, publishWait) {
-		if err = a.publish(own, true); err == nil {
-			return nil
-		}
-		select {
-		case <-a.end:
-			return err
-		case <-time.After(wait):
-		}
-	}
-}
-
-func (a *Agent) publish(own []*pb.Entry, first bool) error {
-	known := false
-	p := &pb.PutInventory{Members: own, Author: a.cfg.Store.ID()}
-	err := a.cfg.Store.ReadLatest(publishWait, func(c *catalog.Catalog) {
-		p.Base = c.Inventory()
-		for _, m := range c.Members() {
-			if known = known || m.Entry.Wire == a.cfg.Wire; m.Entry.Wire != a.cfg.Wire {
-				p.Members = append(p.Members, proto.Clone(m.Entry).(*pb.Entry))
-			}
-		}
-	})
-	if err != nil || first && known {
-		return err
-	}
-	r, err := a.cfg.Store.Submit(&pb.Command{Body: &pb.Command_PutInventory{PutInventory: p}}, publishWait)
-	if err == nil && r.Refused != "" {
-		err = fmt.Errorf("store: %s", r.Refused)
-	}
-	return err
-}
--- /dev/null
+++ b/internal/controlplane/agent/publish_test.go
@@ -0,0 +1,216 @@
+package agent
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/raft"
+	"google.golang.org/protobuf/proto"
+
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/store"
+)
+
+const patient = 30 * time.Second // for what must come
+
+// inventoryLog counts the bytes of log entries that hold changes of the inventory.
+type inventoryLog struct {
+	raft.LogStore
+
+	mu             sync.Mutex
+	bytes, entries int
+}
+
+func (l *inventoryLog) StoreLogs(logs []*raft.Log) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, x := range logs {
+		b := &pb.Batch{}
+		if x.Type != raft.LogCommand || proto.Unmarshal(x.Data, b) != nil {
+			continue
+		}
+		if slices.ContainsFunc(b.Commands, changesInventory) {
+			l.bytes += len(x.Data)
+			l.entries++
+		}
+	}
+	return l.LogStore.StoreLogs(logs)
+}
+
+func changesInventory(c *pb.Command) bool {
+	switch c.Body.(type) {
+	case *pb.Command_PutInventory, *pb.Command_UpsertMembers, *pb.Command_RemoveMembers:
+		return true
+	}
+	return false
+}
+
+// take returns what has been counted since the last call.
+func (l *inventoryLog) take() (bytes, entries int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	bytes, entries = l.bytes, l.entries
+	l.bytes, l.entries = 0, 0
+	return bytes, entries
+}
+
+// noCaller is the way to other instances, of which there are none.
+type noCaller struct{}
+
+func (noCaller) Call(string, *pb.Call, time.Duration) (*pb.Reply, error) {
+	return nil, store.ErrUnavailable
+}
+
+// single is an agent over a store of one instance with a log.
+func single(t *testing.T) (*Agent, *inventoryLog) {
+	t.Helper()
+	log := &inventoryLog{}
+	_, transport := raft.NewInmemTransport("r-a")
+	self := store.Peer{ID: "a", Address: "r-a", Service: "s-a"}
+	s, err := store.Open(store.Config{Cluster: "t", ID: self.ID, Address: self.Address, Service: self.Service, Peers: []store.Peer{self},
+		DataDir: t.TempDir(), Quick: true, Transport: transport, Caller: noCaller{},
+		Logs: func(l raft.LogStore) raft.LogStore { log.LogStore = l; return log }})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := s.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	return &Agent{cfg: Config{Store: s, Wire: "mysql"}, end: make(chan struct{})}, log
+}
+
+// fleet is a list of so many members, as a front makes it of its file.
+func fleet(n int) (list []*pb.Entry) {
+	for i := range n {
+		list = append(list, &pb.Entry{Id: fmt.Sprintf("db-%05d", i), Address: fmt.Sprintf("10.%d.%d.%d:3306", i>>16, i>>8&255, i&255),
+			Site: fmt.Sprint("zone-", i%19), Group: int32(i / 6), Kind: "replica", State: "in_service", Wire: "mysql"})
+	}
+	return list
+}
+
+func (a *Agent) held() (ids []string) {
+	a.cfg.Store.Read(func(c *catalog.Catalog) {
+		for _, m := range c.Members() {
+			ids = append(ids, m.Entry.Id+"@"+m.Entry.Address)
+		}
+	})
+	return ids
+}
+
+func ids(list []*pb.Entry) (out []string) {
+	for _, e := range list {
+		out = append(out, e.Id+"@"+e.Address)
+	}
+	slices.Sort(out)
+	return out
+}
+
+// A change of one member costs the log as much as one member, however long the inventory is.
+func TestOneMembersChangeCostsTheBytesOfOneMember(t *testing.T) {
+	for _, members := range []int{2100, 10500, 21000} {
+		a, log := single(t)
+		list := fleet(members)
+		if err := a.First(list); err != nil {
+			t.Fatal(err)
+		}
+		first, entries := log.take()
+		if entries != 1 {
+			t.Errorf("%d members: the first list took %d entries", members, entries)
+		}
+		whole := &pb.Command{Body: &pb.Command_PutInventory{PutInventory: &pb.PutInventory{Base: 1, Members: list, Author: "a"}}}
+		if r, err := a.cfg.Store.Submit(whole, patient); err != nil || r.Refused != "" {
+			t.Fatal(r, err)
+		}
+		before, _ := log.take()
+		list[members/2] = proto.Clone(list[members/2]).(*pb.Entry)
+		list[members/2].Address = "10.99.0.1:3306"
+		if err := a.Publish(list); err != nil {
+			t.Fatal(err)
+		}
+		after, entries := log.take()
+		if entries != 1 || after > 256 || !slices.Equal(a.held(), ids(list)) {
+			t.Errorf("%d members: %d entries, %d bytes", members, entries, after)
+		}
+		t.Logf("%d members: first list %d bytes of log; one member changed: %d bytes as a whole list, %d as a difference", members, first, before, after)
+		if err := a.Publish(list); err != nil {
+			t.Fatal(err)
+		}
+		if _, entries := log.take(); entries != 0 {
+			t.Errorf("%d members: %d entries for an equal list", members, entries)
+		}
+	}
+}
+
+// A list of which half is new goes in commands of bounded size, additions before removals, and touches no other wire.
+func TestALargeDifferenceGoesInParts(t *testing.T) {
+	a, log := single(t)
+	if err := a.First(fleet(12000)); err != nil {
+		t.Fatal(err)
+	}
+	other := &Agent{cfg: Config{Store: a.cfg.Store, Wire: "postgres"}, end: make(chan struct{})}
+	foreign := []*pb.Entry{{Id: "po-a", Address: "10.1.1.1:5432", Wire: "postgres", State: "in_service"}}
+	if err := other.First(foreign); err != nil {
+		t.Fatal(err)
+	}
+	log.take()
+	list := fleet(24000)[6000:]
+	if err := a.Publish(list); err != nil {
+		t.Fatal(err)
+	}
+	bytes, entries := log.take()
+	if entries < 4 || bytes/entries > maxPublishBytes+1024 {
+		t.Errorf("%d bytes in %d entries", bytes, entries)
+	}
+	if !slices.Equal(a.held(), ids(append(slices.Clone(list), foreign...))) {
+		t.Errorf("%d members are held", len(a.held()))
+	}
+}
+
+// A first list makes nobody cold, is not put over another's, and one that is too long is named at once.
+func TestAFirstListIsPutOnce(t *testing.T) {
+	a, _ := single(t)
+	if err := a.First(fleet(3)); err != nil {
+		t.Fatal(err)
+	}
+	a.cfg.Store.Read(func(c *catalog.Catalog) {
+		if n := len(c.ColdMembers()); n != 0 {
+			t.Errorf("%d members are cold", n)
+		}
+	})
+	if err := a.First(fleet(5)); err != nil || len(a.held()) != 3 {
+		t.Errorf("a second first list: %v, %d members", err, len(a.held()))
+	}
+	long := &Agent{cfg: Config{Store: a.cfg.Store, Wire: "postgres"}, end: make(chan struct{})}
+	list := fleet(1000)
+	for _, e := range list {
+		e.Id, e.Wire = e.Id+strings.Repeat("x", 5000), "postgres"
+	}
+	var tooLong *ListSizeError
+	if err := long.First(list); !errors.As(err, &tooLong) || len(a.held()) != 3 {
+		t.Errorf("a list that is too long: %v", err)
+	}
+}
+
+func TestPartsOfAList(t *testing.T) {
+	const half = maxPublishBytes / 2
+	for _, x := range []struct {
+		sizes []int
+		want  string
+	}{
+		{nil, "[]"},
+		{[]int{half, half, half}, fmt.Sprint([][]int{{half, half}, {half}})},
+		{[]int{1, 3 * half, 1}, fmt.Sprint([][]int{{1}, {3 * half}, {1}})}, // one that is longer than a part goes alone
+	} {
+		if got := fmt.Sprint(split(x.sizes, func(n int) int { return n })); got != x.want {
+			t.Errorf("%v: %s, want %s", x.sizes, got, x.want)
+		}
+	}
+}
