--- /dev/null
+++ b/internal/daemon/subscriber_test.go
@@ -0,0 +1,309 @@
+package daemon
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"testing"
+
+	"aspenshed/internal/config"
+	"aspenshed/internal/controlplane/catalog"
+	"aspenshed/internal/controlplane/stream"
+	"aspenshed/internal/experiment/standin"
+	"aspenshed/internal/netio"
+)
+
+// cutNetwork is a network that a test can cut.
+type cutNetwork struct {
+	inner stream.Network
+
+	mu    sync.Mutex
+	cut   bool
+	conns map[*cutConn]bool
+}
+
+// cutConn is a connection on it, and the handler that hears of its end.
+type cutConn struct {
+	stream.Conn
+	netio.Handler
+}
+
+var errCut = errors.New("cut by the test")
+
+func newCutNetwork(t *testing.T) *cutNetwork {
+	t.Helper()
+	n, err := netio.New(netio.Config{Name: "test", Dials: 16})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(n.Stop)
+	return &cutNetwork{inner: stream.NewNetwork(n), conns: map[*cutConn]bool{}}
+}
+
+func (n *cutNetwork) Dial(address string, h netio.Handler) (stream.Conn, error) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.cut {
+		return nil, errCut
+	}
+	c, err := n.inner.Dial(address, h)
+	if err == nil {
+		n.conns[&cutConn{c, h}] = true
+	}
+	return c, err
+}
+
+// set cuts the network off, with all connections, or heals it.
+func (n *cutNetwork) set(cut bool) {
+	n.mu.Lock()
+	n.cut = cut
+	ended := n.conns
+	n.conns = map[*cutConn]bool{}
+	n.mu.Unlock()
+	for c := range ended {
+		c.Close()
+		c.Closed(errCut)
+	}
+}
+
+// fleet is an installation of three voters and one gateway that subscribes.
+type fleet struct {
+	*Demo
+	t       *testing.T
+	servers []string
+	gateway *Daemon
+	socket  string
+	network *cutNetwork
+}
+
+func newFleet(t *testing.T) *fleet {
+	t.Helper()
+	f := &fleet{t: t, network: newCutNetwork(t)}
+	for range 3 {
+		address, err := FreeAddress()
+		if err != nil {
+			t.Fatal(err)
+		}
+		f.servers = append(f.servers, address)
+	}
+	next := 0
+	serve := func(text string) string {
+		text = strings.Replace(text, "store:\n", "store:\n  subscribers: "+f.servers[next]+"\n", 1)
+		next++
+		return text
+	}
+	var err error
+	f.Demo, err = NewDemo(t.TempDir(), DemoOptions{Instances: 3, Limits: standin.DefaultLimits(), Change: serve})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := f.Stop(); err != nil {
+			t.Error(err)
+		}
+	})
+	f.startGateway()
+	return f
+}
+
+// startGateway starts the subscriber: its file names no list, so that all it knows comes over the stream.
+func (f *fleet) startGateway() {
+	f.t.Helper()
+	store := "store:\n  cluster: demonstration\n  id: gw1\n  region: tas\n  zone: tas-1\n  subscribe: [" + strings.Join(f.servers, ", ") + "]\n"
+	head, _, _ := strings.Cut(demoConfig, "store:\n")
+	text := head + store + "admin:\n  socket: admin.sock\n"
+	folder := f.t.TempDir()
+	for name, content := range map[string]string{"aspenshed.yaml": text, "accounts.yaml": "web: pass\n", "password": standin.Password} {
+		if err := os.WriteFile(filepath.Join(folder, name), []byte(content), 0o600); err != nil {
+			f.t.Fatal(err)
+		}
+	}
+	path := filepath.Join(folder, "aspenshed.yaml")
+	deploy, err := config.ReadDeploy(path)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.socket = deploy.Admin.Socket
+	if f.gateway, err = New(Config{Deploy: deploy, Path: path, Seed: 9, Release: "test", Network: f.network}); err != nil {
+		f.t.Fatal(err)
+	}
+	f.t.Cleanup(func() {
+		if err := f.gateway.Kill(); err != nil {
+			f.t.Error(err)
+		}
+	})
+}
+
+// voter asks any voter that answers.
+func (f *fleet) voter(q Ask) (json.RawMessage, error) {
+	var out json.RawMessage
+	err := errors.New("no voter is up")
+	for i, d := range f.Instances {
+		if d == nil {
+			continue
+		}
+		if out, err = Call(f.Deploys[i].Admin.Socket, q); err == nil {
+			return out, nil
+		}
+	}
+	return out, err
+}
+
+// drain drains a database at a voter and returns the revision that the voters hold then.
+func (f *fleet) drain(id string) (rev uint64) {
+	f.t.Helper()
+	eventually(f.t, "a drain at a voter", func() bool {
+		_, err := f.voter(Ask{Do: "drain", Key: id})
+		return err == nil
+	})
+	for _, d := range f.Instances {
+		if d != nil {
+			d.Store.Read(func(c *catalog.Catalog) {
+				if m := c.Member(id); m != nil && m.DrainedAt != 0 {
+					rev = max(rev, c.Index())
+				}
+			})
+		}
+	}
+	return rev
+}
+
+// inForce waits until the voters know that the gateway goes by a revision.
+func (f *fleet) inForce(rev uint64) {
+	f.t.Helper()
+	eventually(f.t, fmt.Sprintf("revision %d in force at the gateway", rev), func() bool {
+		b, err := f.voter(Ask{Do: "rollout", Revision: rev})
+		var r struct {
+			Subscribers uint64 `json:"subscribers"`
+			InForce     uint64 `json:"in_force"`
+		}
+		return err == nil && json.Unmarshal(b, &r) == nil && r.Subscribers == 1 && r.InForce == 1
+	})
+}
+
+// serves has the gateway answer a few queries, and returns how many of them each database of the wire got.
+func (f *fleet) serves(what string) map[string]int {
+	f.t.Helper()
+	before := f.served()
+	for i := range 20 {
+		row, err := Sample(f.gateway.Front(WirePostgres).Net.Addr(), what, patient)
+		if err != nil || !strings.HasPrefix(row, what+"-") {
+			f.t.Fatalf("%s, query %d: %q %v", what, i, row, err)
+		}
+	}
+	after := f.served()
+	for id := range after {
+		after[id] -= before[id]
+	}
+	return after
+}
+
+func (f *fleet) served() map[string]int {
+	out := map[string]int{}
+	for _, db := range f.Databases[WirePostgres].DBs() {
+		out[db.ID] = db.Report().Served
+	}
+	return out
+}
+
+// A gateway without vote, log and disk serves what the voters know; a drain at a voter holds there, also one that came
+// while it was cut off, and it moves when the voter that it is connected to is killed.
+func TestAGatewayThatSubscribes(t *testing.T) {
+	f := newFleet(t)
+	f.serves("whole")
+	f.inForce(f.drain("po-b"))
+	if got := f.serves("drained"); got["po-b"] != 0 {
+		t.Errorf("a drained database got queries: %v", got)
+	}
+
+	f.network.set(true)
+	eventually(t, "the gateway's knowing of the cut", func() bool { return f.gateway.Status().Mode == modeCutOff })
+	missed := f.drain("po-c")
+	if got := f.serves("cut"); got["po-b"] != 0 {
+		t.Errorf("cut off, a drained database got queries: %v", got)
+	}
+	f.network.set(false)
+	f.inForce(missed)
+	if got := f.serves("healed"); got["po-b"]+got["po-c"] != 0 {
+		t.Errorf("after the cut, drained databases got queries: %v", got)
+	}
+
+	connected := f.gateway.Status().Client.Server
+	for i, d := range f.Instances {
+		if d.Server.Addr() != connected {
+			continue
+		}
+		if err := d.Kill(); err != nil {
+			t.Error(err)
+		}
+		f.Instances[i] = nil
+	}
+	f.serves("killed")
+	if _, err := f.waitPut("after", "the kill"); err != nil {
+		t.Error(err)
+	}
+	eventually(t, "what was written after the kill", func() bool {
+		b, err := Call(f.socket, Ask{Do: "get", Key: "after"})
+		return err == nil && strings.Contains(string(b), "the kill")
+	})
+	if got := f.gateway.Status().Client; got.Server == connected || !got.Subscribed {
+		t.Errorf("the gateway's stream: %+v", got)
+	}
+}
+
+// waitPut writes a pair through the gateway once a leader is there again.
+func (f *fleet) waitPut(key, value string) (out json.RawMessage, err error) {
+	eventually(f.t, "a write through the gateway", func() bool {
+		out, err = Call(f.socket, Ask{Do: "put", Key: key, Value: value})
+		return err == nil
+	})
+	return out, err
+}
+
+// The administrator sees a subscriber's state and steers through it; what needs a vote is refused, and says so.
+func TestAdministrationOfASubscriber(t *testing.T) {
+	f := newFleet(t)
+	eventually(t, "members", func() bool {
+		b, err := Call(f.socket, Ask{Do: "members"})
+		return err == nil && strings.Count(string(b), `"in_service"`) == 6
+	})
+	if _, err := f.waitPut("k", "v"); err != nil {
+		t.Error(err)
+	}
+	eventually(t, "the pair", func() bool {
+		b, err := Call(f.socket, Ask{Do: "get", Key: "k"})
+		return err == nil && strings.Contains(string(b), `"value":"v"`)
+	})
+	if _, err := Call(f.socket, Ask{Do: "drain", Key: "my-b"}); err != nil {
+		t.Errorf("drain: %v", err)
+	}
+	eventually(t, "the drain at a voter", func() bool {
+		b, err := f.voter(Ask{Do: "members"})
+		return err == nil && strings.Contains(string(b), `"draining"`)
+	})
+	for _, do := range needVote {
+		if _, err := Call(f.socket, Ask{Do: do, Key: "/tmp/x"}); err == nil || !strings.Contains(err.Error(), "has no vote") {
+			t.Errorf("%s: %v", do, err)
+		}
+	}
+	if _, err := Call(f.socket, Ask{Do: "get", Key: "k", Latest: true}); err == nil || !strings.Contains(err.Error(), "has no vote") {
+		t.Errorf("the latest: %v", err)
+	}
+	var s Status
+	b, err := Call(f.socket, Ask{Do: "status"})
+	if err != nil || json.Unmarshal(b, &s) != nil || s.Mode != modeSubscribed || s.Client == nil || s.Client.BytesIn == 0 || s.Applied == 0 {
+		t.Errorf("status: %s %v", b, err)
+	}
+	eventually(t, "a voter that counts its subscriber", func() bool {
+		for _, d := range f.Instances {
+			if s := d.Status(); s.Server != nil && s.Server.Connections == 1 {
+				return true
+			}
+		}
+		return false
+	})
+}
