--- /dev/null
+++ b/internal/controlplane/subscription/badinput_test.go
@@ -0,0 +1,272 @@
+package subscription
+
+import (
+	"errors"
+	"strings"
+	"testing"
+
+	"aspenshed"
+	catalogpb "aspenshed/internal/controlplane/catalog/catalogpb"
+	pb "aspenshed/internal/controlplane/controlpb"
+	"aspenshed/internal/controlplane/revision"
+)
+
+func changes(m *pb.Changes) *pb.ServerFrame {
+	return &pb.ServerFrame{Body: &pb.ServerFrame_Changes{Changes: m}}
+}
+
+func begin(m *pb.SnapshotBegin) *pb.ServerFrame {
+	return &pb.ServerFrame{Body: &pb.ServerFrame_SnapshotBegin{SnapshotBegin: m}}
+}
+
+func chunk(index uint32, records ...*pb.Record) *pb.ServerFrame {
+	return &pb.ServerFrame{Body: &pb.ServerFrame_SnapshotChunk{SnapshotChunk: &pb.SnapshotChunk{Index: index, Records: records}}}
+}
+
+func end(m *pb.SnapshotEnd) *pb.ServerFrame {
+	return &pb.ServerFrame{Body: &pb.ServerFrame_SnapshotEnd{SnapshotEnd: m}}
+}
+
+func pairRecord(key, value string) *pb.Record {
+	return &pb.Record{Key: revision.PairPrefix + key, Value: []byte(value)}
+}
+
+// isError reports whether an error of the type of want is in err.
+func isError[T error](err error) bool {
+	var want T
+	return errors.As(err, &want)
+}
+
+// badFrames are what a client at revision 10 must refuse: the last frame of each is at fault. Frames are numbered as
+// they come, unless a number is set.
+var badFrames = map[string]struct {
+	frames []*pb.ServerFrame
+	is     func(error) bool
+	key    string
+}{
+	"unknown kind":      {[]*pb.ServerFrame{{}}, func(err error) bool { return errors.Is(err, errUnknownKind) }, ""},
+	"repeated number":   {[]*pb.ServerFrame{{Number: 2}}, isError[*SequenceError], ""},
+	"skipped number":    {[]*pb.ServerFrame{{Number: 7}}, isError[*SequenceError], ""},
+	"gap":               {[]*pb.ServerFrame{changes(&pb.Changes{From: 11, Through: 12})}, isError[*GapError], ""},
+	"repeated step":     {[]*pb.ServerFrame{changes(&pb.Changes{From: 9, Through: 10})}, isError[*GapError], ""},
+	"revision backward": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 9})}, isError[*StaleError], ""},
+	"wrong digest":      {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11, Digest: 5})}, isError[*DigestError], ""},
+	"empty key": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11, Changes: []*pb.Change{{Revision: 11}}})},
+		isError[*ContentError], ""},
+	"long key": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11,
+		Changes: []*pb.Change{{Revision: 11, Key: strings.Repeat("k", maxKeyBytes+1)}}})}, isError[*ContentError], strings.Repeat("k", maxKeyBytes)},
+	"negative time": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11,
+		Changes: []*pb.Change{{Revision: 11, Key: "rules", CommittedAt: -1}}})}, isError[*ContentError], "rules"},
+	"change outside its step": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11,
+		Changes: []*pb.Change{{Revision: 12, Key: "rules"}}})}, isError[*ContentError], "rules"},
+	"changes out of order": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 13,
+		Changes: []*pb.Change{{Revision: 13, Key: "a"}, {Revision: 12, Key: "b"}}})}, isError[*ContentError], "b"},
+	"removed with a value": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11,
+		Changes: []*pb.Change{{Revision: 11, Key: "a", Removed: true, Value: []byte("x")}}})}, isError[*ContentError], "a"},
+	"member that is none": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11,
+		Changes: []*pb.Change{{Revision: 11, Key: "member/a", Value: []byte{0xff}}}})}, isError[*ContentError], "member/a"},
+	"frame of another step": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 12, More: true}),
+		changes(&pb.Changes{From: 10, Through: 13})}, isError[*OutOfPlaceError], ""},
+	"snapshot within a step": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 12, More: true}),
+		begin(&pb.SnapshotBegin{Revision: 12})}, isError[*OutOfPlaceError], ""},
+	"older snapshot":  {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 9})}, isError[*StaleError], ""},
+	"absurd counts":   {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Chunks: 1 << 31})}, isError[*ContentError], ""},
+	"chunk alone":     {[]*pb.ServerFrame{chunk(0)}, isError[*OutOfPlaceError], ""},
+	"end alone":       {[]*pb.ServerFrame{end(&pb.SnapshotEnd{Revision: 12})}, isError[*OutOfPlaceError], ""},
+	"second snapshot": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12}), begin(&pb.SnapshotBegin{Revision: 12})}, isError[*OutOfPlaceError], ""},
+	"changes within a snapshot": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12}),
+		changes(&pb.Changes{From: 10, Through: 12})}, isError[*OutOfPlaceError], ""},
+	"missing chunk": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 2}),
+		chunk(1, pairRecord("a", ""))}, isError[*ChunkError], ""},
+	"repeated chunk": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 2}),
+		chunk(0, pairRecord("a", "")), chunk(0, pairRecord("a", ""))}, isError[*ChunkError], ""},
+	"chunk too many": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 1, Chunks: 1}),
+		chunk(0, pairRecord("a", "")), chunk(1, pairRecord("b", ""))}, isError[*ChunkError], ""},
+	"end too early": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 2}),
+		chunk(0, pairRecord("a", "")), end(&pb.SnapshotEnd{Revision: 12})}, isError[*ChunkError], ""},
+	"truncated chunk": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 1}),
+		chunk(0, pairRecord("a", "")), end(&pb.SnapshotEnd{Revision: 12})}, isError[*ContentError], ""},
+	"key twice in a snapshot": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 1}),
+		chunk(0, pairRecord("a", ""), pairRecord("a", ""))}, isError[*ContentError], "pair/a"},
+	"end of another revision": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 1, Chunks: 1}),
+		chunk(0, pairRecord("a", "")), end(&pb.SnapshotEnd{Revision: 13})}, isError[*ContentError], ""},
+	"wrong digest of a snapshot": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 1, Chunks: 1}),
+		chunk(0, pairRecord("a", "")), end(&pb.SnapshotEnd{Revision: 12})}, isError[*DigestError], ""},
+	"answer to nothing": {[]*pb.ServerFrame{{Body: &pb.ServerFrame_Submitted{Submitted: &pb.Submitted{Id: 3}}}},
+		isError[*OutOfPlaceError], ""},
+	"negative retry": {[]*pb.ServerFrame{{Body: &pb.ServerFrame_Closing{Closing: &pb.Closing{RetryAfter: -1}}}},
+		isError[*ContentError], ""},
+}
+
+// Guards that bad input is refused with a typed error that names peer, revision and key, is logged once, changes
+// nothing and ends the connection, and that the client then comes back and goes on.
+func TestClientRefusesBadInput(t *testing.T) {
+	for name, bad := range badFrames {
+		t.Run(name, func(t *testing.T) {
+			p := newPair(t, ServerConfig{}, ClientConfig{})
+			p.server.Reset(10, records(5))
+			p.run(second)
+			digest, applied := p.client.State().Digest(revision.Scope{}), len(p.applied)
+			var actions []Action
+			for _, f := range bad.frames {
+				if f.Number == 0 {
+					f.Number = p.client.received + 1
+				}
+				if len(actions) > 0 {
+					t.Fatalf("refused too early: %+v", actions)
+				}
+				actions, _ = p.client.Step(p.now, Received{Frame: f, Bytes: 100})
+			}
+			p.lines = nil
+			p.act(actions)
+			if len(p.lines) != 1 || !bad.is(p.lines[0].Err) {
+				t.Fatalf("logged %+v", p.lines)
+			}
+			var where *StreamError
+			if !errors.As(p.lines[0].Err, &where) || where.Server == "" || where.Revision != 10 || where.Key != bad.key {
+				t.Errorf("located %+v", where)
+			}
+			if p.session != 0 || len(p.applied) != applied || p.client.State().Digest(revision.Scope{}) != digest || p.client.State().Revision() != 10 {
+				t.Errorf("session %d, applied %+v", p.session, p.applied[applied:])
+			}
+			p.server.Commit(11, []revision.Change{{Revision: 11, Record: records(6)[5], Binding: true}})
+			p.run(5 * second)
+			p.equal(revision.Scope{})
+		})
+	}
+}
+
+func TestClientRefusesWhatIsNoFrame(t *testing.T) {
+	p := newPair(t, ServerConfig{}, ClientConfig{})
+	p.run(second)
+	actions, _ := p.client.Step(p.now, BadFrame{errors.New("over the limit")})
+	p.act(actions)
+	if p.session != 0 || len(p.lines) != 1 || p.lines[0].Message != messageBadInput {
+		t.Errorf("session %d, logged %+v", p.session, p.lines)
+	}
+}
+
+func subscriberFrames(m *pb.Subscribe, others ...*pb.SubscriberFrame) []*pb.SubscriberFrame {
+	return append([]*pb.SubscriberFrame{{Body: &pb.SubscriberFrame_Subscribe{Subscribe: m}}}, others...)
+}
+
+func ack(m *pb.Ack) *pb.SubscriberFrame {
+	return &pb.SubscriberFrame{Body: &pb.SubscriberFrame_Ack{Ack: m}}
+}
+
+// Guards that a server closes a session that sends bad input, with the reason, and nobody else is touched by it.
+func TestServerRefusesBadInput(t *testing.T) {
+	good := &pb.Subscribe{Cluster: "c", Subscriber: "bad"}
+	long := strings.Repeat("x", maxNameBytes+1)
+	for name, bad := range map[string]struct {
+		frames []*pb.SubscriberFrame
+		reason pb.Closing_Reason
+	}{
+		"unknown kind":        {[]*pb.SubscriberFrame{{}}, pb.Closing_BAD_FRAME},
+		"wrong cluster":       {subscriberFrames(&pb.Subscribe{Cluster: "d", Subscriber: "bad"}), pb.Closing_WRONG_CLUSTER},
+		"no message":          {subscriberFrames(nil), pb.Closing_WRONG_CLUSTER},
+		"no name":             {subscriberFrames(&pb.Subscribe{Cluster: "c"}), pb.Closing_BAD_FRAME},
+		"long name":           {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: long}), pb.Closing_BAD_FRAME},
+		"long site":           {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Scope: &pb.Scope{Sites: []string{long}}}), pb.Closing_BAD_FRAME},
+		"huge scope":          {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Scope: &pb.Scope{Sites: make([]string, maxScopeItems+1)}}), pb.Closing_BAD_FRAME},
+		"future revision":     {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Revision: 1 << 60}), pb.Closing_FUTURE_REVISION},
+		"acknowledged first":  {[]*pb.SubscriberFrame{ack(&pb.Ack{})}, pb.Closing_BAD_FRAME},
+		"submitted first":     {[]*pb.SubscriberFrame{{Body: &pb.SubscriberFrame_Submit{Submit: &pb.Submit{}}}}, pb.Closing_BAD_FRAME},
+		"subscribed twice":    {subscriberFrames(good, subscriberFrames(good)...), pb.Closing_BAD_FRAME},
+		"acknowledged unsent": {subscriberFrames(good, ack(&pb.Ack{Received: 1 << 40})), pb.Closing_BAD_FRAME},
+		"in force unsent":     {subscriberFrames(good, ack(&pb.Ack{InForce: 1 << 40})), pb.Closing_BAD_FRAME},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := newPair(t, ServerConfig{}, ClientConfig{})
+			p.server.Reset(10, records(5))
+			p.run(second)
+			const id = 1000
+			p.server.Open(p.now, id)
+			for _, f := range bad.frames {
+				p.server.Receive(p.now, id, f)
+			}
+			out, _ := p.server.Step(p.now)
+			last := out[len(out)-1]
+			var why *SubscriberError
+			if !last.Close || last.Log == nil || !errors.As(last.Log.Err, &why) || why.Reason != bad.reason || why.Session != id {
+				t.Fatalf("%+v", last)
+			}
+			if got := readFrame(t, last.Frame).GetClosing(); got.GetReason() != bad.reason || got.Detail == "" {
+				t.Errorf("closed with %v", got)
+			}
+			p.server.Receive(p.now, id, ack(&pb.Ack{})) // still on its way: dropped
+			if out, _ := p.server.Step(p.now); len(out) != 0 || p.session == 0 || len(p.server.Subscribers()) != 1 {
+				t.Errorf("%+v, %d subscribers", out, len(p.server.Subscribers()))
+			}
+		})
+	}
+}
+
+func TestServerClosesWhatIsNoFrame(t *testing.T) {
+	s := NewServer(ServerConfig{})
+	s.Open(0, 1)
+	s.BadFrame(0, 1, errors.New("over the limit"))
+	out, _ := s.Step(0)
+	if len(out) != 1 || !out[0].Close || readFrame(t, out[0].Frame).GetClosing().GetReason() != pb.Closing_BAD_FRAME {
+		t.Errorf("%+v", out)
+	}
+}
+
+// A refused change comes back with its reason; one of a lost connection comes with the next.
+func TestRefusalsReachTheServer(t *testing.T) {
+	p := newPair(t, ServerConfig{}, ClientConfig{})
+	p.server.Reset(10, records(5))
+	p.run(second)
+	actions, _ := p.client.Step(p.now, InForce{Revision: 10, Refused: []*pb.RefusedChange{{Revision: 10, Key: "config", Reason: "no such group"}}})
+	p.act(actions)
+	p.run(second)
+	r := p.server.Rollout(10)
+	if len(r.Refusals) != 1 || r.Refusals[0].Key != "config" || r.Refusals[0].Subscriber != "s" || r.InForce != 1 {
+		t.Errorf("%v", r)
+	}
+}
+
+// Too many unanswered submissions are refused, not queued; who reads nothing and submits on is closed.
+func TestSubmissionsAreBounded(t *testing.T) {
+	s := NewServer(ServerConfig{Cluster: "c", WindowBytes: 1000})
+	s.Open(0, 1)
+	s.Receive(0, 1, subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "a"})[0])
+	submits, refused, closed := 0, 0, 0
+	for i := range 1000 {
+		s.Receive(0, 1, &pb.SubscriberFrame{Body: &pb.SubscriberFrame_Submit{Submit: &pb.Submit{Id: uint64(i)}}})
+	}
+	out, _ := s.Step(0)
+	for _, o := range out {
+		switch {
+		case o.Submit != nil:
+			submits++
+		case o.Close:
+			closed++
+		case readFrame(t, o.Frame).GetSubmitted().GetReply().GetRetry():
+			refused++
+		}
+	}
+	if submits != maxSubmissions || refused == 0 || refused > 100 || closed != 1 {
+		t.Errorf("%d handed on, %d refused, %d closed", submits, refused, closed)
+	}
+	c := NewClient(ClientConfig{Servers: []string{"a:1"}})
+	if actions, _ := c.Step(0, SubmitCommands{ID: 1, Batch: &catalogpb.Batch{}}); !errors.Is(actions[0].(SubmitDone).Err, ErrNotConnected) {
+		t.Errorf("%+v", actions)
+	}
+}
+
+// Sessions are bounded, and those beyond are told to come back.
+func TestSessionsAreBounded(t *testing.T) {
+	s := NewServer(ServerConfig{Cluster: "c", MaxSessions: 2})
+	for id := range SessionID(3) {
+		s.Open(0, id)
+	}
+	out, _ := s.Step(0)
+	if len(out) != 1 || out[0].Session != 2 {
+		t.Fatalf("%+v", out)
+	}
+	closing := readFrame(t, out[0].Frame).GetClosing()
+	if closing.GetReason() != pb.Closing_BUSY || aspenshed.Nanos(closing.RetryAfter) < DefaultStallTimeout/2 {
+		t.Errorf("%v", closing)
+	}
+}
--- a/internal/controlplane/subscription/simulation_test.go
+++ b/internal/controlplane/subscription/simulation_test.go
@@ -30,6 +30,7 @@
 // Guards the whole of it: whatever breaks, is cut, restarts or is slow, no subscriber ever holds what was not
 // committed, goes back, or misses a binding change that the log still has; and once all is healed all agree.
 func TestSubscribersHoldWhatWasCommitted(t *testing.T) {
+	t.Parallel()
 	snapshots, binding, closed := 0, 0, map[pb.Closing_Reason]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(drawProfile(t))
@@ -55,6 +56,7 @@
 
 // The same with frames that are changed, lost or doubled on their way: never applied, and healed.
 func TestCorruptFramesTakeNoEffect(t *testing.T) {
+	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawProfile(t)
 		p.corruptions = rapid.IntRange(50, 500).Draw(t, "corruptions")
@@ -78,6 +80,7 @@
 		"stalled sessions kept":            func(p *profile) { p.planted.keepStalled = true },
 	} {
 		t.Run(name, func(t *testing.T) {
+			t.Parallel()
 			for i := range histories {
 				p := rapid.Custom(drawProfile).Example(i)
 				plant(&p)
