--- a/internal/controlplane/revision/log.go
+++ b/internal/controlplane/revision/log.go
@@ -96,6 +96,16 @@
 // Bytes is what the changes held count for, at most the bound.
 func (l *Log) Bytes() int { return l.bytes }
 
+// LastChange is the revision of the newest change up to a revision. Where the log doesn't hold it any more, it is the
+// revision that the log begins after, or the one asked for if that is older still.
+func (l *Log) LastChange(revision uint64) uint64 {
+	after := sort.Search(len(l.changes), func(i int) bool { return l.changes[i].Revision > revision })
+	if after == 0 {
+		return min(revision, l.oldest)
+	}
+	return l.changes[after-1].Revision
+}
+
 // Since is all changes after a revision, or a CompactedError or FutureError. They belong to the log: they are valid
 // until its next Append or Reset and must not be changed.
 func (l *Log) Since(revision uint64) ([]Change, error) {
--- a/internal/controlplane/revision/state_test.go
+++ b/internal/controlplane/revision/state_test.go
@@ -214,6 +214,19 @@
 	}
 }
 
+func TestLastChange(t *testing.T) {
+	l := NewLog(1 << 20)
+	l.Reset(10)
+	l.Append(12, []Change{{Revision: 12}})
+	l.Append(13, nil)
+	l.Append(15, []Change{{Revision: 15}, {Revision: 15}})
+	for asked, want := range map[uint64]uint64{3: 3, 10: 10, 11: 10, 12: 12, 14: 12, 15: 15, 99: 15} {
+		if got := l.LastChange(asked); got != want {
+			t.Errorf("up to %d: %d, not %d", asked, got, want)
+		}
+	}
+}
+
 func memberValue(group uint64, site string) []byte {
 	entry := protowire.AppendTag(nil, entrySiteField, protowire.BytesType)
 	entry = protowire.AppendString(entry, site)
--- a/internal/controlplane/rollout/rollout.go
+++ b/internal/controlplane/rollout/rollout.go
@@ -46,12 +46,13 @@
 	t.oldest = (t.oldest + 1) % maxRefusals
 }
 
-// Status is how far the subscribers are with a revision.
-func (t *Tracker) Status(revision uint64) *pb.RolloutStatus {
+// Status is how far the subscribers are with a revision, whose changes are in force from another one on: that of the
+// newest change up to it.
+func (t *Tracker) Status(revision, from uint64) *pb.RolloutStatus {
 	status := &pb.RolloutStatus{Revision: revision, Subscribers: uint64(len(t.inForce))}
 	var lagging []*pb.Lagging
 	for subscriber, has := range t.inForce {
-		if has >= revision {
+		if has >= from {
 			status.InForce++
 			continue
 		}
--- a/internal/controlplane/subscription/badinput_test.go
+++ b/internal/controlplane/subscription/badinput_test.go
@@ -229,6 +229,7 @@
 // Too many unanswered submissions are refused, not queued; who reads nothing and submits on is closed.
 func TestSubmissionsAreBounded(t *testing.T) {
 	s := NewServer(ServerConfig{Cluster: "c", WindowBytes: 1000})
+	s.Reset(1, nil)
 	s.Open(0, 1)
 	s.Receive(0, 1, subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "a"})[0])
 	submits, refused, closed := 0, 0, 0
--- a/internal/controlplane/subscription/errors.go
+++ b/internal/controlplane/subscription/errors.go
@@ -120,6 +120,7 @@
 
 	errStalled     = errors.New("nothing acknowledged in time")
 	errNoSubscribe = errors.New("no subscription in time")
+	errNoState     = errors.New("no state yet")
 	errFull        = errors.New("too many sessions")
 	errAdmission   = errors.New("too many snapshots at once")
 	errStopping    = errors.New("the server stops")
--- a/internal/controlplane/subscription/recovery_test.go
+++ b/internal/controlplane/subscription/recovery_test.go
@@ -74,6 +74,17 @@
 	}
 }
 
+// A server that has no state yet must not be taken for one whose state is empty.
+func TestServerWithoutStateServesNobody(t *testing.T) {
+	s := NewServer(ServerConfig{Cluster: "c"})
+	s.Open(0, 1)
+	s.Receive(0, 1, subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "a"})[0])
+	out, _ := s.Step(0)
+	if len(out) != 1 || readFrame(t, out[0].Frame).GetClosing().GetReason() != pb.Closing_FUTURE_REVISION {
+		t.Errorf("%+v", out)
+	}
+}
+
 // A server that has lost its log serves a snapshot, and one that is behind is left for another.
 func TestServerThatLostItsLogServesASnapshot(t *testing.T) {
 	p := newPair(t, ServerConfig{}, ClientConfig{})
@@ -189,6 +200,7 @@
 func TestSlowSubscriberIsSentTheNewest(t *testing.T) {
 	const window = 4000
 	s := NewServer(ServerConfig{Cluster: "c", WindowBytes: window, StallTimeout: 1 << 60})
+	s.Reset(1, nil)
 	s.Open(0, 1)
 	s.Receive(0, 1, subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "a"})[0])
 	out, _ := s.Step(0)
--- a/internal/controlplane/subscription/server.go
+++ b/internal/controlplane/subscription/server.go
@@ -48,7 +48,7 @@
 	stopping bool
 }
 
-// NewServer has no state yet and is at revision 0.
+// NewServer has no state yet and is at revision 0: until Reset or the first Commit it serves nobody.
 func NewServer(c ServerConfig) *Server {
 	c = c.withDefaults()
 	s := &Server{config: c, state: revision.NewState(), log: revision.NewLog(c.LogBytes),
@@ -227,12 +227,13 @@
 	s.touched = s.touched[:0]
 }
 
-// Rollout is how far this server's subscribers are with a revision; 0 is the newest.
+// Rollout is how far this server's subscribers are with a revision; 0 is the newest that changed anything. A commit that
+// changed nothing is in force where the change before it is.
 func (s *Server) Rollout(rev uint64) *catalogpb.RolloutStatus {
 	if rev == 0 {
-		rev = s.log.Head()
+		rev = s.log.LastChange(s.log.Head())
 	}
-	return s.tracker.Status(rev)
+	return s.tracker.Status(rev, s.log.LastChange(rev))
 }
 
 // Subscribers lists the sessions that have subscribed, in the order of their names.
@@ -259,7 +260,11 @@
 	x.sent++
 	closing := &pb.Closing{Reason: reason, Detail: err.Error(), RetryAfter: int64(retryAfter)}
 	frame := encodeBody(&pb.ServerFrame{Body: &pb.ServerFrame_Closing{Closing: closing}}).number(x.sent)
-	s.out = append(s.out, Output{Session: x.id, Frame: frame, Close: true, Log: closeLine(x, reason, err)})
+	out := Output{Session: x.id, Frame: frame, Close: true}
+	if reason != pb.Closing_SHUTTING_DOWN { // who stops says so once himself
+		out.Log = closeLine(x, reason, err)
+	}
+	s.out = append(s.out, out)
 	s.forget(x)
 }
 
@@ -268,7 +273,7 @@
 	line := &LogLine{Level: Warn, Message: messageSessionClosed, Session: x.id, Subscriber: x.subscriber, Revision: x.cursor}
 	line.Err = &SubscriberError{Subscriber: x.subscriber, Session: x.id, Revision: x.cursor, Reason: reason, Err: err}
 	switch reason {
-	case pb.Closing_BUSY, pb.Closing_SHUTTING_DOWN, pb.Closing_FUTURE_REVISION:
+	case pb.Closing_BUSY, pb.Closing_FUTURE_REVISION:
 		line.Level = Info
 	case pb.Closing_BAD_FRAME, pb.Closing_WRONG_CLUSTER:
 		line.Message = messageBadSubscriber
--- a/internal/controlplane/subscription/session.go
+++ b/internal/controlplane/subscription/session.go
@@ -48,10 +48,9 @@
 	if err := s.checkSubscribe(x, m); err != nil {
 		return err
 	}
-	if m.Revision > s.log.Head() {
+	if err := s.behind(m.Revision); err != nil {
 		x.subscriber = m.Subscriber
-		err := &revision.FutureError{Asked: m.Revision, Head: s.log.Head()}
-		s.close(x, pb.Closing_FUTURE_REVISION, err, s.spread(s.config.Heartbeat))
+		s.close(x, pb.Closing_FUTURE_REVISION, err, 0)
 		return nil
 	}
 	scope := s.encoder.scope(scopeFrom(m.Scope))
@@ -72,6 +71,19 @@
 	return nil
 }
 
+// behind says why this server can't serve a subscriber that has a revision: it has no state yet, which must not be
+// taken for an empty one, or an older state.
+func (s *Server) behind(rev uint64) error {
+	head := s.log.Head()
+	switch {
+	case head == 0:
+		return errNoState
+	case rev > head:
+		return &revision.FutureError{Asked: rev, Head: head}
+	}
+	return nil
+}
+
 // admit asks the bucket for one snapshot of the scope.
 func (s *Server) admit(now aspenshed.Nanos, subscriber string, scope *scopeOf) (bool, aspenshed.Nanos) {
 	return s.admission.Admit(now, subscriber, s.encoder.snapshotBytes(now, scope), s.random.next())
--- a/internal/controlplane/subscription/sim_test.go
+++ b/internal/controlplane/subscription/sim_test.go
@@ -152,6 +152,7 @@
 
 // run plays the history: faults first, then everything healed until all agree.
 func (s *simulation) run() error {
+	s.truth.commit(3) // at least one: a server without any has no state
 	for range s.ticks {
 		s.now += aspenshed.Nanos(s.rng.Int64N(int64(80 * millisecond)))
 		s.someFaults()
