--- a/cmd/aspenshed/oncall_test.go
+++ b/cmd/aspenshed/oncall_test.go
@@ -23,7 +23,7 @@
 		}
 		page = append(page, text...)
 	}
-	line := regexp.MustCompile(`\.(?:Debug|Info|Warn|Error)\("([^"]+)"\)`)
+	line := regexp.MustCompile(`(?:\.(?:Debug|Info|Warn|Error)\(|\bmessage[A-Z]\w* *= )"([^"]+)"`)
 	found := 0
 	err = filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
