--- a/internal/experiment/scale/events.go
+++ b/internal/experiment/scale/events.go
@@ -34,15 +34,15 @@
 // until the rack is lost.
 func (x *installation) events(t eventTimes) []windowPlan {
 	return []windowPlan{
-		{name: "slow-subscribers", lasts: t.steady, rate: OrdinaryRate, disturb: x.stall(t.stalledSubs)},
+		{name: "slow-subscribers", lasts: t.steady, rate: OrdinaryRate, disturb: x.stallAndDrain(t.stalledSubs)},
 		{name: "burst", lasts: t.steady, rate: OrdinaryRate, disturb: x.burst(t.burst)},
 		{name: "region-cut", lasts: t.cut, rate: OrdinaryRate, disturb: x.cutRegion(cutRegion, t.cut)},
 		{name: "region-healed", lasts: t.steady, rate: OrdinaryRate, disturb: x.healRegion(cutRegion), check: x.checkSubmissions},
-		{name: "zone-restarted", lasts: t.steady, rate: OrdinaryRate, disturb: x.restartZone(restartedZone)},
+		{name: "zone-restarted", lasts: t.steady, rate: OrdinaryRate, disturb: x.restartZone(restartedZone), check: x.checkSnapshots(InForceBound)},
 		{name: "leader-killed", lasts: t.steady + t.leaderGone, rate: OrdinaryRate, disturb: x.killLeader(t.leaderGone)},
 		{name: "rack-lost", lasts: t.steady + t.rackGone, rate: OrdinaryRate, disturb: x.loseRack(t.rackGone), check: x.checkStalled},
 		{name: "restarts", lasts: t.restarts, rate: OrdinaryRate, disturb: x.restartSome(t.compressed, t.restarts)},
-		{name: "everything-restarted", lasts: t.steady, rate: OrdinaryRate, disturb: x.restartAll, converge: t.converge},
+		{name: "everything-restarted", lasts: t.steady, rate: OrdinaryRate, disturb: x.restartAll, converge: t.converge, check: x.checkSnapshots(t.converge)},
 	}
 }
 
@@ -122,6 +122,37 @@
 	}
 }
 
+// stallAndDrain does so, and drains a database that real gateways use.
+func (x *installation) stallAndDrain(count int) func(context.Context) error {
+	return func(ctx context.Context) error {
+		if err := x.stall(count)(ctx); err != nil {
+			return err
+		}
+		return x.drainDatabase(ctx)
+	}
+}
+
+// drainDatabase drains a stand-in, which counts requests that come later than the grace. The grace begins when subscribers
+// hear of the drain.
+func (x *installation) drainDatabase(ctx context.Context) error {
+	databases, err := x.databases(ctx)
+	if err != nil || len(databases) == 0 {
+		return err
+	}
+	replica := databases[1].ID // the first of each group is its primary
+	x.mu.Lock()
+	drain := x.changes.drain(replica)
+	x.mu.Unlock()
+	if err := x.submit(ctx, drain); err != nil {
+		return err
+	}
+	if _, err := x.settle(ctx); err != nil {
+		return err
+	}
+	_, err = x.load.Do(ctx, Order{Drain: &Drain{Database: replica}})
+	return err
+}
+
 // checkStalled looks whether the servers have closed the subscribers that never read.
 func (x *installation) checkStalled(ctx context.Context, r *windowResult) {
 	_, err := x.workers[0].Do(ctx, Order{Stall: &Stall{Settle: true}})
@@ -217,6 +248,15 @@
 	r.checks = append(r.checks, atMost("region-healed: batches of the region that were not agreed on", float64(open), 0, "1", fmt.Sprint(s.Failed)))
 }
 
+// checkSnapshots holds a bound on the time from a gateway's start to its having the whole state in force.
+func (x *installation) checkSnapshots(bound time.Duration) func(context.Context, *windowResult) {
+	return func(_ context.Context, r *windowResult) {
+		q := quantilesOf(r.total.snapshots)
+		r.checks = append(r.checks, atMost(r.event.Name+": slowest from a start to the whole state in force", q.Max, bound.Seconds(), "s",
+			fmt.Sprintf("%d snapshots, p50 %.2f s, p99 %.2f s", q.Count, q.P50, q.P99)))
+	}
+}
+
 // restartSome restarts single gateways, spread over some time.
 func (x *installation) restartSome(count int, over time.Duration) func(context.Context) error {
 	return func(ctx context.Context) error {
--- a/internal/experiment/scale/figures.go
+++ b/internal/experiment/scale/figures.go
@@ -33,6 +33,8 @@
 	{"gateway.in-force-p50", RoleGateway, "from commit to in force, median", "s"},
 	{"gateway.in-force-p99", RoleGateway, "from commit to in force, 99th percentile", "s"},
 	{"gateway.in-force-max", RoleGateway, "from commit to in force, slowest", "s"},
+	{"gateway.snapshot-bytes", RoleGateway, "control bytes of a gateway that starts without state", "B"},
+	{"gateway.snapshot-time", RoleGateway, "from a start to the whole state in force, slowest of all that start at once", "s"},
 	{"voter.cpu", RoleVoter, "processor time of all voters together", "core"},
 	{"voter.cpu-max", RoleVoter, "processor time of the busiest voter", "core"},
 	{"voter.memory-max", RoleVoter, "memory of the largest voter", "B"},
--- a/internal/experiment/scale/installation.go
+++ b/internal/experiment/scale/installation.go
@@ -7,6 +7,8 @@
 	"os"
 	"sync"
 	"time"
+
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
 // Options of a run.
@@ -56,7 +58,7 @@
 func newInstallation(ctx context.Context, o Options, next func(int) int) (x *installation, err error) {
 	x = &installation{options: o, ledger: NewLedger()}
 	x.changes = &Changes{ledger: x.ledger, next: next}
-	for _, step := range []func(context.Context) error{x.startLoad, x.startVoters, x.startGateways, x.observe, x.addMembers} {
+	for _, step := range []func(context.Context) error{x.startLoad, x.startVoters, x.observe, x.addMembers, x.startGateways} {
 		if err := step(ctx); err != nil {
 			return x, err
 		}
@@ -88,10 +90,6 @@
 }
 
 func (x *installation) startVoters(ctx context.Context) error {
-	databases, err := x.databases(ctx)
-	if err != nil {
-		return err
-	}
 	for i := range x.options.Voters {
 		n, err := newNode(x.options.Dir, fmt.Sprint("voter-", i), x.options.NewInstance())
 		if err != nil {
@@ -100,7 +98,7 @@
 		x.voters = append(x.voters, n)
 	}
 	for _, v := range x.voters {
-		if err := v.writeVoter(x.voters, databases); err != nil {
+		if err := v.writeVoter(x.voters); err != nil {
 			return err
 		}
 		if err := v.Start(); err != nil {
@@ -161,8 +159,21 @@
 
 const entriesOfCommand = 500 // members that one command brings in
 
-// addMembers brings in members until there are so many as the options name.
+// addMembers brings in the stand-in databases, and members until there are so many as the options name.
 func (x *installation) addMembers(ctx context.Context) error {
+	databases, err := x.databases(ctx)
+	if err != nil {
+		return err
+	}
+	var entries []*pb.Entry
+	for _, d := range databases {
+		entries = append(entries, entryOf(d))
+	}
+	if len(entries) > 0 {
+		if err := x.submit(ctx, change{upsert(entries...), func() {}}); err != nil {
+			return err
+		}
+	}
 	return x.growMembers(ctx, x.options.Members)
 }
 
@@ -202,20 +213,35 @@
 	return x.observer.Revision(), err
 }
 
-// grow starts or ends workers until there are so many hollow gateways.
+// grow starts workers until there are so many hollow gateways. Those of all new workers start at the same time.
 func (x *installation) grow(ctx context.Context, gateways int) error {
+	var added sync.WaitGroup
+	failures := make(chan error, gateways) // of the starts
 	for first := len(x.workers) * x.options.PerWorker; first < gateways; first += x.options.PerWorker {
 		w, err := x.startWorker(ctx)
 		if err != nil {
-			return err
+			failures <- err
+			break
 		}
 		x.addWorker(w)
 		start := Start{From: first, Until: min(first+x.options.PerWorker, gateways), Spread: x.options.Join}
-		if _, err := w.Do(ctx, Order{Start: &start}); err != nil {
-			return err
-		}
+		added.Add(1)
+		go func() {
+			defer added.Done()
+			if _, err := w.Do(ctx, Order{Start: &start}); err != nil {
+				failures <- err
+			}
+		}()
 	}
-	return nil
+	added.Wait()
+	close(failures)
+	return <-failures
+}
+
+func (x *installation) addWorker(w Doer) {
+	x.workersMu.Lock()
+	defer x.workersMu.Unlock()
+	x.workers = append(x.workers, w)
 }
 
 func (x *installation) startWorker(ctx context.Context) (Doer, error) {
@@ -231,12 +257,6 @@
 	return w, nil
 }
 
-func (x *installation) addWorker(w Doer) {
-	x.workersMu.Lock()
-	defer x.workersMu.Unlock()
-	x.workers = append(x.workers, w)
-}
-
 // replaceWorker starts the gateways of a worker that was lost, anew.
 func (x *installation) replaceWorker(ctx context.Context, i int) error {
 	w, err := x.startWorker(ctx)
--- a/internal/experiment/scale/ledger.go
+++ b/internal/experiment/scale/ledger.go
@@ -31,6 +31,11 @@
 			lost = append(lost, id+": "+reason)
 		}
 	}
+	for id := range l.drained {
+		if _, drained := drainOf(records[revision.MemberPrefix+id]); !drained {
+			lost = append(lost, id+": its drain is undone")
+		}
+	}
 	for key, member := range l.primaries {
 		p := &pb.Primary{}
 		if proto.Unmarshal(records[key], p) != nil || p.Member != member {
@@ -54,12 +59,8 @@
 	if err := proto.Unmarshal(record, m); err != nil {
 		return err.Error()
 	}
-	want := Member(l.numbers[id], version)
-	switch {
-	case m.Entry.GetAddress() != want.Address:
+	if want := Member(l.numbers[id], version); m.Entry.GetAddress() != want.Address {
 		return fmt.Sprintf("address %s, not %s", m.Entry.GetAddress(), want.Address)
-	case l.drained[id] && m.DrainedAt == 0:
-		return "its drain is undone"
 	}
 	return ""
 }
--- a/internal/experiment/scale/scale.go
+++ b/internal/experiment/scale/scale.go
@@ -19,6 +19,7 @@
 	Rates    []float64 // changes a second, beside OrdinaryRate
 	Gateways []int     // rising
 	Steady   time.Duration
+	Growth   time.Duration // that new members are let be: they change once more when they have warmed up
 	Join     time.Duration // over which the gateways of one worker start
 	Events   eventTimes
 	Bounds   bool // hold the operators' bounds against the last number of gateways
@@ -26,15 +27,17 @@
 
 // FullPlan is what `make scale` runs: some ten minutes.
 func FullPlan() Plan {
-	return Plan{Members: []int{2100, 10500, 21000}, Rates: []float64{2.92, 7.3}, Gateways: []int{150, 300, 600, 1200, 2400}, Steady: 20 * time.Second, Join: 2 * time.Second, Bounds: true,
-		Events: eventTimes{steady: 20 * time.Second, leaderGone: 10 * time.Second, rackGone: 10 * time.Second, cut: time.Minute,
+	return Plan{Members: []int{2100, 10500, 21000}, Rates: []float64{2.92, 7.3}, Gateways: []int{150, 300, 600, 1200, 2400},
+		Steady: 15 * time.Second, Growth: 22 * time.Second, Join: 2 * time.Second, Bounds: true,
+		Events: eventTimes{steady: 15 * time.Second, leaderGone: 10 * time.Second, rackGone: 10 * time.Second, cut: time.Minute,
 			restarts: 30 * time.Second, compressed: 200, converge: 90 * time.Second, stalledSubs: 50, burst: BurstChanges}}
 }
 
 // ShortPlan takes half a minute: it is for tests, whose verdict does not depend on how fast the machine is.
 func ShortPlan() Plan {
-	return Plan{Members: []int{60, 180}, Rates: []float64{10}, Gateways: []int{19, 38}, Steady: time.Second, Join: 200 * time.Millisecond,
-		Events: eventTimes{steady: time.Second, leaderGone: time.Second, rackGone: time.Second, cut: 3 * time.Second,
+	return Plan{Members: []int{60, 180}, Rates: []float64{10}, Gateways: []int{19, 38},
+		Steady: time.Second, Growth: time.Second, Join: 200 * time.Millisecond,
+		Events: eventTimes{steady: time.Second, leaderGone: time.Second, rackGone: time.Second, cut: 4 * time.Second,
 			restarts: time.Second, compressed: 10, converge: InForceBound, stalledSubs: 4, burst: 150}}
 }
 
@@ -77,6 +80,7 @@
 	plan        Plan
 	run         *measure.Run
 	empty       Usage   // a worker without gateways
+	ordinary    figures // at the ordinary rate, the first number of gateways and the last of members
 	steadyBytes float64 // a second and gateway, at the last number of gateways
 }
 
@@ -110,23 +114,34 @@
 		if err := r.growMembers(ctx, members); err != nil {
 			return err
 		}
-		if _, err := r.window(ctx, windowPlan{name: fmt.Sprintf("growth-to-%d-members", members), lasts: r.plan.Steady / 4}); err != nil {
+		growth := windowPlan{name: fmt.Sprintf("growth-to-%d-members", members), lasts: r.plan.Growth}
+		if _, err := r.window(ctx, growth); err != nil {
+			return err
+		}
+		snapshots := windowPlan{name: fmt.Sprintf("snapshots-of-%d-members", members), lasts: r.plan.Steady / 3, disturb: r.restartAll}
+		restarted, err := r.window(ctx, snapshots)
+		if err != nil {
 			return err
 		}
 		w, err := r.steady(ctx, fmt.Sprintf("steady-%d-gateways-%d-members", r.plan.Gateways[0], members), OrdinaryRate)
 		if err != nil {
 			return err
 		}
-		points.add(float64(members), r.figures(w))
+		f := r.figures(w)
+		f["gateway.snapshot-bytes"] = float64(restarted.total.Bytes) / float64(restarted.total.Gateways)
+		f["gateway.snapshot-time"] = quantilesOf(restarted.total.snapshots).Max
+		points.add(float64(members), f)
 	}
 	held := fmt.Sprintf("%d gateways, %d voters, %.2f changes/s", r.plan.Gateways[0], r.options.Voters, OrdinaryRate)
 	r.run.Series = append(r.run.Series, points.series("members", "members", "1", held)...)
+	r.ordinary = points.rows[len(points.rows)-1]
 	return nil
 }
 
 func (r *runner) measureRates(ctx context.Context) error {
 	var points seriesPoints
-	for _, rate := range append([]float64{OrdinaryRate}, r.plan.Rates...) {
+	points.add(OrdinaryRate, r.ordinary)
+	for _, rate := range r.plan.Rates {
 		w, err := r.steady(ctx, fmt.Sprintf("steady-%.2f-changes", rate), rate)
 		if err != nil {
 			return err
@@ -144,7 +159,7 @@
 		if err := r.grow(ctx, gateways); err != nil {
 			return err
 		}
-		join := windowPlan{name: fmt.Sprintf("join-to-%d-gateways", gateways), lasts: r.plan.Steady / 4, converge: r.plan.Events.converge}
+		join := windowPlan{name: fmt.Sprintf("join-to-%d-gateways", gateways), lasts: r.plan.Steady / 5, converge: r.plan.Events.converge}
 		if _, err := r.window(ctx, join); err != nil {
 			return err
 		}
--- a/internal/experiment/scale/stalled.go
+++ b/internal/experiment/scale/stalled.go
@@ -41,8 +41,12 @@
 	return s, nil
 }
 
-// ended reads what the system still holds, and tells whether the server has closed the connection behind it.
+// ended tells whether the server has closed the connection. What the server had not sent by then may still keep its system
+// from telling the end, as nothing was ever read here; but a byte that comes for a closed socket is answered by a reset.
 func (s *stalledSubscriber) ended() bool {
+	if _, err := s.conn.Write([]byte{0}); err != nil {
+		return true
+	}
 	if err := s.conn.SetReadDeadline(time.Now().Add(settleLimit)); err != nil {
 		return true
 	}
--- a/internal/experiment/scale/voter.go
+++ b/internal/experiment/scale/voter.go
@@ -116,10 +116,10 @@
   connect_timeout: 250ms
   idle_close: 60s
   client_idle: 10m
-admin: {socket: s}
 `
 
-const deployVoter = `store:
+const deployVoter = `admin: {socket: s}
+store:
   cluster: %s
   id: %s
   address: %s
@@ -129,7 +129,8 @@
   peers:
 %s`
 
-const deployGateway = `store:
+const deployGateway = `admin: {socket: s}
+store:
   cluster: %s
   id: %s
   subscribe: [%s]
@@ -137,28 +138,28 @@
   zone: %s
 `
 
-// writeVoter writes a voter's folder.
-func (n *Node) writeVoter(voters []*Node, databases []Database) error {
+// writeVoter writes a voter's folder. It has no front.
+func (n *Node) writeVoter(voters []*Node) error {
 	peers := ""
 	for _, v := range voters {
 		peers += fmt.Sprintf("    - {id: %s, address: %s, service: %s}\n", v.ID, v.Address, v.Service)
 	}
-	return n.write(fmt.Sprintf(deployVoter, clusterName, n.ID, n.Address, n.Service, n.Subscribers, peers), databases)
+	return n.writeDeploy(fmt.Sprintf(deployVoter, clusterName, n.ID, n.Address, n.Service, n.Subscribers, peers))
 }
 
-// writeGateway writes a real gateway's folder.
-func (n *Node) writeGateway(servers []string, zone Zone, databases []Database) error {
-	return n.write(fmt.Sprintf(deployGateway, clusterName, n.ID, strings.Join(servers, ", "), RegionName(zone.Region), zone.Name), databases)
+func (n *Node) writeDeploy(text string) error {
+	return os.WriteFile(n.deployPath(), []byte(text), 0o600)
 }
 
-func (n *Node) write(storePart string, databases []Database) error {
-	deploy := fmt.Sprintf(deployFront, n.Front) + storePart
-	if err := os.WriteFile(n.deployPath(), []byte(deploy), 0o600); err != nil {
+// writeGateway writes a real gateway's folder. Its own list names the databases that its clients' requests go to.
+func (n *Node) writeGateway(servers []string, zone Zone, databases []Database) error {
+	store := fmt.Sprintf(deployGateway, clusterName, n.ID, strings.Join(servers, ", "), RegionName(zone.Region), zone.Name)
+	if err := n.writeDeploy(fmt.Sprintf(deployFront, n.Front) + store); err != nil {
 		return err
 	}
 	list := []byte("id,address,site,group,kind,state\n")
 	for _, d := range databases {
-		list = fmt.Appendf(list, "%s,%s,%s,%d,std-4core,in_service\n", d.ID, d.Address, zones[0].Name, d.Group)
+		list = fmt.Appendf(list, "%s,%s,%s,%d,%s,in_service\n", d.ID, d.Address, zones[0].Name, d.Group, databaseKind)
 	}
 	return os.WriteFile(filepath.Join(n.Dir, "inventory.csv"), list, 0o600)
 }
