--- a/internal/experiment/scale/scale.go
+++ b/internal/experiment/scale/scale.go
@@ -9,6 +9,7 @@
 	"strings"
 	"time"
 
+	"aspenshed/internal/controlplane/store"
 	"aspenshed/internal/experiment/measure"
 )
 
@@ -66,6 +67,7 @@
 		return run, err
 	}
 	r := &runner{installation: x, plan: p, run: &run}
+	run.Notes = r.notes()
 	for _, step := range []func(context.Context) error{r.measureEmpty, r.measureMembers, r.measureRates, r.measureGateways, r.measureEvents, r.judge} {
 		if err := step(ctx); err != nil {
 			return run, err
@@ -84,6 +86,20 @@
 	steadyBytes float64 // a second and gateway, at the last number of gateways
 }
 
+// notes tell what a reader of the figures has to know.
+func (r *runner) notes() []string {
+	e := r.plan.Events
+	return []string{
+		"All processes share one machine: processor time is measured while voters, gateways and the load compete for its cores.",
+		"Delays between zones (0.5 ms within one to 40 ms one way between the farthest regions) and cuts are set at the gateways' control streams; between voters there is loopback.",
+		"The region that is cut off holds no voter. Real gateways are not cut off.",
+		"Hollow gateways have a change in force as soon as their control side hands it over. Real gateways' figures include their data path at light load.",
+		fmt.Sprintf("Steady windows last %v; a region is cut off for %v; %d restarts within %v stand for those of a day (%d).", r.plan.Steady, e.cut, e.compressed, e.restarts, RestartsPerDay),
+		"A window shorter than a minute is filled up with the steady rate where its worst minute is held against a bound.",
+		"No relays: gateways subscribe to the voters.",
+	}
+}
+
 func (r *runner) measureEmpty(context.Context) (err error) {
 	if r.options.Empty != nil {
 		r.empty, err = r.options.Empty()
@@ -199,26 +215,69 @@
 	if err != nil {
 		return err
 	}
-	err = waitUntil(ctx, "equal states", InForceBound, func() bool {
-		total, err := r.report(ctx, Report{Expected: expected})
-		return err == nil && len(total.Digests) == 1 && total.states()[0] == r.observer.Digest()
-	})
+	for _, look := range []func(context.Context, uint64) error{r.judgeStates, r.judgeRollout} {
+		if err := look(ctx, expected); err != nil {
+			return err
+		}
+	}
+	lost := r.ledger.Lost(r.observer.Records())
+	r.run.Checks = append(r.run.Checks,
+		atMost("end: agreed changes that were lost", float64(len(lost)), 0, "1", strings.Join(lost[:min(len(lost), 5)], "; ")))
+	return r.judgeNodes(ctx)
+}
+
+// waitFor waits for something that a check looks at afterwards: a time-out is no error.
+func waitFor(ctx context.Context, what string, ok func() bool) error {
+	err := waitUntil(ctx, what, InForceBound, ok)
 	var late *TimeoutError
-	if err != nil && !errors.As(err, &late) {
-		return err
+	if errors.As(err, &late) {
+		return nil
 	}
-	total, err := r.report(ctx, Report{Expected: expected})
-	if err != nil {
+	return err
+}
+
+// judgeStates compares the states of all hollow gateways with the observer's.
+func (r *runner) judgeStates(ctx context.Context, expected uint64) error {
+	var total fleetTotal
+	var failure error
+	err := waitFor(ctx, "equal states", func() bool {
+		total, failure = r.report(ctx, Report{Expected: expected})
+		return failure == nil && len(total.Digests) == 1 && total.states()[0] == r.observer.Digest()
+	})
+	if err := errors.Join(err, failure); err != nil {
 		return err
 	}
 	states := total.states()
 	equal := total.Digests[r.observer.Digest()]
-	lost := r.ledger.Lost(r.observer.Records())
 	r.run.Checks = append(r.run.Checks,
 		atMost("end: gateways whose state differs", float64(total.Gateways-equal), 0, "1", fmt.Sprintf("%d states, %v", len(states), states[:min(len(states), 3)])),
-		atMost("end: agreed changes that were lost", float64(len(lost)), 0, "1", strings.Join(lost[:min(len(lost), 5)], "; ")),
 		atMost("end: drains undone", float64(total.Undone), 0, "1", ""))
-	return r.judgeNodes(ctx)
+	return nil
+}
+
+// judgeRollout compares what the voters know to be in force with what is: at all hollow and real gateways and the observer.
+func (r *runner) judgeRollout(ctx context.Context, expected uint64) error {
+	total, err := r.report(ctx, Report{Expected: expected})
+	if err != nil {
+		return err
+	}
+	subscribers := total.Gateways + len(r.gateways) + 1
+	var report store.RolloutReport
+	var failure error
+	err = waitFor(ctx, "the rollout", func() bool {
+		report, failure = r.voters[0].Rollout(expected)
+		return failure == nil && int(report.InForce) == subscribers && report.Subscribers == report.InForce
+	})
+	if err != nil {
+		return err
+	}
+	detail := fmt.Sprintf("%d subscribers, %d in force, silent voters %v, lagging %v", report.Subscribers, report.InForce, report.Silent, report.Lagging)
+	if failure != nil {
+		detail = failure.Error()
+	}
+	missing := max(subscribers-int(report.InForce), int(report.Subscribers)-int(report.InForce), int(report.InForce)-subscribers)
+	r.run.Checks = append(r.run.Checks, atMost("end: subscribers that the voters' rollout counts wrongly", float64(missing), 0, "1", detail))
+	return nil
 }
 
 // judgeNodes compares the catalogs of voters, and what the real gateways hold.
@@ -234,9 +293,7 @@
 		}
 		return out
 	}
-	err := waitUntil(ctx, "equal catalogs", InForceBound, func() bool { return len(digests()) == 1 })
-	var late *TimeoutError
-	if err != nil && !errors.As(err, &late) {
+	if err := waitFor(ctx, "equal catalogs", func() bool { return len(digests()) == 1 }); err != nil {
 		return err
 	}
 	r.run.Checks = append(r.run.Checks, atMost("end: different catalogs of voters", float64(len(digests())), 1, "1", fmt.Sprint(digests())))
--- a/internal/experiment/scale/voter.go
+++ b/internal/experiment/scale/voter.go
@@ -101,6 +101,15 @@
 	return s, json.Unmarshal(answer, &s)
 }
 
+// Rollout asks a voter how far a revision has come at the subscribers of all voters.
+func (n *Node) Rollout(rev uint64) (r store.RolloutReport, err error) {
+	answer, err := daemon.Call(n.socket(), daemon.Ask{Do: "rollout", Revision: rev})
+	if err != nil {
+		return r, err
+	}
+	return r, json.Unmarshal(answer, &r)
+}
+
 // Usage is the account of its process.
 func (n *Node) Usage() (Usage, error) { return ReadUsage(n.Instance.PID()) }
 
