--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -79,6 +79,7 @@
 	shares   map[string]aspenshed.ColdShare // as told
 	saidAt   map[string]aspenshed.Nanos
 	learntAt aspenshed.Nanos
+	revision uint64 // of the catalog, when it was last looked at
 	posted   uint64 // the revision that the loop has last been told of
 }
 
@@ -154,37 +155,11 @@
 func (a *Agent) Tick(now aspenshed.Nanos) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	news := a.ownNew
-	var rev uint64
-	a.cfg.Store.Read(func(c *catalog.Catalog) {
-		rev = c.Index()
-		m, l, s := c.Versions()
-		was := a.seen
-		a.seen = [3]uint64{m, l, s}
-		if m != was[0] || a.ownNew {
-			members := a.mine(c.Members())
-			version := c.Inventory()
-			if a.had = a.had || len(members) > 0; !a.had { // an inventory of another wire says nothing of this one
-				version = 0
-			}
-			a.merger.Catalog(version, members)
-			a.starts = map[string]aspenshed.ColdShare{}
-			for _, x := range members {
-				if x.Start > 0 {
-					a.starts[x.Entry.Id] = aspenshed.ColdShare{Member: x.Entry.Id, StartedAt: aspenshed.Nanos(x.Start), Warm: !catalog.Cold(x)}
-				}
-			}
-			news = true
-		}
-		if m != was[0] || s != was[2] {
-			a.cold = a.mine(c.ColdMembers())
-		}
-		if m != was[0] || l != was[1] {
-			a.words, news = c.Words(), true
-		}
-	})
-	a.ownNew = false
-	if news {
+	n := a.look()
+	if len(n.differs) > 0 {
+		a.tellChanged(n.differs)
+	}
+	if n.whole {
 		a.tellMembers()
 	}
 	if a.cfg.Lease > 0 {
@@ -192,8 +167,8 @@
 			a.cfg.Store.Offer("ask "+x.Member, &pb.Command{Body: &pb.Command_Ask{Ask: x}})
 		}
 	}
-	a.tellShares(now, news)
-	a.tellInForce(rev)
+	a.tellShares(now, n)
+	a.tellInForce(a.revision)
 	a.sayDrains(now)
 	if now >= a.learntAt+learnEvery {
 		a.learntAt = now
@@ -220,64 +195,6 @@
 	return 0
 }
 
-// tellMembers tells the list if it, or whom the instances take for primaries, has changed.
-func (a *Agent) tellMembers() {
-	list, changed := a.merger.Merged()
-	primary := map[string]bool{}
-	for _, w := range a.words {
-		if w.Primary != "" {
-			primary[w.Primary] = true
-		}
-	}
-	if !changed && maps.Equal(primary, a.primary) {
-		return
-	}
-	a.primary = primary
-	l, addresses := aspenshed.MemberList{Whole: true}, map[string]string{}
-	for _, t := range list {
-		t.Primary = t.Primary || primary[t.ID]
-		l.Members = append(l.Members, t.Member)
-		addresses[t.ID] = t.Address
-	}
-	if changed {
-		a.cfg.Log.WithField("members", len(list)).Info("inventory in use")
-	}
-	a.cfg.Loop.Post(func() { a.cfg.Pipeline.Members(l, addresses) })
-}
-
-// tellShares tells what is new of each start: that it is warm, or what may be sent to it while it is cold. It comes
-// after the list that names the start.
-func (a *Agent) tellShares(now aspenshed.Nanos, all bool) {
-	var news []aspenshed.ColdShare
-	say := func(x aspenshed.ColdShare) {
-		if old, told := a.shares[x.Member]; !told || old != x && !alike(old, x) {
-			a.shares[x.Member] = x
-			news = append(news, x)
-		}
-	}
-	for _, m := range a.cold {
-		x := a.starts[m.Entry.Id]
-		x.Part, x.Until = a.holder.Share(now, x.Member, m.Start)
-		x.Rate = a.words[catalog.GroupOf(m.Entry)].WarmRate
-		say(x)
-	}
-	if all { // thousands that are warm are not looked at at each tick
-		for _, x := range a.starts {
-			if x.Warm {
-				say(x)
-			}
-		}
-	}
-	maps.DeleteFunc(a.shares, func(id string, _ aspenshed.ColdShare) bool { _, here := a.starts[id]; return !here })
-	if len(news) > 0 {
-		a.cfg.Loop.Post(func() {
-			for _, x := range news {
-				a.cfg.Pipeline.Tell(x)
-			}
-		})
-	}
-}
-
 // alike tells whether two shares differ in nothing but a rate that has changed by less than a tenth.
 func alike(a, b aspenshed.ColdShare) bool {
 	d := a.Rate - b.Rate
--- /dev/null
+++ b/internal/controlplane/agent/members_test.go
@@ -0,0 +1,244 @@
+package agent
+
+import (
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"strings"
+	"testing"
+	"time"
+
+	"aspenshed"
+
+	"github.com/sirupsen/logrus"
+	logtest "github.com/sirupsen/logrus/hooks/test"
+	"google.golang.org/protobuf/proto"
+	"pgregory.net/rapid"
+
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/lease"
+	"aspenshed/internal/controlplane/revision"
+	"aspenshed/internal/controlplane/roster"
+	"aspenshed/internal/dataplane/eventloop"
+)
+
+// heldCatalog is a Store that the test alone writes to.
+type heldCatalog struct {
+	catalog *catalog.Catalog
+	changed map[uint64][]string // ids of members by revision
+}
+
+func newHeldCatalog() *heldCatalog {
+	return &heldCatalog{catalog.New("test"), map[uint64][]string{}}
+}
+
+func (h *heldCatalog) ID() string                                             { return "gw1" }
+func (h *heldCatalog) Boot() string                                           { return "1" }
+func (h *heldCatalog) Read(f func(*catalog.Catalog))                          { f(h.catalog) }
+func (h *heldCatalog) ReadLatest(time.Duration, func(*catalog.Catalog)) error { return nil }
+func (h *heldCatalog) Offer(string, *pb.Command)                              {}
+func (h *heldCatalog) Submit(*pb.Command, time.Duration) (*pb.Result, error) {
+	return &pb.Result{}, nil
+}
+
+// apply carries commands out as one entry. What the catalog refuses changes nothing.
+func (h *heldCatalog) apply(commands ...*pb.Command) {
+	rev := h.catalog.Index() + 1
+	for i, c := range commands {
+		c.Origin, c.Seq, c.Kind, c.At = "test", 1000*rev+uint64(i), catalog.Kind(c), int64(rev)*1e9
+	}
+	h.catalog.Apply(rev, &pb.Batch{Commands: commands})
+	for _, x := range h.catalog.TakeChanges() {
+		if id, isMember := strings.CutPrefix(x.Key, revision.MemberPrefix); isMember {
+			h.changed[rev] = append(h.changed[rev], id)
+		}
+	}
+}
+
+// feedOf is a heldCatalog that knows what has changed.
+type feedOf struct{ *heldCatalog }
+
+func (f feedOf) ChangedMembers(rev uint64) (ids []string, known bool) {
+	seen := map[string]bool{}
+	for ; rev <= f.catalog.Index(); rev++ {
+		for _, id := range f.changed[rev+1] {
+			if !seen[id] {
+				seen[id] = true
+				ids = append(ids, id)
+			}
+		}
+	}
+	return ids, true
+}
+
+// silentPipeline takes everything.
+type silentPipeline struct{}
+
+func (silentPipeline) Members(aspenshed.MemberList, map[string]string) {}
+func (silentPipeline) Tell(aspenshed.Event)                            {}
+func (silentPipeline) Learned() (aspenshed.Learned, bool)              { return aspenshed.Learned{}, false }
+
+// tablePipeline keeps what a pipeline would go by.
+type tablePipeline struct {
+	silentPipeline
+	members   map[string]aspenshed.Member
+	addresses map[string]string
+	shares    map[string]aspenshed.ColdShare
+	parts     int // lists that were not whole
+}
+
+func (p *tablePipeline) Members(l aspenshed.MemberList, addresses map[string]string) {
+	if l.Whole || p.members == nil {
+		p.members, p.addresses = map[string]aspenshed.Member{}, map[string]string{}
+	}
+	if !l.Whole {
+		p.parts++
+	}
+	for _, m := range l.Members {
+		if m.State == aspenshed.Gone {
+			delete(p.members, m.ID)
+			delete(p.addresses, m.ID)
+			continue
+		}
+		p.members[m.ID], p.addresses[m.ID] = m, addresses[m.ID]
+	}
+}
+
+func (p *tablePipeline) Tell(e aspenshed.Event) {
+	if x, is := e.(aspenshed.ColdShare); is {
+		if p.shares == nil {
+			p.shares = map[string]aspenshed.ColdShare{}
+		}
+		p.shares[x.Member] = x
+	}
+}
+
+// equal compares what counts: members, and the shares of those that are there.
+func (p *tablePipeline) equal(q *tablePipeline) bool {
+	there := func(t *tablePipeline) map[string]aspenshed.ColdShare {
+		out := maps.Clone(t.shares)
+		maps.DeleteFunc(out, func(id string, x aspenshed.ColdShare) bool {
+			m, here := t.members[id]
+			return !here || x.StartedAt != m.StartedAt
+		})
+		return out
+	}
+	return maps.Equal(p.members, q.members) && maps.Equal(p.addresses, q.addresses) && maps.Equal(there(p), there(q))
+}
+
+// newAgent is one that ticks only when the test has it tick.
+func newAgent(s Store, p Pipeline) *Agent {
+	log, _ := logtest.NewNullLogger()
+	return &Agent{cfg: Config{Store: s, Loop: eventloop.NewLoop(eventloop.NewClock()), Log: logrus.NewEntry(log), Pipeline: p, Wire: "mysql",
+		KeepLearned: true, InForce: func(uint64) {}},
+		wake: make(chan struct{}, 1), merger: roster.New(), shares: map[string]aspenshed.ColdShare{}, primary: map[string]bool{},
+		starts: map[string]aspenshed.ColdShare{}, saidAt: map[string]aspenshed.Nanos{}, holder: lease.NewHolder("gw1", "1", 0)}
+}
+
+func (a *Agent) tickOnce() {
+	a.Tick(0)
+	a.cfg.Loop.Turn()
+}
+
+// randomCommand is one that members are told of.
+func randomCommand(rng *rand.Rand, h *heldCatalog) *pb.Command {
+	id := fmt.Sprint("m", rng.IntN(8))
+	start := int64(0)
+	if m := h.catalog.Member(id); m != nil {
+		start = m.Start
+	}
+	switch rng.IntN(8) {
+	case 0:
+		return &pb.Command{Body: &pb.Command_RemoveMembers{RemoveMembers: &pb.RemoveMembers{Members: []string{id}, Author: "test"}}}
+	case 1:
+		return &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: id, Start: start, Reason: "test"}}}
+	case 2:
+		return &pb.Command{Body: &pb.Command_Start{Start: &pb.Start{Member: id, Start: start + 1 + rng.Int64N(1e9)}}}
+	case 3:
+		return &pb.Command{Body: &pb.Command_Warm{Warm: &pb.Warm{Member: id, Start: start}}}
+	case 4:
+		group := rng.Int32N(2)
+		if m := h.catalog.Member(id); m != nil {
+			group = m.Entry.Group
+		}
+		return &pb.Command{Body: &pb.Command_ReportPrimary{ReportPrimary: &pb.ReportPrimary{Wire: "mysql", Group: group, Member: id, At: int64(h.catalog.Index()+1) * 1e9}}}
+	}
+	wire := "mysql"
+	if rng.IntN(10) == 0 {
+		wire = "postgres"
+	}
+	state := "in_service"
+	if rng.IntN(6) == 0 {
+		state = "terminating"
+	}
+	entry := &pb.Entry{Id: id, Address: fmt.Sprint("h:", 1+rng.IntN(3)), Site: fmt.Sprint("z", rng.IntN(2)), Group: rng.Int32N(2), Kind: "std", State: state, Wire: wire}
+	return &pb.Command{Body: &pb.Command_UpsertMembers{UpsertMembers: &pb.UpsertMembers{Members: []*pb.Entry{entry}, Author: "test"}}}
+}
+
+// Guards that an agent that follows single changes has its pipeline go by the same as one that takes whole lists.
+func TestFollowingChangesEqualsTakingTheWholeList(t *testing.T) {
+	parts := 0
+	rapid.Check(t, func(t *rapid.T) {
+		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
+		h := newHeldCatalog()
+		var whole, followed tablePipeline
+		taker, follower := newAgent(h, &whole), newAgent(feedOf{h}, &followed)
+		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
+			for range 1 + rng.IntN(3) {
+				var commands []*pb.Command
+				for range 1 + rng.IntN(3) {
+					commands = append(commands, randomCommand(rng, h))
+				}
+				h.apply(commands...)
+			}
+			if rng.IntN(10) == 0 { // an administrator's drain at the instance
+				id := fmt.Sprint("m", rng.IntN(8))
+				taker.merger.Drain(id)
+				follower.merger.Drain(id)
+				taker.ownNew, follower.ownNew = true, true
+			}
+			taker.tickOnce()
+			follower.tickOnce()
+			if !whole.equal(&followed) {
+				t.Fatalf("step %d: whole lists give\n%+v\nsingle changes\n%+v", step, whole, followed)
+			}
+		}
+		parts += followed.parts
+	})
+	if parts == 0 {
+		t.Error("no change was followed")
+	}
+}
+
+// Within a scope a primary may be known before the member comes into sight; it is told as the primary then.
+func TestAMemberThatIsAlreadyKnownForThePrimary(t *testing.T) {
+	h := newHeldCatalog()
+	var table tablePipeline
+	a := newAgent(feedOf{h}, &table)
+	record := func(key string, m proto.Message) {
+		t.Helper()
+		value, err := proto.Marshal(m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := h.catalog.SetRecord(revision.Record{Key: key, Value: value}); err != nil {
+			t.Fatal(err)
+		}
+		rev := h.catalog.Index() + 1
+		h.catalog.SetIndex(rev)
+		if id, isMember := strings.CutPrefix(key, revision.MemberPrefix); isMember {
+			h.changed[rev] = []string{id}
+		}
+		a.tickOnce()
+	}
+	member := func(id string) *pb.Member {
+		return &pb.Member{Entry: &pb.Entry{Id: id, Address: id + ":1", Group: 1, Wire: "mysql"}}
+	}
+	record("member/a", member("a"))
+	record("primary/mysql/1", &pb.Primary{Wire: "mysql", Group: 1, Member: "b", At: 5})
+	record("member/b", member("b"))
+	if !table.members["b"].Primary || table.members["a"].Primary {
+		t.Errorf("told: %+v", table.members)
+	}
+}
--- a/internal/controlplane/roster/roster.go
+++ b/internal/controlplane/roster/roster.go
@@ -81,18 +81,22 @@
 // ownDrains hears the drains of the own list. One that tells no start means whichever start is known.
 func (m *Merger) ownDrains() {
 	for id, t := range m.own {
-		if t.State == aspenshed.Up {
-			continue
-		}
-		start := t.StartedAt
-		if start == 0 {
-			start = m.catalog[id].StartedAt
-		}
-		if was, known := m.drains[id]; !known || start > was {
-			m.unsaid[id] = start
-		}
-		m.heard(id, start)
+		m.ownDrain(id, t)
+	}
+}
+
+func (m *Merger) ownDrain(id string, t Told) {
+	if t.State == aspenshed.Up {
+		return
+	}
+	start := t.StartedAt
+	if start == 0 {
+		start = m.catalog[id].StartedAt
+	}
+	if was, known := m.drains[id]; !known || start > was {
+		m.unsaid[id] = start
 	}
+	m.heard(id, start)
 }
 
 // Catalog takes all that the catalog holds, whole, with the version of its inventory.
@@ -102,17 +106,22 @@
 	}
 	m.catalog = make(map[string]Told, len(members))
 	for _, x := range members {
-		t := Told{Member: aspenshed.Member{ID: x.Entry.Id, Group: int(x.Entry.Group), Zone: m.Zone(x.Entry.Site), Size: 1,
-			StartedAt: aspenshed.Nanos(x.Start), State: aspenshed.Up}, Address: x.Entry.Address, Site: x.Entry.Site}
-		if x.DrainedAt != 0 {
-			t.State = aspenshed.Draining
-			m.heard(t.ID, t.StartedAt)
-		}
-		m.catalog[t.ID] = t
+		m.setCatalog(x)
 	}
 	m.ownDrains()
 }
 
+// setCatalog takes one member of the catalog.
+func (m *Merger) setCatalog(x *pb.Member) {
+	t := Told{Member: aspenshed.Member{ID: x.Entry.Id, Group: int(x.Entry.Group), Zone: m.Zone(x.Entry.Site), Size: 1,
+		StartedAt: aspenshed.Nanos(x.Start), State: aspenshed.Up}, Address: x.Entry.Address, Site: x.Entry.Site}
+	if x.DrainedAt != 0 {
+		t.State = aspenshed.Draining
+		m.heard(t.ID, t.StartedAt)
+	}
+	m.catalog[t.ID] = t
+}
+
 func byID(list []Told) map[string]Told {
 	out := make(map[string]Told, len(list))
 	for _, t := range list {
@@ -148,19 +157,10 @@
 	}
 	all := make(map[string]Told, len(from))
 	for id, t := range from {
-		if o, both := other[id]; both {
-			t.StartedAt, t.Primary = max(t.StartedAt, o.StartedAt), t.Primary || o.Primary
-		}
-		all[id] = t
+		all[id] = m.merge(t, other)
 	}
 	for _, id := range slices.Sorted(maps.Keys(all)) {
-		t := all[id]
-		t.State = aspenshed.Up
-		if at, known := m.drains[id]; known && t.StartedAt <= at {
-			t.State = aspenshed.Draining
-		}
-		all[id] = t
-		list = append(list, t)
+		list = append(list, all[id])
 	}
 	m.forget(all)
 	changed = m.last == nil || !maps.Equal(all, m.last)
@@ -168,6 +168,18 @@
 	return list, changed
 }
 
+// merge is one member of the list that leads, with what the other list says of it, and its drain.
+func (m *Merger) merge(t Told, other map[string]Told) Told {
+	if o, both := other[t.ID]; both {
+		t.StartedAt, t.Primary = max(t.StartedAt, o.StartedAt), t.Primary || o.Primary
+	}
+	t.State = aspenshed.Up
+	if at, known := m.drains[t.ID]; known && t.StartedAt <= at {
+		t.State = aspenshed.Draining
+	}
+	return t
+}
+
 // forget bounds the drains of members that are on no list: a list may name them again, so they are not dropped at once.
 func (m *Merger) forget(present map[string]Told) {
 	if len(m.drains) <= len(present)+mostGone+mostGone/4 { // in steps: to look at all of them takes time
--- a/internal/controlplane/subscriber/apply.go
+++ b/internal/controlplane/subscriber/apply.go
@@ -23,8 +23,10 @@
 	s.mu.Lock()
 	if u.Whole {
 		refused = s.replaceAll(u)
+		s.changed.reset(u.Revision)
 	} else {
 		refused = s.applyChanges(u.Changes)
+		s.changed.note(u.Revision, u.Changes)
 	}
 	s.catalog.SetIndex(u.Revision)
 	s.mu.Unlock()
--- a/internal/controlplane/subscriber/subscriber.go
+++ b/internal/controlplane/subscriber/subscriber.go
@@ -63,6 +63,7 @@
 	mu      sync.RWMutex
 	catalog *catalog.Catalog
 
+	changed changedMembers
 	inForce *inForce
 }
 
--- a/internal/controlplane/subscriber/subscriber_test.go
+++ b/internal/controlplane/subscriber/subscriber_test.go
@@ -290,3 +290,32 @@
 		}
 	})
 }
+
+// Who asks what has changed gets each member once, or hears that it is no longer known.
+func TestChangedMembers(t *testing.T) {
+	var c changedMembers
+	c.reset(10)
+	change := func(ids ...string) (out []revision.Change) {
+		for _, id := range ids {
+			out = append(out, revision.Change{Record: revision.Record{Key: "member/" + id}})
+		}
+		return append(out, revision.Change{Record: revision.Record{Key: "pair/x"}})
+	}
+	c.note(11, change("a", "b"))
+	c.note(15, change("b", "c"))
+	for rev, want := range map[uint64]string{9: "unknown", 10: "[a b c]", 11: "[b c]", 14: "[b c]", 15: "[]", 99: "[]"} {
+		ids, known := c.after(rev)
+		if got := fmt.Sprint(ids); known && got != want || !known && want != "unknown" {
+			t.Errorf("after %d: %s, %v", rev, got, known)
+		}
+	}
+	for rev := uint64(16); rev < 16+maxChanged; rev++ {
+		c.note(rev, change(fmt.Sprint("m", rev)))
+	}
+	if _, known := c.after(14); known {
+		t.Error("more than is remembered is said to be known")
+	}
+	if ids, known := c.after(15); !known || len(ids) != maxChanged {
+		t.Errorf("%d of them, known %v", len(ids), known)
+	}
+}
