--- a/internal/experiment/scale/installation.go
+++ b/internal/experiment/scale/installation.go
@@ -157,7 +157,10 @@
 	return err
 }
 
-const entriesOfCommand = 500 // members that one command brings in
+const (
+	entriesOfCommand = 500                    // members that one command brings in
+	growthPause      = 500 * time.Millisecond // between two of them: members come in by the rack, not all at once
+)
 
 // addMembers brings in the stand-in databases, and members until there are so many as the options name.
 func (x *installation) addMembers(ctx context.Context) error {
@@ -182,6 +185,9 @@
 		if err := x.submit(ctx, x.changes.add(from, min(from+entriesOfCommand, members))); err != nil {
 			return err
 		}
+		if err := pause(ctx, growthPause); err != nil {
+			return err
+		}
 	}
 	return nil
 }
