--- a/internal/controlplane/subscription/bench_test.go
+++ b/internal/controlplane/subscription/bench_test.go
@@ -47,10 +47,13 @@
 // step sends what is due and counts the bytes.
 func (x *benchServer) step() (bytes int) {
 	x.now += second / 2
-	out, _ := x.Step(x.now)
-	for _, o := range out {
-		bytes += len(o.Frame)
-		x.sent[o.Session]++
+	for next := x.now; next <= x.now; {
+		var out []Output
+		out, next = x.Step(x.now)
+		for _, o := range out {
+			bytes += len(o.Frame)
+			x.sent[o.Session]++
+		}
 	}
 	return bytes
 }
--- a/internal/controlplane/subscription/server.go
+++ b/internal/controlplane/subscription/server.go
@@ -21,6 +21,10 @@
 // in a burst of commits goes fifty times a second rather than as a frame for each commit and subscriber.
 const bindingGap = 20 * millisecond
 
+// maxStepOutput is when a Step ends though more sessions wait, who come first in the next: a burst of 76 KB for each of
+// 2,400 sessions would be 180 MB at once, and hold up everything else for as long as that takes to write.
+const maxStepOutput = 8 << 20
+
 // Server serves the state to subscribers. Its methods take note of what happened; what has to be done about it is told
 // by Step, which has to follow them.
 type Server struct {
@@ -35,8 +39,11 @@
 
 	sessions map[SessionID]*session
 	byName   map[string]*session // those that have subscribed
-	touched  []*session          // to be looked at in the next Step
+	touched  []*session          // to be looked at in the next Step, each once
 	out      []Output
+	outBytes int // of the frames in out
+
+	maxOutput int // maxStepOutput, less in tests
 
 	urgent   bool            // binding changes wait
 	waiting  bool            // other changes wait
@@ -54,7 +61,7 @@
 	s := &Server{config: c, state: revision.NewState(), log: revision.NewLog(c.LogBytes),
 		admission: admission.NewBucket(c.SnapshotRate, c.SnapshotBurst), tracker: rollout.NewTracker(),
 		random: random{c.Seed}, sessions: map[SessionID]*session{}, byName: map[string]*session{},
-		flushAt: never, lastSend: -never, scanned: -never, scanNext: never}
+		maxOutput: maxStepOutput, flushAt: never, lastSend: -never, scanned: -never, scanNext: never}
 	s.encoder = newEncoder(s.state, s.log, c.WindowBytes, &s.faults)
 	return s
 }
@@ -67,8 +74,8 @@
 	s.encoder.reset()
 	s.flushed = rev
 	s.waiting, s.urgent, s.flushAt = false, false, never
-	for _, x := range s.sessions {
-		s.touch(x)
+	for _, id := range s.sessionIDs() {
+		s.touch(s.sessions[id])
 	}
 }
 
@@ -166,10 +173,12 @@
 		s.scan(now)
 	case now >= max(s.scanNext, s.scanned+scanInterval):
 		s.scan(now)
-	default:
-		s.serveTouched(now)
 	}
-	out, s.out = s.out, nil
+	s.serveTouched(now)
+	out, s.out, s.outBytes = s.out, nil, 0
+	if len(s.touched) > 0 {
+		return out, now
+	}
 	return out, min(s.flushAt, max(s.scanNext, s.scanned+scanInterval))
 }
 
@@ -183,12 +192,11 @@
 	}
 }
 
-// scan serves every session.
+// scan looks at every session.
 func (s *Server) scan(now aspenshed.Nanos) {
-	s.clearTouched()
 	s.scanned, s.scanNext = now, never
 	for _, id := range s.sessionIDs() {
-		s.serve(now, s.sessions[id])
+		s.touch(s.sessions[id])
 	}
 }
 
@@ -202,14 +210,18 @@
 	return ids
 }
 
+// serveTouched serves the sessions to be looked at in their turn, until one Step's output is full.
 func (s *Server) serveTouched(now aspenshed.Nanos) {
-	slices.SortFunc(s.touched, func(a, b *session) int { return cmp.Compare(a.id, b.id) })
+	served := 0
 	for _, x := range s.touched {
-		if x.touched && s.sessions[x.id] == x {
-			s.serve(now, x)
+		if s.outBytes >= s.maxOutput {
+			break
 		}
+		served++
+		x.touched = false
+		s.serve(now, x)
 	}
-	s.clearTouched()
+	s.touched = slices.Delete(s.touched, 0, served)
 }
 
 func (s *Server) touch(x *session) {
@@ -219,14 +231,6 @@
 	}
 }
 
-func (s *Server) clearTouched() {
-	for _, x := range s.touched {
-		x.touched = false
-	}
-	clear(s.touched)
-	s.touched = s.touched[:0]
-}
-
 // Rollout is how far this server's subscribers are with a revision; 0 is the newest that changed anything. A commit that
 // changed nothing is in force where the change before it is.
 func (s *Server) Rollout(rev uint64) *catalogpb.RolloutStatus {
--- a/internal/controlplane/subscription/session.go
+++ b/internal/controlplane/subscription/session.go
@@ -315,4 +315,5 @@
 	x.outstanding += len(frame)
 	x.heartbeatAt = now + s.config.Heartbeat
 	s.out = append(s.out, Output{Session: x.id, Frame: frame})
+	s.outBytes += len(frame)
 }
--- a/internal/controlplane/subscription/sim_test.go
+++ b/internal/controlplane/subscription/sim_test.go
@@ -90,6 +90,7 @@
 const (
 	simWindow = 1200
 	simFrame  = 400
+	simOutput = 3000
 	// simSnapshotRate, bytes a second, admits some two snapshots a second.
 	simSnapshotRate = 3000
 	// simPrompt is how long an undisturbed subscriber may take for a commit, ns: its queue is some windows long at most.
@@ -122,7 +123,7 @@
 	x.machine = NewServer(ServerConfig{Cluster: "c", LogBytes: 300 * (3 + s.rng.IntN(30)), WindowBytes: simWindow,
 		Heartbeat: second / 5, Flush: second / 20, StallTimeout: second, SnapshotRate: simSnapshotRate, SnapshotBurst: 1500,
 		Seed: s.rng.Uint64()})
-	x.machine.encoder.frameBytes = simFrame
+	x.machine.encoder.frameBytes, x.machine.maxOutput = simFrame, simOutput
 	x.machine.faults = s.planted
 	x.up, x.sides, x.due = true, map[SessionID]*connection{}, s.now
 	x.applied = s.rng.IntN(x.applied + 1)
@@ -209,12 +210,18 @@
 	for _, id := range sortedSessions(x.sides) {
 		happened = s.deliverFrom(x.sides[id]) || happened
 	}
-	if happened || s.now >= x.due {
+	for happened || s.now >= x.due {
 		var out []Output
 		out, x.due = x.machine.Step(s.now)
+		bytes := 0
 		for _, o := range out {
+			bytes += len(o.Frame)
 			s.output(x, o)
 		}
+		if most := simOutput + simWindow + len(out)*200; bytes > most { // closings come beside
+			s.fail("%s: %d bytes in one step, over %d", x.name, bytes, most)
+		}
+		happened = false
 	}
 }
 
--- a/internal/controlplane/subscription/simcheck_test.go
+++ b/internal/controlplane/subscription/simcheck_test.go
@@ -84,8 +84,9 @@
 		if m.log.Bytes() > m.config.LogBytes {
 			s.fail("%s: a log of %d bytes", x.name, m.log.Bytes())
 		}
-		if len(m.encoder.steps) > maxSteps || len(m.encoder.scopes) > maxScopes || len(m.out) > 0 || len(m.touched) > 0 && x.up && s.now >= x.due {
-			s.fail("%s: %d steps, %d scopes kept, %d outputs left", x.name, len(m.encoder.steps), len(m.encoder.scopes), len(m.out))
+		if len(m.encoder.steps) > maxSteps || len(m.encoder.scopes) > maxScopes || len(m.out) > 0 || x.up && len(m.touched) > 0 {
+			s.fail("%s: %d steps, %d scopes kept, %d outputs, %d sessions left", x.name, len(m.encoder.steps), len(m.encoder.scopes),
+				len(m.out), len(m.touched))
 		}
 		for _, session := range m.sessions {
 			sum := 0
