--- a/internal/controlplane/subscription/badinput_test.go
+++ b/internal/controlplane/subscription/badinput_test.go
@@ -71,6 +71,8 @@
 		begin(&pb.SnapshotBegin{Revision: 12})}, isError[*OutOfPlaceError], ""},
 	"older snapshot":  {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 9})}, isError[*StaleError], ""},
 	"absurd counts":   {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Chunks: 1 << 31})}, isError[*ContentError], ""},
+	"absurd revision": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: maxRevision + 1})}, isError[*ContentError], ""},
+	"absurd snapshot": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: maxRevision + 1})}, isError[*ContentError], ""},
 	"chunk alone":     {[]*pb.ServerFrame{chunk(0)}, isError[*OutOfPlaceError], ""},
 	"end alone":       {[]*pb.ServerFrame{end(&pb.SnapshotEnd{Revision: 12})}, isError[*OutOfPlaceError], ""},
 	"second snapshot": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12}), begin(&pb.SnapshotBegin{Revision: 12})}, isError[*OutOfPlaceError], ""},
--- a/internal/controlplane/subscription/client.go
+++ b/internal/controlplane/subscription/client.go
@@ -19,6 +19,9 @@
 	ackBytes = DefaultWindowBytes / 4
 	// maxUnanswered bounds the submissions of a client that wait for their answers; it is the server's bound.
 	maxUnanswered = maxSubmissions
+	// stableAfter is how long a connection has to last until a loss counts as the first again, ns. A server whose stream
+	// goes wrong again and again, snapshots included, is thereby left alone for longer each time.
+	stableAfter = 10 * second
 	// dialTimeout gives up a dial, ns: twice the round trip between the farthest regions and a lost SYN (1 s).
 	dialTimeout = 3 * second
 )
@@ -49,10 +52,11 @@
 	lost     bool // the loss was logged, and its end will be
 	diverged bool // the state has to be replaced by a snapshot
 
-	phase     phase
-	dialAt    aspenshed.Nanos
-	dialledAt aspenshed.Nanos
-	heard     aspenshed.Nanos // when something came last
+	phase       phase
+	dialAt      aspenshed.Nanos
+	dialledAt   aspenshed.Nanos
+	connectedAt aspenshed.Nanos
+	heard       aspenshed.Nanos // when something came last
 
 	received   uint64 // the number of the last frame
 	position   uint64 // the revision that this connection has brought us to
@@ -154,7 +158,7 @@
 	if c.phase != dialling {
 		return
 	}
-	c.phase, c.heard = subscribed, now
+	c.phase, c.connectedAt, c.heard = subscribed, now, now
 	c.received, c.unacked, c.ackAt = 0, 0, never
 	c.step, c.snapshot = nil, nil
 	m := &pb.Subscribe{Cluster: c.config.Cluster, Subscriber: c.config.Subscriber, Boot: c.config.Boot,
@@ -241,7 +245,11 @@
 		c.log(Warn, messageLost, c.located(err))
 		c.lost = true
 	}
-	away := c.server != 0 && c.Subscribed() && c.failures == 0
+	stable := c.Subscribed() && now >= c.connectedAt+stableAfter
+	if stable {
+		c.failures = 0
+	}
+	away := c.server != 0 && stable
 	c.end(err, hangUp)
 	c.server = (c.server + 1) % max(1, len(c.servers))
 	if away {
--- a/internal/controlplane/subscription/receive.go
+++ b/internal/controlplane/subscription/receive.go
@@ -14,6 +14,9 @@
 	maxStepBytes = 64 << 20
 	// maxSnapshotBytes bounds what it holds of a snapshot: a hundred times the 2.5 MB of the target.
 	maxSnapshotBytes = 256 << 20
+	// maxRevision bounds a revision: a million commits a second for two thousand years. What claims to be beyond it would
+	// keep the client from every true server for good.
+	maxRevision = 1 << 56
 	// maxKeyBytes bounds a key: a prefix and an id.
 	maxKeyBytes = 1024
 )
@@ -118,6 +121,8 @@
 		return &StaleError{Revision: m.Through, Own: m.From}
 	case m.From != own:
 		return &GapError{From: m.From, Own: own}
+	case m.Through > maxRevision:
+		return &ContentError{Message: "Changes", Problem: "an absurd revision"}
 	case c.step != nil && (m.From != c.step.from || m.Through != c.step.through):
 		return &OutOfPlaceError{Message: "Changes of another step"}
 	}
@@ -186,6 +191,8 @@
 		return &OutOfPlaceError{Message: "SnapshotBegin within a snapshot or step"}
 	case m.Revision < c.state.Revision() && !c.faults.takeOlder:
 		return &StaleError{Revision: m.Revision, Own: c.state.Revision()}
+	case m.Revision > maxRevision:
+		return &ContentError{Message: "SnapshotBegin", Problem: "an absurd revision"}
 	case uint64(m.Chunks) > m.Records:
 		return &ContentError{Message: "SnapshotBegin", Problem: "more chunks than records"}
 	}
@@ -254,7 +261,7 @@
 
 // established takes note that the connection has proved good.
 func (c *Client) established() {
-	c.failures, c.busy = 0, false
+	c.busy = false
 	if c.lost {
 		c.lost = false
 		c.log(Info, messageConnected, nil)
@@ -272,7 +279,7 @@
 	c.fail(now, err, true)
 	c.busy = again
 	if again { // this server has promised to serve us then; a second time another is asked
-		c.server, c.failures = server, 0
+		c.server = server
 	}
 	c.dialAt = max(c.dialAt, now+min(err.RetryAfter, maxRetryAfter))
 }
--- a/internal/controlplane/subscription/recovery_test.go
+++ b/internal/controlplane/subscription/recovery_test.go
@@ -155,6 +155,32 @@
 	}
 }
 
+// A stream that goes wrong again and again is tried less and less often, though each begins well with a snapshot; one
+// that has lasted is tried again at once.
+func TestAStreamThatAlwaysGoesWrongIsTriedLessOften(t *testing.T) {
+	p := newPair(t, ServerConfig{}, ClientConfig{Servers: []string{"a:1"}})
+	p.server.Reset(10, records(5))
+	p.run(20 * second)
+	p.filter = func(f *pb.ServerFrame) {
+		if m := f.GetChanges(); m != nil {
+			m.Digest++
+		}
+	}
+	p.run(120 * second)
+	if n := len(p.dialled); n < 10 || n > 60 {
+		t.Errorf("dialled %d times in two minutes", n)
+	}
+	p.filter = nil
+	p.run(30 * second)
+	p.equal(revision.Scope{})
+	dialled := len(p.dialled)
+	p.breakOff()
+	p.run(DefaultMinBackoff)
+	if len(p.dialled) != dialled+1 {
+		t.Error("not dialled again within the first backoff")
+	}
+}
+
 // A stop of the server moves its subscribers; one of the client ends what it has under way.
 func TestStops(t *testing.T) {
 	p := newPair(t, ServerConfig{}, ClientConfig{})
