--- a/internal/controlplane/revision/state.go
+++ b/internal/controlplane/revision/state.go
@@ -41,28 +41,18 @@
 
 // Reset replaces everything, the revision included. Of records with one key the last counts.
 func (s *State) Reset(revision uint64, records []Record) {
-	*s = State{revision: revision}
-	entries := make([]entry, len(records))
-	for i := range records {
-		entries[i] = s.entry(&records[i])
-	}
-	slices.SortStableFunc(entries, func(a, b entry) int { return cmp.Compare(string(a.key), string(b.key)) })
-	entries = lastOfEachKey(entries)
-	for _, e := range entries {
-		s.count(e, true)
-	}
-	s.records = pack(entries)
-}
-
-// lastOfEachKey shortens sorted entries in place.
-func lastOfEachKey(entries []entry) []entry {
-	kept := entries[:0]
-	for i, e := range entries {
-		if i+1 == len(entries) || string(e.key) != string(entries[i+1].key) {
-			kept = append(kept, e)
-		}
-	}
-	return kept
+	order := make([]int, len(records))
+	for i := range order {
+		order[i] = i
+	}
+	slices.SortFunc(order, func(a, b int) int {
+		return cmp.Or(cmp.Compare(records[a].Key, records[b].Key), cmp.Compare(b, a))
+	})
+	var b Builder
+	for _, i := range order {
+		b.Add(records[i]) // not of a key that was there already
+	}
+	*s = *b.State(revision)
 }
 
 // Revision is that of the newest commit that the state stands for.
--- a/internal/controlplane/revision/table.go
+++ b/internal/controlplane/revision/table.go
@@ -163,21 +163,3 @@
 		}
 	}
 }
-
-// pack makes a table of entries that are in order, each key once; leaves are as full as they may be.
-func pack(entries []entry) table {
-	t := table{count: len(entries)}
-	var leaf []byte
-	for _, e := range entries {
-		end := len(leaf)
-		leaf = e.append(leaf)
-		if len(leaf) > maxLeafBytes && end > 0 {
-			t.leaves = append(t.leaves, slices.Clone(leaf[:end]))
-			leaf = append(leaf[:0], leaf[end:]...)
-		}
-	}
-	if len(leaf) > 0 {
-		t.leaves = append(t.leaves, slices.Clone(leaf))
-	}
-	return t
-}
--- a/internal/controlplane/revision/table_test.go
+++ b/internal/controlplane/revision/table_test.go
@@ -14,13 +14,15 @@
 func TestTableIsAMapInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain := map[string]string{}
-		var entries []entry
+		var builder Builder
 		for i := range rapid.IntRange(0, 150).Draw(t, "packed") {
 			key, value := fmt.Sprintf("%04d", 2*i), strings.Repeat("v", i%120)
-			entries = append(entries, entry{key: []byte(key), value: []byte(value)})
+			if !builder.Add(Record{Key: key, Value: []byte(value)}) || builder.Add(Record{Key: key}) {
+				t.Fatalf("%s: taken in no order, or not at all", key)
+			}
 			plain[key] = value
 		}
-		table := pack(entries)
+		table := builder.State(1).records
 		for range rapid.IntRange(0, 120).Draw(t, "changes") {
 			key := fmt.Sprintf("%04d", rapid.IntRange(0, 300).Draw(t, "key"))
 			if rapid.Bool().Draw(t, "remove") {
--- a/internal/controlplane/subscription/bench_test.go
+++ b/internal/controlplane/subscription/bench_test.go
@@ -152,10 +152,21 @@
 
 // BenchmarkClientSnapshot takes the whole state.
 func BenchmarkClientSnapshot(b *testing.B) {
+	x := newBenchServer(b)
+	var frames []*pb.ServerFrame
+	for _, encoded := range x.encoder.snapshot(0, x.encoder.scope(revision.Scope{})).frames {
+		frames = append(frames, readFrame(b, encoded.number(uint64(len(frames)+1))))
+	}
+	b.ReportAllocs()
 	for range b.N {
-		p := newPair(b, ServerConfig{}, ClientConfig{})
-		p.server.Reset(10, records(benchMembers))
-		p.run(second)
-		p.equal(revision.Scope{})
+		c := NewClient(ClientConfig{Cluster: "c", Subscriber: "s", Servers: []string{"a:1"}})
+		c.Step(0)
+		c.Step(0, Connected{})
+		for _, f := range frames {
+			c.Step(0, Received{Frame: f, Bytes: maxFrameBytes})
+		}
+		if c.State().Len() != benchMembers {
+			b.Fatalf("%d members", c.State().Len())
+		}
 	}
 }
--- a/internal/controlplane/subscription/receive.go
+++ b/internal/controlplane/subscription/receive.go
@@ -32,7 +32,7 @@
 type stagedSnapshot struct {
 	begin   *pb.SnapshotBegin
 	chunks  uint32
-	records []revision.Record
+	records revision.Builder
 	bytes   int
 }
 
@@ -215,15 +215,14 @@
 		if err != nil {
 			return err
 		}
-		if n := len(s.records); n > 0 && s.records[n-1].Key >= r.Key {
+		if !s.records.Add(r) {
 			return &ContentError{Message: "SnapshotChunk", Key: r.Key, Problem: "the key is out of order"}
 		}
-		s.records = append(s.records, r)
 	}
 	s.chunks++
 	s.bytes += bytes
 	if c.faults.applyHalf && s.chunks == 1 && s.begin.Chunks > 1 {
-		c.state.Reset(s.begin.Revision, s.records)
+		c.state = s.records.State(s.begin.Revision)
 		c.do(Apply{Revision: s.begin.Revision, Whole: true})
 	}
 	return nil
@@ -239,12 +238,11 @@
 		return &ContentError{Message: "SnapshotEnd", Problem: "of another revision than its begin"}
 	case s.chunks != s.begin.Chunks:
 		return &ChunkError{Got: s.begin.Chunks, Want: s.chunks}
-	case uint64(len(s.records)) != s.begin.Records:
-		problem := fmt.Sprintf("%d records where %d were announced", len(s.records), s.begin.Records)
+	case uint64(s.records.Len()) != s.begin.Records:
+		problem := fmt.Sprintf("%d records where %d were announced", s.records.Len(), s.begin.Records)
 		return &ContentError{Message: "SnapshotEnd", Problem: problem}
 	}
-	state := revision.NewState()
-	state.Reset(m.Revision, s.records)
+	state := s.records.State(m.Revision)
 	if got, want := state.Digest(revision.Scope{}), revision.Digest(m.Digest); got != want && !c.faults.skipDigest {
 		return &DigestError{Revision: m.Revision, Got: got, Want: want}
 	}
