--- a/internal/controlplane/subscription/encoder.go
+++ b/internal/controlplane/subscription/encoder.go
@@ -14,6 +14,9 @@
 	maxSteps = 64
 	// maxScopes are remembered with their snapshots. Beyond it all are dropped, and sessions keep those that they hold.
 	maxScopes = 64
+	// maxSnapshotsKept bounds the snapshots that are kept for the next who asks, in bytes: 25 of the whole state. Beyond it
+	// all are dropped but those that sessions are being sent.
+	maxSnapshotsKept = 64 << 20
 	// snapshotReuse is how long a snapshot serves those who ask for one though commits have come since, ns: encoding one
 	// of 21,000 members takes some 10 ms, so at one a second it stays at 1% of a core however many commits come.
 	snapshotReuse = second
@@ -25,6 +28,7 @@
 	log        *revision.Log
 	stepBytes  int // how much one step may hold; a commit that alone is larger is a step of its own
 	frameBytes int // maxFrameBytes, less in tests
+	keptBytes  int // maxSnapshotsKept, less in tests
 	steps      map[stepKey]*step
 	scopes     map[string]*scopeOf
 	snapshotOf map[*scopeOf]*keptSnapshot
@@ -56,7 +60,7 @@
 }
 
 func newEncoder(state *revision.State, log *revision.Log, stepBytes int, f *faults) *encoder {
-	e := &encoder{state: state, log: log, stepBytes: stepBytes, frameBytes: maxFrameBytes, faults: f,
+	e := &encoder{state: state, log: log, stepBytes: stepBytes, frameBytes: maxFrameBytes, keptBytes: maxSnapshotsKept, faults: f,
 		scopes: map[string]*scopeOf{}}
 	e.reset()
 	return e
@@ -194,10 +198,23 @@
 		return kept.snapshot
 	}
 	kept = &keptSnapshot{snapshot: e.encodeSnapshot(scope.Scope), madeAt: now}
-	e.snapshotOf[scope] = kept
+	e.keep(scope, kept)
 	return kept.snapshot
 }
 
+// keep remembers a scope's snapshot in place of an older one.
+func (e *encoder) keep(scope *scopeOf, made *keptSnapshot) {
+	delete(e.snapshotOf, scope)
+	bytes := made.bytes
+	for _, other := range e.snapshotOf {
+		bytes += other.bytes
+	}
+	if bytes > e.keptBytes {
+		clear(e.snapshotOf)
+	}
+	e.snapshotOf[scope] = made
+}
+
 // snapshotBytes is how much a snapshot of the scope would be.
 func (e *encoder) snapshotBytes(now aspenshed.Nanos, scope *scopeOf) int {
 	return e.snapshot(now, scope).bytes
--- a/internal/controlplane/subscription/simcheck_test.go
+++ b/internal/controlplane/subscription/simcheck_test.go
@@ -88,6 +88,14 @@
 			s.fail("%s: %d steps, %d scopes kept, %d outputs, %d sessions left", x.name, len(m.encoder.steps), len(m.encoder.scopes),
 				len(m.out), len(m.touched))
 		}
+		kept, largest := 0, 0
+		for _, k := range m.encoder.snapshotOf {
+			kept += k.bytes
+			largest = max(largest, k.bytes)
+		}
+		if kept > max(simKept, largest) {
+			s.fail("%s: %d bytes of snapshots kept", x.name, kept)
+		}
 		for _, session := range m.sessions {
 			sum := 0
 			for _, bytes := range session.inFlight {
--- a/internal/controlplane/subscription/simulation_test.go
+++ b/internal/controlplane/subscription/simulation_test.go
@@ -1,6 +1,7 @@
 package subscription
 
 import (
+	"fmt"
 	"testing"
 
 	"pgregory.net/rapid"
@@ -66,6 +67,24 @@
 	})
 }
 
+// Guards that a seed names a history: the verdict is the same each time.
+func TestEqualSeedsAreEqualHistories(t *testing.T) {
+	t.Parallel()
+	for i := range 30 {
+		p := rapid.Custom(drawProfile).Example(i)
+		p.corruptions = 100
+		var outcomes []string
+		for range 2 {
+			s := newSimulation(p)
+			err := s.run()
+			outcomes = append(outcomes, fmt.Sprint(err, s.now, s.snapshots, s.binding, s.closed, s.rng.Uint64()))
+		}
+		if outcomes[0] != outcomes[1] {
+			t.Fatalf("history %d: %s, then %s", i, outcomes[0], outcomes[1])
+		}
+	}
+}
+
 // Each planted fault must be found within so many histories: the simulation is able to fail.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	const histories = 1000
