--- a/internal/controlplane/catalog/members.go
+++ b/internal/controlplane/catalog/members.go
@@ -111,13 +111,14 @@
 		known[group.Wire] = true
 	}
 	for _, e := range list {
-		c.touchMember(e.Id)
 		m := c.members[e.Id]
 		switch {
 		case m == nil:
+			c.touchMember(e.Id)
 			m = c.appear(e, !known[e.Wire])
 			changed = true
 		case !proto.Equal(m.Entry, e):
+			c.touchMember(e.Id)
 			c.replaceEntry(m, e)
 			changed = true
 		}
--- a/internal/experiment/trial/store.go
+++ b/internal/experiment/trial/store.go
@@ -192,6 +192,7 @@
 		p.Base = c.Inventory()
 		p.Members = append(p.Members[1:], entry(20+n))
 		c.Apply(uint64(n+1), &pb.Batch{Commands: []*pb.Command{{Origin: "w", Seq: uint64(n + 1), At: int64(1e18 + n*1e6), Body: &pb.Command_PutInventory{PutInventory: p}}}})
+		c.TakeChanges() // as the store does after each entry
 	}
 	b, _ := c.Encode()
 	return len(b)
