--- /dev/null
+++ b/internal/controlplane/catalog/leases.go
@@ -0,0 +1,104 @@
+package catalog
+
+import (
+	"slices"
+
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+)
+
+// Outstanding is the part of a cold member's pool that an instance may be using: the largest of its leases that have
+// not been released. One that has been replaced counts until it has surely run out.
+func Outstanding(m *pb.Member, instance string) (share float64) {
+	for _, l := range m.Leases {
+		if l.Instance == instance {
+			share = max(share, l.Share)
+		}
+	}
+	return share
+}
+
+// ask grants a share of a cold member's pool: in proportion to what the instances want, as far as it is free. The
+// sum of all that is outstanding never passes the pool, whoever is cut off.
+func (c *Catalog) ask(a *pb.Ask) *pb.Result {
+	m := c.members[a.Member]
+	switch {
+	case m == nil || m.Start != a.Start || !Cold(m):
+		return refused("%s is not cold since that start", a.Member)
+	case c.instances[a.Instance] == nil:
+		return refused("no instance %q is known", a.Instance)
+	case a.Duration <= 0 || a.Duration > c.s.Rules.ColdFor || a.Nonce == "" || !(a.Want >= 0 && a.Want < 1e9):
+		return refused("a lease needs a nonce, a want and a duration of at most the cold time")
+	}
+	held, taken := 0, 0.0
+	for _, id := range holders(m) {
+		if id != a.Instance {
+			taken += Outstanding(m, id)
+		}
+	}
+	for _, l := range m.Leases {
+		if l.Instance == a.Instance {
+			held++
+		}
+	}
+	share := min(c.fair(m, a), c.s.Rules.Pool-taken)
+	if held >= maxLeases || share < minShare {
+		return refused("no share of %s is free", a.Member)
+	}
+	c.s.Serial++
+	m.Leases = append(m.Leases, &pb.Lease{Instance: a.Instance, Serial: c.s.Serial, Share: share, Duration: a.Duration, Nonce: a.Nonce})
+	c.leasesVersion++
+	return &pb.Result{Version: c.s.Serial}
+}
+
+func holders(m *pb.Member) (ids []string) {
+	for _, l := range m.Leases {
+		if !slices.Contains(ids, l.Instance) {
+			ids = append(ids, l.Instance)
+		}
+	}
+	slices.Sort(ids)
+	return ids
+}
+
+// fair is the part of the pool that is due to who asks, by what all instances want of that group.
+func (c *Catalog) fair(m *pb.Member, a *pb.Ask) float64 {
+	var wants []float64
+	own, sum := a.Want, 0.0
+	for _, id := range sorted(c.instances) {
+		w := 0.0
+		if id == a.Instance {
+			w = own
+		} else {
+			for _, g := range c.instances[id].Groups {
+				if g.Group == m.Entry.Group {
+					w = g.WarmRate
+				}
+			}
+		}
+		wants, sum = append(wants, w), sum+w
+	}
+	least := minWeight * sum / float64(len(wants))
+	if sum == 0 {
+		least, own = 1, 1
+	}
+	total := 0.0
+	for _, w := range wants {
+		total += max(w, least)
+	}
+	return c.s.Rules.Pool * max(own, least) / total
+}
+
+// release takes a lease back whose time has surely passed at its holder, as the leader's own clock showed.
+func (c *Catalog) release(r *pb.Release) *pb.Result {
+	m := c.members[r.Member]
+	if m == nil || m.Start != r.Start {
+		return refused("%s holds no such lease", r.Member)
+	}
+	n := len(m.Leases)
+	m.Leases = slices.DeleteFunc(m.Leases, func(l *pb.Lease) bool { return l.Serial == r.Serial })
+	if len(m.Leases) == n {
+		return refused("%s holds no such lease", r.Member)
+	}
+	c.leasesVersion++
+	return &pb.Result{}
+}
--- /dev/null
+++ b/internal/controlplane/catalog/origins.go
@@ -0,0 +1,49 @@
+package catalog
+
+import (
+	"cmp"
+	"slices"
+
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+)
+
+// once applies a command unless its origin's number shows that it, or a later one, has been applied. An origin has
+// one batch out at a time, so an earlier number that comes late was given up by its sender.
+func (c *Catalog) once(x *pb.Command) *pb.Result {
+	c.s.Now = max(c.s.Now, x.At)
+	if x.Origin == "" || x.Seq == 0 {
+		return c.apply(x)
+	}
+	o := c.origins[x.Origin]
+	if o != nil && x.Seq <= o.Seq {
+		for _, r := range o.Recent {
+			if r.Seq == x.Seq {
+				return &pb.Result{Seq: r.Seq, Refused: r.Refused, Version: r.Version, Repeated: true}
+			}
+		}
+		return &pb.Result{Seq: x.Seq, Refused: "an earlier command that comes late", Repeated: true}
+	}
+	if o == nil {
+		if len(c.origins) >= maxOrigins {
+			c.forgetOrigins()
+		}
+		o = &pb.Origin{Name: x.Origin}
+		c.origins[x.Origin] = o
+	}
+	r := c.apply(x)
+	r.Seq = x.Seq
+	if o.Seq, o.At = x.Seq, c.s.Now; len(o.Recent) >= maxRecent {
+		o.Recent = slices.Delete(o.Recent, 0, 1)
+	}
+	o.Recent = append(o.Recent, r)
+	return r
+}
+
+// forgetOrigins drops the origins that have been silent for longest: some at once, as finding them takes a sort.
+func (c *Catalog) forgetOrigins() {
+	all := values(c.origins)
+	slices.SortStableFunc(all, func(a, b *pb.Origin) int { return cmp.Compare(a.At, b.At) })
+	for _, o := range all[:forgottenOrigins] {
+		delete(c.origins, o.Name)
+	}
+}
--- /dev/null
+++ b/internal/controlplane/catalog/starts.go
@@ -0,0 +1,73 @@
+package catalog
+
+import (
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+)
+
+func (c *Catalog) markDrain(m *pb.Member, reason string) {
+	if m.DrainedAt == 0 {
+		c.touchMember(m.Entry.Id)
+		m.DrainedAt, m.DrainReason = max(c.s.Now, 1), reason
+	}
+}
+
+// drain binds a drain to (member, start). Nothing takes it back but a newer start.
+func (c *Catalog) drain(d *pb.Drain) *pb.Result {
+	m := c.members[d.Member]
+	if m == nil {
+		if t := c.tombs[d.Member]; t != nil && (d.Start == 0 || d.Start >= t.Start) {
+			t.Drained, t.Start = true, max(t.Start, d.Start)
+			return &pb.Result{}
+		}
+		return refused("no member %q is present", d.Member)
+	}
+	switch {
+	case d.Start != 0 && d.Start < m.Start:
+		return refused("%s has started again since", d.Member)
+	case d.Start > m.Start: // its start is news as well
+		c.begin(m, d.Start)
+	}
+	c.markDrain(m, d.Reason)
+	c.membersVersion++
+	return &pb.Result{}
+}
+
+func (c *Catalog) start(s *pb.Start) *pb.Result {
+	m := c.members[s.Member]
+	switch {
+	case m == nil:
+		return refused("no member %q is present", s.Member)
+	case s.Start <= m.Start:
+		return refused("%s is known to have started then or later", s.Member)
+	}
+	c.begin(m, s.Start)
+	c.membersVersion++
+	return &pb.Result{}
+}
+
+// warm agrees that a start is warm. Who asks for it has seen the cold time pass on its own clock.
+func (c *Catalog) warm(w *pb.Warm) *pb.Result {
+	m := c.members[w.Member]
+	if m == nil || m.Start != w.Start || !Cold(m) {
+		return refused("%s is not cold since that start", w.Member)
+	}
+	c.touchMember(w.Member)
+	m.WarmAt, m.Leases = max(c.s.Now, 1), nil
+	c.membersVersion++
+	c.leasesVersion++
+	return &pb.Result{}
+}
+
+// begin makes a new start of m: cold, not draining, without leases. How long it has run already is not believed, as
+// clocks may be apart, unless it is very long.
+func (c *Catalog) begin(m *pb.Member, start int64) {
+	c.touchMember(m.Entry.Id)
+	m.Start, m.WarmAt, m.DrainedAt, m.DrainReason, m.Leases = start, 0, 0, "", nil
+	if m.ColdSince = max(c.s.Now, 1); c.s.Now-start > longAgo {
+		m.ColdSince = 0
+	}
+	c.leasesVersion++
+}
+
+// Cold tells whether m is cold as far as this replica has heard.
+func Cold(m *pb.Member) bool { return m.ColdSince != 0 && m.WarmAt == 0 }
--- /dev/null
+++ b/internal/controlplane/store/alone_test.go
@@ -0,0 +1,28 @@
+package store
+
+import (
+	"errors"
+	"testing"
+
+	"aspenshed/internal/controlplane/mode"
+)
+
+// Alone, in memory, it serves at once and opens no socket.
+func TestAlone(t *testing.T) {
+	s, err := Open(Config{ID: "only"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if r, err := s.Submit(set("k", "v"), patient); err != nil || r.Version != 1 {
+		t.Errorf("%v %v", r, err)
+	}
+	if s.Mode() != mode.Alone || get(s, "k") != "v" {
+		t.Errorf("mode %v", s.Mode())
+	}
+	if err := s.Close(); err != nil {
+		t.Error(err)
+	}
+	if _, err := s.Submit(set("k", "v"), patient); !errors.Is(err, ErrClosed) && !errors.Is(err, ErrUnavailable) {
+		t.Errorf("after its end: %v", err)
+	}
+}
--- a/internal/controlplane/store/config.go
+++ b/internal/controlplane/store/config.go
@@ -12,6 +12,7 @@
 	"github.com/hashicorp/raft"
 	"github.com/sirupsen/logrus"
 
+	"aspenshed/internal/controlplane/catalog"
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 	"aspenshed/internal/controlplane/commandqueue"
 	"aspenshed/internal/dataplane/eventloop"
@@ -142,3 +143,24 @@
 	l.SetOutput(io.Discard)
 	return logrus.NewEntry(l)
 }
+
+// rules are those that a new cluster begins with; nil: they are none.
+func (c Config) rules() *pb.Rules {
+	r := catalog.DefaultRules()
+	if c.ClockBound != 0 {
+		r.ClockBound = c.ClockBound
+	}
+	if c.MostInstances != 0 {
+		r.MostInstances = c.MostInstances
+	}
+	if c.Pool != 0 {
+		r.Pool = c.Pool
+	}
+	if catalog.CheckRules(r) != "" {
+		return nil
+	}
+	return r
+}
+
+// Rules are those that a new cluster begins with, by this configuration.
+func (c Config) Rules() *pb.Rules { return c.rules() }
--- /dev/null
+++ b/internal/controlplane/store/damage_test.go
@@ -0,0 +1,117 @@
+package store
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"go.etcd.io/bbolt"
+)
+
+// filled is the folder of one closed instance, with log and snapshots.
+func filled(t *testing.T) Config {
+	c := newCluster(t, "a")
+	for i := range 200 {
+		c.put("a", fmt.Sprint("k", i), "value")
+	}
+	c.until("a snapshot", func() bool {
+		l, err := c.nodes["a"].store.snaps.List()
+		return err == nil && len(l) > 0
+	})
+	c.kill("a")
+	return c.nodes["a"].cfg
+}
+
+func copied(t *testing.T, cfg Config) Config {
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS(cfg.DataDir)); err != nil {
+		t.Fatal(err)
+	}
+	cfg.DataDir = dir
+	return cfg
+}
+
+// Damage of whichever file stops the instance, which names it; nothing is served from it.
+func TestDamagedFilesStopTheInstance(t *testing.T) {
+	cfg := filled(t)
+	for _, x := range []struct {
+		name, file string
+		damage     func(path string) error
+	}{
+		{"a byte of an entry", logFile, func(path string) error {
+			db, err := bbolt.Open(path, 0o600, nil)
+			if err != nil {
+				return err
+			}
+			defer db.Close()
+			return db.Update(func(tx *bbolt.Tx) error {
+				b := tx.Bucket([]byte("logs"))
+				cur := b.Cursor()
+				k, v := cur.Last()
+				for !bytes.Contains(v, []byte("value")) { // behind it come the store's own
+					k, v = cur.Prev()
+				}
+				v = bytes.Clone(v)
+				v[bytes.Index(v, []byte("value"))] ^= 1
+				return b.Put(k, v)
+			})
+		}},
+		{"the log cut short", logFile, func(path string) error { return os.Truncate(path, 9000) }},
+		{"a byte of a snapshot", "state.bin", func(path string) error {
+			b, err := os.ReadFile(path)
+			if err == nil {
+				b[len(b)/2] ^= 1
+				err = os.WriteFile(path, b, 0o600)
+			}
+			return err
+		}},
+		{"a snapshot cut short", "state.bin", func(path string) error { return os.Truncate(path, 40) }},
+		{"a snapshot's description", "meta.json", func(path string) error { return os.WriteFile(path, []byte("{"), 0o600) }},
+		{"the identity", identityFile, func(path string) error { return os.WriteFile(path, []byte("?"), 0o600) }},
+	} {
+		bad := copied(t, cfg)
+		hit := 0
+		err := filepath.WalkDir(bad.DataDir, func(path string, d os.DirEntry, err error) error {
+			if err == nil && d.Name() == x.file {
+				hit++
+				err = x.damage(path)
+			}
+			return err
+		})
+		if err != nil || hit == 0 {
+			t.Fatalf("%s: %v, %d files", x.name, err, hit)
+		}
+		s, err := Open(bad)
+		var de *DamageError
+		if !errors.As(err, &de) || !strings.Contains(de.File, bad.DataDir) {
+			t.Errorf("%s: %v", x.name, err)
+		}
+		if err == nil {
+			_ = s.Close()
+		}
+	}
+	other := copied(t, cfg)
+	other.Cluster = "another"
+	if _, err := Open(other); err == nil || !strings.Contains(err.Error(), `cluster "t"`) {
+		t.Errorf("another cluster's folder: %v", err)
+	}
+	// Killed in the middle of a snapshot: what is half written counts for nothing.
+	half := copied(t, cfg)
+	if err := os.MkdirAll(filepath.Join(half.DataDir, "snapshots", "9-9-9.tmp"), 0o700); err != nil {
+		t.Fatal(err)
+	}
+	s, err := Open(half)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if get(s, "k3") != "value" {
+		t.Error("it does not hold what it held")
+	}
+	if err := s.Close(); err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/controlplane/store/membership_test.go
@@ -0,0 +1,171 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"aspenshed/internal/controlplane/catalog"
+	"aspenshed/internal/controlplane/mode"
+)
+
+// An instance that lost its disk may have voted: it comes in anew, and only then votes.
+func TestAnEmptyDiskComesInAnew(t *testing.T) {
+	c := newCluster(t, "a", "b", "c")
+	c.put(c.leader(), "k", "v")
+	id := c.follower()
+	c.kill(id)
+	if err := os.RemoveAll(c.nodes[id].cfg.DataDir); err != nil {
+		t.Fatal(err)
+	}
+	c.open(id)
+	c.until("its vote", func() bool { return c.votes(id) && c.nodes[id].store.Mode() == mode.Following })
+	c.put(id, "k2", "v2")
+	c.equal(map[string]string{"k": "v", "k2": "v2"})
+}
+
+// A new instance joins, is killed in the middle of it and goes on; a dead one is replaced; one leaves.
+func TestMembershipChangesInService(t *testing.T) {
+	c := newCluster(t, "a", "b", "c")
+	c.put(c.leader(), "k", "v")
+	c.add("d")
+	c.open("d")
+	c.until("its coming in", func() bool { return c.nodes["d"].store.raft.Load() != nil })
+	c.kill("d")
+	c.open("d")
+	c.until("its vote", func() bool { return c.votes("d") })
+	c.kill("c")
+	if err := c.nodes[c.leader()].store.Leave("c", patient); err != nil {
+		t.Fatal(err)
+	}
+	s := c.nodes["d"].store
+	c.until("three instances", func() bool { return len(s.Status().Servers) == 3 })
+	c.put("d", "k2", "v2")
+	c.equal(map[string]string{"k": "v", "k2": "v2"})
+}
+
+// One instance is cut off, both ways or one way only: it serves what it holds, is told nothing wrong, and holds the
+// same as all once it is back. Its own writes are refused as never done or in doubt, not as done.
+func TestCutOffAndBack(t *testing.T) {
+	for _, way := range []string{"both", "to it", "from it"} {
+		t.Run(way, func(t *testing.T) {
+			c := newCluster(t, "a", "b", "c")
+			lead := c.leader() // the old leader on the small side
+			c.put(lead, "k", "before")
+			var rest []string
+			for id := range c.nodes {
+				if id != lead {
+					rest = append(rest, id)
+				}
+			}
+			if way != "from it" {
+				c.split(true, rest, []string{lead})
+			}
+			if way != "to it" {
+				c.split(true, []string{lead}, rest)
+			}
+			if way == "both" {
+				c.until("the cut-off one's knowing", func() bool { return c.nodes[lead].store.Mode() == mode.CutOff })
+				if err := c.nodes[lead].store.ReadLatest(300*time.Millisecond, func(*catalog.Catalog) {}); err == nil {
+					t.Error("a cut-off instance answers a read of the latest")
+				}
+				if _, err := c.nodes[lead].store.Submit(set("k", "lost"), 300*time.Millisecond); err == nil {
+					t.Error("a cut-off instance takes a write")
+				}
+			}
+			writer := rest[0]
+			if way == "to it" { // its word still reaches the others, so it leads on; their calls do not reach it
+				if _, err := c.nodes[writer].store.Submit(set("k", "lost"), 300*time.Millisecond); !errors.Is(err, ErrUnavailable) && !errors.Is(err, ErrUnknown) {
+					t.Errorf("a write that cannot arrive: %v", err)
+				}
+				writer = lead
+			}
+			c.put(writer, "k", "after")
+			if got := get(c.nodes[lead].store, "k"); way == "both" && got != "before" {
+				t.Errorf("the cut-off one holds %q", got)
+			}
+			c.split(false, []string{"a", "b", "c"}, []string{"a", "b", "c"})
+			c.put(lead, "k2", "healed")
+			c.equal(map[string]string{"k2": "healed"})
+		})
+	}
+}
+
+// A full disk at one instance harms no other, and its own log is whole when it can write again.
+func TestAFullDisk(t *testing.T) {
+	c := newCluster(t, "a", "b", "c")
+	c.put(c.leader(), "k", "v")
+	for _, id := range []string{c.leader(), c.follower()} {
+		full := &fullDisk{}
+		c.kill(id)
+		c.nodes[id].cfg.Logs = func(l raft.LogStore) raft.LogStore { full.LogStore = l; return full }
+		c.open(id)
+		c.until("its being in", func() bool { return c.votes(id) && c.nodes[id].store.Mode() != mode.CatchingUp })
+		full.set(true)
+		for i := range 5 {
+			for other := range c.nodes {
+				if other != id {
+					c.put(other, "k", fmt.Sprint("while ", id, " is full ", i))
+				}
+			}
+		}
+		full.set(false)
+		c.put(id, "k", "well again")
+		c.equal(map[string]string{"k": "well again"})
+	}
+}
+
+type fullDisk struct {
+	raft.LogStore
+	mu   sync.Mutex
+	full bool
+}
+
+func (d *fullDisk) set(full bool) {
+	d.mu.Lock()
+	d.full = full
+	d.mu.Unlock()
+}
+
+func (d *fullDisk) StoreLogs(l []*raft.Log) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.full {
+		return errors.New("no space left on device")
+	}
+	return d.LogStore.StoreLogs(l)
+}
+
+func (d *fullDisk) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
+
+// Writes from every instance reach all; the leader killed, a follower killed, each back from its disk, then all.
+func TestKilledInstancesComeBackFromTheirDisks(t *testing.T) {
+	c := newCluster(t, "a", "b", "c")
+	c.leader()
+	for _, id := range []string{"a", "b", "c"} {
+		c.put(id, "from-"+id, id)
+	}
+	lead := c.leader()
+	c.kill(lead)
+	other := c.follower()
+	c.put(other, "k", "after the leader")
+	c.open(lead)
+	c.kill(other)
+	c.put(lead, "k2", "after a follower")
+	c.open(other)
+	want := map[string]string{"from-a": "a", "from-b": "b", "from-c": "c", "k": "after the leader", "k2": "after a follower"}
+	c.equal(want)
+	for id := range c.nodes {
+		c.kill(id)
+	}
+	for id := range c.nodes {
+		c.open(id)
+	}
+	c.leader()
+	c.equal(want)
+}
--- /dev/null
+++ b/internal/controlplane/store/read.go
@@ -0,0 +1,65 @@
+package store
+
+import (
+	"time"
+
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/commandqueue"
+)
+
+// Read looks at what this instance has applied. f must not keep what it sees nor change it.
+func (s *Store) Read(f func(*catalog.Catalog)) {
+	s.m.mu.RLock()
+	defer s.m.mu.RUnlock()
+	f(s.m.cat)
+}
+
+// ReadLatest looks at a state that holds all that had been agreed when it was called.
+func (s *Store) ReadLatest(limit time.Duration, f func(*catalog.Catalog)) error {
+	if s.cfg.Address == "" {
+		s.Read(f)
+		return nil
+	}
+	end := time.Now().Add(limit)
+	index := uint64(0)
+	for wait := commandqueue.MinRetryDelay; ; wait = min(2*wait, commandqueue.MaxRetryDelay) {
+		r, err := s.askLeader(&pb.Call{Body: &pb.Call_ReadIndex{ReadIndex: &pb.ReadIndex{}}}, time.Until(end))
+		if err == nil && r.Refused == "" {
+			index = r.Index
+			break
+		}
+		if !s.pause(wait) {
+			return ErrClosed
+		}
+		if time.Now().After(end) {
+			return ErrUnavailable
+		}
+	}
+	for { // it is here within a round of heartbeats
+		there := false
+		s.Read(func(c *catalog.Catalog) {
+			if there = c.Index() >= index; there {
+				f(c)
+			}
+		})
+		if there {
+			return nil
+		}
+		if time.Now().After(end) {
+			return ErrUnavailable
+		}
+		if !s.pause(time.Millisecond) {
+			return ErrClosed
+		}
+	}
+}
+
+func (s *Store) pause(d time.Duration) bool {
+	select {
+	case <-s.ctx:
+		return false
+	case <-time.After(d):
+		return true
+	}
+}
--- /dev/null
+++ b/internal/controlplane/store/serve.go
@@ -0,0 +1,127 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+	"time"
+
+	"github.com/hashicorp/raft"
+	"google.golang.org/protobuf/proto"
+
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/commandqueue"
+	"aspenshed/internal/controlplane/membership"
+)
+
+func (s *Store) stamp(b *pb.Batch) {
+	now := int64(s.cfg.Clock.Now())
+	for _, c := range b.Commands {
+		c.At = now
+	}
+}
+
+// askLeader asks this instance if it leads, else the one that does. ErrUnavailable: nothing was sent.
+func (s *Store) askLeader(c *pb.Call, limit time.Duration) (*pb.Reply, error) {
+	r := s.raft.Load()
+	if r == nil {
+		return nil, ErrUnavailable
+	}
+	if c.Cluster = s.cfg.Cluster; r.State() == raft.Leader {
+		return s.answer(c), nil
+	}
+	_, id := r.LeaderWithID()
+	service := s.serviceOf(string(id))
+	if id == "" || service == "" {
+		return nil, ErrUnavailable
+	}
+	return s.call(service, c, limit)
+}
+
+func (s *Store) call(service string, c *pb.Call, limit time.Duration) (*pb.Reply, error) {
+	c.Cluster = s.cfg.Cluster
+	return s.caller.Call(service, c, limit)
+}
+
+// serviceOf is where an instance takes commands: as it says itself, else as the configuration names it.
+func (s *Store) serviceOf(id string) (service string) {
+	s.Read(func(c *catalog.Catalog) {
+		for _, x := range c.Instances() {
+			if x.Id == id {
+				service = x.Service
+			}
+		}
+	})
+	for _, p := range s.cfg.Peers {
+		if p.ID == id && service == "" {
+			service = p.Service
+		}
+	}
+	return service
+}
+
+// answer serves one call, on the instance that it reached.
+func (s *Store) answer(c *pb.Call) *pb.Reply {
+	if c.Cluster != s.cfg.Cluster {
+		return &pb.Reply{Refused: fmt.Sprintf("this is cluster %q, not %q", s.cfg.Cluster, c.Cluster)}
+	}
+	r := s.raft.Load()
+	if _, hello := c.Body.(*pb.Call_Hello); hello {
+		// What was begun and never agreed on anything may be begun again, together with who asks.
+		return &pb.Reply{Exists: r != nil && r.LastIndex() > 1}
+	}
+	if query, ok := c.Body.(*pb.Call_Rollout); ok {
+		return s.answerRollout(query.Rollout)
+	}
+	if r == nil || r.State() != raft.Leader {
+		x := &pb.Reply{Refused: "another instance leads", Retry: true}
+		if r != nil {
+			_, id := r.LeaderWithID()
+			x.Leader, x.LeaderService = string(id), s.serviceOf(string(id))
+		}
+		return x
+	}
+	switch b := c.Body.(type) {
+	case *pb.Call_Submit:
+		return s.submitHere(r, b.Submit)
+	case *pb.Call_ReadIndex:
+		return s.readIndex(r)
+	case *pb.Call_Join:
+		return s.joinHere(r, b.Join)
+	case *pb.Call_Remove:
+		v := s.decide(r, func(v membership.View) membership.Verdict { return s.changes.Leave(s.cfg.Clock.Now(), v, b.Remove.Id) })
+		return s.change(r, v, b.Remove.Id, "")
+	}
+	return &pb.Reply{Refused: "a call that this release does not know"}
+}
+
+func (s *Store) submitHere(r *raft.Raft, b *pb.Batch) *pb.Reply {
+	if len(b.GetCommands()) == 0 || len(b.Commands) > commandqueue.MaxBatch {
+		return &pb.Reply{Refused: fmt.Sprintf("a batch has 1 to %d commands", commandqueue.MaxBatch)}
+	}
+	s.stamp(b)
+	data, err := proto.Marshal(b)
+	if err != nil {
+		return &pb.Reply{Refused: err.Error(), Retry: true}
+	}
+	f := r.Apply(data, leaderLimit)
+	if err := f.Error(); err != nil { // what is in the log may be agreed on later
+		return &pb.Reply{Refused: err.Error(), Retry: errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrEnqueueTimeout)}
+	}
+	results, ok := f.Response().([]*pb.Result)
+	if !ok {
+		return &pb.Reply{Refused: fmt.Sprint(f.Response())}
+	}
+	return &pb.Reply{Results: results}
+}
+
+// readIndex is an entry after all that was agreed when it was asked for: a leader that has been replaced unknowingly
+// cannot agree on one. Its own catalog stands there by then; raft's applied index tells only what is on its way to it.
+func (s *Store) readIndex(r *raft.Raft) *pb.Reply {
+	if err := r.Barrier(leaderLimit).Error(); err != nil {
+		return &pb.Reply{Refused: err.Error(), Retry: true}
+	}
+	var index uint64
+	s.Read(func(c *catalog.Catalog) { index = c.Index() })
+	return &pb.Reply{Index: index, Voter: true}
+}
