--- a/internal/controlplane/store/carry.go
+++ b/internal/controlplane/store/carry.go
@@ -90,5 +90,5 @@
 
 func (s *Store) applyAlone(b *pb.Batch) []*pb.Result {
 	s.stamp(b)
-	return s.m.applyNext(b)
+	return s.machine.applyNext(b)
 }
--- a/internal/controlplane/store/config.go
+++ b/internal/controlplane/store/config.go
@@ -103,8 +103,8 @@
 			bad(f.name, "missing")
 		}
 	}
-	if len(c.Cluster) > mostCluster {
-		bad("cluster", "%d bytes, %d at most", len(c.Cluster), mostCluster)
+	if len(c.Cluster) > maxClusterBytes {
+		bad("cluster", "%d bytes, %d at most", len(c.Cluster), maxClusterBytes)
 	}
 	ids, addresses := map[string]bool{}, map[string]bool{}
 	for i, p := range c.Peers {
--- a/internal/controlplane/store/files.go
+++ b/internal/controlplane/store/files.go
@@ -124,11 +124,11 @@
 		with[i] = &x
 	}
 	err := d.LogStore.StoreLogs(with)
-	d.said(err)
+	d.noteWrite(err)
 	return err
 }
 
-func (d *disk) said(err error) {
+func (d *disk) noteWrite(err error) {
 	switch {
 	case err != nil && !d.failing.Swap(true):
 		d.log.WithField("file", d.file).WithError(err).Error("store cannot write: its instance does not vote until it can")
@@ -140,7 +140,7 @@
 // Set keeps a value with its checksum: a vote that was forgotten or changed could be given twice.
 func (d *disk) Set(k, v []byte) error {
 	err := d.stable.Set(k, binary.BigEndian.AppendUint32(append([]byte(nil), v...), catalog.Checksum(v)))
-	d.said(err)
+	d.noteWrite(err)
 	return err
 }
 
--- a/internal/controlplane/store/fsm.go
+++ b/internal/controlplane/store/fsm.go
@@ -23,11 +23,11 @@
 	Reset(rev uint64, records []revision.Record)
 }
 
-// nobody is the Publisher where none is configured.
-type nobody struct{}
+// noPublisher is the Publisher where none is configured.
+type noPublisher struct{}
 
-func (nobody) Publish(uint64, []revision.Change) {}
-func (nobody) Reset(uint64, []revision.Record)   {}
+func (noPublisher) Publish(uint64, []revision.Change) {}
+func (noPublisher) Reset(uint64, []revision.Record)   {}
 
 // machine lets raft drive the catalog.
 type machine struct {
--- a/internal/controlplane/store/read.go
+++ b/internal/controlplane/store/read.go
@@ -10,9 +10,9 @@
 
 // Read looks at what this instance has applied. f must not keep what it sees nor change it.
 func (s *Store) Read(f func(*catalog.Catalog)) {
-	s.m.mu.RLock()
-	defer s.m.mu.RUnlock()
-	f(s.m.cat)
+	s.machine.mu.RLock()
+	defer s.machine.mu.RUnlock()
+	f(s.machine.cat)
 }
 
 // ReadLatest looks at a state that holds all that had been agreed when it was called.
@@ -57,7 +57,7 @@
 
 func (s *Store) pause(d time.Duration) bool {
 	select {
-	case <-s.ctx:
+	case <-s.done:
 		return false
 	case <-time.After(d):
 		return true
--- a/internal/controlplane/store/replica.go
+++ b/internal/controlplane/store/replica.go
@@ -92,7 +92,7 @@
 }
 
 func (s *Store) startRaft() error {
-	r, err := raft.NewRaft(s.raftConfig(), s.m, s.disk, s.disk, s.snaps, s.trans)
+	r, err := raft.NewRaft(s.raftConfig(), s.machine, s.disk, s.disk, s.snaps, s.trans)
 	if err == nil {
 		s.raft.Store(r)
 	}
--- a/internal/controlplane/store/restore.go
+++ b/internal/controlplane/store/restore.go
@@ -33,7 +33,7 @@
 		return err
 	}
 	if s.cfg.Address == "" {
-		s.m.replaceNext(c)
+		s.machine.replaceNext(c)
 		return nil
 	}
 	r := s.raft.Load()
--- a/internal/controlplane/store/service.go
+++ b/internal/controlplane/store/service.go
@@ -30,9 +30,9 @@
 
 // service takes calls of other instances and makes ours, in frames of length and protobuf.
 type service struct {
-	s    *Store
-	net  *netio.Net
-	most chan struct{}
+	s     *Store
+	net   *netio.Net
+	slots chan struct{} // one for each call that is served
 
 	mu   sync.Mutex
 	next uint64
@@ -40,7 +40,7 @@
 }
 
 func newService(s *Store) (*service, error) {
-	v := &service{s: s, most: make(chan struct{}, maxServed), out: map[string]*outgoing{}}
+	v := &service{s: s, slots: make(chan struct{}, maxServed), out: map[string]*outgoing{}}
 	var err error
 	v.net, err = netio.New(netio.Config{Name: "store", Listen: s.cfg.Service, Clients: maxConnections, Dials: maxConnections,
 		WriteBuffer: 2 * (frame.MaxSize + 4), // the longest message, and another behind it
@@ -74,13 +74,13 @@
 			return err
 		}
 		select {
-		case i.v.most <- struct{}{}:
+		case i.v.slots <- struct{}{}:
 		default:
 			i.reply(c.Id, &pb.Reply{Refused: "too many calls at once", Retry: true})
 			return nil
 		}
 		go func() { // it waits for a majority; the poller must not
-			defer func() { <-i.v.most }()
+			defer func() { <-i.v.slots }()
 			i.reply(c.Id, i.v.s.answer(c))
 		}()
 		return nil
@@ -200,7 +200,7 @@
 		return nil, ErrUnavailable
 	case <-t.C:
 		return nil, ErrUnavailable
-	case <-v.s.ctx:
+	case <-v.s.done:
 		return nil, ErrUnavailable
 	}
 	c.Id = id
@@ -221,7 +221,7 @@
 		o.c.Close() // a peer that says nothing: the next call begins anew
 		o.Closed(ErrUnknown)
 		return nil, ErrUnknown
-	case <-v.s.ctx:
+	case <-v.s.done:
 		return nil, ErrUnknown
 	}
 }
--- a/internal/controlplane/store/status.go
+++ b/internal/controlplane/store/status.go
@@ -41,7 +41,7 @@
 
 // Status tells how this instance stands.
 func (s *Store) Status() Status {
-	out := Status{Cluster: s.cfg.Cluster, ID: s.cfg.ID, Mode: s.Mode().String(), Waiting: s.q.Waiting()}
+	out := Status{Cluster: s.cfg.Cluster, ID: s.cfg.ID, Mode: s.Mode().String(), Waiting: s.queue.Waiting()}
 	known := map[string]*pb.Instance{}
 	s.Read(func(c *catalog.Catalog) {
 		d, _ := c.Digest()
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -23,19 +23,19 @@
 )
 
 const (
-	tickEvery   = 100 * time.Millisecond
-	beatEvery   = aspenshed.Nanos(2e9)
-	leaderLimit = 2 * time.Second // for the leader to carry a batch out
-	askPeers    = 200 * time.Millisecond
+	tickEvery     = 100 * time.Millisecond
+	beatEvery     = aspenshed.Nanos(2e9)
+	leaderLimit   = 2 * time.Second // for the leader to carry a batch out
+	minEnterDelay = 200 * time.Millisecond
 )
 
 // Store is one instance of the replicated catalog.
 type Store struct {
-	cfg  Config
-	log  *logrus.Entry
-	boot string
-	m    *machine
-	q    *commandqueue.Queue
+	cfg     Config
+	log     *logrus.Entry
+	boot    string
+	machine *machine
+	queue   *commandqueue.Queue
 
 	raft   atomic.Pointer[raft.Raft] // nil: alone, or not yet part of a cluster
 	disk   *disk
@@ -43,19 +43,19 @@
 	trans  raft.Transport
 	caller Caller
 
-	mu       sync.Mutex // guards the deciders below
-	modes    mode.Machine
-	mode     mode.Mode
-	grants   *lease.Grantor
-	changes  membership.Machine
-	lastBeat aspenshed.Nanos
-	through  []string  // services to join through, named by hand
-	why      string    // this instance is not in yet
-	coldAt   [2]uint64 // the catalog's versions that cold was taken at
-	cold     []*pb.Member
-	seen     time.Time // last contact with a leader that was taken note of
-
-	ctx   chan struct{} // closed at the end
+	mu          sync.Mutex // guards the deciders below
+	modes       mode.Machine
+	mode        mode.Mode
+	grants      *lease.Grantor
+	changes     membership.Machine
+	lastBeat    aspenshed.Nanos
+	joinThrough []string  // services to join through, named by hand
+	waitingFor  string    // this instance is not in yet
+	coldAt      [2]uint64 // the catalog's versions that cold was taken at
+	cold        []*pb.Member
+	contactAt   time.Time // last contact with a leader that was taken note of
+
+	done  chan struct{} // closed at the end
 	wg    sync.WaitGroup
 	once  sync.Once
 	close []func() error
@@ -66,30 +66,16 @@
 	if faults := c.Faults(); len(faults) > 0 {
 		return nil, faults[0]
 	}
-	if c.Log == nil {
-		c.Log = discard()
-	}
-	if c.Clock == nil {
-		c.Clock = eventloop.NewClock()
-	}
-	if c.Changed == nil {
-		c.Changed = func() {}
-	}
-	if c.Publisher == nil {
-		c.Publisher = nobody{}
-	}
-	if c.Damaged == nil {
-		c.Damaged = func(error) {}
-	}
+	c = c.withDefaults()
 	boot := make([]byte, 6)
 	if _, err := rand.Read(boot); err != nil {
 		return nil, err
 	}
-	s = &Store{cfg: c, log: c.Log, boot: hex.EncodeToString(boot), ctx: make(chan struct{}), grants: lease.NewGrantor()}
-	s.m = &machine{cat: catalog.New(c.Cluster), cluster: c.Cluster, changed: c.Changed, publisher: c.Publisher, later: func(what string) {
+	s = &Store{cfg: c, log: c.Log, boot: hex.EncodeToString(boot), done: make(chan struct{}), grants: lease.NewGrantor()}
+	s.machine = &machine{cat: catalog.New(c.Cluster), cluster: c.Cluster, changed: c.Changed, publisher: c.Publisher, later: func(what string) {
 		s.log.WithField("reason", what).Warn("store keeps a command of a later release")
 	}}
-	s.q = commandqueue.New(s.origin(), s.carry, s.ctx)
+	s.queue = commandqueue.New(s.origin(), s.carry, s.done)
 	if c.Address != "" {
 		if err := s.openReplica(); err != nil {
 			return nil, errors.Join(err, s.Close())
@@ -97,11 +83,31 @@
 	} else {
 		s.mode = mode.Alone
 	}
-	s.spawn(s.q.Run)
+	s.spawn(s.queue.Run)
 	s.spawn(s.ticks)
 	return s, nil
 }
 
+// withDefaults fills in what is nil.
+func (c Config) withDefaults() Config {
+	if c.Log == nil {
+		c.Log = discard()
+	}
+	if c.Clock == nil {
+		c.Clock = eventloop.NewClock()
+	}
+	if c.Changed == nil {
+		c.Changed = func() {}
+	}
+	if c.Publisher == nil {
+		c.Publisher = noPublisher{}
+	}
+	if c.Damaged == nil {
+		c.Damaged = func(error) {}
+	}
+	return c
+}
+
 func (s *Store) spawn(f func()) {
 	s.wg.Add(1)
 	go func() {
@@ -114,11 +120,11 @@
 
 // Submit has a command carried out, from whichever instance, and waits for its result.
 func (s *Store) Submit(c *pb.Command, limit time.Duration) (*pb.Result, error) {
-	return s.q.Submit(c, limit)
+	return s.queue.Submit(c, limit)
 }
 
 // Offer has a command carried out some time; a later one with the same key takes the place of one that still waits.
-func (s *Store) Offer(key string, c *pb.Command) { s.q.Offer(key, c) }
+func (s *Store) Offer(key string, c *pb.Command) { s.queue.Offer(key, c) }
 
 // Mode is the instance's mode as last decided.
 func (s *Store) Mode() mode.Mode {
@@ -136,7 +142,7 @@
 // Close stops the instance. What it has written stays on disk.
 func (s *Store) Close() (err error) {
 	s.once.Do(func() {
-		close(s.ctx)
+		close(s.done)
 		if r := s.raft.Load(); r != nil {
 			err = r.Shutdown().Error()
 		}
--- a/internal/controlplane/store/tick.go
+++ b/internal/controlplane/store/tick.go
@@ -19,7 +19,7 @@
 	defer t.Stop()
 	for {
 		select {
-		case <-s.ctx:
+		case <-s.done:
 			return
 		case <-t.C:
 			s.tick(s.cfg.Clock.Now())
@@ -31,7 +31,7 @@
 func (s *Store) tick(now aspenshed.Nanos) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seen := s.look()
+	seen := s.observe()
 	m, changed := s.modes.Step(now, seen)
 	s.mode = m
 	if changed {
@@ -48,20 +48,20 @@
 		fresh, rules = c.Index() > 0 && !c.RulesSet(), c.Rules()
 	})
 	for _, c := range s.grants.Step(now, seen.Leads || seen.Alone, s.cold, rules) {
-		s.q.Offer(fmt.Sprint("grant ", c), c)
+		s.queue.Offer(fmt.Sprint("grant ", c), c)
 	}
 	if r := s.cfg.rules(); fresh && seen.Leads && r != nil {
-		s.q.Offer("rules", &pb.Command{Body: &pb.Command_SetRules{SetRules: &pb.SetRules{Rules: r}}})
+		s.queue.Offer("rules", &pb.Command{Body: &pb.Command_SetRules{SetRules: &pb.SetRules{Rules: r}}})
 	}
 	if m != mode.Alone && m != mode.CutOff && (now >= s.lastBeat+beatEvery || changed) {
 		s.lastBeat = now
-		s.q.Offer("beat", &pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: s.cfg.ID, Boot: s.boot,
+		s.queue.Offer("beat", &pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: s.cfg.ID, Boot: s.boot,
 			Service: s.cfg.Service, Release: s.cfg.Release, Mode: m.String()}}})
 	}
 }
 
-// look is what there is to see of the others. Only tick calls it.
-func (s *Store) look() (x mode.Seen) {
+// observe is what there is to see of the others. Only tick calls it.
+func (s *Store) observe() (x mode.Seen) {
 	r := s.raft.Load()
 	if s.cfg.Address == "" {
 		return mode.Seen{Alone: true}
@@ -71,8 +71,8 @@
 	}
 	x.Leads, x.Applied, x.Commit = r.State() == raft.Leader, r.AppliedIndex(), r.CommitIndex()
 	last := r.LastContact()
-	x.Contact = x.Leads || last.After(s.seen) // raft stamps it at each message of a leader
-	s.seen = last
+	x.Contact = x.Leads || last.After(s.contactAt) // raft stamps it at each message of a leader
+	s.contactAt = last
 	x.Voter = s.votes(r)
 	return x
 }
--- a/internal/controlplane/store/transport.go
+++ b/internal/controlplane/store/transport.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	greeting      = "ASPRAFT1"
-	helloSize     = 64 // of one length, so that a stranger cannot have us read without end
-	mostCluster   = helloSize - len(greeting)
-	greetLimit    = 2 * time.Second
-	raftTimeout   = 2 * time.Second
-	mostGreetings = 32 // connections that have not said yet which cluster they are of; further ones are closed
+	handshakeMagic   = "ASPRAFT1"
+	handshakeSize    = 64 // of one length, so that a stranger cannot have us read without end
+	maxClusterBytes  = handshakeSize - len(handshakeMagic)
+	handshakeTimeout = 2 * time.Second
+	raftTimeout      = 2 * time.Second
+	maxHandshakes    = 32 // connections whose cluster is not known yet; further ones are closed
 )
 
-var errOther = errors.New("store: the other end is of another cluster, or no store at all")
+var errOtherCluster = errors.New("store: the other end is of another cluster, or no store at all")
 
 // newTransport is the library's own transport on a layer that asks both ends for the cluster's id first: an instance
 // of another cluster must neither vote here nor replicate to us.
@@ -30,7 +30,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &layer{ln: ln, cluster: c.Cluster, ready: make(chan net.Conn), done: make(chan struct{}), turned: func(remote net.Addr) {
+	l := &layer{ln: ln, cluster: c.Cluster, ready: make(chan net.Conn), done: make(chan struct{}), rejected: func(remote net.Addr) {
 		c.Log.WithField("from", remote.String()).Warn("store turned an instance of another cluster away")
 	}}
 	go l.accept()
@@ -38,23 +38,23 @@
 }
 
 type layer struct {
-	ln      net.Listener
-	cluster string
-	ready   chan net.Conn
-	done    chan struct{}
-	once    sync.Once
-	turned  func(net.Addr)
+	ln       net.Listener
+	cluster  string
+	ready    chan net.Conn
+	done     chan struct{}
+	once     sync.Once
+	rejected func(net.Addr)
 }
 
 func (l *layer) hello() []byte {
-	b := make([]byte, helloSize)
-	copy(b, greeting)
-	copy(b[len(greeting):], l.cluster)
+	b := make([]byte, handshakeSize)
+	copy(b, handshakeMagic)
+	copy(b[len(handshakeMagic):], l.cluster)
 	return b
 }
 
 func (l *layer) accept() {
-	greet := make(chan struct{}, mostGreetings)
+	running := make(chan struct{}, maxHandshakes)
 	for {
 		c, err := l.ln.Accept()
 		if err != nil {
@@ -66,14 +66,14 @@
 			}
 		}
 		select {
-		case greet <- struct{}{}:
+		case running <- struct{}{}:
 		default:
 			_ = c.Close()
 			continue
 		}
 		go func() {
-			defer func() { <-greet }()
-			if err := l.greet(c, false); err != nil {
+			defer func() { <-running }()
+			if err := l.handshake(c, false); err != nil {
 				_ = c.Close()
 				return
 			}
@@ -86,24 +86,24 @@
 	}
 }
 
-// greet has both ends say which cluster they are of; who dials speaks first.
-func (l *layer) greet(c net.Conn, dialled bool) error {
-	_ = c.SetDeadline(time.Now().Add(greetLimit))
+// handshake has both ends say which cluster they are of; who dials speaks first.
+func (l *layer) handshake(c net.Conn, dialled bool) error {
+	_ = c.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer func() { _ = c.SetDeadline(time.Time{}) }()
 	if dialled {
 		if _, err := c.Write(l.hello()); err != nil {
 			return err
 		}
 	}
-	b := make([]byte, helloSize)
+	b := make([]byte, handshakeSize)
 	if _, err := io.ReadFull(c, b); err != nil {
 		return err
 	}
 	if string(b) != string(l.hello()) {
 		if !dialled {
-			l.turned(c.RemoteAddr())
+			l.rejected(c.RemoteAddr())
 		}
-		return errOther
+		return errOtherCluster
 	}
 	if !dialled {
 		_, err := c.Write(l.hello())
@@ -137,7 +137,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := l.greet(c, true); err != nil {
+	if err := l.handshake(c, true); err != nil {
 		_ = c.Close()
 		return nil, fmt.Errorf("%s: %w", address, err)
 	}
