--- a/internal/dataplane/dispatch/dispatch.go
+++ b/internal/dataplane/dispatch/dispatch.go
@@ -109,8 +109,11 @@
 			delete(s.pools, m.ID)
 		}
 	}
+	if !l.Whole {
+		return
+	}
 	for _, p := range s.pools {
-		if l.Whole && !listed[p.id] {
+		if !listed[p.id] {
 			p.wanted = false
 			s.ClosePool(p.id)
 			if !s.SoftRemoval {
