--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	tickEvery  = 100 * time.Millisecond
-	learnEvery = aspenshed.Nanos(1e9)
-	sayAgain   = aspenshed.Nanos(1e9) // between two tellings of the store of a drain that it does not show yet
+	tickEvery      = 100 * time.Millisecond
+	learnEvery     = aspenshed.Nanos(1e9)
+	repeatInterval = aspenshed.Nanos(1e9) // between two tellings of the store of a drain that it does not show yet
 )
 
 // Pipeline is what an agent tells; its methods are called on the loop.
@@ -65,28 +65,28 @@
 	done chan struct{}
 	end  chan struct{}
 
-	mu       sync.Mutex
-	merger   *roster.Merger
-	holder   *lease.Holder
-	learned  aspenshed.Learned
-	ownNew   bool
-	had      bool                           // the catalog has named members of this wire
-	seen     [3]uint64                      // versions of the catalog that the four below were taken at
-	cold     []*pb.Member                   // copies
-	starts   map[string]aspenshed.ColdShare // of all members that have told a start: whether it is warm
-	words    map[catalog.Group]catalog.Word
-	primary  map[string]bool                // as told
-	shares   map[string]aspenshed.ColdShare // as told
-	saidAt   map[string]aspenshed.Nanos
-	learntAt aspenshed.Nanos
-	revision uint64 // of the catalog, when it was last looked at
-	posted   uint64 // the revision that the loop has last been told of
+	mu         sync.Mutex
+	merger     *roster.Merger
+	holder     *lease.Holder
+	learned    aspenshed.Learned
+	ownNew     bool
+	had        bool                           // the catalog has named members of this wire
+	seen       [3]uint64                      // versions of the catalog that the four below were taken at
+	cold       []*pb.Member                   // copies
+	starts     map[string]aspenshed.ColdShare // of all members that have told a start: whether it is warm
+	words      map[catalog.Group]catalog.Word
+	primary    map[string]bool                // as told
+	shares     map[string]aspenshed.ColdShare // as told
+	reportedAt map[string]aspenshed.Nanos
+	learntAt   aspenshed.Nanos
+	revision   uint64 // of the catalog, when it was last looked at
+	posted     uint64 // the revision that the loop has last been told of
 }
 
 // Start begins; own is the instance's own list, as far as it has one.
 func Start(c Config, own []roster.Told) *Agent {
 	a := &Agent{cfg: c, wake: make(chan struct{}, 1), done: make(chan struct{}), end: make(chan struct{}), merger: roster.New(),
-		shares: map[string]aspenshed.ColdShare{}, primary: map[string]bool{}, starts: map[string]aspenshed.ColdShare{}, saidAt: map[string]aspenshed.Nanos{},
+		shares: map[string]aspenshed.ColdShare{}, primary: map[string]bool{}, starts: map[string]aspenshed.ColdShare{}, reportedAt: map[string]aspenshed.Nanos{},
 		holder: lease.NewHolder(c.Store.ID(), c.Store.Boot(), c.Lease)}
 	if own != nil {
 		a.Own(own)
@@ -169,7 +169,7 @@
 	}
 	a.tellShares(now, n)
 	a.tellInForce(a.revision)
-	a.sayDrains(now)
+	a.reportDrains(now)
 	if now >= a.learntAt+learnEvery {
 		a.learntAt = now
 		a.learn()
@@ -202,17 +202,17 @@
 	return a == b && max(d, -d) < b.Rate/10
 }
 
-func (a *Agent) sayDrains(now aspenshed.Nanos) {
+func (a *Agent) reportDrains(now aspenshed.Nanos) {
 	unsaid := a.merger.Unsaid()
 	for _, id := range slices.Sorted(maps.Keys(unsaid)) {
-		if at, said := a.saidAt[id]; said && now < at+sayAgain {
+		if at, said := a.reportedAt[id]; said && now < at+repeatInterval {
 			continue
 		}
-		a.saidAt[id] = now
+		a.reportedAt[id] = now
 		a.cfg.Store.Offer("drain "+id, &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: id, Start: int64(unsaid[id]),
 			Reason: "told to " + a.cfg.Store.ID()}}})
 	}
-	maps.DeleteFunc(a.saidAt, func(id string, _ aspenshed.Nanos) bool { _, still := unsaid[id]; return !still })
+	maps.DeleteFunc(a.reportedAt, func(id string, _ aspenshed.Nanos) bool { _, still := unsaid[id]; return !still })
 }
 
 // mine are the members that speak the pipeline's wire.
--- a/internal/controlplane/agent/members_test.go
+++ b/internal/controlplane/agent/members_test.go
@@ -133,7 +133,7 @@
 	return &Agent{cfg: Config{Store: s, Loop: eventloop.NewLoop(eventloop.NewClock()), Log: logrus.NewEntry(log), Pipeline: p, Wire: "mysql",
 		KeepLearned: true, InForce: func(uint64) {}},
 		wake: make(chan struct{}, 1), merger: roster.New(), shares: map[string]aspenshed.ColdShare{}, primary: map[string]bool{},
-		starts: map[string]aspenshed.ColdShare{}, saidAt: map[string]aspenshed.Nanos{}, holder: lease.NewHolder("gw1", "1", 0)}
+		starts: map[string]aspenshed.ColdShare{}, reportedAt: map[string]aspenshed.Nanos{}, holder: lease.NewHolder("gw1", "1", 0)}
 }
 
 func (a *Agent) tickOnce() {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -25,7 +25,7 @@
 	lastServed      = aspenshed.Nanos(1e9)   // before the end connections are closed between requests
 	lastAnswer      = aspenshed.Nanos(300e6) // what is still held then gets its answer
 	drainTick       = aspenshed.Nanos(10e6)
-	leastGrace      = aspenshed.Nanos(3e9)
+	minGrace        = aspenshed.Nanos(3e9)
 )
 
 // Config is what a daemon is made of.
@@ -176,7 +176,7 @@
 }
 
 func (d *Daemon) drain() {
-	start, grace := d.loop.Now(), leastGrace
+	start, grace := d.loop.Now(), minGrace
 	live := 0
 	for _, f := range d.Fronts {
 		live += f.Pipeline.Response.Live()
--- a/internal/daemon/subscriber_test.go
+++ b/internal/daemon/subscriber_test.go
@@ -78,6 +78,8 @@
 	gateway *Daemon
 	socket  string
 	network *cutNetwork
+
+	inventory string // of the gateway's own for PostgreSQL's wire; empty: none
 }
 
 func newFleet(t *testing.T) *fleet {
@@ -110,12 +112,15 @@
 	return f
 }
 
-// startGateway starts the subscriber: its file names no list, so that all it knows comes over the stream.
+// startGateway starts the subscriber. Where it has no list of its own, all it knows comes over the stream.
 func (f *fleet) startGateway() {
 	f.t.Helper()
 	store := "store:\n  cluster: demonstration\n  id: gw1\n  region: tas\n  zone: tas-1\n  subscribe: [" + strings.Join(f.servers, ", ") + "]\n"
 	head, _, _ := strings.Cut(demoConfig, "store:\n")
 	text := head + store + "admin:\n  socket: admin.sock\n"
+	if f.inventory != "" {
+		text = strings.Replace(text, "inventory: postgres.csv", "inventory: "+f.inventory, 1)
+	}
 	folder := f.t.TempDir()
 	for name, content := range map[string]string{"aspenshed.yaml": text, "accounts.yaml": "web: pass\n", "password": standin.Password} {
 		if err := os.WriteFile(filepath.Join(folder, name), []byte(content), 0o600); err != nil {
@@ -307,3 +312,50 @@
 		return false
 	})
 }
+
+// A drain at the socket of a gateway that is cut off holds there at once, and at the voters once it is back.
+func TestADrainAtACutOffGateway(t *testing.T) {
+	f := newFleet(t)
+	f.serves("whole")
+	f.network.set(true)
+	eventually(t, "the gateway's knowing of the cut", func() bool { return f.gateway.Status().Mode == modeCutOff })
+	if _, err := Call(f.socket, Ask{Do: "drain", Key: "po-c"}); err == nil || !strings.Contains(err.Error(), "held here") {
+		t.Errorf("a drain while it is cut off: %v", err)
+	}
+	if got := f.serves("cut"); got["po-c"] != 0 {
+		t.Errorf("a drained database got queries: %v", got)
+	}
+	f.network.set(false)
+	eventually(t, "the drain at the voters", func() bool {
+		draining := false
+		f.Instances[0].Store.Read(func(c *catalog.Catalog) { draining = c.Member("po-c").GetDrainedAt() != 0 })
+		return draining
+	})
+	if got := f.serves("healed"); got["po-c"] != 0 {
+		t.Errorf("after the cut the drained database got queries: %v", got)
+	}
+}
+
+// Without any voter a gateway that has an inventory file of its own serves by it.
+func TestAGatewayThatReachesNoVoterServesByItsOwnFile(t *testing.T) {
+	group, err := standin.NewGroup(standin.Postgres, standin.DefaultLimits(), "po-a", "po-b")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(group.Stop)
+	nowhere, err := FreeAddress()
+	if err != nil {
+		t.Fatal(err)
+	}
+	f := &fleet{t: t, network: newCutNetwork(t), servers: []string{nowhere},
+		Demo: &Demo{Dir: t.TempDir(), Databases: map[string]*standin.Group{WirePostgres: group}}}
+	if err := f.WriteInventory(WirePostgres, 1, ""); err != nil {
+		t.Fatal(err)
+	}
+	f.inventory = filepath.Join(f.Dir, "postgres.csv")
+	f.startGateway()
+	f.serves("alone")
+	if got := f.gateway.Status(); got.Mode != modeCutOff || got.Applied != 0 {
+		t.Errorf("status %+v", got)
+	}
+}
