--- a/internal/controlplane/subscription/receive.go
+++ b/internal/controlplane/subscription/receive.go
@@ -14,6 +14,9 @@
 	maxStepBytes = 64 << 20
 	// maxSnapshotBytes bounds what it holds of a snapshot: a hundred times the 2.5 MB of the target.
 	maxSnapshotBytes = 256 << 20
+	// maxRevision bounds a revision: a million commits a second for two thousand years. What claims to be beyond it would
+	// keep the client from every true server for good.
+	maxRevision = 1 << 56
 	// maxKeyBytes bounds a key: a prefix and an id.
 	maxKeyBytes = 1024
 )
@@ -29,7 +32,7 @@
 type stagedSnapshot struct {
 	begin   *pb.SnapshotBegin
 	chunks  uint32
-	records []revision.Record
+	records revision.Builder
 	bytes   int
 }
 
@@ -118,6 +121,8 @@
 		return &StaleError{Revision: m.Through, Own: m.From}
 	case m.From != own:
 		return &GapError{From: m.From, Own: own}
+	case m.Through > maxRevision:
+		return &ContentError{Message: "Changes", Problem: "an absurd revision"}
 	case c.step != nil && (m.From != c.step.from || m.Through != c.step.through):
 		return &OutOfPlaceError{Message: "Changes of another step"}
 	}
@@ -186,6 +191,8 @@
 		return &OutOfPlaceError{Message: "SnapshotBegin within a snapshot or step"}
 	case m.Revision < c.state.Revision() && !c.faults.takeOlder:
 		return &StaleError{Revision: m.Revision, Own: c.state.Revision()}
+	case m.Revision > maxRevision:
+		return &ContentError{Message: "SnapshotBegin", Problem: "an absurd revision"}
 	case uint64(m.Chunks) > m.Records:
 		return &ContentError{Message: "SnapshotBegin", Problem: "more chunks than records"}
 	}
@@ -208,15 +215,14 @@
 		if err != nil {
 			return err
 		}
-		if n := len(s.records); n > 0 && s.records[n-1].Key >= r.Key {
+		if !s.records.Add(r) {
 			return &ContentError{Message: "SnapshotChunk", Key: r.Key, Problem: "the key is out of order"}
 		}
-		s.records = append(s.records, r)
 	}
 	s.chunks++
 	s.bytes += bytes
 	if c.faults.applyHalf && s.chunks == 1 && s.begin.Chunks > 1 {
-		c.state.Reset(s.begin.Revision, s.records)
+		c.state = s.records.State(s.begin.Revision)
 		c.do(Apply{Revision: s.begin.Revision, Whole: true})
 	}
 	return nil
@@ -232,12 +238,11 @@
 		return &ContentError{Message: "SnapshotEnd", Problem: "of another revision than its begin"}
 	case s.chunks != s.begin.Chunks:
 		return &ChunkError{Got: s.begin.Chunks, Want: s.chunks}
-	case uint64(len(s.records)) != s.begin.Records:
-		problem := fmt.Sprintf("%d records where %d were announced", len(s.records), s.begin.Records)
+	case uint64(s.records.Len()) != s.begin.Records:
+		problem := fmt.Sprintf("%d records where %d were announced", s.records.Len(), s.begin.Records)
 		return &ContentError{Message: "SnapshotEnd", Problem: problem}
 	}
-	state := revision.NewState()
-	state.Reset(m.Revision, s.records)
+	state := s.records.State(m.Revision)
 	if got, want := state.Digest(revision.Scope{}), revision.Digest(m.Digest); got != want && !c.faults.skipDigest {
 		return &DigestError{Revision: m.Revision, Got: got, Want: want}
 	}
@@ -254,7 +259,7 @@
 
 // established takes note that the connection has proved good.
 func (c *Client) established() {
-	c.failures, c.busy = 0, false
+	c.busy = false
 	if c.lost {
 		c.lost = false
 		c.log(Info, messageConnected, nil)
@@ -272,7 +277,7 @@
 	c.fail(now, err, true)
 	c.busy = again
 	if again { // this server has promised to serve us then; a second time another is asked
-		c.server, c.failures = server, 0
+		c.server = server
 	}
 	c.dialAt = max(c.dialAt, now+min(err.RetryAfter, maxRetryAfter))
 }
