--- a/router.go
+++ b/router.go
@@ -16,10 +16,11 @@
 	probeTimeout  = 200 * ms  // DESIGN: a member silent to a probe this long is passed over in a round
 	roundEvery    = 250 * ms  // between rounds without a primary; DESIGN leaves the timer open
 	roundRouters  = 40.0      // more routers than that begin rounds as often as that many
-	handful       = 8         // routers for which the constants here were found
-	askSpread     = 40 * ms   // between calls to discovery of routers beyond a handful that ask together
-	newsLate      = 6000 * ms // protocol: what a watch misses counts as told so long after it fell silent
-	askSoon       = 250 * ms  // before a call that costs discovery nothing, as it never came there
+	smallFleet    = 8         // routers for which the constants here were found
+	callSpacing   = 40 * ms   // between calls to discovery of routers that call together, if time allows
+	knownAfter    = 6000 * ms // protocol: after it, what discovery has and can be asked counts as known
+	callDuration  = 2500 * ms // protocol: a call fails that waited for 2 s; and 0.5 s to connect
+	leastRetry    = 250 * ms  // before a call that costs discovery nothing, as it never came there
 	holdEvery     = 10 * ms   // how often a held request is tried again
 	idleWake      = 1000 * ms // an idle router wakes only this often
 	safetyGap     = 1 * ms    // taken off every known position: the wire rounds to milliseconds
@@ -92,7 +93,7 @@
 	r.now = max(now, r.now)
 	if !r.born {
 		r.born = true
-		r.watchAt = r.turn(r.s.DrainGrace * 3 / 4) // what an old list lacks may count as told
+		r.callAt = r.turn(r.s.DrainGrace * 3 / 4) // what an old list lacks may count as known
 		for _, u := range r.s.Unknown {
 			r.do(Note{"setting not understood: " + u})
 		}
@@ -102,7 +103,7 @@
 		case MemberList:
 			r.list(e)
 		case DiscoveryBroke:
-			r.unheard(e)
+			r.callFailed(e)
 		case Request:
 			r.arrive(e)
 		case Answer:
@@ -127,7 +128,7 @@
 
 func (r *Router) list(e MemberList) {
 	if !e.Remnant {
-		r.watchAt, r.watchWait = 0, 0
+		r.callAt, r.retryCycle = 0, 0
 	}
 	seen := map[string]bool{}
 	for _, x := range e.Members {
@@ -171,26 +172,43 @@
 	r.forgetGone()
 }
 
-// unheard plans the next call to discovery. What a broken watch or silent call misses counts as told: calls
-// come in turn in the time left. One turned down puts it off to 4 times AskWithin and costs as much.
-func (r *Router) unheard(e DiscoveryBroke) {
-	least := 200*ms + 2*Nanos(float64(askSpread)*r.crowd())
-	most := min(max(r.s.AskWithin/4, 4*least), 2*r.s.AskWithin)
+// callFailed plans the next call to discovery after one that failed or a watch that ended. However it failed,
+// a change counts as known knownAfter later and binds DrainGrace after that: the next call is over by then.
+func (r *Router) callFailed(e DiscoveryBroke) {
 	switch {
 	case e.Unreached:
-		least, most = askSoon, 2*askSoon
-	case r.watchAt == 0 || e.Heard > 0:
-		r.watchAt = r.turn(newsLate - (r.now - cmp.Or(e.Heard, r.now)))
-		return
+		r.callAt = r.now + Nanos(float64(leastRetry)*(1+2*r.random()))
+	case r.callAt == 0: // a watch ended, as it may for a whole fleet at once
+		r.callAt = r.turn(cmp.Or(e.Heard, r.now) + r.callWithin() - r.now)
+	default:
+		r.callAt = r.retryAt(cmp.Or(e.Heard, r.calledAt) + r.callWithin())
+	}
+}
+
+// callWithin is the time from a call, or from a watch's last line, within which the next call has to begin.
+func (r *Router) callWithin() Nanos {
+	return max(min(knownAfter, r.s.AskWithin)+r.s.DrainGrace-callDuration, leastRetry)
+}
+
+// retryAt is when this router's slot comes in a cycle that the fleet shares, as all clocks agree: few calls,
+// evenly spread, whenever each failed. If that is too late it calls before, and so moves towards its slot.
+func (r *Router) retryAt(latest Nanos) Nanos {
+	spaced := float64(callSpacing) * float64(r.s.Routers)
+	r.retryCycle = max(2*r.retryCycle, leastRetry, Nanos(min(spaced, float64(knownAfter))))
+	r.retryCycle = min(r.retryCycle, r.callWithin())
+	slot := Nanos(float64(r.s.Rank) / float64(max(r.s.Routers, 1)) * float64(r.retryCycle))
+	earliest := r.now + leastRetry/2
+	at := earliest + ((slot-earliest)%r.retryCycle+r.retryCycle)%r.retryCycle
+	if at > latest {
+		return earliest + Nanos(r.random()*float64(max(latest-earliest, 0)))
 	}
-	r.watchWait = min(max(2*r.watchWait, least), most)
-	r.watchAt = r.now + Nanos(float64(r.watchWait)*(0.5+r.random()))
+	return at
 }
 
-// turn is when this router calls, among all that begin to ask now; most ends the last one's turn.
+// turn is when this router calls, among all that begin to call now; most ends the last one's turn.
 func (r *Router) turn(most Nanos) Nanos {
 	slot := math.Mod((float64(r.s.Rank)+r.random())/float64(max(r.s.Routers, 1)), 1)
-	return r.now + Nanos(math.Abs(slot)*min(float64(askSpread)*r.crowd(), float64(max(most, 0))))
+	return r.now + Nanos(math.Abs(slot)*min(float64(callSpacing)*r.routersBeyond(), float64(max(most, 0))))
 }
 
 // ---- finding the primary ----
@@ -228,15 +246,6 @@
 	}
 }
 
-// roundWait is the mean time between rounds: all routers lose a primary at once, members answer few probes.
-func (r *Router) roundWait() Nanos {
-	return Nanos(min(float64(roundEvery)*max(1, (handful+r.crowd())/roundRouters), float64(maxBan)))
-}
-
-// crowd is how many routers there are beyond a handful: discovery works through their calls in turn, and one
-// that times out there has cost it as much as one that is answered.
-func (r *Router) crowd() float64 { return float64(max(r.s.Routers-handful, 0)) }
-
 func (r *Router) askNext(g *group) {
 	for g.asked++; g.asked < len(g.order); g.asked++ {
 		// One that refused connections is asked seldom, but asked: nothing else may show that it is back.
@@ -349,18 +358,6 @@
 	}
 }
 
-// firstBan is how long a suspect is left alone at first: as long as this router sends to a member once in the
-// mean, within limits. Each of a fleet that tried it sooner would send it as much as a member that is well.
-func (r *Router) firstBan() Nanos {
-	gap := float64(len(r.all)) * rateOver * r.known / (r.rate + 1e-9)
-	return Nanos(min(max(float64(leastBan), gap*1e9), float64(maxBan)))
-}
-
-// share is that part of a window of attempts that many routers leave to each.
-func (r *Router) share(win float64) float64 {
-	return max(1, win*min(1, float64(handful)/float64(max(r.s.Routers, 1))))
-}
-
 // broke takes note of a cut connection: maybe the network's doing, and it tells nothing of queues. A member
 // that dies answers no probe.
 func (r *Router) broke(m *member) {
@@ -758,9 +755,6 @@
 	}
 }
 
-// dear tells whether m needs a new connection for an attempt and that costs about as much as an answer.
-func (r *Router) dear(m *member) bool { return len(m.free) == 0 && m.setup > slowSetup*r.typ[0] }
-
 func (r *Router) answer(e Answer) {
 	q := r.reqs[e.ID]
 	if q == nil || e.Attempt < 0 || e.Attempt >= len(q.tries) || q.tries[e.Attempt].ended {
@@ -858,7 +852,7 @@
 		if m.lastReply > a.at+Nanos(r.typ[q.Class]) {
 			r.losing += learn / 2 * (1 - r.losing) // others were answered meanwhile: lost, if many are so
 		}
-		if e.Outcome == TimedOut && !a.lost && r.s.Routers > handful {
+		if e.Outcome == TimedOut && !a.lost && r.s.Routers > smallFleet {
 			r.paced(m, float64(e.Took)/r.typ[q.Class])
 		}
 		if r.losing < lossShare && !a.lost {
@@ -912,12 +906,12 @@
 func (r *Router) sweep() {
 	r.next = r.now + idleWake
 	r.fade()
-	if r.s.AskDiscovery && r.watchAt > 0 {
-		if r.now >= r.watchAt {
-			r.watchAt = r.now + max(r.s.AskWithin/2, newsLate) // no answer by then: ask again
+	if r.s.AskDiscovery && r.callAt > 0 {
+		if r.now >= r.callAt {
+			r.calledAt, r.callAt = r.now, r.now+r.callWithin() // if nothing comes of this one
 			r.do(Watch{})
 		}
-		r.wake(r.watchAt)
+		r.wake(r.callAt)
 	}
 	r.watchFlights()
 	for _, g := range r.gs {
--- a/state.go
+++ b/state.go
@@ -113,7 +113,8 @@
 	rateAt        Nanos
 	wakeAt, next  Nanos // the pending wake-up; when something is due next
 
-	watchAt, watchWait Nanos
+	callAt, calledAt Nanos // when discovery is called next, 0: a watch is open; when it was called last
+	retryCycle       Nanos // in which each router calls once, while calls are refused
 }
 
 // random draws from [0, 1): splitmix64 from the router's own seed.
@@ -208,6 +209,30 @@
 	return (want + r.usual) / (rateOver*r.known + 1e-9)
 }
 
+// routersBeyond is how many routers there are beyond smallFleet: discovery works through their calls in turn, and one that
+// times out there has cost it as much as one that is answered.
+func (r *Router) routersBeyond() float64 { return float64(max(r.s.Routers-smallFleet, 0)) }
+
+// roundWait is the mean time between rounds: all routers lose a primary at once, members answer few probes.
+func (r *Router) roundWait() Nanos {
+	return Nanos(min(float64(roundEvery)*max(1, (smallFleet+r.routersBeyond())/roundRouters), float64(maxBan)))
+}
+
+// share is that part of a window of attempts that many routers leave to each.
+func (r *Router) share(win float64) float64 {
+	return max(1, win*min(1, float64(smallFleet)/float64(max(r.s.Routers, 1))))
+}
+
+// dear tells whether m needs a new connection for an attempt and that costs about as much as an answer.
+func (r *Router) dear(m *member) bool { return len(m.free) == 0 && m.setup > slowSetup*r.typ[0] }
+
+// firstBan is how long a suspect is left alone at first: as long as this router sends to a member once in the
+// mean, within limits. Each of a fleet that tried it sooner would send it as much as a member that is well.
+func (r *Router) firstBan() Nanos {
+	gap := float64(len(r.all)) * rateOver * r.known / (r.rate + 1e-9)
+	return Nanos(min(max(float64(leastBan), gap*1e9), float64(maxBan)))
+}
+
 // draw gives q its chance at cold members, which holds for this Step, and counts it among what is asked of its group.
 func (r *Router) draw(q *request) {
 	q.luck, q.drawn = r.random(), r.now
