--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -330,6 +330,7 @@
 		w.Index, x.version = version, version
 		w.leaving(version, &u)
 	}
+	u.List.Remnant = x == w.old // it may be behind, and the call that is planned to the new address stands
 	w.Changed(u)
 }
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -253,6 +253,38 @@
 	}
 }
 
+// Guards the new address when its first call fails after SIGHUP: what the watch at the former one tells meanwhile leaves the
+// planned call standing, as such a list is marked as maybe out of date. Before, nobody called again once that watch had ended.
+func TestAListFromTheFormerAddressLeavesThePlannedCallStanding(t *testing.T) {
+	g := newRig(t)
+	var lists []aspenshed.MemberList
+	changed := g.Changed
+	g.Changed = func(u Update) {
+		lists = append(lists, u.List)
+		changed(u)
+	}
+	old := g.watched()
+	other := g.service()
+	g.Move(other.Addr())
+	_ = g.asked().conn.Write([]byte("HTTP/1.1 503 Service Unavailable\r\n\r\n"))
+	g.until("the refusal", func() bool { return g.broke == 1 })
+	old.tell(43)
+	g.until("a list from the former address", func() bool { return len(lists) == 2 })
+	g.Watch() // as planned
+	next := g.asked()
+	_ = next.conn.Write([]byte(head))
+	next.tell(44)
+	g.until("a list from the new address", func() bool { return len(lists) == 3 })
+	for i, outdated := range []bool{false, true, false} {
+		if lists[i].Remnant != outdated {
+			t.Errorf("list %d: marked as maybe out of date: %t, want %t", i, lists[i].Remnant, outdated)
+		}
+	}
+	if g.old != nil {
+		t.Error("the watch at the former address was kept")
+	}
+}
+
 // Guards drains at a SIGHUP that meets half a list: what the old watch says of it later counts if it comes whole before the
 // new one has told something, and not if it is reset. The new one begins where the last whole list ended.
 func TestAMoveInTheMiddleOfAList(t *testing.T) {
