--- a/drain_test.go
+++ b/drain_test.go
@@ -15,37 +15,37 @@
 func TestMain(m *testing.M) { seeded.Main(m, "300") }
 
 // Rule 3 over histories: a router that asks for its list, discovery that goes down or silent, restarts with an old list.
-// When a drain counts as told is worked out here from the page's clocks alone.
+// When a drain counts as known is worked out here from the page's clocks alone.
 
 const tick = 50 * ms
 
-// trouble is a stretch of time in which discovery turns calls down, or says nothing to those it takes, or is cut off.
-type trouble struct {
+// outage is a stretch of time in which discovery refuses calls, or says nothing to those it takes, or is cut off.
+type outage struct {
 	kind     string // "down", "silent", "cut"
 	from, to Nanos
 }
 
 // drains is a history as it is played.
 type drains struct {
-	t          *rapid.T
-	s          Settings
-	g          *rig
-	troubles   []trouble
-	left       map[string]Nanos // when a member began to drain
-	heard      map[string]bool  // by this process
-	events     []Event
-	start      Nanos  // of this process
-	state      string // of its call: "" none, "cut" on its way, "called", "refused" soon, "open", "deaf"
-	asked, due Nanos  // the last call, 0: none; when something comes of it
-	turnedDown bool   // the last call was
-	callFailed bool   // since this process last heard anything: turned down, silent or never there
-	word       Nanos  // when the watch last told anything, or was asked for
-	missed     Nanos  // since when a watch was silent and nothing was heard since; 0: none
+	t             *rapid.T
+	s             Settings
+	g             *rig
+	outages       []outage
+	drainsFrom    map[string]Nanos // when a member begins to drain
+	heard         map[string]bool  // the members whose drain this process heard of
+	events        []Event
+	startedAt     Nanos  // of this process
+	state         string // of its call: "" none, "cut" on its way, "called", "refused" soon, "open", "silent"
+	calledAt, due Nanos  // the last call, 0: none; when something comes of it
+	lastRefused   bool   // the last call was
+	callFailed    bool   // since this process last heard anything: refused, silent or never there
+	lastHeard     Nanos  // the watch's last line, or the call for it
+	silentSince   Nanos  // of a watch or call, nothing was heard since; 0: none
 }
 
-// now is the trouble of this moment.
-func (d *drains) now() string {
-	for _, x := range d.troubles {
+// currentOutage is the kind of this moment's outage.
+func (d *drains) currentOutage() string {
+	for _, x := range d.outages {
 		if d.g.now >= x.from && d.g.now < x.to {
 			return x.kind
 		}
@@ -53,43 +53,43 @@
 	return ""
 }
 
-// told is when the page counts the drain of m as told, as of now: by the clock of the last call or watch, and after a call that
-// was refused, failed or was given up at the latest so long after discovery had the change and this process could reach it.
-func (d *drains) told(m string) Nanos {
-	told := d.toldByLastCall(m)
+// knownSince is when the page counts the drain of m as known, as of now: by the clock of the last call or watch, and after a
+// call that was refused, failed or was given up at the latest 6 s after discovery had it and this process could reach it.
+func (d *drains) knownSince(m string) Nanos {
+	known := d.knownByLastCall(m)
 	if !d.callFailed || d.heard[m] {
-		return told
+		return known
 	}
-	reachable := d.start
-	for _, x := range d.troubles {
+	reachable := d.startedAt
+	for _, x := range d.outages {
 		switch {
-		case x.kind == "silent" || x.to <= d.start || d.g.now < x.from:
+		case x.kind == "silent" || x.to <= d.startedAt || d.g.now < x.from:
 		case d.g.now < x.to:
-			return told // it cannot be reached now
+			return known // it cannot be reached now
 		default:
 			reachable = max(reachable, x.to)
 		}
 	}
-	return min(told, max(d.left[m], reachable)+6*sec)
+	return min(known, max(d.drainsFrom[m], reachable)+6*sec)
 }
 
-// toldByLastCall is the same by the clocks that run from the last call, or from the silence of a watch, alone.
-func (d *drains) toldByLastCall(m string) Nanos {
-	at, within := d.left[m], d.s.AskWithin
+// knownByLastCall is the same by the clocks that run from the last call, or from the silence of a watch, alone.
+func (d *drains) knownByLastCall(m string) Nanos {
+	at, within := d.drainsFrom[m], d.s.AskWithin
 	switch {
 	case d.heard[m]: // the router knows
 		return at
-	case d.missed > 0:
-		return max(at, d.missed+6*sec)
+	case d.silentSince > 0:
+		return max(at, d.silentSince+6*sec)
 	case d.state == "open": // it is on its way
 		return at + sec
-	case d.asked == 0:
-		return max(at+within, d.start)
+	case d.calledAt == 0:
+		return max(at+within, d.startedAt)
 	}
-	from := d.asked
-	if d.turnedDown {
+	from := d.calledAt
+	if d.lastRefused {
 		within *= 4
-		for _, x := range d.troubles { // counted anew when discovery is back
+		for _, x := range d.outages { // counted anew when discovery is back
 			if x.kind == "down" && x.to <= d.g.now {
 				from = max(from, x.to)
 			}
@@ -100,41 +100,41 @@
 
 // discovery plays a tick of the service and of the network code.
 func (d *drains) discovery(calls bool) {
-	now, trouble := d.g.now, d.now()
+	now, outage := d.g.now, d.currentOutage()
 	if calls {
-		d.asked, d.word, d.turnedDown = now, now, false
+		d.calledAt, d.lastHeard, d.lastRefused = now, now, false
 		d.due = now + Nanos(rapid.IntRange(1, 300).Draw(d.t, "wait"))*ms
-		d.state = map[string]string{"": "called", "down": "refused", "silent": "called", "cut": "cut"}[trouble]
+		d.state = map[string]string{"": "called", "down": "refused", "silent": "called", "cut": "cut"}[outage]
 	}
-	well := trouble == ""
+	well := outage == ""
 	switch {
-	case d.state == "cut" && now >= d.asked+500*ms:
-		d.broke(DiscoveryBroke{Unreached: true})
-	case d.state == "refused" && now >= d.due, d.state == "called" && trouble == "down":
-		d.turnedDown, d.missed = true, 0
-		d.broke(DiscoveryBroke{})
-	case d.state == "open" && trouble == "down":
-		d.broke(DiscoveryBroke{Heard: d.word})
+	case d.state == "cut" && now >= d.calledAt+500*ms:
+		d.callFails(DiscoveryBroke{Unreached: true})
+	case d.state == "refused" && now >= d.due, d.state == "called" && outage == "down":
+		d.lastRefused, d.silentSince = true, 0
+		d.callFails(DiscoveryBroke{})
+	case d.state == "open" && outage == "down":
+		d.callFails(DiscoveryBroke{Heard: d.lastHeard})
 	case (d.state == "called" || d.state == "open") && !well:
-		d.state, d.missed = "deaf", cmp.Or(d.missed, now)
-	case d.state == "deaf" && now >= d.word+3*sec:
-		d.broke(DiscoveryBroke{Heard: d.word})
+		d.state, d.silentSince = "silent", cmp.Or(d.silentSince, now)
+	case d.state == "silent" && now >= d.lastHeard+3*sec:
+		d.callFails(DiscoveryBroke{Heard: d.lastHeard})
 	case d.state == "called" && now >= d.due, d.state == "open":
 		var l MemberList
-		for _, m := range slices.Sorted(maps.Keys(d.left)) {
-			if d.left[m] <= now && !d.heard[m] {
+		for _, m := range slices.Sorted(maps.Keys(d.drainsFrom)) {
+			if d.drainsFrom[m] <= now && !d.heard[m] {
 				d.heard[m] = true
 				l.Members = append(l.Members, Member{ID: m, Group: 1, Size: 1, State: Draining})
 			}
 		}
-		if d.word, d.missed, d.callFailed = now, 0, false; d.state == "called" || len(l.Members) > 0 {
+		if d.lastHeard, d.silentSince, d.callFailed = now, 0, false; d.state == "called" || len(l.Members) > 0 {
 			d.events = append(d.events, l)
 		}
 		d.state = "open"
 	}
 }
 
-func (d *drains) broke(b DiscoveryBroke) {
+func (d *drains) callFails(b DiscoveryBroke) {
 	d.state, d.callFailed = "", true
 	d.events = append(d.events, b)
 }
@@ -145,12 +145,12 @@
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	d.g.r, d.heard, d.start = r, map[string]bool{}, d.g.now
-	d.state, d.asked, d.missed, d.turnedDown, d.callFailed = "", 0, 0, false, false
+	d.g.r, d.heard, d.startedAt = r, map[string]bool{}, d.g.now
+	d.state, d.calledAt, d.silentSince, d.lastRefused, d.callFailed = "", 0, 0, false, false
 	l := MemberList{Whole: true, Remnant: true}
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
 		m := up(id)
-		if at, leaves := d.left[id]; leaves && at <= known {
+		if at, leaves := d.drainsFrom[id]; leaves && at <= known {
 			m.State, d.heard[id] = Draining, true
 		}
 		l.Members = append(l.Members, m)
@@ -164,23 +164,23 @@
 		s.AskDiscovery, s.DrainGrace, s.Quantum = true, 2*sec, ms
 		s.Routers = rapid.SampledFrom([]int{1, 8, 80, 300, 1024}).Draw(t, "routers")
 		s.Rank = rapid.IntRange(0, s.Routers-1).Draw(t, "rank")
-		d := &drains{t: t, s: s, left: map[string]Nanos{}, g: &rig{now: 100 * sec}}
+		d := &drains{t: t, s: s, drainsFrom: map[string]Nanos{}, g: &rig{now: 100 * sec}}
 		at := func(name string, from, to int) Nanos { return Nanos(rapid.IntRange(from, to).Draw(t, name)) * tick }
 		for _, id := range []string{"b", "c", "d", "e"} {
 			if rapid.Bool().Draw(t, "leaves") {
-				d.left[id] = d.g.now + at("leaves at", 0, 900)
+				d.drainsFrom[id] = d.g.now + at("leaves at", 0, 900)
 			}
 		}
-		for from := d.g.now; len(d.troubles) < 3; {
-			x := trouble{kind: rapid.SampledFrom([]string{"down", "silent", "cut"}).Draw(t, "trouble")}
-			x.from = from + at("well for", 200*min(1, len(d.troubles)), 400)
+		for from := d.g.now; len(d.outages) < 3; {
+			x := outage{kind: rapid.SampledFrom([]string{"down", "silent", "cut"}).Draw(t, "outage")}
+			x.from = from + at("well for", 200*min(1, len(d.outages)), 400)
 			x.to = x.from + at("for", 1, map[string]int{"down": 400, "silent": 50, "cut": 120}[x.kind])
-			d.troubles, from = append(d.troubles, x), x.to
+			d.outages, from = append(d.outages, x), x.to
 		}
 		restart := d.g.now + at("restart", 1, 2000) // after the end: none
 		d.begin(d.g.now)
 		for n := 0; d.g.now < 150*sec; n++ {
-			if d.g.now >= restart && d.start < restart {
+			if d.g.now >= restart && d.startedAt < restart {
 				d.begin(d.g.now - at("list is older by", 0, 300))
 			}
 			d.events = append(d.events, Woke{}, d.g.requestNamed(fmt.Sprint("q", n)))
@@ -190,8 +190,8 @@
 			for _, x := range acts {
 				if send, ok := x.(Send); ok {
 					m := send.Member
-					if at, leaves := d.left[m]; leaves && at <= d.g.now && d.g.now > d.told(m)+2*sec+50*ms+tick {
-						t.Fatalf("%v: sent to %s, which drains since %v and was told %v", d.g.now, m, at, d.told(m))
+					if at, leaves := d.drainsFrom[m]; leaves && at <= d.g.now && d.g.now > d.knownSince(m)+2*sec+50*ms+tick {
+						t.Fatalf("%v: sent to %s, which drains since %v and counts as known since %v", d.g.now, m, at, d.knownSince(m))
 					}
 					d.events = append(d.events, Answer{ID: send.ID, Member: m, Outcome: Served, Over: true, Took: 20 * ms, Role: RoleReplica})
 				}
