--- a/internal/controlplane/stream/server.go
+++ b/internal/controlplane/stream/server.go
@@ -37,6 +37,7 @@
 
 const (
 	messageServerFailed = "control stream server failed, this instance goes on without it"
+	messageStopping     = "control stream server stops"
 	messageOverflow     = "control stream server fell behind the log, reading the state anew"
 )
 
@@ -149,6 +150,7 @@
 func (s *Server) Stop() {
 	s.stop.Do(func() {
 		s.loop.Post(func() {
+			s.log.WithField("subscribers", len(s.connections)).Info(messageStopping)
 			s.machine.Stop(s.loop.Now())
 			s.step()
 			s.quitOnceClosed(s.loop.Now() + closeLimit)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// Reload reads inventories again, and says what of the configuration has changed and waits for a restart. A bad file
-// changes nothing.
+// Reload reads inventories and the servers to subscribe to again, and says what else of the configuration has changed
+// and waits for a restart. A bad file changes nothing.
 func (d *Daemon) Reload() {
 	next, err := config.ReadDeploy(d.cfg.Path)
 	d.loop.Post(func() {
@@ -158,6 +158,9 @@
 		for _, f := range d.Fronts {
 			f.Reload()
 		}
+		if d.Subscriber != nil && next.Store.Subscribes() {
+			d.Subscriber.SetServers(next.Store.Subscribe)
+		}
 		if was, _ := alike(d.cfg.Deploy); was != "" {
 			if now, err := alike(next); err == nil && now != was {
 				go d.agree(next, true) // the loop must not wait for a majority
