--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -74,7 +74,7 @@
 	seen       [3]uint64                      // versions of the catalog that the four below were taken at
 	cold       []*pb.Member                   // copies
 	starts     map[string]aspenshed.ColdShare // of all members that have told a start: whether it is warm
-	words      map[catalog.Group]catalog.Word
+	groups     map[catalog.Group]catalog.GroupSummary
 	primary    map[string]bool                // as told
 	shares     map[string]aspenshed.ColdShare // as told
 	reportedAt map[string]aspenshed.Nanos
--- a/internal/controlplane/agent/members.go
+++ b/internal/controlplane/agent/members.go
@@ -39,7 +39,7 @@
 			a.cold = a.mine(c.ColdMembers())
 		}
 		if n.whole || learned != was[1] {
-			a.words, n.whole = c.Words(), true
+			a.groups, n.whole = c.GroupSummaries(), true
 		}
 	})
 	a.ownNew = false
@@ -127,7 +127,7 @@
 func (a *Agent) tellMembers() {
 	list, changed := a.merger.Merged()
 	primary := map[string]bool{}
-	for _, w := range a.words {
+	for _, w := range a.groups {
 		if w.Primary != "" {
 			primary[w.Primary] = true
 		}
@@ -172,7 +172,7 @@
 	for _, m := range a.cold {
 		x := a.starts[m.Entry.Id]
 		x.Part, x.Until = a.holder.Share(now, x.Member, m.Start)
-		x.Rate = a.words[catalog.GroupOf(m.Entry)].WarmRate
+		x.Rate = a.groups[catalog.GroupOf(m.Entry)].WarmRate
 		tell(x)
 	}
 	a.eachWarm(n, tell)
--- a/internal/controlplane/catalog/catalog_test.go
+++ b/internal/controlplane/catalog/catalog_test.go
@@ -348,7 +348,7 @@
 
 // Guards the agreed rate: what an instance said some time ago is not added to what others say now, as its clients may
 // be theirs by then. Of a primary the newest word counts, whoever said it.
-func TestOnlyWordsOfTheSameMomentsAreAdded(t *testing.T) {
+func TestOnlyRatesOfTheSameMomentsAreAdded(t *testing.T) {
 	r := newRig()
 	r.do(inventory(0, "a", "b"))
 	say := func(instance, primary string, at int64, rate float64) {
@@ -357,12 +357,12 @@
 	}
 	say("x", "a", 7, 10)
 	say("y", "b", 6, 5)
-	if w := r.Words()[Group{}]; w.WarmRate != 15 || w.Primary != "a" {
+	if w := r.GroupSummaries()[Group{}]; w.WarmRate != 15 || w.Primary != "a" {
 		t.Errorf("%+v", w)
 	}
-	r.at += freshWord
+	r.at += maxRateAge
 	say("y", "b", 9, 14)
-	if w := r.Words()[Group{}]; w.WarmRate != 14 || w.Primary != "b" {
+	if w := r.GroupSummaries()[Group{}]; w.WarmRate != 14 || w.Primary != "b" {
 		t.Errorf("after a while: %+v", w)
 	}
 }
@@ -383,7 +383,7 @@
 	say("mysql", "a", 10, 7e6)
 	say("postgres", "b", 3, 900e6)
 	say("postgres", "a", 4, 800e6) // no member of its own: the name is dropped
-	my, pg := r.Words()[Group{Wire: "mysql"}], r.Words()[Group{Wire: "postgres"}]
+	my, pg := r.GroupSummaries()[Group{Wire: "mysql"}], r.GroupSummaries()[Group{Wire: "postgres"}]
 	if my.WarmRate != 10 || my.Primary != "a" || pg.WarmRate != 4 || pg.Primary != "" {
 		t.Errorf("mysql's group %+v, postgres's %+v", my, pg)
 	}
--- a/internal/controlplane/catalog/instances.go
+++ b/internal/controlplane/catalog/instances.go
@@ -63,11 +63,11 @@
 	return &pb.Result{}
 }
 
-// Word is what all instances together have learned of a group.
-type Word struct {
-	Primary   string // by the newest word
+// GroupSummary is what all instances together have learned of a group.
+type GroupSummary struct {
+	Primary   string // by the newest report
 	PrimaryAt int64
-	// WarmRate is the work a second and size that its warm members answer for all instances together. Only words of
+	// WarmRate is the work a second and size that its warm members answer for all instances together. Only rates of
 	// the same few moments are added up: clients that move to another instance would count at both.
 	WarmRate float64
 }
@@ -78,19 +78,19 @@
 // GroupOf is the group of a member.
 func GroupOf(e *pb.Entry) Group { return Group{Wire: e.Wire, ID: e.Group} }
 
-// Words are those of all groups.
-func (c *Catalog) Words() map[Group]Word {
-	out := map[Group]Word{}
+// GroupSummaries are those of all groups.
+func (c *Catalog) GroupSummaries() map[Group]GroupSummary {
+	out := map[Group]GroupSummary{}
 	for _, p := range c.primaries {
 		if c.members[p.Member] != nil {
-			out[Group{Wire: p.Wire, ID: p.Group}] = Word{Primary: p.Member, PrimaryAt: p.At}
+			out[Group{Wire: p.Wire, ID: p.Group}] = GroupSummary{Primary: p.Member, PrimaryAt: p.At}
 		}
 	}
 	for _, x := range values(c.instances) {
 		for _, g := range x.Groups {
 			at := Group{Wire: g.Wire, ID: g.Group}
 			w := out[at]
-			if c.s.Now <= x.Learned+freshWord {
+			if c.s.Now <= x.Learned+maxRateAge {
 				w.WarmRate += g.WarmRate
 			}
 			if g.Primary != "" && g.PrimaryAt > w.PrimaryAt && c.members[g.Primary] != nil {
--- a/internal/controlplane/catalog/limits.go
+++ b/internal/controlplane/catalog/limits.go
@@ -16,7 +16,7 @@
 	spareTombs       = 256             // tombstones kept beyond twice the members present; the oldest goes
 	maxGroups        = 8192            // groups that an instance may speak of, and whose primaries are known
 	maxClasses       = 256             // classes
-	freshWord        = 2.5e9           // ns: words of rates that are older than the newest by more are not added to it
+	maxRateAge       = 2.5e9           // ns: learned rates that are older than the newest by more are not added to it
 	longAgo          = 600 * 1e9       // ns: a start told as older than this is past its cold time, whatever the clocks' offset
 	minShare         = 2e-5            // part of a cold member's budget too small to be worth a lease: a fifth of what 4,800 instances get
 	minWeight        = 0.1             // of the mean want: what an instance without traffic still counts for
--- a/internal/controlplane/catalog/records_test.go
+++ b/internal/controlplane/catalog/records_test.go
@@ -256,8 +256,8 @@
 	if want := "config member/a member/b member/c pair/k primary/mysql/1"; strings.Join(keys, " ") != want {
 		t.Errorf("it holds %v", keys)
 	}
-	if r.Member("a").DrainedAt == 0 || r.Words()[Group{Wire: "mysql", ID: 0}].Primary != "a" {
-		t.Errorf("%v, %v", r.Member("a"), r.Words())
+	if r.Member("a").DrainedAt == 0 || r.GroupSummaries()[Group{Wire: "mysql", ID: 0}].Primary != "a" {
+		t.Errorf("%v, %v", r.Member("a"), r.GroupSummaries())
 	}
 	again, err := r.Encode()
 	if err != nil {
--- a/internal/controlplane/store/carry_test.go
+++ b/internal/controlplane/store/carry_test.go
@@ -96,7 +96,7 @@
 	}
 	carry(numbered("g6/1", 1, report("m1", now+2)))
 	s.Read(func(c *catalog.Catalog) {
-		if w := c.Words()[catalog.Group{}]; w.Primary != "m1" || w.PrimaryAt != now+2 {
+		if w := c.GroupSummaries()[catalog.Group{}]; w.Primary != "m1" || w.PrimaryAt != now+2 {
 			t.Errorf("the newest report: %+v", w)
 		}
 	})
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -235,10 +235,10 @@
 // Members are those that the store knows.
 func (d *Daemon) Members() (out []Member) {
 	d.control.Store.Read(func(c *catalog.Catalog) {
-		words := c.Words()
+		groups := c.GroupSummaries()
 		for _, m := range c.Members() {
 			x := Member{ID: m.Entry.Id, Address: m.Entry.Address, Wire: m.Entry.Wire, Group: m.Entry.Group, State: "in_service",
-				Reason: m.DrainReason, Start: m.Start / 1e6, Warmth: "warm", Primary: words[catalog.GroupOf(m.Entry)].Primary == m.Entry.Id}
+				Reason: m.DrainReason, Start: m.Start / 1e6, Warmth: "warm", Primary: groups[catalog.GroupOf(m.Entry)].Primary == m.Entry.Id}
 			if m.DrainedAt != 0 {
 				x.State = "draining"
 			}
