--- a/internal/experiment/scale/figures.go
+++ b/internal/experiment/scale/figures.go
@@ -94,7 +94,7 @@
 	p.rows = append(p.rows, f)
 }
 
-// series are named QUANTITY-by-AXIS.
+// series are named QUANTITY-by-AXIS. One point makes none.
 func (p *seriesPoints) series(axis, x, unit, held string) (out []measure.Series) {
 	for _, q := range quantities {
 		var points []measure.Point
@@ -103,7 +103,7 @@
 				points = append(points, measure.Point{X: p.xs[i], Y: y})
 			}
 		}
-		if len(points) > 0 {
+		if len(points) > 1 {
 			out = append(out, seriesOf(measure.Series{Name: q.name + "-by-" + axis, Role: q.role, X: x, XUnit: unit, Y: q.y, YUnit: q.unit, Held: held}, points))
 		}
 	}
