--- /dev/null
+++ b/internal/experiment/datapath/clients.go
@@ -0,0 +1,81 @@
+package datapath
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"time"
+
+	"aspenshed/internal/experiment/standin"
+)
+
+const databasesOfRealGateway = 6
+
+// realGateway builds and starts a gateway's process in a folder of its own, runs f and ends it.
+func realGateway(l standin.Limits, f func(*process) error) (err error) {
+	dir, err := os.MkdirTemp("", "datapath-")
+	if err != nil {
+		return err
+	}
+	defer os.RemoveAll(dir)
+	program, err := buildGateway(dir)
+	if err != nil {
+		return err
+	}
+	return startAndRun(program, dir, l, f)
+}
+
+func startAndRun(program, dir string, l standin.Limits, f func(*process) error) (err error) {
+	p, err := startGateway(program, dir, l, databasesOfRealGateway)
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, p.stop()) }()
+	return f(p)
+}
+
+// measureClients takes memory, descriptors and processor time of a real gateway by clients that have asked once and are
+// idle since.
+func measureClients(r *recorder, o Options) error {
+	sizes, quiet := []int{500, 1000, 2000, 4000, 6700}, 4*time.Second
+	if o.Short {
+		sizes, quiet = []int{10, 20}, 200*time.Millisecond
+	}
+	return realGateway(limits(), func(p *process) error {
+		c := newCurves("clients", "1", fmt.Sprintf("one real gateway on loopback, %d stand-in databases, every client idle after one statement", databasesOfRealGateway))
+		var all []*clientConn
+		defer func() {
+			for _, x := range all {
+				_ = x.c.Close()
+			}
+		}()
+		for _, n := range sizes {
+			for len(all) < n {
+				x, err := dialClient(p.address)
+				if err != nil {
+					return fmt.Errorf("client %d: %w", len(all), err)
+				}
+				all = append(all, x)
+				if code, err := x.ask(anyRead, int64(len(all))); err != nil || code != "" {
+					return fmt.Errorf("client %d: %s %w", len(all), code, err)
+				}
+			}
+			time.Sleep(quiet / 2) // its garbage collector's pace
+			before, err := p.usage()
+			if err != nil {
+				return err
+			}
+			time.Sleep(quiet)
+			after, err := p.usage()
+			if err != nil {
+				return err
+			}
+			x := float64(n)
+			c.add("client", "client.memory-by-clients", "resident memory of a gateway", "B", x, after.resident)
+			c.add("client", "client.descriptors-by-clients", "descriptors of a gateway", "1", x, after.descriptors)
+			c.add("client", "client.idle-cores-by-clients", "processor time of a gateway whose clients are idle", "core", x, (after.cores-before.cores)/quiet.Seconds())
+			r.progress("clients: %d, %.0f MB", n, after.resident/1e6)
+		}
+		return c.record(r)
+	})
+}
--- /dev/null
+++ b/internal/experiment/datapath/cold.go
@@ -0,0 +1,57 @@
+package datapath
+
+import (
+	"aspenshed"
+)
+
+const (
+	leasePool   = 0.5         // the daemon's default: the rest is split into safe shares
+	coldLongest = 18 * second // that a start without an agreed word counts as cold
+	coldSettle  = 20 * second // what warm members answer has to be learned first
+	coldWatch   = 17 * second // a little more than a cold start lasts
+)
+
+// measureColdStart restarts one replica cold and takes how much of what topples it the gateways send, with safe shares
+// of (1-p)/N and no leases, and, for comparison, with none: each gateway goes by what it has measured alone.
+func measureColdStart(r *recorder, o Options) error {
+	settle, watch := coldSettle, coldWatch
+	if o.Short {
+		settle, watch = 2*second, 2*second
+	}
+	for _, kind := range []struct {
+		name, told string
+		change     func(s *aspenshed.Settings, gateways int)
+	}{
+		{"safe-share", "each with a safe share of (1-0.5)/N of a cold database and no lease", func(s *aspenshed.Settings, n int) {
+			s.SafeShare, s.ColdLongest = (1-leasePool)/float64(n), coldLongest
+		}},
+		{"no-leases", "no leases, " + toldOne, func(*aspenshed.Settings, int) {}},
+	} {
+		c := newCurves("gateways", "1", groupHeld(kind.told))
+		for _, n := range fleetSizes(o) {
+			s, err := settings(1)
+			if err != nil {
+				return err
+			}
+			kind.change(&s, n)
+			w, err := groupWorld(n, s, o)
+			if err != nil {
+				return err
+			}
+			w.run(worldStart + settle)
+			d := w.databases[len(w.databases)-1]
+			w.restart(d)
+			before := d.statements
+			w.run(worldStart + settle + watch)
+			x := float64(n)
+			c.add("database", "database.cold-share-by-gateways-"+kind.name, "largest share of what topples a cold database", "1", x, d.model.Highest)
+			c.add("database", "database.cold-statements-by-gateways-"+kind.name, "statements at a cold database", "1/s", x,
+				float64(d.statements-before)/(float64(watch)/1e9))
+			r.progress("cold, %s: %d gateways", kind.name, n)
+		}
+		if err := c.record(r); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/experiment/datapath/database.go
@@ -0,0 +1,91 @@
+package datapath
+
+import (
+	"fmt"
+
+	"aspenshed"
+
+	"aspenshed/internal/experiment/standin"
+)
+
+// state of a database's machine.
+type state int
+
+const (
+	running  state = iota
+	refusing       // its process is gone: connections break and are refused
+	silent         // its machine is gone: nothing is answered
+)
+
+// loadCounts is what gateways have asked of a database.
+type loadCounts struct{ handshakes, probes, statements int }
+
+// database is a simulated one: standin's model without its sockets.
+type database struct {
+	id    string
+	group int
+	model standin.Model
+	state state
+	links []*link // open connections
+	loadCounts
+}
+
+// addGroups makes databases in groups; the first of each is its primary.
+func (w *world) addGroups(groups, size int) {
+	for i := range groups * size {
+		w.databases = append(w.databases, &database{id: fmt.Sprintf("db-%05d", i), group: i / size,
+			model: standin.NewModel(limits(), i%size == 0)})
+	}
+}
+
+// member is the list's entry of a database.
+func (d *database) member(startedAt aspenshed.Nanos) aspenshed.Member {
+	return aspenshed.Member{ID: d.id, Group: d.group, Size: 1, State: aspenshed.Up, StartedAt: startedAt, Primary: d.model.Primary}
+}
+
+func (w *world) list() (l aspenshed.MemberList, addresses map[string]string) {
+	l.Whole, addresses = true, map[string]string{}
+	for _, d := range w.databases {
+		l.Members = append(l.Members, d.member(0))
+		addresses[d.id] = d.id
+	}
+	return l, addresses
+}
+
+// counts adds up what all databases were asked.
+func (w *world) counts() (all loadCounts, connections int) {
+	for _, d := range w.databases {
+		all.handshakes += d.handshakes
+		all.probes += d.probes
+		all.statements += d.statements
+		connections += len(d.links)
+	}
+	return all, connections
+}
+
+// lose ends a database. Gateways hear of it only if its process ends and its machine's kernel closes the connections.
+func (w *world) lose(d *database, how state) {
+	d.state, d.model.Primary = how, false
+	if how == refusing {
+		w.cut(d)
+	}
+}
+
+// cut breaks all connections of a database.
+func (w *world) cut(d *database) {
+	broken := d.links
+	d.links = nil
+	for _, l := range broken {
+		l.place = -1
+		l.gateway.at(oneWay, l.broke)
+	}
+}
+
+// restart has a database start cold, and all gateways hear of it.
+func (w *world) restart(d *database) {
+	w.cut(d)
+	d.model.Start(int64(w.clock.now))
+	for _, g := range w.gateways {
+		g.pipeline.Members(aspenshed.MemberList{Members: []aspenshed.Member{d.member(w.clock.now)}}, nil)
+	}
+}
--- /dev/null
+++ b/internal/experiment/datapath/datapath_test.go
@@ -0,0 +1,113 @@
+package datapath
+
+import (
+	"io"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"aspenshed"
+
+	"aspenshed/internal/experiment/measure"
+)
+
+func short(t *testing.T, name string, seed uint64) measure.Run {
+	t.Helper()
+	r, err := Run(Options{Only: name, Short: true, Seed: seed, Out: io.Discard})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return r
+}
+
+// Guards the page's figures: in virtual time a seed gives one history, but for how long Steps took here.
+func TestVirtualTimeIsDeterministic(t *testing.T) {
+	for _, name := range []string{"group", "cold", "primary"} {
+		a, b := short(t, name, 7), short(t, name, 7)
+		if !reflect.DeepEqual(a.Series, b.Series) {
+			t.Errorf("%s: two runs of seed 7 differ", name)
+		}
+		if other := short(t, name, 8); reflect.DeepEqual(a.Series, other.Series) {
+			t.Errorf("%s: seed 8 gives what 7 did", name)
+		}
+	}
+}
+
+// Every experiment's short form gives named series with a fit; those of real processes run a gateway on loopback.
+func TestShortForms(t *testing.T) {
+	seen := map[string]bool{}
+	for _, name := range Names() {
+		r := short(t, name, 1)
+		if len(r.Series) == 0 {
+			t.Errorf("%s: no series", name)
+		}
+		for _, s := range r.Series {
+			if seen[s.Name] || s.Role == "" || s.YUnit == "" || s.Held == "" || len(s.Points) < 2 {
+				t.Errorf("%s: series %+v", name, s)
+			}
+			seen[s.Name] = true
+		}
+		if !slices.Contains(r.Notes, "seed 1") {
+			t.Errorf("%s: notes %q name no seed", name, r.Notes)
+		}
+	}
+}
+
+func TestAnUnknownExperimentIsNamed(t *testing.T) {
+	if _, err := Run(Options{Only: "nothing", Out: io.Discard}); err == nil || !strings.Contains(err.Error(), `"nothing"`) {
+		t.Error(err)
+	}
+}
+
+func TestOutage(t *testing.T) {
+	const lost = 100 * second
+	at := func(seconds float64, served bool) ending {
+		return ending{class: write, arrived: lost + aspenshed.Nanos(seconds*1e9), served: served}
+	}
+	for _, c := range []struct {
+		name   string
+		writes []ending
+		want   outage
+	}{
+		{"all served", []ending{at(0.1, true), at(1.1, true)}, outage{}},
+		{"lost at once, then served", []ending{at(0.5, false), at(1.5, true)}, outage{1, 0.5, 1}},
+		{"one of two in the third second", []ending{at(0.5, true), at(2.25, false), at(2.5, true), at(3, true)}, outage{3, 2.25, 1}},
+		{"answers after the end are not known", []ending{at(0.5, true), at(9.5, false)}, outage{}},
+	} {
+		if got := outageOf(c.writes, lost, lost+9*second); got != c.want {
+			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
+		}
+	}
+}
+
+// Guards the simulation: statements reach databases, connections are counted at both ends, and a lost primary's are gone.
+func TestConnectionsAreCountedOnce(t *testing.T) {
+	s, err := settings(1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	w := newWorld(3)
+	w.addGroups(2, 3)
+	if err := w.addGateways(4, s, 40); err != nil {
+		t.Fatal(err)
+	}
+	w.run(worldStart + 5*second)
+	counts, open := w.counts()
+	if counts.statements < 600 || counts.statements > 1000 || open == 0 || counts.handshakes < open {
+		t.Fatalf("%+v, %d open, after 800 statements asked for", counts, open)
+	}
+	lost := w.databases[0]
+	w.lose(lost, refusing)
+	w.run(w.clock.now + 3*second)
+	if len(lost.links) != 0 || lost.model.Primary {
+		t.Errorf("a lost database keeps %d connections", len(lost.links))
+	}
+	for _, d := range w.databases {
+		for i, l := range d.links {
+			if l.place != i || l.closed {
+				t.Fatalf("connection %d of %s: place %d, closed %v", i, d.id, l.place, l.closed)
+			}
+		}
+	}
+}
--- /dev/null
+++ b/internal/experiment/datapath/settings.go
@@ -0,0 +1,66 @@
+package datapath
+
+import (
+	"errors"
+
+	"aspenshed"
+
+	"aspenshed/internal/config"
+	"aspenshed/internal/experiment/standin"
+)
+
+// service is a front's settings as an operator writes them. The classes are those of the demonstration.
+const service = `
+postgres:
+  listen: 127.0.0.1:0
+  inventory: inventory.csv
+  clients: 8000
+  links: 4000
+  classes:
+    - {name: seat-check, read: bounded, bound: 300ms, aim: 400ms, give_up: 1s, worth: 1, late_worth: 0.2, effect: safe}
+    - {name: timetable, read: any, aim: 750ms, give_up: 2s, worth: 2, effect: safe}
+    - {name: booking, read: write, aim: 750ms, give_up: 5s, worth: 6, late_worth: 0.5, effect: unsafe}
+  attempts: 10
+  connect_timeout: 250ms
+  idle_close: 60s
+  client_idle: 10m
+`
+
+// classes of service, in its order.
+const (
+	boundedRead = iota
+	anyRead
+	write
+)
+
+var classNames = []string{boundedRead: "seat-check", anyRead: "timetable", write: "booking"}
+
+// mix is the order in which clients ask: 40% bounded reads, 40% reads of any age, 20% writes, as in experiment cut.
+var mix = []int{write, write, anyRead, anyRead, anyRead, anyRead, boundedRead, boundedRead, boundedRead, boundedRead}
+
+const statementWait = aspenshed.Nanos(900e6) // of a client for one statement
+
+var errNoFront = errors.New("datapath: the settings make no front")
+
+// settings are those that the daemon makes of service; routers is how many gateways it is told there are. The daemon
+// itself always says 1.
+func settings(routers int) (aspenshed.Settings, error) {
+	d, err := config.ParseDeploy("aspenshed.yaml", []byte(service))
+	if err != nil {
+		return aspenshed.Settings{}, err
+	}
+	s := d.Postgres.Settings
+	if len(s.Classes) != len(classNames) {
+		return s, errNoFront
+	}
+	s.ListTellsRole = true
+	s.Routers = routers
+	return s, nil
+}
+
+// limits of every database here.
+func limits() standin.Limits {
+	l := standin.DefaultLimits()
+	l.Queue = 4000
+	return l
+}
--- /dev/null
+++ b/internal/experiment/datapath/statements.go
@@ -0,0 +1,98 @@
+package datapath
+
+import (
+	"fmt"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"aspenshed/internal/experiment/target"
+)
+
+const loadClients = 48
+
+// measureStatements takes processor time, bytes and system calls of a real gateway by statements a second.
+func measureStatements(r *recorder, o Options) error {
+	rates, warm, watch := []float64{150, 300, 600, target.StatementsPerGateway()}, time.Second, 6*time.Second
+	if o.Short {
+		rates, warm, watch = []float64{20, 40}, 100*time.Millisecond, 500*time.Millisecond
+	}
+	return realGateway(limits(), func(p *process) error {
+		c := newCurves("statements a second", "1/s", fmt.Sprintf("one real gateway on loopback, %d stand-in databases, %d clients (40%% bounded, 40%% any, 20%% writes)",
+			databasesOfRealGateway, loadClients))
+		for _, rate := range rates {
+			l, err := startLoad(p.address, rate)
+			if err != nil {
+				return err
+			}
+			time.Sleep(warm)
+			before, err := p.usage()
+			if err != nil {
+				return err
+			}
+			served, begun := l.served.Load(), time.Now()
+			time.Sleep(watch)
+			after, err := p.usage()
+			seconds := time.Since(begun).Seconds()
+			done := float64(l.served.Load()-served) / seconds
+			unserved := l.stop()
+			if err != nil {
+				return err
+			}
+			c.add("data path", "datapath.cores-by-statements", "processor time of a real gateway", "core", done, (after.cores-before.cores)/seconds)
+			c.add("data path", "datapath.bytes-by-statements", "bytes at a real gateway's sockets, all directions", "B/s", done, (after.bytes-before.bytes)/seconds)
+			c.add("data path", "datapath.calls-by-statements", "reads and writes of a real gateway", "1/s", done, (after.calls-before.calls)/seconds)
+			r.progress("statements: %.0f/s served of %.0f asked, %d not served", done, rate, unserved)
+		}
+		return c.record(r)
+	})
+}
+
+// load is clients that ask at a steady rate together.
+type load struct {
+	served, unserved atomic.Int64
+	quit             atomic.Bool
+	wg               sync.WaitGroup
+}
+
+func startLoad(address string, rate float64) (*load, error) {
+	l := &load{}
+	pause := time.Duration(loadClients / rate * float64(time.Second))
+	for i := range loadClients {
+		x, err := dialClient(address)
+		if err != nil {
+			l.stop()
+			return nil, err
+		}
+		l.wg.Add(1)
+		go l.client(x, i, pause)
+	}
+	return l, nil
+}
+
+// client asks at set instants, so that a slow answer does not lower the rate.
+func (l *load) client(x *clientConn, number int, pause time.Duration) {
+	defer l.wg.Done()
+	defer func() { _ = x.c.Close() }()
+	next := time.Now().Add(pause * time.Duration(number) / loadClients)
+	for n := number; !l.quit.Load(); n++ {
+		time.Sleep(time.Until(next))
+		next = next.Add(pause)
+		code, err := x.ask(mix[n%len(mix)], time.Now().UnixNano())
+		if err != nil {
+			l.unserved.Add(1)
+			return
+		}
+		if code == "" {
+			l.served.Add(1)
+		} else {
+			l.unserved.Add(1)
+		}
+	}
+}
+
+func (l *load) stop() (unserved int64) {
+	l.quit.Store(true)
+	l.wg.Wait()
+	return l.unserved.Load()
+}
