--- /dev/null
+++ b/internal/experiment/capacity/arithmetic_test.go
@@ -0,0 +1,171 @@
+package capacity
+
+import (
+	"math"
+	"strings"
+	"testing"
+	"time"
+
+	"aspenshed/internal/experiment/measure"
+)
+
+// line is a run whose series go through y = intercept + slope x at these x.
+func lineRun(t *testing.T, name, x string, intercept, slope float64, xs ...float64) *Run {
+	t.Helper()
+	s := measure.Series{Name: name, X: x, YUnit: "B"}
+	for _, at := range xs {
+		s.Points = append(s.Points, measure.Point{X: at, Y: intercept + slope*at})
+	}
+	fit, err := measure.LeastSquares(s.Points)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.Fit = fit
+	return &Run{Run: measure.Run{Experiment: "test", Commit: "abc", Started: time.Unix(0, 0), Series: []measure.Series{s}}, File: name + ".json"}
+}
+
+func testRuns(t *testing.T) *Runs {
+	t.Helper()
+	runs, err := NewRuns([]*Run{
+		lineRun(t, "voter.log-bytes-by-members", "members of the inventory", 100, 63, 2100, 10500),
+		lineRun(t, "client.memory-by-clients", "clients", 20e6, 10e3, 500, 4000),
+		lineRun(t, "datapath.heap-by-members", "members", 1e6, 1000, 2100, 10500),
+		lineRun(t, "datapath.connections-by-members", "members", 0, 0.5, 2100, 10500),
+		lineRun(t, "datapath.cores-by-statements", "statements a second", 0.1, 1e-4, 100, 600),
+		lineRun(t, "datapath.router-cores-by-members", "members", 0, 1e-5, 2100, 21000),
+		lineRun(t, "client.bytes-by-statements", "statements a second", 0, 400, 100, 600),
+		lineRun(t, "database.connections-by-gateways", "gateways", 10, 0.9, 150, 2400),
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return runs
+}
+
+// A line for each quantity that is worked out, with figures worked by hand from testRuns.
+func TestDerivedQuantities(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		value formula
+		want  float64
+	}{
+		{"a series at its target: 100 + 63 x 21,000", at("voter.log-bytes-by-members"), 1323100},
+		{"whole lists: 1,323,100 x 63,000 / 86,400", wholeLists, 964760.4},
+		{"a zone's changes, whole lists: 1,323,100 x 21,000 / 19", zoneWhole, 1462373684},
+		{"a zone's changes, members alone: 63 x 1,105.26", zoneChanges, 69631.6},
+		{"snapshots of all: 1,323,100 x 2,400", allSnapshots, 3175440000},
+		{"one client: the slope", perClient("client.memory-by-clients"), 10000},
+		{"bytes of one client: 400 x 1,208.33 / 6,666.67", shared("client.bytes-by-statements", 6666.667), 72.5},
+		{"memory: 86.67 MB of clients, 22 MB of state, 10,500 connections of 10 kB", gatewayMemory, 213666667},
+		{"cores: 0.1 + 0.1208 + 0.21", wholeGateway, 0.43083},
+		{"saved-up requests: 2,400 x 1.2 / (0.1 x 2.5 x 60 x 1.5)", fixed(burstTerm(2400)), 128},
+		{"two gateways fit: 2 x 1.2 / 22.5", fixed(burstTerm(2)), 0.10667},
+		{"round of the daemon: 250 ms", fixed(roundSeconds(1)), 0.25},
+		{"round told 80 gateways: 0.25 x 80 / 40", fixed(roundSeconds(80)), 0.5},
+		{"round told 2,400: the longest", fixed(roundSeconds(2400)), 4},
+	} {
+		got, err := c.value(&book{runs: testRuns(t)})
+		if err != nil || math.Abs(got-c.want) > 1e-4*math.Abs(c.want) {
+			t.Errorf("%s: %v (%v), by hand %v", c.name, got, err, c.want)
+		}
+	}
+}
+
+func TestAValueSaysHowItIsKnown(t *testing.T) {
+	runs := testRuns(t)
+	for _, c := range []struct {
+		name  string
+		value formula
+		plain bool
+		want  Kind
+	}{
+		{"no run", at("database.nothing"), true, Missing},
+		{"beyond the range", at("voter.log-bytes-by-members"), true, Extended},
+		{"at the target", at("database.connections-by-gateways"), true, Measured},
+		{"arithmetic", wholeLists, false, WorkedOut},
+		{"arithmetic over what is missing", shared("database.nothing", 2), false, Missing},
+	} {
+		if v := evaluate(runs, c.value, "B", c.plain); v.Kind != c.want {
+			t.Errorf("%s: kind %d, want %d", c.name, v.Kind, c.want)
+		}
+	}
+	if v := evaluate(runs, wholeLists, "B/s", false); !strings.HasSuffix(v.String(), "(worked out)") || !strings.Contains(v.Basis(), "2 times beyond") {
+		t.Errorf("%s from %s", v, v.Basis())
+	}
+}
+
+// A point at the target counts for more than the line: what grows in steps has none.
+func TestAMeasuredTargetIsNotTakenFromTheLine(t *testing.T) {
+	s := measure.Series{Name: "x", X: "gateways", Points: []measure.Point{{X: 150, Y: 1}, {X: 1200, Y: 1}, {X: 2400, Y: 5}, {X: 2400, Y: 7}}}
+	s.Fit, _ = measure.LeastSquares(s.Points)
+	p, ok := Project(Slope{s, &Run{}})
+	if !ok || !p.Measured || p.Value != 6 || p.Factor != 1 {
+		t.Errorf("%+v %v", p, ok)
+	}
+}
+
+func TestMargin(t *testing.T) {
+	for _, c := range []struct {
+		amount, limit float64
+		want          string
+	}{
+		{14000, 7000, "**short by 2** (bound 7 kB/s, operators)"},
+		{3500, 7000, "holds 2 times over (bound 7 kB/s, operators)"},
+		{0, 7000, "holds (bound 7 kB/s, operators)"},
+		{5, 0, ""},
+	} {
+		if got := (bound{c.limit, operators}).margin(Value{Amount: c.amount, Unit: "B/s", Kind: Measured}); got != c.want {
+			t.Errorf("%v of %v: %q, want %q", c.amount, c.limit, got, c.want)
+		}
+	}
+}
+
+func TestQuantity(t *testing.T) {
+	for _, c := range []struct {
+		v    float64
+		unit string
+		want string
+	}{
+		{0, "B", "0 B"}, {999, "B", "999 B"}, {1234567, "B", "1.23 MB"}, {960e3, "B/s", "960 kB/s"}, {4.2e-6, "s", "4.2 µs"}, {3e-10, "s", "3e-10 s"},
+		{0.0123, "s", "12.3 ms"}, {12, "s", "12 s"}, {21000, "1", "21,000"}, {1208.33, "1/s", "1,210/s"}, {0.021, "core", "0.021 core"},
+		{-0.5, "core", "-0.5 core"}, {1.6e7, "1", "16,000,000"},
+	} {
+		if got := quantity(c.v, c.unit); got != c.want {
+			t.Errorf("%v %s: %q, want %q", c.v, c.unit, got, c.want)
+		}
+	}
+}
+
+// The worst comes first, what is not measured last.
+func TestRanking(t *testing.T) {
+	rows := rankedTable(testRuns(t)).rows
+	if len(rows) != len(needs()) {
+		t.Fatalf("%d rows of %d needs", len(rows), len(needs()))
+	}
+	if !strings.HasPrefix(rows[0][1], "control bytes a gateway") || rows[0][4] != "**short by 138**" {
+		t.Errorf("first: %q", rows[0])
+	}
+	if last := rows[len(rows)-1]; last[2] != "not measured yet" {
+		t.Errorf("last: %q", last)
+	}
+}
+
+func TestAFitThatIsNotThatOfItsPointsIsRefused(t *testing.T) {
+	r := lineRun(t, "x", "gateways", 1, 2, 10, 20)
+	r.Series[0].Fit.Slope = 3
+	if _, err := NewRuns([]*Run{r}); err == nil {
+		t.Error("taken")
+	}
+}
+
+func TestTheNewerOfTwoSeriesCounts(t *testing.T) {
+	older, newer := lineRun(t, "x", "gateways", 1, 2, 10, 20), lineRun(t, "x", "gateways", 1, 5, 10, 20)
+	newer.Started = time.Unix(60, 0)
+	runs, err := NewRuns([]*Run{newer, older})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if s, ok := runs.Slope("x"); !ok || math.Abs(s.Fit.Slope-5) > 1e-9 {
+		t.Errorf("%+v", s)
+	}
+}
--- /dev/null
+++ b/internal/experiment/capacity/crosscheck.go
@@ -0,0 +1,44 @@
+package capacity
+
+// claim is a figure of issue 29's "What stands", which was measured elsewhere.
+type claim struct {
+	what, unit string
+	x          float64 // of the axis
+	theirs     float64
+	series     string
+	slope      bool // theirs is of one more of the axis
+}
+
+func claims() []claim {
+	return []claim{
+		{"log entries, 3 voters, idle", "1/s", 3, 1.5, "voter.log-entries-by-instances", false},
+		{"log entries, 54 voters, idle", "1/s", 54, 25, "voter.log-entries-by-instances", false},
+		{"processor, 3 voters, idle", "core", 3, 0.028, "voter.cpu-by-instances", false},
+		{"processor, 54 voters, idle", "core", 54, 0.39, "voter.cpu-by-instances", false},
+		{"write at a follower, 3 voters", "s", 3, 0.0041, "voter.write-latency-by-instances", false},
+		{"write at a follower, 54 voters", "s", 54, 0.021, "voter.write-latency-by-instances", false},
+		{"log bytes for a change of one member, each member of the list", "B", 0, 63, "voter.log-bytes-by-members", true},
+		{"learned state told, each group", "B", 0, 36, "voter.learned-bytes-by-groups", true},
+		{"Router.Step, 20 members, 100 in flight", "s", 20, 3e-6, "datapath.step-by-members-100", false},
+		{"Router.Step, 21,000 members, 100 in flight", "s", 21000, 26e-6, "datapath.step-by-members-100", false},
+		{"Router.Step, 21,000 members, 1,200 in flight", "s", 21000, 42e-6, "datapath.step-by-members-1200", false},
+	}
+}
+
+// claimTable sets ours beside theirs.
+func claimTable(runs *Runs) *table {
+	t := &table{head: []string{"figure", "issue 29", "ours", "ours over theirs", "from"}}
+	for _, c := range claims() {
+		s, ok := runs.Slope(c.series)
+		if !ok {
+			t.add(c.what, quantity(c.theirs, c.unit), "not measured yet", "", "")
+			continue
+		}
+		ours := s.Fit.Slope
+		if !c.slope {
+			ours = projectTo(s, c.x).Value
+		}
+		t.add(c.what, quantity(c.theirs, c.unit), quantity(ours, c.unit), number(ours/c.theirs), "`"+s.Name+"`, "+s.Source())
+	}
+	return t
+}
--- /dev/null
+++ b/internal/experiment/capacity/events.go
@@ -0,0 +1,166 @@
+package capacity
+
+import (
+	"fmt"
+	"slices"
+
+	"aspenshed/internal/experiment/measure"
+	"aspenshed/internal/experiment/target"
+)
+
+// loss is one of the operators' events and what it does by arithmetic.
+type loss struct {
+	event, often string
+	effects      []effect
+}
+
+// effect is one consequence.
+type effect struct {
+	what  string
+	unit  string
+	value formula
+	plain bool
+	bound bound
+}
+
+const rackGateways = 20.0 // assumed: of one rack or switch
+
+func losses() []loss {
+	zoneShare := target.GatewaysPerZone()
+	left := target.Gateways - zoneShare
+	return []loss{
+		{"machine of a gateway", fmt.Sprintf("%s a day, all roles", number(target.MachineFailures)), []effect{
+			{"clients that come to each other gateway", "1", fixed(target.ClientsPerGateway() / (target.Gateways - 1)), false, noBound},
+			{"connections to databases that its successor opens", "1", at("datapath.connections-by-members"), true, noBound},
+		}},
+		{"machine of a primary", fmt.Sprintf("%s changes of primary a day", number(target.PrimaryChanges)), []effect{
+			{"until 99% of writes are served, process gone, as the daemon is", "s", at("datapath.outage-by-gateways-crash"), true, bound{target.PrimaryChangeMax, operators}},
+			{"until 99% of writes are served, process gone, gateways told their number", "s", at("datapath.outage-by-gateways-crash-told"), true, bound{target.PrimaryChangeMax, operators}},
+			{"until 99% of writes are served, machine silent, as the daemon is", "s", at("datapath.outage-by-gateways-silent"), true, bound{target.PrimaryChangeMax, operators}},
+			{"until 99% of writes are served, machine silent, gateways told their number", "s", at("datapath.outage-by-gateways-silent-told"), true, bound{target.PrimaryChangeMax, operators}},
+			{"probes at a database in the worst second, process gone, as the daemon is", "1/s", at("database.round-probes-by-gateways-crash"), true, bound{primaryProbeBound, assumed}},
+			{"the same, gateways told their number", "1/s", at("database.round-probes-by-gateways-crash-told"), true, bound{primaryProbeBound, assumed}},
+			{"the same, machine silent, as the daemon is", "1/s", at("database.round-probes-by-gateways-silent"), true, bound{primaryProbeBound, assumed}},
+			{"the same, machine silent, gateways told their number", "1/s", at("database.round-probes-by-gateways-silent-told"), true, bound{primaryProbeBound, assumed}},
+			{"round probes that all gateways may send, as the daemon is: one a round of 250 ms each", "1/s", fixed(target.Gateways / roundSeconds(1)), false, bound{primaryProbeBound, assumed}},
+			{"the same, gateways told their number: rounds of 4 s", "1/s", fixed(target.Gateways / roundSeconds(target.Gateways)), false, bound{primaryProbeBound, assumed}},
+		}},
+		{"rack or switch", "weekly", []effect{
+			{"clients that come to each other gateway, 20 gateways a rack (assumed)", "1", fixed(rackGateways * target.ClientsPerGateway() / (target.Gateways - rackGateways)), false, noBound},
+		}},
+		{"zone", "once or twice a year", []effect{
+			{"clients that come to each other gateway", "1", fixed(zoneShare * target.ClientsPerGateway() / left), false, noBound},
+			{"statements at each other gateway", "1/s", fixed(target.Statements / left), false, noBound},
+			{"databases gone at once", "1", fixed(target.DatabasesPerZone()), false, noBound},
+			{"primaries gone at once", "1", fixed(target.DatabasesPerZone() / target.GroupSize), false, noBound},
+			{"bytes to each gateway for its changes, if each brings the whole list", "B", zoneWhole, false, noBound},
+		}},
+		{"region cut off", "several times a year, minutes", []effect{
+			{"gateways that go on by their last state", "1", fixed(target.GatewaysPerRegion()), false, noBound},
+			{"clients that stay with them", "1", fixed(target.ClientConns / target.Regions), false, noBound},
+		}},
+		{"rollout of 1,105 changes at once", "as a zone's loss", []effect{
+			{"bytes to each gateway, if each brings the whole list", "B", zoneWhole, false, noBound},
+			{"bytes to each gateway, if each brings its member alone", "B", zoneChanges, false, noBound},
+		}},
+		{"restart of everything", "not asked for a rate", []effect{
+			{"state that each gateway reads, whole list", "B", at("voter.log-bytes-by-members"), true, noBound},
+			{"the same for all gateways", "B", allSnapshots, false, noBound},
+			{"connections that a database accepts anew", "1", at("database.connections-by-gateways"), true, bound{databaseConns, assumed}},
+		}},
+		{"start of one database, cold", fmt.Sprintf("%s restarts a day, all roles", number(target.Restarts)), []effect{
+			{"share of what topples it, with safe shares", "1", at("database.cold-share-by-gateways-safe-share"), true, bound{1, operators}},
+			{"share of what topples it, without leases", "1", at("database.cold-share-by-gateways-no-leases"), true, bound{1, operators}},
+			{"statements a second that it gets, with safe shares", "1/s", at("database.cold-statements-by-gateways-safe-share"), true, noBound},
+		}},
+	}
+}
+
+// roundSeconds is the mean time between two probe rounds of a gateway that is told how many there are: roundWait of the
+// routing module, with its constants.
+func roundSeconds(gateways float64) float64 {
+	const every, longest, smallFleet, asOften = 0.25, 4.0, 8.0, 40.0
+	return min(every*max(1, (smallFleet+max(gateways-smallFleet, 0))/asOften), longest)
+}
+
+func zoneWhole(b *book) (float64, error) {
+	list, err := b.at("voter.log-bytes-by-members")
+	return list * target.DatabasesPerZone(), err
+}
+
+func zoneChanges(b *book) (float64, error) {
+	each, err := b.slope("voter.log-bytes-by-members")
+	return each * target.DatabasesPerZone(), err
+}
+
+func allSnapshots(b *book) (float64, error) {
+	list, err := b.at("voter.log-bytes-by-members")
+	return list * target.Gateways, err
+}
+
+// lossTable is what each event does at the target.
+func lossTable(runs *Runs) *table {
+	t := &table{head: []string{"event", "how often", "what it does", "at the target", "margin", "from"}}
+	for _, l := range losses() {
+		event, often := l.event, l.often
+		for _, e := range l.effects {
+			v := evaluate(runs, e.value, e.unit, e.plain)
+			t.add(event, often, e.what, v.String(), e.bound.margin(v), v.Basis())
+			event, often = "", ""
+		}
+	}
+	return t
+}
+
+// eventTable is the events that were played to running installations.
+func eventTable(runs *Runs) *table {
+	t := &table{head: []string{"event", "run", "gateways", "members", "watched", "in force p50 / p99 / last", "bytes a gateway, mean", "worst minute", "processes (cores, memory)"}}
+	for _, r := range runs.All {
+		for _, e := range r.Events {
+			processes := ""
+			for i, u := range e.Roles {
+				if i > 0 {
+					processes += "; "
+				}
+				processes += fmt.Sprintf("%s %s %s %s", u.Role, u.Process, quantity(u.Cores, "core"), quantity(u.Memory, "B"))
+			}
+			t.add(e.Name, Slope{Run: r}.Source(), number(float64(e.Gateways)), number(float64(e.Members)), quantity(e.Seconds, "s"),
+				fmt.Sprintf("%s / %s / %s of %s", quantity(e.InForce.P50, "s"), quantity(e.InForce.P99, "s"), quantity(e.InForce.Max, "s"), number(float64(e.InForce.Count))),
+				quantity(e.GatewayBytes, "B/s"), quantity(e.WorstMinuteBytes, "B/s"), processes)
+		}
+	}
+	if len(t.rows) == 0 {
+		t.add("not measured yet", "", "", "", "", "", "", "", "")
+	}
+	return t
+}
+
+// checkTable is what the runs asserted, what failed first.
+func checkTable(runs *Runs) *table {
+	t := &table{head: []string{"check", "run", "bound", "seen", "result"}}
+	for _, r := range runs.All {
+		checks := slices.Clone(r.Checks)
+		slices.SortStableFunc(checks, func(a, b measure.Check) int { return boolInt(a.Passed) - boolInt(b.Passed) })
+		for _, c := range checks {
+			result := "passed"
+			if !c.Passed {
+				result = "**failed**"
+			}
+			if c.Detail != "" {
+				result += ": " + c.Detail
+			}
+			t.add(c.Name, Slope{Run: r}.Source(), quantity(c.Bound, c.Unit), quantity(c.Value, c.Unit), result)
+		}
+	}
+	if len(t.rows) == 0 {
+		t.add("not measured yet", "", "", "", "")
+	}
+	return t
+}
+
+func boolInt(b bool) int {
+	if b {
+		return 1
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/experiment/capacity/format.go
@@ -0,0 +1,93 @@
+package capacity
+
+import (
+	"math"
+	"strconv"
+	"strings"
+)
+
+// number is a value with three significant digits.
+func number(v float64) string {
+	if v == 0 || math.IsInf(v, 0) || math.IsNaN(v) {
+		return strconv.FormatFloat(v, 'g', -1, 64)
+	}
+	if a := math.Abs(v); a >= 1e15 || a < 1e-3 {
+		return strconv.FormatFloat(v, 'g', 3, 64)
+	}
+	digits := max(0, 2-int(math.Floor(math.Log10(math.Abs(v)))))
+	scale := math.Pow(10, 2-math.Floor(math.Log10(math.Abs(v))))
+	text := strconv.FormatFloat(math.Round(v*scale)/scale, 'f', digits, 64)
+	if strings.Contains(text, ".") {
+		text = strings.TrimRight(strings.TrimRight(text, "0"), ".")
+	}
+	return thousands(text)
+}
+
+// thousands puts commas into the whole part.
+func thousands(text string) string {
+	whole, part, _ := strings.Cut(text, ".")
+	sign := ""
+	if strings.HasPrefix(whole, "-") {
+		sign, whole = "-", whole[1:]
+	}
+	for i := len(whole) - 3; i > 0; i -= 3 {
+		whole = whole[:i] + "," + whole[i:]
+	}
+	if part != "" {
+		whole += "." + part
+	}
+	return sign + whole
+}
+
+// prefixes are the steps of units that take them, the largest first.
+var prefixes = map[string][]struct {
+	from float64
+	text string
+}{
+	"B":   {{1e9, " GB"}, {1e6, " MB"}, {1e3, " kB"}, {0, " B"}},
+	"B/s": {{1e9, " GB/s"}, {1e6, " MB/s"}, {1e3, " kB/s"}, {0, " B/s"}},
+	"s":   {{1, " s"}, {1e-3, " ms"}, {1e-6, " µs"}},
+}
+
+// quantity is a value with its unit.
+func quantity(v float64, unit string) string {
+	for _, p := range prefixes[unit] {
+		if abs(v) >= p.from && p.from > 0 {
+			return number(v/p.from) + p.text
+		}
+	}
+	switch unit {
+	case "", "1":
+		return number(v)
+	case "1/s":
+		return number(v) + "/s"
+	case "core":
+		return number(v) + " core"
+	}
+	return number(v) + " " + unit
+}
+
+// table is Markdown's.
+type table struct {
+	head []string
+	rows [][]string
+}
+
+func (t *table) add(cells ...string) { t.rows = append(t.rows, cells) }
+
+func (t *table) String() string {
+	var b strings.Builder
+	line := func(cells []string) {
+		b.WriteString("| " + strings.Join(cells, " | ") + " |\n")
+	}
+	line(t.head)
+	rule := make([]string, len(t.head))
+	for i := range rule {
+		rule[i] = "---"
+	}
+	line(rule)
+	for _, r := range t.rows {
+		line(r)
+	}
+	return b.String()
+}
--- /dev/null
+++ b/internal/experiment/capacity/page.go
@@ -0,0 +1,179 @@
+package capacity
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+
+	"aspenshed/internal/experiment/target"
+)
+
+// Where the page and what it is made of lie, from the module's root.
+const (
+	PagePath = "docs/CAPACITY.md"
+	RunsPath = "docs/capacity"
+	PlotPath = "docs/capacity/plots"
+)
+
+const (
+	beginMark = "<!-- begin "
+	endMark   = "<!-- end "
+	closeMark = " -->\n"
+)
+
+// sections are the parts of the page that are made, by the names of their markers.
+func sections(runs *Runs) (map[string]string, error) {
+	plots, err := plotList(runs)
+	if err != nil {
+		return nil, err
+	}
+	return map[string]string{
+		"target":  targetTable().String(),
+		"ranked":  rankedTable(runs).String(),
+		"roles":   roleTables(runs),
+		"losses":  lossTable(runs).String(),
+		"events":  eventTable(runs).String(),
+		"checks":  checkTable(runs).String(),
+		"claims":  claimTable(runs).String(),
+		"runs":    runTable(runs).String(),
+		"slopes":  slopeTable(runs).String(),
+		"plots":   plots,
+		"summary": summary(runs),
+	}, nil
+}
+
+// Rewrite puts the sections into the page between their markers; what is written by hand stays.
+func Rewrite(page string, runs *Runs) (string, error) {
+	made, err := sections(runs)
+	if err != nil {
+		return "", err
+	}
+	var out strings.Builder
+	for rest := page; ; {
+		before, after, found := strings.Cut(rest, beginMark)
+		out.WriteString(before)
+		if !found {
+			break
+		}
+		name, after, ok := strings.Cut(after, closeMark)
+		text, known := made[name]
+		_, after, ended := strings.Cut(after, endMark+name+closeMark)
+		if !ok || !known || !ended {
+			return "", fmt.Errorf("section %q: unknown, or without an end", name)
+		}
+		delete(made, name)
+		out.WriteString(beginMark + name + closeMark + "\n" + text + "\n" + endMark + name + closeMark)
+		rest = after
+	}
+	for name := range made {
+		return "", fmt.Errorf("the page has no section %q", name)
+	}
+	return out.String(), nil
+}
+
+// Write makes page and plots of the committed runs; root is the module's.
+func Write(root string) error {
+	runs, err := ReadRuns(filepath.Join(root, RunsPath))
+	if err != nil {
+		return err
+	}
+	path := filepath.Join(root, PagePath)
+	page, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	text, err := Rewrite(string(page), runs)
+	if err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	plots, err := Plots(runs)
+	if err != nil {
+		return err
+	}
+	if err := os.MkdirAll(filepath.Join(root, PlotPath), 0o755); err != nil {
+		return err
+	}
+	for name, svg := range plots {
+		if err := os.WriteFile(filepath.Join(root, PlotPath, name), svg, 0o644); err != nil {
+			return err
+		}
+	}
+	return os.WriteFile(path, []byte(text), 0o644)
+}
+
+func targetTable() *table {
+	t := &table{head: []string{"what follows from the operators' figures", ""}}
+	for _, x := range []struct {
+		what, unit string
+		value      float64
+	}{
+		{"statements at a gateway", "1/s", target.StatementsPerGateway()},
+		{"clients of a gateway", "1", target.ClientsPerGateway()},
+		{"gateways of a zone", "1", target.GatewaysPerZone()},
+		{"gateways of a region", "1", target.GatewaysPerRegion()},
+		{"databases of a zone: gone at once with it", "1", target.DatabasesPerZone()},
+		{"groups of 6 databases (6: assumed, as issue 29 reckons)", "1", target.Groups()},
+		{"statements at a database", "1/s", target.StatementsPerDatabase()},
+		{"statements at a group", "1/s", target.StatementsPerGroup()},
+		{"changes of configuration", "1/s", target.ChangesPerSecond()},
+		{"restarts and replacements of machines", "1/s", target.RestartsPerSecond()},
+	} {
+		t.add(x.what, quantity(x.value, x.unit))
+	}
+	return t
+}
+
+func roleTables(runs *Runs) string {
+	var b strings.Builder
+	for i, r := range roles() {
+		if i > 0 {
+			b.WriteString("\n")
+		}
+		b.WriteString(r.heading() + r.table(runs).String())
+	}
+	return b.String()
+}
+
+func runTable(runs *Runs) *table {
+	t := &table{head: []string{"run", "began", "took", "machine", "command", "notes"}}
+	for _, r := range runs.All {
+		t.add(Slope{Run: r}.Source(), r.Started.Format("2006-01-02 15:04"), quantity(r.Seconds, "s"), r.Machine, "`"+r.Command+"`", strings.Join(r.Notes, "; "))
+	}
+	if len(t.rows) == 0 {
+		t.add("none yet", "", "", "", "", "")
+	}
+	return t
+}
+
+func slopeTable(runs *Runs) *table {
+	t := &table{head: []string{"series", "quantity", "by", "slope", "intercept", "R²", "largest residual", "points", "held still", "run"}}
+	for _, s := range runs.Slopes() {
+		least, most := s.Points[0].X, s.Points[0].X
+		for _, p := range s.Points {
+			least, most = min(least, p.X), max(most, p.X)
+		}
+		t.add("`"+s.Name+"`", s.Y, s.X, quantity(s.Fit.Slope, s.YUnit), quantity(s.Fit.Intercept, s.YUnit), number(s.Fit.R2), quantity(s.Fit.MaxResidual, s.YUnit),
+			fmt.Sprintf("%d, %s to %s", len(s.Points), number(least), number(most)), s.Held, s.Source())
+	}
+	if len(t.rows) == 0 {
+		t.add("none yet", "", "", "", "", "", "", "", "", "")
+	}
+	return t
+}
+
+// summary counts what holds.
+func summary(runs *Runs) string {
+	short, holds, missing := 0, 0, 0
+	for _, n := range needs() {
+		switch v := evaluate(runs, n.value, n.unit, n.plain); {
+		case v.Kind == Missing:
+			missing++
+		case n.bound.factor(v) > 1:
+			short++
+		default:
+			holds++
+		}
+	}
+	return fmt.Sprintf("Of %d needs below %d fall short, %d hold, %d are not measured yet.\n", len(needs()), short, holds, missing)
+}
--- /dev/null
+++ b/internal/experiment/capacity/roles.go
@@ -0,0 +1,206 @@
+package capacity
+
+import (
+	"fmt"
+	"strings"
+
+	"aspenshed/internal/experiment/target"
+)
+
+// role is a part of the installation, as the page lists them.
+type role struct {
+	name, prefix string // prefix of the series that belong to it
+	lines        []line
+}
+
+// line is one quantity of a role at the target, in steady state.
+type line struct {
+	what      string // state, messages, bytes, processor or memory, and of what
+	unit      string
+	value     formula
+	plain     bool // value is one series and nothing else
+	bound     bound
+	mechanism string // by package
+}
+
+// series is a line that one series gives.
+func series(what, unit, name string, b bound, mechanism string) line {
+	return line{what, unit, at(name), true, b, mechanism}
+}
+
+// derived is a line that is worked out.
+func derived(what, unit string, f formula, b bound, mechanism string) line {
+	return line{what, unit, f, false, b, mechanism}
+}
+
+// noBound is for what nobody limits.
+var noBound = bound{}
+
+// Bounds that the operators have not given, and why these.
+const (
+	halfLoaded        = 0.5    // core: the loop is one goroutine, and a machine is to be no more than half loaded
+	stepCores         = 0.05   // core: issue 29 names it as too much for walking alone
+	databaseConns     = 1000.0 // what a stand-in database takes
+	gatewayConns      = 4000.0 // descriptors for databases in the measured gateway's file
+	sideWorkShare     = 0.1    // handshakes or probes for each statement at a database
+	primaryProbeBound = target.DatabaseCapacity * sideWorkShare
+)
+
+func roles() []role {
+	return []role{
+		{"client connection", "client.", []line{
+			series("state: descriptors of a gateway", "1", "client.descriptors-by-clients", bound{8000, assumed}, "netio, frontend/session"),
+			derived("memory: of one idle connection", "B", perClient("client.memory-by-clients"), noBound, "netio, frontend/session, frontend/postgres"),
+			series("memory: resident, of a gateway with all its clients", "B", "client.memory-by-clients", noBound, "netio, frontend/session"),
+			series("processor: of a gateway whose clients are all idle", "core", "client.idle-cores-by-clients", bound{halfLoaded, assumed}, "frontend/session (sweep)"),
+			derived("messages: statements of one connection", "1/s", fixed(target.Statements/target.ClientConns), noBound, "frontend"),
+			derived("bytes: of one connection, both directions", "B/s", shared("client.bytes-by-statements", target.ClientsPerGateway()), noBound, "frontend/postgres, protocol/pgwire"),
+		}},
+		{"gateway, data path", "datapath.", []line{
+			series("state: connections to databases", "1", "datapath.connections-by-members", bound{gatewayConns, assumed}, "dataplane/dispatch (pools)"),
+			series("messages: probes", "1/s", "datapath.probes-by-members", noBound, "routing module (refreshPositions)"),
+			series("messages: handshakes with databases", "1/s", "datapath.handshakes-by-members", noBound, "dataplane/dispatch"),
+			series("messages: reads and writes of sockets", "1/s", "datapath.calls-by-statements", noBound, "netio"),
+			series("bytes: at all sockets, both directions", "B/s", "datapath.bytes-by-statements", noBound, "netio, frontend"),
+			series("processor: of a real gateway before 6 databases", "core", "datapath.cores-by-statements", bound{halfLoaded, assumed}, "all of the data path"),
+			series("processor: of Router.Step before 21,000 databases", "core", "datapath.router-cores-by-members", bound{stepCores, assumed}, "routing module (sweep, fade, earn)"),
+			series("memory: routing and connection state, without sockets", "B", "datapath.heap-by-members", noBound, "routing module, dataplane/routing, dataplane/dispatch"),
+			derived("memory: all of a gateway", "B", gatewayMemory, noBound, "all of the data path"),
+		}},
+		{"gateway, control side", "gateway.", []line{
+			derived("bytes: if each change of a member brings the whole list", "B/s", wholeLists, bound{target.ControlBytes, operators}, "controlplane/store (raft log), as at 64f1608"),
+		}},
+		{"relay", "relay.", []line{
+			derived("state: streams, if 17 machines less 5 voters carry all gateways", "1", fixed(target.Gateways/relayMachines), noBound, "not built"),
+			derived("state: streams of a relay's machine with one lost", "1", fixed(target.Gateways/(relayMachines-1)), noBound, "not built"),
+			derived("state: streams that voters carry then", "1", fixed(relayMachines), noBound, "not built"),
+		}},
+		{"voter", "voter.", []line{
+			derived("state: streams, if 5 voters alone carry all gateways", "1", fixed(target.Gateways/voters), noBound, "controlplane/stream, controlplane/subscription"),
+			derived("state: streams with one voter lost", "1", fixed(target.Gateways/(voters-1)), noBound, "controlplane/stream, controlplane/subscription"),
+		}},
+		{"database, as we load it", "database.", []line{
+			series("state: connections", "1", "database.connections-by-gateways", bound{databaseConns, assumed}, "dataplane/dispatch (a pool each gateway)"),
+			series("messages: statements", "1/s", "database.statements-by-gateways", bound{target.DatabaseCapacity, assumed}, "routing module"),
+			series("messages: probes", "1/s", "database.probes-by-gateways", bound{target.StatementsPerDatabase() * sideWorkShare, assumed}, "routing module (refreshPositions)"),
+			series("messages: handshakes", "1/s", "database.handshakes-by-gateways", bound{target.StatementsPerDatabase() * sideWorkShare, assumed}, "dataplane/dispatch"),
+		}},
+	}
+}
+
+const (
+	voters        = 5.0
+	relayMachines = target.ControlMachines - voters
+)
+
+// perClient is a line's slope.
+func perClient(name string) formula {
+	return func(b *book) (float64, error) { return b.slope(name) }
+}
+
+// shared is a series' value over so many.
+func shared(name string, among float64) formula {
+	return func(b *book) (float64, error) {
+		v, err := b.at(name)
+		return v / among, err
+	}
+}
+
+// gatewayMemory adds clients, routing state and the buffers of connections to databases, each taken for a client's.
+func gatewayMemory(b *book) (float64, error) {
+	clients, err := b.at("client.memory-by-clients")
+	if err != nil {
+		return 0, err
+	}
+	each, err := b.slope("client.memory-by-clients")
+	if err != nil {
+		return 0, err
+	}
+	state, err := b.at("datapath.heap-by-members")
+	if err != nil {
+		return 0, err
+	}
+	connections, err := b.at("datapath.connections-by-members")
+	return clients + state + connections*each, err
+}
+
+// wholeLists is what a gateway receives if every change of a member brings the list as the log holds it.
+func wholeLists(b *book) (float64, error) {
+	list, err := b.at("voter.log-bytes-by-members")
+	return list * target.ChangesPerSecond(), err
+}
+
+// roleTable is the lines of a role, and whatever else the runs hold of it.
+func (r role) table(runs *Runs) *table {
+	t := &table{head: []string{"quantity", "at the target", "margin", "carried by", "from"}}
+	listed := map[string]bool{}
+	for _, l := range r.lines {
+		v := evaluate(runs, l.value, l.unit, l.plain)
+		for _, p := range v.From {
+			listed[p.Slope.Name] = true
+		}
+		t.add(l.what, v.String(), l.bound.margin(v), l.mechanism, v.Basis())
+	}
+	for _, s := range runs.Slopes() {
+		if !strings.HasPrefix(s.Name, r.prefix) || listed[s.Name] || eventSeries(s.Name) {
+			continue
+		}
+		if _, ok := Project(s); ok {
+			v := evaluate(runs, at(s.Name), s.YUnit, true)
+			t.add(s.Y, v.String(), boundOf(s.Name).margin(v), mechanismOf(s.Name), v.Basis())
+		}
+	}
+	if len(t.rows) == 0 {
+		t.add("nothing", "not measured yet", "", "", "")
+	}
+	return t
+}
+
+// eventSeries are those that the table of events shows.
+func eventSeries(name string) bool {
+	for _, part := range []string{"outage", "last-unserved", "writes-lost", "round-probes", "cold-", "first-write"} {
+		if strings.Contains(name, part) {
+			return true
+		}
+	}
+	return false
+}
+
+// controlBounds are the operators' bounds of series that the runs name themselves.
+var controlBounds = []struct {
+	prefix, part string
+	bound        bound
+}{
+	{"gateway.", "cpu", bound{target.ControlCores, operators}},
+	{"gateway.", "cores", bound{target.ControlCores, operators}},
+	{"gateway.", "memory", bound{target.ControlMemory, operators}},
+	{"gateway.", "bytes", bound{target.ControlBytes, operators}},
+	{"gateway.", "in-force", bound{target.InForceMax, operators}},
+}
+
+func boundOf(name string) bound {
+	for _, b := range controlBounds {
+		if strings.HasPrefix(name, b.prefix) && strings.Contains(name, b.part) {
+			return b.bound
+		}
+	}
+	return noBound
+}
+
+// mechanismOf is the packages of a role's series that have no line of their own.
+func mechanismOf(name string) string {
+	role, _, _ := strings.Cut(name, ".")
+	switch role {
+	case "gateway":
+		return "controlplane/subscriber, controlplane/subscription, controlplane/revision"
+	case "voter":
+		return "controlplane/store, controlplane/stream"
+	case "database", "datapath":
+		return "routing module, dataplane"
+	}
+	return ""
+}
+
+func (r role) heading() string {
+	return fmt.Sprintf("### %s%s\n\n", strings.ToUpper(r.name[:1]), r.name[1:])
+}
--- /dev/null
+++ b/internal/experiment/capacity/runs.go
@@ -0,0 +1,103 @@
+// Package capacity turns the committed runs of docs/capacity into the tables and plots of docs/CAPACITY.md: what each
+// role carries at the operators' target, from which slope, and by what factor that falls short.
+package capacity
+
+import (
+	"cmp"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+
+	"aspenshed/internal/experiment/measure"
+)
+
+// Run is a committed run.
+type Run struct {
+	measure.Run
+	File string // its name within docs/capacity
+}
+
+// Slope is a series and the run that it is of.
+type Slope struct {
+	measure.Series
+	Run *Run
+}
+
+// Source names file and commit.
+func (s Slope) Source() string { return fmt.Sprintf("[%s](capacity/%s)", s.Run.short(), s.Run.File) }
+
+func (r *Run) short() string { return r.Experiment + " " + r.Commit }
+
+// Runs are all of them, the oldest first. Where two hold a series of the same name the newer one counts.
+type Runs struct {
+	All    []*Run
+	slopes map[string]Slope
+}
+
+// ReadRuns reads a folder. Files that are no runs are an error: nothing is left out unseen.
+func ReadRuns(dir string) (*Runs, error) {
+	paths, err := filepath.Glob(filepath.Join(dir, "*.json"))
+	if err != nil {
+		return nil, err
+	}
+	var all []*Run
+	for _, path := range paths {
+		b, err := os.ReadFile(path)
+		if err != nil {
+			return nil, err
+		}
+		r := &Run{File: filepath.Base(path)}
+		if err := json.Unmarshal(b, &r.Run); err != nil {
+			return nil, fmt.Errorf("%s: %w", path, err)
+		}
+		all = append(all, r)
+	}
+	return NewRuns(all)
+}
+
+// NewRuns puts runs together. Each fit must be that of its points.
+func NewRuns(all []*Run) (*Runs, error) {
+	slices.SortFunc(all, func(a, b *Run) int {
+		return cmp.Or(a.Started.Compare(b.Started), strings.Compare(a.File, b.File))
+	})
+	runs := &Runs{All: all, slopes: map[string]Slope{}}
+	for _, r := range all {
+		for _, s := range r.Series {
+			fit, err := measure.LeastSquares(s.Points)
+			if err != nil {
+				return nil, fmt.Errorf("%s: %s: %w", r.File, s.Name, err)
+			}
+			if !alike(fit, s.Fit) {
+				return nil, fmt.Errorf("%s: %s: the fit %+v is not that of its points, %+v", r.File, s.Name, s.Fit, fit)
+			}
+			runs.slopes[s.Name] = Slope{s, r}
+		}
+	}
+	return runs, nil
+}
+
+// alike allows for the order of additions.
+func alike(a, b measure.Fit) bool {
+	close := func(x, y, scale float64) bool { return abs(x-y) <= 1e-9*max(abs(x), abs(y), scale) }
+	return close(a.Slope, b.Slope, 0) && close(a.Intercept, b.Intercept, abs(a.Slope))
+}
+
+func abs(x float64) float64 { return max(x, -x) }
+
+// Slope is the series of that name.
+func (r *Runs) Slope(name string) (Slope, bool) {
+	s, ok := r.slopes[name]
+	return s, ok
+}
+
+// Slopes are all that count, by name.
+func (r *Runs) Slopes() (out []Slope) {
+	for _, s := range r.slopes {
+		out = append(out, s)
+	}
+	slices.SortFunc(out, func(a, b Slope) int { return strings.Compare(a.Name, b.Name) })
+	return out
+}
--- a/internal/experiment/datapath/datapath.go
+++ b/internal/experiment/datapath/datapath.go
@@ -60,7 +60,7 @@
 		known = true
 		begun := time.Now()
 		r.note("%s: load average %s at its start", e.name, loadAverage())
-		if err := e.run(r, o); err != nil {
+		if err := onOneThread(func() error { return e.run(r, o) }); err != nil {
 			return r.run, fmt.Errorf("%s: %w", e.name, err)
 		}
 		r.progress("%s done in %s", e.name, time.Since(begun).Round(time.Second))
--- a/internal/experiment/datapath/gateway.go
+++ b/internal/experiment/datapath/gateway.go
@@ -40,7 +40,7 @@
 	served  bool
 }
 
-// steps is what the routing module was asked, and how long it took in real time.
+// steps is what the routing module was asked, and the processor time that it took.
 type steps struct {
 	count int
 	took  time.Duration
@@ -54,9 +54,9 @@
 
 // Step counts and passes on.
 func (t timed) Step(now aspenshed.Nanos, events []aspenshed.Event) []aspenshed.Action {
-	begun := time.Now()
+	begun := threadTime()
 	actions := t.Decider.Step(now, events)
-	t.steps.took += time.Since(begun)
+	t.steps.took += threadTime() - begun
 	t.steps.count++
 	return actions
 }
--- a/internal/experiment/datapath/statements.go
+++ b/internal/experiment/datapath/statements.go
@@ -30,17 +30,18 @@
 			if err != nil {
 				return err
 			}
-			served, begun := l.served.Load(), time.Now()
+			served, bytes, begun := l.served.Load(), l.bytes.Load(), time.Now()
 			time.Sleep(watch)
 			after, err := p.usage()
 			seconds := time.Since(begun).Seconds()
-			done := float64(l.served.Load()-served) / seconds
+			done, clientBytes := float64(l.served.Load()-served)/seconds, float64(l.bytes.Load()-bytes)/seconds
 			unserved := l.stop()
 			if err != nil {
 				return err
 			}
 			c.add("data path", "datapath.cores-by-statements", "processor time of a real gateway", "core", done, (after.cores-before.cores)/seconds)
 			c.add("data path", "datapath.bytes-by-statements", "bytes at a real gateway's sockets, all directions", "B/s", done, (after.bytes-before.bytes)/seconds)
+			c.add("client", "client.bytes-by-statements", "bytes at all clients' sockets, both directions", "B/s", done, clientBytes)
 			c.add("data path", "datapath.calls-by-statements", "reads and writes of a real gateway", "1/s", done, (after.calls-before.calls)/seconds)
 			r.progress("statements: %.0f/s served of %.0f asked, %d not served", done, rate, unserved)
 		}
@@ -51,6 +52,7 @@
 // load is clients that ask at a steady rate together.
 type load struct {
 	served, unserved atomic.Int64
+	bytes            atomic.Int64 // at the clients' sockets, both directions
 	quit             atomic.Bool
 	wg               sync.WaitGroup
 }
@@ -78,7 +80,9 @@
 	for n := number; !l.quit.Load(); n++ {
 		time.Sleep(time.Until(next))
 		next = next.Add(pause)
+		before := x.bytes
 		code, err := x.ask(mix[n%len(mix)], time.Now().UnixNano())
+		l.bytes.Add(int64(x.bytes - before))
 		if err != nil {
 			l.unserved.Add(1)
 			return
--- a/internal/experiment/datapath/step.go
+++ b/internal/experiment/datapath/step.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"slices"
-	"time"
 
 	"aspenshed"
 
@@ -30,7 +29,7 @@
 			members = members[1:]
 		}
 		s := measure.Series{Name: fmt.Sprintf("datapath.step-by-members-%d", flying), Role: "data path", X: "members", XUnit: "1",
-			Y: "time of one Router.Step", YUnit: "s", Held: fmt.Sprintf("%d requests in flight, one request and one answer a step", flying)}
+			Y: "processor time of one Router.Step", YUnit: "s", Held: fmt.Sprintf("%d requests in flight, one request and one answer a step", flying)}
 		for _, m := range members {
 			took, err := stepTime(m, flying, steps, o.Seed)
 			if err != nil {
@@ -43,7 +42,7 @@
 		}
 	}
 	s := measure.Series{Name: "datapath.step-by-in-flight", Role: "data path", X: "requests in flight", XUnit: "1",
-		Y: "time of one Router.Step", YUnit: "s", Held: fmt.Sprintf("%d members, one request and one answer a step", most)}
+		Y: "processor time of one Router.Step", YUnit: "s", Held: fmt.Sprintf("%d members, one request and one answer a step", most)}
 	for _, flying := range inFlight {
 		took, err := stepTime(most, flying, steps, o.Seed)
 		if err != nil {
@@ -54,7 +53,7 @@
 	return r.series(s)
 }
 
-// stepTime is the median over trials of the mean time of a Step.
+// stepTime is the median over trials of the mean processor time of a Step.
 func stepTime(members, inFlight, steps int, seed uint64) (float64, error) {
 	d, err := newStepDriver(members, inFlight, seed)
 	if err != nil {
@@ -62,11 +61,11 @@
 	}
 	var trials []float64
 	for range stepTrials {
-		begun := time.Now()
+		begun := threadTime()
 		for range steps {
 			d.step()
 		}
-		trials = append(trials, time.Since(begun).Seconds()/float64(steps))
+		trials = append(trials, (threadTime()-begun).Seconds()/float64(steps))
 	}
 	slices.Sort(trials)
 	return trials[len(trials)/2], nil
--- /dev/null
+++ b/internal/experiment/datapath/threadtime.go
@@ -0,0 +1,24 @@
+package datapath
+
+import (
+	"runtime"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// onOneThread runs f on one thread, so that threadTime tells what f alone has used however busy the machine is.
+func onOneThread(f func() error) error {
+	runtime.LockOSThread()
+	defer runtime.UnlockOSThread()
+	return f()
+}
+
+// threadTime is the processor time that the calling thread has used.
+func threadTime() time.Duration {
+	var t unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t) != nil {
+		return 0
+	}
+	return time.Duration(t.Nano())
+}
