--- a/internal/experiment/datapath/cold.go
+++ b/internal/experiment/datapath/cold.go
@@ -22,7 +22,7 @@
 		name, told string
 		change     func(s *aspenshed.Settings, gateways int)
 	}{
-		{"safe-share", "each with a safe share of (1-0.5)/N of a cold database and no lease", func(s *aspenshed.Settings, n int) {
+		{"safe-share", "each with a safe share of (1-0.5)/N of a cold database, the agreed rate and no lease", func(s *aspenshed.Settings, n int) {
 			s.SafeShare, s.ColdLongest = (1-leasePool)/float64(n), coldLongest
 		}},
 		{"no-leases", "no leases, " + toldOne, func(*aspenshed.Settings, int) {}},
@@ -40,7 +40,11 @@
 			}
 			w.run(worldStart + settle)
 			d := w.databases[len(w.databases)-1]
+			rate := w.warmRate()
 			w.restart(d)
+			if s.SafeShare > 0 {
+				w.agree(d, rate)
+			}
 			before := d.statements
 			w.run(worldStart + settle + watch)
 			x := float64(n)
@@ -55,3 +59,21 @@
 	}
 	return nil
 }
+
+// warmRate is what the catalog would hold of the first group: the sum over gateways of the work a second that its warm
+// members answer.
+func (w *world) warmRate() (rate float64) {
+	for _, g := range w.gateways {
+		if l := g.router.Learned(); len(l.Groups) > 0 {
+			rate += l.Groups[0].Warm
+		}
+	}
+	return rate
+}
+
+// agree tells all gateways what the store holds of a database that has just started.
+func (w *world) agree(d *database, rate float64) {
+	for _, g := range w.gateways {
+		g.pipeline.Tell(aspenshed.ColdShare{Member: d.id, StartedAt: w.clock.now, Rate: rate})
+	}
+}
--- a/internal/experiment/datapath/gateway.go
+++ b/internal/experiment/datapath/gateway.go
@@ -20,6 +20,7 @@
 	world    *world
 	loop     *eventloop.Loop
 	pipeline *pipeline.Pipeline
+	router   *aspenshed.Router
 	byID     map[string]*database
 	random   *rand.Rand
 	due      aspenshed.Nanos
@@ -78,6 +79,7 @@
 			MostHeld: mostHeld, Backend: g, Watch: func() {}})
 		g.pipeline.Routing.Make = func(s aspenshed.Settings, seed uint64) (routing.Decider, error) {
 			r, err := aspenshed.New(s, seed)
+			g.router = r
 			return timed{r, &g.steps}, err
 		}
 		if err := g.pipeline.Start(list, addresses); err != nil {
