--- a/internal/experiment/capacity/arithmetic_test.go
+++ b/internal/experiment/capacity/arithmetic_test.go
@@ -28,6 +28,8 @@
 	t.Helper()
 	runs, err := NewRuns([]*Run{
 		lineRun(t, "voter.log-bytes-by-members", "members of the inventory", 100, 63, 2100, 10500),
+		lineRun(t, "client.connect-time-by-clients", "clients", 0.1, 0.0005, 500, 4000),
+		lineRun(t, "gateway.bytes-by-gateways", "gateways", 400, 0, 150, 2400),
 		lineRun(t, "voter.catalog-bytes-by-groups", "groups", 0, 86, 35, 350),
 		lineRun(t, "client.memory-by-clients", "clients", 20e6, 10e3, 500, 4000),
 		lineRun(t, "datapath.heap-by-members", "members", 1e6, 1000, 2100, 10500),
@@ -56,6 +58,11 @@
 		{"a zone's changes, whole lists: 1,323,100 x 21,000 / 19", zoneWhole, 1462373684},
 		{"a zone's changes, members alone: 63 x 1,105.26", zoneChanges, 69631.6},
 		{"snapshots of all: 1,323,100 x 2,400", allSnapshots, 3175440000},
+		{"a zone's gateways back: 1,323,100 x 2,400 / 19", zoneSnapshots, 167128421},
+		{"each voter of 5, within 11 s", zoneSnapshotRate, 3038698.6},
+		{"a lost gateway's clients: 6,666.67 x 0.5 ms", lostClients, 3.33333},
+		{"streams: 200 times 400 B/s", times("gateway.bytes-by-gateways", 200), 80000},
+		{"a line at 0", intercept("client.memory-by-clients"), 20e6},
 		{"one client: the slope", perClient("client.memory-by-clients"), 10000},
 		{"bytes of one client: 400 x 1,208.33 / 6,666.67", shared("client.bytes-by-statements", 6666.667), 72.5},
 		{"memory: 86.67 MB of clients, 22 MB of state, 10,500 connections of 10 kB", gatewayMemory, 213666667},
@@ -129,7 +136,7 @@
 		want string
 	}{
 		{0, "B", "0 B"}, {999, "B", "999 B"}, {1234567, "B", "1.23 MB"}, {960e3, "B/s", "960 kB/s"}, {4.2e-6, "s", "4.2 µs"}, {3e-10, "s", "3e-10 s"},
-		{0.0123, "s", "12.3 ms"}, {12, "s", "12 s"}, {21000, "1", "21,000"}, {1208.33, "1/s", "1,210/s"}, {0.021, "core", "0.021 core"},
+		{0.0123, "s", "12.3 ms"}, {12, "s", "12 s"}, {21000, "1", "21,000"}, {1105.26, "1", "1,105"}, {1208.33, "1/s", "1,210/s"}, {0.021, "core", "0.021 core"},
 		{-0.5, "core", "-0.5 core"}, {1.6e7, "1", "16,000,000"},
 	} {
 		if got := quantity(c.v, c.unit); got != c.want {
--- a/internal/experiment/capacity/events.go
+++ b/internal/experiment/capacity/events.go
@@ -31,6 +31,7 @@
 	return []loss{
 		{"machine of a gateway", fmt.Sprintf("%s a day, all roles", number(target.MachineFailures)), []effect{
 			{"clients that come to each other gateway", "1", fixed(target.ClientsPerGateway() / (target.Gateways - 1)), false, noBound},
+			{"processor time of all others to take them", "s", lostClients, false, noBound},
 			{"connections to databases that its successor opens", "1", at("datapath.connections-by-members"), true, noBound},
 		}},
 		{"machine of a primary", fmt.Sprintf("%s changes of primary a day", number(target.PrimaryChanges)), []effect{
@@ -38,6 +39,7 @@
 			{"until 99% of writes are served, process gone, gateways told their number", "s", at("datapath.outage-by-gateways-crash-told"), true, bound{target.PrimaryChangeMax, operators}},
 			{"until 99% of writes are served, machine silent, as the daemon is", "s", at("datapath.outage-by-gateways-silent"), true, bound{target.PrimaryChangeMax, operators}},
 			{"until 99% of writes are served, machine silent, gateways told their number", "s", at("datapath.outage-by-gateways-silent-told"), true, bound{target.PrimaryChangeMax, operators}},
+			{"from another's being primary to the first served write, one real gateway, process gone", "s", intercept("datapath.first-write-by-hand-over"), true, noBound},
 			{"probes at a database in the worst second, process gone, as the daemon is", "1/s", at("database.round-probes-by-gateways-crash"), true, bound{primaryProbeBound, assumed}},
 			{"the same, gateways told their number", "1/s", at("database.round-probes-by-gateways-crash-told"), true, bound{primaryProbeBound, assumed}},
 			{"the same, machine silent, as the daemon is", "1/s", at("database.round-probes-by-gateways-silent"), true, bound{primaryProbeBound, assumed}},
@@ -55,6 +57,10 @@
 			{"primaries gone at once", "1", fixed(target.DatabasesPerZone() / target.GroupSize), false, noBound},
 			{"bytes to each gateway for its changes, if each brings the whole list", "B", zoneWhole, false, noBound},
 		}},
+		{"all gateways of a zone back at once", "as a zone's loss", []effect{
+			{"state that they read, if each needs a whole list as the log holds it", "B", zoneSnapshots, false, noBound},
+			{"of that each of 5 voters sends, if it is to be over in 11 s", "B/s", zoneSnapshotRate, false, noBound},
+		}},
 		{"region cut off", "several times a year, minutes", []effect{
 			{"gateways that go on by their last state", "1", fixed(target.GatewaysPerRegion()), false, noBound},
 			{"clients that stay with them", "1", fixed(target.ClientConns / target.Regions), false, noBound},
@@ -66,6 +72,9 @@
 		{"restart of everything", "not asked for a rate", []effect{
 			{"state that each gateway reads, whole list", "B", at("voter.log-bytes-by-members"), true, noBound},
 			{"the same for all gateways", "B", allSnapshots, false, noBound},
+			{"processor time of a gateway to take its clients and a first statement of each", "s", at("client.connect-time-by-clients"), true, noBound},
+			{"handshakes at a database in the worst second", "1/s", at("database.start-handshakes-by-gateways"), true, bound{sideWork, assumed}},
+			{"probes at a database in the worst second", "1/s", at("database.start-probes-by-gateways"), true, bound{primaryProbeBound, assumed}},
 			{"connections that a database accepts anew", "1", at("database.connections-by-gateways"), true, bound{databaseConns, assumed}},
 		}},
 		{"start of one database, cold", fmt.Sprintf("%s restarts a day, all roles", number(target.Restarts)), []effect{
@@ -93,6 +102,22 @@
 	return each * target.DatabasesPerZone(), err
 }
 
+// lostClients is what a lost gateway's clients cost the others.
+func lostClients(b *book) (float64, error) {
+	each, err := b.slope("client.connect-time-by-clients")
+	return each * target.ClientsPerGateway(), err
+}
+
+func zoneSnapshots(b *book) (float64, error) {
+	list, err := b.at("voter.log-bytes-by-members")
+	return list * target.GatewaysPerZone(), err
+}
+
+func zoneSnapshotRate(b *book) (float64, error) {
+	all, err := zoneSnapshots(b)
+	return all / voters / target.InForceMax, err
+}
+
 func allSnapshots(b *book) (float64, error) {
 	list, err := b.at("voter.log-bytes-by-members")
 	return list * target.Gateways, err
@@ -124,7 +149,7 @@
 				}
 				processes += fmt.Sprintf("%s %s %s %s", u.Role, u.Process, quantity(u.Cores, "core"), quantity(u.Memory, "B"))
 			}
-			t.add(e.Name, Slope{Run: r}.Source(), number(float64(e.Gateways)), number(float64(e.Members)), quantity(e.Seconds, "s"),
+			t.add(e.Name, r.reference(), number(float64(e.Gateways)), number(float64(e.Members)), quantity(e.Seconds, "s"),
 				fmt.Sprintf("%s / %s / %s of %s", quantity(e.InForce.P50, "s"), quantity(e.InForce.P99, "s"), quantity(e.InForce.Max, "s"), number(float64(e.InForce.Count))),
 				quantity(e.GatewayBytes, "B/s"), quantity(e.WorstMinuteBytes, "B/s"), processes)
 		}
@@ -149,7 +174,7 @@
 			if c.Detail != "" {
 				result += ": " + c.Detail
 			}
-			t.add(c.Name, Slope{Run: r}.Source(), quantity(c.Bound, c.Unit), quantity(c.Value, c.Unit), result)
+			t.add(c.Name, r.reference(), quantity(c.Bound, c.Unit), quantity(c.Value, c.Unit), result)
 		}
 	}
 	if len(t.rows) == 0 {
--- a/internal/experiment/capacity/format.go
+++ b/internal/experiment/capacity/format.go
@@ -61,7 +61,7 @@
 	}
 	switch unit {
 	case "", "1":
-		return number(v)
+		return numberTo(v, 4)
 	case "1/s":
 		return number(v) + "/s"
 	case "core":
--- a/internal/experiment/capacity/page.go
+++ b/internal/experiment/capacity/page.go
@@ -37,7 +37,7 @@
 		"events":  eventTable(runs).String(),
 		"checks":  checkTable(runs).String(),
 		"claims":  claimTable(runs).String(),
-		"runs":    runTable(runs).String(),
+		"runs":    runTable(runs).String() + references(runs),
 		"slopes":  slopeTable(runs).String(),
 		"plots":   plots,
 		"summary": summary(runs),
@@ -139,7 +139,7 @@
 func runTable(runs *Runs) *table {
 	t := &table{head: []string{"run", "began", "took", "machine", "command", "notes"}}
 	for _, r := range runs.All {
-		t.add(Slope{Run: r}.Source(), r.Started.Format("2006-01-02 15:04"), quantity(r.Seconds, "s"), r.Machine, "`"+r.Command+"`", strings.Join(r.Notes, "; "))
+		t.add(r.reference(), r.Started.Format("2006-01-02 15:04"), quantity(r.Seconds, "s"), r.Machine, "`"+r.Command+"`", strings.Join(r.Notes, "; "))
 	}
 	if len(t.rows) == 0 {
 		t.add("none yet", "", "", "", "", "")
@@ -147,6 +147,15 @@
 	return t
 }
 
+// references say where the files lie that the tables name.
+func references(runs *Runs) string {
+	var b strings.Builder
+	for _, r := range runs.All {
+		fmt.Fprintf(&b, "\n%s: capacity/%s", r.reference(), r.File)
+	}
+	return b.String() + "\n"
+}
+
 func slopeTable(runs *Runs) *table {
 	t := &table{head: []string{"series", "quantity", "by", "slope", "intercept", "R²", "largest residual", "points", "held still", "run"}}
 	for _, s := range runs.Slopes() {
--- a/internal/experiment/capacity/projection.go
+++ b/internal/experiment/capacity/projection.go
@@ -74,7 +74,7 @@
 	text := fmt.Sprintf("%s to %s %s", number(least), number(most), p.Slope.X)
 	switch {
 	case p.Measured:
-		return text + ", the target measured"
+		return text + ", measured there"
 	case p.Factor > 1:
 		return fmt.Sprintf("%s, %s times beyond", text, number(p.Factor))
 	}
--- a/internal/experiment/capacity/ranked.go
+++ b/internal/experiment/capacity/ranked.go
@@ -33,6 +33,8 @@
 		{"probes at a database, steady", "1/s", at("database.probes-by-gateways"), true, bound{sideWork, assumed}, "each gateway asks for itself how far a replica is, for bounded reads"},
 		{"probes at a database, worst second, primary's process gone, as the daemon is", "1/s", at("database.round-probes-by-gateways-crash"), true, bound{primaryProbeBound, assumed}, "the daemon tells each gateway that it is the only one"},
 		{"probes at a database, worst second, primary's process gone, gateways told their number", "1/s", at("database.round-probes-by-gateways-crash-told"), true, bound{primaryProbeBound, assumed}, "steady probes go on beside the rounds"},
+		{"probes at a database, worst second after all gateways start", "1/s", at("database.start-probes-by-gateways"), true, bound{primaryProbeBound, assumed}, "no position is known yet"},
+		{"handshakes at a database, worst second after all gateways start", "1/s", at("database.start-handshakes-by-gateways"), true, bound{sideWork, assumed}, "no connection is there yet"},
 		{"Router.Step of a gateway before 21,000 databases", "core", at("datapath.router-cores-by-members"), true, bound{stepCores, assumed}, "walks all groups each step and all members each 50 ms"},
 		{"whole data path of a gateway before 6 databases", "core", at("datapath.cores-by-statements"), true, bound{halfLoaded, assumed}, "one loop and one poller"},
 		{"whole data path of a gateway before 21,000 databases", "core", wholeGateway, false, bound{halfLoaded, assumed}, "the sum of the two above"},
--- a/internal/experiment/capacity/roles.go
+++ b/internal/experiment/capacity/roles.go
@@ -10,6 +10,7 @@
 // role is a part of the installation, as the page lists them.
 type role struct {
 	name, prefix string // prefix of the series that belong to it
+	whole        bool   // lines are all that is to be listed: other series are of events, or of another axis
 	lines        []line
 }
 
@@ -51,26 +52,30 @@
 
 func roles() []role {
 	return []role{
-		{"client connection", "client.", []line{
+		{"client connection", "client.", true, []line{
 			series("state: descriptors of a gateway", "1", "client.descriptors-by-clients", bound{clientDescriptors, assumed}, "netio, frontend/session"),
 			derived("memory: of one idle connection", "B", perClient("client.memory-by-clients"), noBound, "netio, frontend/session, frontend/postgres"),
 			series("memory: resident, of a gateway with all its clients", "B", "client.memory-by-clients", noBound, "netio, frontend/session"),
 			series("processor: of a gateway whose clients are all idle", "core", "client.idle-cores-by-clients", bound{halfLoaded, assumed}, "frontend/session (sweep)"),
+			derived("processor: of a gateway for a new connection and its first statement", "s", perClient("client.connect-time-by-clients"), noBound, "netio, frontend"),
 			derived("messages: statements of one connection", "1/s", fixed(target.Statements/target.ClientConns), noBound, "frontend"),
 			derived("bytes: of one connection, both directions", "B/s", shared("client.bytes-by-statements", target.ClientsPerGateway()), noBound, "frontend/postgres, protocol/pgwire"),
 		}},
-		{"gateway, data path", "datapath.", []line{
+		{"gateway, data path", "datapath.", true, []line{
 			series("state: connections to databases", "1", "datapath.connections-by-members", bound{gatewayConns, assumed}, "dataplane/dispatch (pools)"),
 			series("messages: probes", "1/s", "datapath.probes-by-members", noBound, "routing module (refreshPositions)"),
 			series("messages: handshakes with databases", "1/s", "datapath.handshakes-by-members", noBound, "dataplane/dispatch"),
+			series("messages: calls of Router.Step", "1/s", "datapath.steps-by-members", noBound, "dataplane/eventloop, dataplane/routing"),
 			series("messages: reads and writes of sockets", "1/s", "datapath.calls-by-statements", noBound, "netio"),
 			series("bytes: at all sockets, both directions", "B/s", "datapath.bytes-by-statements", noBound, "netio, frontend"),
 			series("processor: of a real gateway before 6 databases", "core", "datapath.cores-by-statements", bound{halfLoaded, assumed}, "all of the data path"),
 			series("processor: of Router.Step before 21,000 databases", "core", "datapath.router-cores-by-members", bound{stepCores, assumed}, "routing module (sweep, fade, earn)"),
+			series("processor: of one Router.Step, 100 requests in flight", "s", "datapath.step-by-members-100", noBound, "routing module"),
+			series("processor: of one Router.Step, 1,200 requests in flight", "s", "datapath.step-by-members-1200", noBound, "routing module (watchFlights)"),
 			series("memory: routing and connection state, without sockets", "B", "datapath.heap-by-members", noBound, "routing module, dataplane/routing, dataplane/dispatch"),
 			derived("memory: all of a gateway", "B", gatewayMemory, noBound, "all of the data path"),
 		}},
-		{"gateway, control side", "gateway.", []line{
+		{"gateway, control side", "gateway.", false, []line{
 			series("bytes: control stream, both directions", "B/s", "gateway.bytes-by-gateways", bound{target.ControlBytes, operators}, controlSide),
 			series("messages: control stream", "1/s", "gateway.messages-by-gateways", noBound, controlSide),
 			series("processor", "core", "gateway.cpu-by-gateways", bound{target.ControlCores, operators}, controlSide),
@@ -78,20 +83,23 @@
 			series("state: memory with all databases", "B", "gateway.memory-by-members", bound{target.ControlMemory, operators}, "controlplane/revision"),
 			series("in force after a commit, slowest gateway", "s", "gateway.in-force-max-by-gateways", bound{target.InForceMax, operators}, controlSide),
 		}},
-		{"relay", "relay.", []line{
+		{"relay", "relay.", false, []line{
 			derived("state: streams, if 17 machines less 5 voters carry all gateways", "1", fixed(target.Gateways/relayMachines), noBound, "not built"),
 			derived("state: streams of a relay's machine with one lost", "1", fixed(target.Gateways/(relayMachines-1)), noBound, "not built"),
 			derived("state: streams that voters carry then", "1", fixed(relayMachines), noBound, "not built"),
+			derived("bytes: of a relay's streams to gateways", "B/s", times("gateway.bytes-by-gateways", target.Gateways/relayMachines), noBound, "not built"),
+			derived("bytes: of a voter's streams to relays", "B/s", times("gateway.bytes-by-gateways", relayMachines/voters), noBound, "not built"),
 		}},
-		{"voter", "voter.", []line{
+		{"voter", "voter.", false, []line{
 			derived("state: streams, if 5 voters alone carry all gateways", "1", fixed(target.Gateways/voters), noBound, "controlplane/stream, controlplane/subscription"),
 			derived("state: streams with one voter lost", "1", fixed(target.Gateways/(voters-1)), noBound, "controlplane/stream, controlplane/subscription"),
+			derived("bytes: of a voter's streams to gateways, without relays", "B/s", times("gateway.bytes-by-gateways", target.Gateways/voters), noBound, controlServer),
 			series("processor: the busiest", "core", "voter.cpu-max-by-gateways", bound{halfMachine, assumed}, controlServer),
 			series("memory: the largest", "B", "voter.memory-max-by-gateways", noBound, controlServer),
 			series("bytes: written by all voters, sockets and log", "B/s", "voter.bytes-out-by-gateways", noBound, controlServer),
 			series("messages: writes of all voters", "1/s", "voter.writes-by-gateways", noBound, controlServer),
 		}},
-		{"database, as we load it", "database.", []line{
+		{"database, as we load it", "database.", true, []line{
 			series("state: connections", "1", "database.connections-by-gateways", bound{databaseConns, assumed}, "dataplane/dispatch (a pool each gateway)"),
 			series("messages: statements", "1/s", "database.statements-by-gateways", bound{target.DatabaseCapacity, assumed}, "routing module"),
 			series("messages: probes", "1/s", "database.probes-by-gateways", bound{sideWork, assumed}, "routing module (refreshPositions)"),
@@ -123,6 +131,9 @@
 	}
 }
 
+// times is a series' value so often.
+func times(name string, often float64) formula { return shared(name, 1/often) }
+
 // gatewayMemory adds clients, routing state and the buffers of connections to databases, each taken for a client's.
 func gatewayMemory(b *book) (float64, error) {
 	clients, err := b.at("client.memory-by-clients")
@@ -159,7 +170,7 @@
 		t.add(l.what, v.String(), l.bound.margin(v), l.mechanism, v.Basis())
 	}
 	for _, s := range runs.Slopes() {
-		if !strings.HasPrefix(s.Name, r.prefix) || listed[s.Name] || eventSeries(s.Name) {
+		if r.whole || !strings.HasPrefix(s.Name, r.prefix) || listed[s.Name] {
 			continue
 		}
 		if _, ok := Project(s); ok {
@@ -173,16 +184,6 @@
 	return t
 }
 
-// eventSeries are those that the table of events shows.
-func eventSeries(name string) bool {
-	for _, part := range []string{"outage", "last-unserved", "writes-lost", "round-probes", "cold-", "first-write"} {
-		if strings.Contains(name, part) {
-			return true
-		}
-	}
-	return false
-}
-
 // controlBounds are the operators' bounds of series that the runs name themselves.
 var controlBounds = []struct {
 	prefix, part string
--- a/internal/experiment/capacity/runs.go
+++ b/internal/experiment/capacity/runs.go
@@ -26,10 +26,10 @@
 	Run *Run
 }
 
-// Source names file and commit.
-func (s Slope) Source() string { return fmt.Sprintf("[%s](capacity/%s)", s.Run.short(), s.Run.File) }
+// Source names experiment and commit; the page's end says where that file lies.
+func (s Slope) Source() string { return s.Run.reference() }
 
-func (r *Run) short() string { return r.Experiment + " " + r.Commit }
+func (r *Run) reference() string { return fmt.Sprintf("[%s %s]", r.Experiment, r.Commit) }
 
 // Runs are all of them, the oldest first. Where two hold a series of the same name the newer one counts.
 type Runs struct {
--- a/internal/experiment/capacity/value.go
+++ b/internal/experiment/capacity/value.go
@@ -58,6 +58,17 @@
 	return b.from[len(b.from)-1].Slope.Fit.Slope, nil
 }
 
+// interceptOf is the line's value at 0, whether or not its axis has a target.
+func (b *book) interceptOf(name string) (float64, error) {
+	s, ok := b.runs.Slope(name)
+	if !ok {
+		return 0, fmt.Errorf("%s: %w", name, errMissing)
+	}
+	p := projectTo(s, 0)
+	b.from = append(b.from, p)
+	return s.Fit.Intercept, nil
+}
+
 // formula works an amount out.
 type formula func(*book) (float64, error)
 
@@ -66,6 +77,11 @@
 	return func(b *book) (float64, error) { return b.at(name) }
 }
 
+// intercept is the formula of a line's value at 0.
+func intercept(name string) formula {
+	return func(b *book) (float64, error) { return b.interceptOf(name) }
+}
+
 // fixed is a formula of the operators' figures alone.
 func fixed(v float64) formula {
 	return func(*book) (float64, error) { return v, nil }
--- a/internal/experiment/datapath/clients.go
+++ b/internal/experiment/datapath/clients.go
@@ -48,7 +48,11 @@
 	return realGateway(limits(), func(p *process) error {
 		c := newCurves("clients", "1", fmt.Sprintf("one real gateway on loopback, %d stand-in databases, every client idle after one statement", databasesOfRealGateway))
 		var all []*clientConn
-		refused := 0
+		refused, taking := 0, 0.0
+		asked, err := p.usage()
+		if err != nil {
+			return err
+		}
 		defer func() {
 			for _, x := range all {
 				_ = x.c.Close()
@@ -67,6 +71,11 @@
 				}
 				refused += n
 			}
+			taken, err := p.usage()
+			if err != nil {
+				return err
+			}
+			taking += taken.cores - asked.cores
 			time.Sleep(quiet / 2) // its garbage collector's pace
 			before, err := p.usage()
 			if err != nil {
@@ -79,6 +88,8 @@
 			}
 			x := float64(n)
 			c.add("client", "client.memory-by-clients", "resident memory of a gateway", "B", x, after.resident)
+			c.add("client", "client.connect-time-by-clients", "processor time of a gateway to take so many clients and a first statement of each", "s", x, taking)
+			asked = after
 			c.add("client", "client.descriptors-by-clients", "descriptors of a gateway", "1", x, after.descriptors)
 			c.add("client", "client.idle-cores-by-clients", "processor time of a gateway whose clients are idle", "core", x, (after.cores-before.cores)/quiet.Seconds())
 			r.progress("clients: %d, %.0f MB", n, after.resident/1e6)
--- a/internal/experiment/datapath/group.go
+++ b/internal/experiment/datapath/group.go
@@ -8,6 +8,8 @@
 	"aspenshed/internal/experiment/target"
 )
 
+const startWatch = 20 * second // after all gateways have started
+
 func fleetSizes(o Options) []int {
 	if o.Short {
 		return []int{5, 10}
@@ -53,6 +55,7 @@
 		if err != nil {
 			return err
 		}
+		start := w.worstSecond(worldStart + min(span.settle, startWatch))
 		w.run(worldStart + span.settle)
 		from := countsOf(w)
 		w.run(worldStart + span.settle + span.watch)
@@ -60,6 +63,8 @@
 		_, connections := w.counts()
 		each := float64(len(w.databases))
 		per := func(n int) float64 { return float64(n) / each / (float64(span.watch) / 1e9) }
+		c.add("database", "database.start-handshakes-by-gateways", "handshakes at a database in the worst second after all gateways start", "1/s", float64(n), start.handshakes)
+		c.add("database", "database.start-probes-by-gateways", "probes at a database in the worst second after all gateways start", "1/s", float64(n), start.probes)
 		c.add("database", "database.connections-by-gateways", "connections at a database", "1", float64(n), float64(connections)/each)
 		c.add("database", "database.handshakes-by-gateways", "handshakes at a database", "1/s", float64(n), per(to.handshakes-from.handshakes))
 		c.add("database", "database.probes-by-gateways", "probes at a database", "1/s", float64(n), per(to.probes-from.probes))
--- a/internal/experiment/datapath/primary.go
+++ b/internal/experiment/datapath/primary.go
@@ -12,7 +12,6 @@
 	handOver       = 1 * second // from the primary's loss until another database is the primary: the databases' own doing
 	primaryWatch   = 30 * second
 	primarySeeds   = 3          // histories of each number of gateways, each a point
-	probeWindow    = 1 * second // over which the worst rate of probes is taken
 	servedWindow   = 1 * second // over which the share of writes served is taken
 	servedEnough   = 0.99
 	deadlineOfSlow = statementWait + second
@@ -94,26 +93,10 @@
 	}
 	w.run(lost)
 	w.lose(w.databases[0], how)
-	before := probeCounts(w)
-	for at := lost; at < lost+watch; at += probeWindow {
-		if at == lost+handOver {
-			w.databases[1].model.Primary = true
-		}
-		w.run(at + probeWindow)
-		now := probeCounts(w)
-		for i := range now {
-			probes = max(probes, float64(now[i]-before[i])/(float64(probeWindow)/1e9))
-		}
-		before = now
-	}
-	return outageOf(writes, lost, lost+watch-deadlineOfSlow), probes, nil
-}
-
-func probeCounts(w *world) (counts []int) {
-	for _, d := range w.databases {
-		counts = append(counts, d.probes)
-	}
-	return counts
+	without := w.worstSecond(lost + handOver)
+	w.databases[1].model.Primary = true
+	with := w.worstSecond(lost + watch)
+	return outageOf(writes, lost, lost+watch-deadlineOfSlow), max(without.probes, with.probes), nil
 }
 
 // outageOf takes the writes that came from the loss until the end of those whose answers must be known.
