--- a/internal/experiment/capacity/arithmetic_test.go
+++ b/internal/experiment/capacity/arithmetic_test.go
@@ -98,7 +98,10 @@
 			t.Errorf("%s: kind %d, want %d", c.name, v.Kind, c.want)
 		}
 	}
-	if v := evaluate(runs, wholeLists, "B/s", false); !strings.HasSuffix(v.String(), "(worked out)") || !strings.Contains(v.Basis(), "2 times beyond") {
+	if v := evaluate(runs, at("voter.log-bytes-by-members"), "B", true); v.String() != "1.32 MB (extrapolated 2 times)" {
+		t.Errorf("%s", v)
+	}
+	if v := evaluate(runs, wholeLists, "B/s", false); !strings.HasSuffix(v.String(), "(worked out)") || !strings.Contains(v.Basis(), "extrapolated 2 times") {
 		t.Errorf("%s from %s", v, v.Basis())
 	}
 }
--- a/internal/experiment/capacity/events.go
+++ b/internal/experiment/capacity/events.go
@@ -55,7 +55,7 @@
 			{"statements at each other gateway", "1/s", fixed(target.Statements / left), false, noBound},
 			{"databases gone at once", "1", fixed(target.DatabasesPerZone()), false, noBound},
 			{"primaries gone at once", "1", fixed(target.DatabasesPerZone() / target.GroupSize), false, noBound},
-			{"bytes to each gateway for its changes, if each brings the whole list", "B", zoneWhole, false, noBound},
+			{"bytes to each gateway for its changes, if each brings the whole list (as at 64f1608)", "B", zoneWhole, false, noBound},
 		}},
 		{"all gateways of a zone back at once", "as a zone's loss", []effect{
 			{"state that they read, if each needs a whole list as the log holds it", "B", zoneSnapshots, false, noBound},
@@ -66,11 +66,11 @@
 			{"clients that stay with them", "1", fixed(target.ClientConns / target.Regions), false, noBound},
 		}},
 		{"rollout of 1,105 changes at once", "as a zone's loss", []effect{
-			{"bytes to each gateway, if each brings the whole list", "B", zoneWhole, false, noBound},
+			{"bytes to each gateway, if each brings the whole list (as at 64f1608)", "B", zoneWhole, false, noBound},
 			{"bytes to each gateway, if each brings its member alone", "B", zoneChanges, false, noBound},
 		}},
 		{"restart of everything", "not asked for a rate", []effect{
-			{"state that each gateway reads, whole list", "B", at("voter.log-bytes-by-members"), true, noBound},
+			{"state that each gateway reads, the list as the log holds it", "B", at("voter.log-bytes-by-members"), true, noBound},
 			{"the same for all gateways", "B", allSnapshots, false, noBound},
 			{"processor time of a gateway to take its clients and a first statement of each", "s", at("client.connect-time-by-clients"), true, noBound},
 			{"handshakes at a database in the worst second", "1/s", at("database.start-handshakes-by-gateways"), true, bound{sideWork, assumed}},
@@ -78,8 +78,8 @@
 			{"connections that a database accepts anew", "1", at("database.connections-by-gateways"), true, bound{databaseConns, assumed}},
 		}},
 		{"start of one database, cold", fmt.Sprintf("%s restarts a day, all roles", number(target.Restarts)), []effect{
-			{"share of what topples it, with safe shares", "1", at("database.cold-share-by-gateways-safe-share"), true, bound{1, operators}},
-			{"share of what topples it, without leases", "1", at("database.cold-share-by-gateways-no-leases"), true, bound{1, operators}},
+			{"share of what topples it, with safe shares", "1", at("database.cold-share-by-gateways-safe-share"), true, bound{1, settings}},
+			{"share of what topples it, without leases", "1", at("database.cold-share-by-gateways-no-leases"), true, bound{1, settings}},
 			{"statements a second that it gets, with safe shares", "1/s", at("database.cold-statements-by-gateways-safe-share"), true, noBound},
 		}},
 	}
--- a/internal/experiment/capacity/projection.go
+++ b/internal/experiment/capacity/projection.go
@@ -72,11 +72,16 @@
 		least, most = min(least, x.X), max(most, x.X)
 	}
 	text := fmt.Sprintf("%s to %s %s", number(least), number(most), p.Slope.X)
-	switch {
-	case p.Measured:
+	if p.Measured {
 		return text + ", measured there"
-	case p.Factor > 1:
-		return fmt.Sprintf("%s, %s times beyond", text, number(p.Factor))
 	}
-	return text + ", the target within"
+	return text + ", " + p.beyond()
+}
+
+// beyond is how far the target lies from what was measured.
+func (p Projection) beyond() string {
+	if p.Factor > 1 {
+		return fmt.Sprintf("extrapolated %s times", number(p.Factor))
+	}
+	return "by the line"
 }
--- a/internal/experiment/capacity/roles.go
+++ b/internal/experiment/capacity/roles.go
@@ -158,7 +158,10 @@
 	return list * target.ChangesPerSecond(), err
 }
 
-// roleTable is the lines of a role, and whatever else the runs hold of it.
+// baseline is the experiment that measured the program before gateways subscribed: no part of the roles as they are.
+const baseline = "scale-baseline"
+
+// table is the lines of a role, and whatever else the runs hold of it.
 func (r role) table(runs *Runs) *table {
 	t := &table{head: []string{"quantity", "at the target", "margin", "carried by", "from"}}
 	listed := map[string]bool{}
@@ -170,7 +173,7 @@
 		t.add(l.what, v.String(), l.bound.margin(v), l.mechanism, v.Basis())
 	}
 	for _, s := range runs.Slopes() {
-		if r.whole || !strings.HasPrefix(s.Name, r.prefix) || listed[s.Name] {
+		if r.whole || !strings.HasPrefix(s.Name, r.prefix) || listed[s.Name] || s.Run.Experiment == baseline {
 			continue
 		}
 		if _, ok := Project(s); ok {
--- a/internal/experiment/capacity/value.go
+++ b/internal/experiment/capacity/value.go
@@ -104,13 +104,16 @@
 
 // String is the amount, marked where it is not measured.
 func (v Value) String() string {
+	text := quantity(v.Amount, v.Unit)
 	switch v.Kind {
 	case Missing:
 		return "not measured yet"
 	case WorkedOut:
-		return quantity(v.Amount, v.Unit) + " (worked out)"
+		return text + " (worked out)"
+	case Extended:
+		return text + " (" + v.From[0].beyond() + ")"
 	}
-	return quantity(v.Amount, v.Unit)
+	return text
 }
 
 // Basis is the series' ranges and files.
@@ -139,6 +142,7 @@
 
 const (
 	operators = "operators"
+	settings  = "settings" // a database's, as the classes' file has them
 	assumed   = "assumed"
 )
 
