--- a/internal/experiment/capacity/arithmetic_test.go
+++ b/internal/experiment/capacity/arithmetic_test.go
@@ -165,6 +165,21 @@
 	}
 }
 
+// Two runs of a series: only what differs by a tenth and more at the target is shown, with both values.
+func TestRepeats(t *testing.T) {
+	older, newer := lineRun(t, "x", "gateways", 0, 2, 1200, 2400), lineRun(t, "x", "gateways", 0, 5, 1200, 2400)
+	same, again := lineRun(t, "y", "gateways", 0, 2, 1200, 2400), lineRun(t, "y", "gateways", 0, 2.1, 1200, 2400)
+	newer.Started, again.Started = time.Unix(60, 0), time.Unix(60, 0)
+	runs, err := NewRuns([]*Run{older, newer, same, again})
+	if err != nil {
+		t.Fatal(err)
+	}
+	rows := repeatTable(runs).rows
+	if len(rows) != 1 || rows[0][1] != "4.8 kB [test abc], 12 kB [test abc]" || rows[0][2] != "2.5" {
+		t.Errorf("%q", rows)
+	}
+}
+
 func TestAFitThatIsNotThatOfItsPointsIsRefused(t *testing.T) {
 	r := lineRun(t, "x", "gateways", 1, 2, 10, 20)
 	r.Series[0].Fit.Slope = 3
--- a/internal/experiment/capacity/page.go
+++ b/internal/experiment/capacity/page.go
@@ -38,6 +38,7 @@
 		"checks":  checkTable(runs).String(),
 		"claims":  claimTable(runs).String(),
 		"runs":    runTable(runs).String() + references(runs),
+		"repeats": repeatTable(runs).String(),
 		"slopes":  slopeTable(runs).String(),
 		"plots":   plots,
 		"summary": summary(runs),
--- a/internal/experiment/capacity/ranked.go
+++ b/internal/experiment/capacity/ranked.go
@@ -20,7 +20,7 @@
 
 // needs are of the program as it is.
 func needs() []need {
-	const ownPart = "1 s of it is the databases' own"
+	const ownPart = "1 s of it is taken for the databases' own; what they need more comes on top"
 	return []need{
 		{"control bytes of a gateway, both directions", "B/s", at("gateway.bytes-by-gateways"), true, bound{target.ControlBytes, operators}, ""},
 		{"control processor time of a gateway", "core", at("gateway.cpu-by-gateways"), true, bound{target.ControlCores, operators}, ""},
