--- a/internal/experiment/capacity/events.go
+++ b/internal/experiment/capacity/events.go
@@ -55,6 +55,10 @@
 			{"statements at each other gateway", "1/s", fixed(target.Statements / left), false, noBound},
 			{"databases gone at once", "1", fixed(target.DatabasesPerZone()), false, noBound},
 			{"primaries gone at once", "1", fixed(target.DatabasesPerZone() / target.GroupSize), false, noBound},
+			{"until 99% of a gateway's writes are served, databases silent, as the daemon is", "s", at("datapath.zone-outage-by-members"), true, bound{target.PrimaryChangeMax, operators}},
+			{"writes of a gateway that are not served", "1", at("datapath.zone-writes-lost-by-members"), true, noBound},
+			{"handshakes of a gateway in the second after", "1/s", at("datapath.zone-handshakes-by-members"), true, noBound},
+			{"probes of a gateway that arrive in the second after", "1/s", at("datapath.zone-probes-by-members"), true, noBound},
 			{"bytes to each gateway for its changes, if each brings the whole list (as at 64f1608)", "B", zoneWhole, false, noBound},
 		}},
 		{"all gateways of a zone back at once", "as a zone's loss", []effect{
--- a/internal/experiment/datapath/datapath.go
+++ b/internal/experiment/datapath/datapath.go
@@ -33,6 +33,7 @@
 		{"group", measureGroup},
 		{"cold", measureColdStart},
 		{"primary", measurePrimaryLoss},
+		{"zone", measureZoneLoss},
 		{"clients", measureClients},
 		{"statements", measureStatements},
 		{"first-write", measureFirstWrite},
--- a/internal/experiment/datapath/datapath_test.go
+++ b/internal/experiment/datapath/datapath_test.go
@@ -23,7 +23,7 @@
 
 // Guards the page's figures: in virtual time a seed gives one history, but for how long Steps took here.
 func TestVirtualTimeIsDeterministic(t *testing.T) {
-	for _, name := range []string{"group", "cold", "primary"} {
+	for _, name := range []string{"group", "cold", "primary", "zone"} {
 		a, b := short(t, name, 7), short(t, name, 7)
 		if !reflect.DeepEqual(a.Series, b.Series) {
 			t.Errorf("%s: two runs of seed 7 differ", name)
