--- a/internal/experiment/capacity/arithmetic_test.go
+++ b/internal/experiment/capacity/arithmetic_test.go
@@ -62,6 +62,7 @@
 		{"each voter of 5, within 11 s", zoneSnapshotRate, 3038698.6},
 		{"a lost gateway's clients: 6,666.67 x 0.5 ms", lostClients, 3.33333},
 		{"streams: 200 times 400 B/s", times("gateway.bytes-by-gateways", 200), 80000},
+		{"the largest point: 10 + 0.9 x 2,400", worst("database.connections-by-gateways"), 2170},
 		{"a line at 0", intercept("client.memory-by-clients"), 20e6},
 		{"one client: the slope", perClient("client.memory-by-clients"), 10000},
 		{"bytes of one client: 400 x 1,208.33 / 6,666.67", shared("client.bytes-by-statements", 6666.667), 72.5},
--- a/internal/experiment/capacity/ranked.go
+++ b/internal/experiment/capacity/ranked.go
@@ -43,10 +43,10 @@
 		{"cold database, what could be saved up sent at once, share of the budget's rest", "1", fixed(burstTerm(target.Gateways)), false, bound{1, settings}, "the burst term of docs/design/store.md: a bound by proof. Where a gateway's part is less than a request it saves nothing and draws by chance, and the two rows on cold databases show what came"},
 		{"memory of a gateway with its idle clients, resident", "B", at("client.memory-by-clients"), true, bound{target.ControlMemory, assumed}, "held against what control alone is given: the data path has no bound yet"},
 		{"memory of a gateway, all of it", "B", gatewayMemory, false, bound{target.ControlMemory, assumed}, "held against the same"},
-		{"change of primary, process gone, as the daemon is", "s", at("datapath.outage-by-gateways-crash"), true, bound{target.PrimaryChangeMax, operators}, ownPart},
-		{"change of primary, process gone, gateways told their number", "s", at("datapath.outage-by-gateways-crash-told"), true, bound{target.PrimaryChangeMax, operators}, ownPart},
-		{"change of primary, machine silent, as the daemon is", "s", at("datapath.outage-by-gateways-silent"), true, bound{target.PrimaryChangeMax, operators}, ownPart},
-		{"change of primary, machine silent, gateways told their number", "s", at("datapath.outage-by-gateways-silent-told"), true, bound{target.PrimaryChangeMax, operators}, ownPart},
+		{"change of primary, longest history, process gone, as the daemon is", "s", worst("datapath.outage-by-gateways-crash"), true, bound{target.PrimaryChangeMax, operators}, ownPart},
+		{"change of primary, longest history, process gone, gateways told their number", "s", worst("datapath.outage-by-gateways-crash-told"), true, bound{target.PrimaryChangeMax, operators}, ownPart},
+		{"change of primary, longest history, machine silent, as the daemon is", "s", worst("datapath.outage-by-gateways-silent"), true, bound{target.PrimaryChangeMax, operators}, ownPart},
+		{"change of primary, longest history, machine silent, gateways told their number", "s", worst("datapath.outage-by-gateways-silent-told"), true, bound{target.PrimaryChangeMax, operators}, ownPart},
 	}
 }
 
--- a/internal/experiment/capacity/value.go
+++ b/internal/experiment/capacity/value.go
@@ -69,6 +69,20 @@
 	return s.Fit.Intercept, nil
 }
 
+// worstOf is the largest value of any point, whatever its x: what is promised for each single event is no mean.
+func (b *book) worstOf(name string) (float64, error) {
+	s, ok := b.runs.Slope(name)
+	if !ok {
+		return 0, fmt.Errorf("%s: %w", name, errMissing)
+	}
+	p := Projection{Slope: s, Measured: true, Factor: 1}
+	for _, x := range s.Points {
+		p.Value = max(p.Value, x.Y)
+	}
+	b.from = append(b.from, p)
+	return p.Value, nil
+}
+
 // formula works an amount out.
 type formula func(*book) (float64, error)
 
@@ -77,6 +91,11 @@
 	return func(b *book) (float64, error) { return b.at(name) }
 }
 
+// worst is the formula of a series' largest point.
+func worst(name string) formula {
+	return func(b *book) (float64, error) { return b.worstOf(name) }
+}
+
 // intercept is the formula of a line's value at 0.
 func intercept(name string) formula {
 	return func(b *book) (float64, error) { return b.interceptOf(name) }
