--- a/discovery_calls_test.go
+++ b/discovery_calls_test.go
@@ -175,6 +175,22 @@
 	}
 }
 
+// Guards a router that hears of a failed call late, as its process was held up: the time for the next has passed, so it is
+// made at once. With a pause before it a whole gateway missed that call in 6 of 20 runs.
+func TestACallThatIsLateAlreadyIsMadeAtOnce(t *testing.T) {
+	for _, kind := range []failureKind{refused, neverAnswered} {
+		f := newCallingFleet(t, 300)
+		last := f.routers[299]
+		for len(last.calls) == 0 {
+			f.tick()
+		}
+		_, event := kind.failure(f.now)
+		if acts := last.router.Step(f.now+longestGap, []Event{event}); count[Watch](acts) != 1 {
+			t.Errorf("%v: %v", kind, acts)
+		}
+	}
+}
+
 func TestRetriesStayInTimeWithAnyNumberOfRouters(t *testing.T) {
 	s := fleetSettings()
 	s.AskDiscovery, s.Routers, s.DrainGrace = true, 1<<40, 2*sec
--- a/router.go
+++ b/router.go
@@ -203,7 +203,7 @@
 	if at > latest {
 		at -= callFailure + leastRetry
 	}
-	return max(earliest, min(at, latest))
+	return min(max(at, earliest), max(latest, r.now)) // one that is late already is made at once
 }
 
 // turn is when this router calls, among all that begin to call now; most ends the last one's turn.
