--- a/internal/controlplane/revision/record.go
+++ b/internal/controlplane/revision/record.go
@@ -77,3 +77,12 @@
 	_, _ = h.Write(value)
 	return Digest(h.Sum64())
 }
+
+// hashEntry is Hash of a packed record.
+func hashEntry(e entry) Digest {
+	h := xxhash.New()
+	_, _ = h.Write(e.key)
+	_, _ = h.Write([]byte{0})
+	_, _ = h.Write(e.value)
+	return Digest(h.Sum64())
+}
--- a/internal/controlplane/store/config.go
+++ b/internal/controlplane/store/config.go
@@ -12,15 +12,18 @@
 	"github.com/hashicorp/raft"
 	"github.com/sirupsen/logrus"
 
+	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
+	"aspenshed/internal/controlplane/commandqueue"
 	"aspenshed/internal/dataplane/eventloop"
 )
 
 // The errors that callers tell apart. Only after ErrUnknown may a command have been carried out.
 var (
-	ErrBusy        = errors.New("store: too many commands wait")
-	ErrUnavailable = errors.New("store: no leader could be reached; nothing was done")
-	ErrUnknown     = errors.New("store: no answer in time; it may have been done")
-	ErrClosed      = errors.New("store: closed")
+	ErrBusy        = commandqueue.ErrBusy
+	ErrUnavailable = commandqueue.ErrUnavailable
+	ErrUnknown     = commandqueue.ErrUnknown
+	ErrClosed      = commandqueue.ErrClosed
 	ErrAlone       = errors.New("store: this instance is the only one, in memory")
 )
 
@@ -64,6 +67,10 @@
 	Clock   eventloop.Clock `yaml:"-"` // nil: the wall's
 	// Changed hears that the catalog has changed. It must not block.
 	Changed func() `yaml:"-"`
+	// Publisher hears what each entry of the log changes; nil: nobody does.
+	Publisher Publisher `yaml:"-"`
+	// Rollout counts the subscribers of this instance alone by a revision; nil: it has none.
+	Rollout func(rev uint64) *pb.RolloutStatus `yaml:"-"`
 	// Damaged hears of damage found while the store runs; at the start it is Open's error.
 	Damaged func(error) `yaml:"-"`
 	// Quick shortens the time-outs of elections, for tests on loopback.
@@ -96,8 +103,8 @@
 			bad(f.name, "missing")
 		}
 	}
-	if len(c.Cluster) > mostCluster {
-		bad("cluster", "%d bytes, %d at most", len(c.Cluster), mostCluster)
+	if len(c.Cluster) > maxClusterBytes {
+		bad("cluster", "%d bytes, %d at most", len(c.Cluster), maxClusterBytes)
 	}
 	ids, addresses := map[string]bool{}, map[string]bool{}
 	for i, p := range c.Peers {
@@ -136,3 +143,24 @@
 	l.SetOutput(io.Discard)
 	return logrus.NewEntry(l)
 }
+
+// rules are those that a new cluster begins with; nil: they are none.
+func (c Config) rules() *pb.Rules {
+	r := catalog.DefaultRules()
+	if c.ClockBound != 0 {
+		r.ClockBound = c.ClockBound
+	}
+	if c.MostInstances != 0 {
+		r.MostInstances = c.MostInstances
+	}
+	if c.Pool != 0 {
+		r.Pool = c.Pool
+	}
+	if catalog.CheckRules(r) != "" {
+		return nil
+	}
+	return r
+}
+
+// Rules are those that a new cluster begins with, by this configuration.
+func (c Config) Rules() *pb.Rules { return c.rules() }
--- a/internal/controlplane/store/service.go
+++ b/internal/controlplane/store/service.go
@@ -1,7 +1,6 @@
 package store
 
 import (
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"sync"
@@ -11,13 +10,16 @@
 
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 	"aspenshed/internal/netio"
+	"aspenshed/internal/protocol/frame"
 )
 
 const (
-	mostFrame  = 4 << 20 // bytes of one call or reply; a longer one closes its connection
-	mostServed = 64      // calls that are served at once; further ones are told to come again
-	mostPeers  = 1100    // connections in, and out: of every instance that may exist, and of commands
-	dialLimit  = time.Second
+	// maxServed calls are served at once; further ones are told to come again. Each waits for a majority, and a burst
+	// of reports of 2,400 gateways comes through a few voters.
+	maxServed = 1024
+	// maxConnections in, and out: twice as many as instances in the planned fleet of 2,400, with room for commands.
+	maxConnections = 5000
+	dialLimit      = time.Second
 )
 
 // Caller carries a call to another instance's service. An error other than ErrUnavailable means that it may have
@@ -28,9 +30,9 @@
 
 // service takes calls of other instances and makes ours, in frames of length and protobuf.
 type service struct {
-	s    *Store
-	net  *netio.Net
-	most chan struct{}
+	s     *Store
+	net   *netio.Net
+	slots chan struct{} // one for each call that is served
 
 	mu   sync.Mutex
 	next uint64
@@ -38,10 +40,11 @@
 }
 
 func newService(s *Store) (*service, error) {
-	v := &service{s: s, most: make(chan struct{}, mostServed), out: map[string]*outgoing{}}
+	v := &service{s: s, slots: make(chan struct{}, maxServed), out: map[string]*outgoing{}}
 	var err error
-	v.net, err = netio.New(netio.Config{Name: "store", Listen: s.cfg.Service, Clients: mostPeers, Dials: mostPeers,
-		Accept: func(c *netio.Conn) netio.Handler { return &incoming{v: v, c: c} }})
+	v.net, err = netio.New(netio.Config{Name: "store", Listen: s.cfg.Service, Clients: maxConnections, Dials: maxConnections,
+		WriteBuffer: 2 * (frame.MaxSize + 4), // the longest message, and another behind it
+		Accept:      func(c *netio.Conn) netio.Handler { return &incoming{v: v, c: c} }})
 	if err != nil {
 		return nil, err
 	}
@@ -53,46 +56,11 @@
 	return nil
 }
 
-// frames cuts a stream into messages.
-type frames struct{ buf []byte }
-
-var errFrame = errors.New("a frame of no valid length")
-
-func (f *frames) feed(b []byte, each func([]byte) error) error {
-	f.buf = append(f.buf, b...)
-	for len(f.buf) >= 4 {
-		n := int(binary.BigEndian.Uint32(f.buf))
-		if n > mostFrame {
-			return errFrame
-		}
-		if len(f.buf) < 4+n {
-			return nil
-		}
-		if err := each(f.buf[4 : 4+n]); err != nil {
-			return err
-		}
-		f.buf = f.buf[4+n:]
-	}
-	if len(f.buf) == 0 {
-		f.buf = nil
-	}
-	return nil
-}
-
-func frame(m proto.Message) ([]byte, error) {
-	b, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, 4), m)
-	if err != nil || len(b)-4 > mostFrame {
-		return nil, errors.Join(errFrame, err)
-	}
-	binary.BigEndian.PutUint32(b, uint32(len(b)-4))
-	return b, nil
-}
-
 // incoming is a connection of another instance.
 type incoming struct {
 	v  *service
 	c  *netio.Conn
-	in frames
+	in frame.Reader
 }
 
 func (i *incoming) Up() {}
@@ -100,19 +68,19 @@
 func (i *incoming) Closed(error) {}
 
 func (i *incoming) Data(b []byte) {
-	err := i.in.feed(b, func(m []byte) error {
+	err := i.in.Feed(b, func(m []byte) error {
 		c := &pb.Call{}
 		if err := proto.Unmarshal(m, c); err != nil {
 			return err
 		}
 		select {
-		case i.v.most <- struct{}{}:
+		case i.v.slots <- struct{}{}:
 		default:
 			i.reply(c.Id, &pb.Reply{Refused: "too many calls at once", Retry: true})
 			return nil
 		}
 		go func() { // it waits for a majority; the poller must not
-			defer func() { <-i.v.most }()
+			defer func() { <-i.v.slots }()
 			i.reply(c.Id, i.v.s.answer(c))
 		}()
 		return nil
@@ -125,7 +93,7 @@
 
 func (i *incoming) reply(id uint64, r *pb.Reply) {
 	r.Id = id
-	if b, err := frame(r); err == nil {
+	if b, err := frame.Append(nil, r); err == nil {
 		_ = i.c.Write(b) // a connection that broke: its caller asks again
 	}
 }
@@ -135,7 +103,7 @@
 	v    *service
 	addr string
 	c    *netio.Conn
-	in   frames
+	in   frame.Reader
 	up   chan struct{}
 
 	mu    sync.Mutex
@@ -146,7 +114,7 @@
 func (o *outgoing) Up() { close(o.up) }
 
 func (o *outgoing) Data(b []byte) {
-	err := o.in.feed(b, func(m []byte) error {
+	err := o.in.Feed(b, func(m []byte) error {
 		r := &pb.Reply{}
 		if err := proto.Unmarshal(m, r); err != nil {
 			return err
@@ -232,11 +200,11 @@
 		return nil, ErrUnavailable
 	case <-t.C:
 		return nil, ErrUnavailable
-	case <-v.s.ctx:
+	case <-v.s.done:
 		return nil, ErrUnavailable
 	}
 	c.Id = id
-	b, err := frame(c)
+	b, err := frame.Append(nil, c)
 	if err != nil {
 		return nil, errors.Join(ErrUnavailable, err)
 	}
@@ -253,7 +221,7 @@
 		o.c.Close() // a peer that says nothing: the next call begins anew
 		o.Closed(ErrUnknown)
 		return nil, ErrUnknown
-	case <-v.s.ctx:
+	case <-v.s.done:
 		return nil, ErrUnknown
 	}
 }
