--- a/internal/controlplane/subscription/encode.go
+++ b/internal/controlplane/subscription/encode.go
@@ -111,7 +111,7 @@
 	var chunks []body
 	for len(records) > 0 {
 		n := countThatFit(records, e.frameBytes, func(r **pb.Record) int { return len((*r).Key) + len((*r).Value) })
-		chunk := &pb.SnapshotChunk{Index: uint32(len(chunks)), Records: records[:n]}
+		chunk := e.packer.chunk(uint32(len(chunks)), records[:n])
 		chunks = append(chunks, encodeBody(&pb.ServerFrame{Body: &pb.ServerFrame_SnapshotChunk{SnapshotChunk: chunk}}))
 		records = records[n:]
 	}
--- a/internal/controlplane/subscription/encoder.go
+++ b/internal/controlplane/subscription/encoder.go
@@ -32,6 +32,7 @@
 	steps      map[stepKey]*step
 	scopes     map[string]*scopeOf
 	snapshotOf map[*scopeOf]*keptSnapshot
+	packer     packer
 	faults     *faults
 }
 
--- a/internal/controlplane/subscription/receive.go
+++ b/internal/controlplane/subscription/receive.go
@@ -30,10 +30,11 @@
 
 // stagedSnapshot is the part of a snapshot that has come. It takes effect with its end.
 type stagedSnapshot struct {
-	begin   *pb.SnapshotBegin
-	chunks  uint32
-	records revision.Builder
-	bytes   int
+	begin    *pb.SnapshotBegin
+	chunks   uint32
+	records  revision.Builder
+	unpacker unpacker
+	bytes    int
 }
 
 // receivedFrame checks a frame and what it brings; nothing takes effect unless all of it fits.
@@ -207,10 +208,15 @@
 		return &OutOfPlaceError{Message: "SnapshotChunk outside a snapshot"}
 	case m.Index != s.chunks || m.Index >= s.begin.Chunks:
 		return &ChunkError{Got: m.Index, Want: s.chunks}
-	case s.bytes+bytes > maxSnapshotBytes:
+	}
+	records, unpacked, err := s.unpacker.records(m)
+	if err != nil {
+		return err
+	}
+	if s.bytes+bytes+unpacked > maxSnapshotBytes {
 		return &ContentError{Message: "SnapshotChunk", Problem: "a snapshot without an end"}
 	}
-	for _, w := range m.Records {
+	for _, w := range records {
 		r, err := readRecord("SnapshotChunk", w.Key, w.Value, false)
 		if err != nil {
 			return err
@@ -220,7 +226,7 @@
 		}
 	}
 	s.chunks++
-	s.bytes += bytes
+	s.bytes += bytes + unpacked
 	if c.faults.applyHalf && s.chunks == 1 && s.begin.Chunks > 1 {
 		c.state = s.records.State(s.begin.Revision)
 		c.do(Apply{Revision: s.begin.Revision, Whole: true})
--- a/internal/controlplane/subscription/simfaults_test.go
+++ b/internal/controlplane/subscription/simfaults_test.go
@@ -130,6 +130,14 @@
 	if n := len(f.GetChanges().GetChanges()); n > 0 {
 		flipByte(f.GetChanges().Changes[s.rng.IntN(n)].Value, s.rng.IntN(1000))
 	}
+	if chunk := f.GetSnapshotChunk(); len(chunk.GetPacked()) > 0 {
+		if s.rng.IntN(3) == 0 { // the compressed bytes themselves
+			flipByte(chunk.Packed, s.rng.IntN(1000))
+		} else {
+			chunk.Records, _, _ = new(unpacker).records(chunk)
+			chunk.Packed = nil
+		}
+	}
 	if n := len(f.GetSnapshotChunk().GetRecords()); n > 0 {
 		i := s.rng.IntN(n)
 		flipByte(f.GetSnapshotChunk().Records[i].Value, s.rng.IntN(1000))
