--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test lint run
+.PHONY: build test lint run capacity
 
 # The same as in deploy/balancer.toml: linked dynamically against the C library, as the platform loads one of its own.
 build:
@@ -15,3 +15,7 @@
 # Without any configuration: three instances, two small groups of stand-in databases, all on loopback.
 run: build
 	exec bin/aspenshed serve
+
+# The page docs/CAPACITY.md and its plots, made of the committed runs in docs/capacity.
+capacity:
+	go run ./internal/experiment/capacity/cmd/capacity
