--- a/internal/experiment/pgclient/pgclient.go
+++ b/internal/experiment/pgclient/pgclient.go
@@ -4,6 +4,7 @@
 import (
 	"errors"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"aspenshed/internal/netio"
@@ -78,6 +79,31 @@
 	}
 }
 
+// The error codes by which a gateway refuses: nothing ran.
+const (
+	codeTooManyConnections = "53300"
+	codeCannotConnectNow   = "57P03"
+)
+
+// Counts are the answers that clients have got, by what they were. Its methods may be called from any goroutine.
+type Counts struct{ Served, Refused, Failed atomic.Int64 }
+
+// Add counts what Query returned, and tells whether it was served.
+func (c *Counts) Add(code string, err error) (served bool) {
+	switch {
+	case err != nil:
+		c.Failed.Add(1)
+	case code == "":
+		c.Served.Add(1)
+		return true
+	case code == codeTooManyConnections || code == codeCannotConnectNow:
+		c.Refused.Add(1)
+	default:
+		c.Failed.Add(1)
+	}
+	return false
+}
+
 // Close ends the connection.
 func (c *Client) Close() { c.conn.Close() }
 
--- a/internal/experiment/scale/events.go
+++ b/internal/experiment/scale/events.go
@@ -14,7 +14,6 @@
 	OrdinaryRate   = 0.73 // changes a second: 63,000 a day
 	BurstChanges   = 1105 // databases of a zone
 	RestartsPerDay = 5000 // machines that are restarted or replaced
-	secondsOfDay   = 86400
 )
 
 // eventTimes say how long each event is watched.
@@ -103,9 +102,7 @@
 	return func(ctx context.Context) error {
 		last := len(x.workers) - 1
 		lost := x.workers[last]
-		x.workersMu.Lock()
 		x.workers = x.workers[:last]
-		x.workersMu.Unlock()
 		x.options.Kill(lost)
 		if err := pause(ctx, gone); err != nil {
 			return err
--- a/internal/experiment/scale/installation.go
+++ b/internal/experiment/scale/installation.go
@@ -39,13 +39,12 @@
 
 // installation is all that runs: voters, real gateways, workers with hollow gateways, and one with the load.
 type installation struct {
-	options   Options
-	voters    []*Node
-	gateways  []*Node
-	load      Doer
-	workersMu sync.Mutex
-	workers   []Doer // the i-th runs the hollow gateways from i*PerWorker on
-	observer  *Observer
+	options  Options
+	voters   []*Node
+	gateways []*Node
+	load     Doer
+	workers  []Doer // the i-th runs the hollow gateways from i*PerWorker on
+	observer *Observer
 
 	mu           sync.Mutex // one batch at a time
 	submitter    *Submitter
@@ -229,7 +228,7 @@
 			failures <- err
 			break
 		}
-		x.addWorker(w)
+		x.workers = append(x.workers, w)
 		start := Start{From: first, Until: min(first+x.options.PerWorker, gateways), Spread: x.options.Join}
 		added.Add(1)
 		go func() {
@@ -244,12 +243,6 @@
 	return <-failures
 }
 
-func (x *installation) addWorker(w Doer) {
-	x.workersMu.Lock()
-	defer x.workersMu.Unlock()
-	x.workers = append(x.workers, w)
-}
-
 func (x *installation) startWorker(ctx context.Context) (Doer, error) {
 	w, err := x.options.NewWorker()
 	if err != nil {
@@ -274,7 +267,7 @@
 		w.Close()
 		return err
 	}
-	x.addWorker(w)
+	x.workers = append(x.workers, w)
 	return nil
 }
 
--- a/internal/experiment/scale/load.go
+++ b/internal/experiment/scale/load.go
@@ -27,7 +27,8 @@
 	quit   chan struct{}
 	wait   sync.WaitGroup
 
-	ids, served, refused, failed atomic.Int64
+	ids    atomic.Int64
+	counts pgclient.Counts
 }
 
 // newLoad starts stand-in databases of both roles, in groups of three.
@@ -101,7 +102,7 @@
 			}
 		}
 		code, err := c.Query(l.statement(n))
-		l.count(code, err)
+		l.counts.Add(code, err)
 		if err != nil {
 			c = nil
 		}
@@ -118,19 +119,6 @@
 	return fmt.Sprintf("SELECT payload FROM entries WHERE ref = 'k%d' /* id=%d,c=timetable,d=900,cluster=%d */", id%100, id, group)
 }
 
-func (l *loadGenerator) count(code string, err error) {
-	switch {
-	case err != nil:
-		l.failed.Add(1)
-	case code == "":
-		l.served.Add(1)
-	case code == "53300" || code == "57P03":
-		l.refused.Add(1)
-	default:
-		l.failed.Add(1)
-	}
-}
-
 // drain has a database note from when on nothing new may come.
 func (l *loadGenerator) drain(id string) error {
 	for _, g := range l.groups {
@@ -145,7 +133,7 @@
 }
 
 func (l *loadGenerator) state() (*LoadState, error) {
-	s := &LoadState{Served: l.served.Load(), Refused: l.refused.Load(), Failed: l.failed.Load()}
+	s := &LoadState{Served: l.counts.Served.Load(), Refused: l.counts.Refused.Load(), Failed: l.counts.Failed.Load()}
 	for i, g := range l.groups {
 		for _, d := range g.DBs() {
 			s.Databases = append(s.Databases, Database{ID: d.ID, Address: d.Address(), Group: int32(FirstLoadGroup + i)})
--- a/internal/experiment/scale/scale.go
+++ b/internal/experiment/scale/scale.go
@@ -6,10 +6,8 @@
 	"fmt"
 	"math/rand/v2"
 	"slices"
-	"strings"
 	"time"
 
-	"aspenshed/internal/controlplane/store"
 	"aspenshed/internal/experiment/measure"
 )
 
@@ -127,25 +125,10 @@
 	}
 	var points seriesPoints
 	for _, members := range r.plan.Members {
-		if err := r.growMembers(ctx, members); err != nil {
-			return err
-		}
-		growth := windowPlan{name: fmt.Sprintf("growth-to-%d-members", members), lasts: r.plan.Growth}
-		if _, err := r.window(ctx, growth); err != nil {
-			return err
-		}
-		snapshots := windowPlan{name: fmt.Sprintf("snapshots-of-%d-members", members), lasts: r.plan.Steady / 3, disturb: r.restartAll}
-		restarted, err := r.window(ctx, snapshots)
-		if err != nil {
-			return err
-		}
-		w, err := r.steady(ctx, fmt.Sprintf("steady-%d-gateways-%d-members", r.plan.Gateways[0], members), OrdinaryRate)
+		f, err := r.measureSize(ctx, members)
 		if err != nil {
 			return err
 		}
-		f := r.figures(w)
-		f["gateway.snapshot-bytes"] = float64(restarted.total.Bytes) / float64(restarted.total.Gateways)
-		f["gateway.snapshot-time"] = quantilesOf(restarted.total.snapshots).Max
 		points.add(float64(members), f)
 	}
 	held := fmt.Sprintf("%d gateways, %d voters, %.2f changes/s", r.plan.Gateways[0], r.options.Voters, OrdinaryRate)
@@ -154,6 +137,30 @@
 	return nil
 }
 
+// measureSize brings in members until there are so many, restarts all gateways once, and measures a steady window.
+func (r *runner) measureSize(ctx context.Context, members int) (figures, error) {
+	if err := r.growMembers(ctx, members); err != nil {
+		return nil, err
+	}
+	growth := windowPlan{name: fmt.Sprintf("growth-to-%d-members", members), lasts: r.plan.Growth}
+	if _, err := r.window(ctx, growth); err != nil {
+		return nil, err
+	}
+	snapshots := windowPlan{name: fmt.Sprintf("snapshots-of-%d-members", members), lasts: r.plan.Steady / 3, disturb: r.restartAll}
+	restarted, err := r.window(ctx, snapshots)
+	if err != nil {
+		return nil, err
+	}
+	steady, err := r.steady(ctx, fmt.Sprintf("steady-%d-gateways-%d-members", r.plan.Gateways[0], members), OrdinaryRate)
+	if err != nil {
+		return nil, err
+	}
+	f := r.figures(steady)
+	f["gateway.snapshot-bytes"] = float64(restarted.total.Bytes) / float64(restarted.total.Gateways)
+	f["gateway.snapshot-time"] = quantilesOf(restarted.total.snapshots).Max
+	return f, nil
+}
+
 func (r *runner) measureRates(ctx context.Context) error {
 	var points seriesPoints
 	points.add(OrdinaryRate, r.ordinary)
@@ -208,106 +215,3 @@
 	}
 	return nil
 }
-
-// judge compares all states and looks for what was agreed on.
-func (r *runner) judge(ctx context.Context) error {
-	expected, err := r.settle(ctx)
-	if err != nil {
-		return err
-	}
-	for _, look := range []func(context.Context, uint64) error{r.judgeStates, r.judgeRollout} {
-		if err := look(ctx, expected); err != nil {
-			return err
-		}
-	}
-	lost := r.ledger.Lost(r.observer.Records())
-	r.run.Checks = append(r.run.Checks,
-		atMost("end: agreed changes that were lost", float64(len(lost)), 0, "1", strings.Join(lost[:min(len(lost), 5)], "; ")))
-	return r.judgeNodes(ctx)
-}
-
-// waitFor waits for something that a check looks at afterwards: a time-out is no error.
-func waitFor(ctx context.Context, what string, ok func() bool) error {
-	err := waitUntil(ctx, what, InForceBound, ok)
-	var late *TimeoutError
-	if errors.As(err, &late) {
-		return nil
-	}
-	return err
-}
-
-// judgeStates compares the states of all hollow gateways with the observer's.
-func (r *runner) judgeStates(ctx context.Context, expected uint64) error {
-	var total fleetTotal
-	var failure error
-	err := waitFor(ctx, "equal states", func() bool {
-		total, failure = r.report(ctx, Report{Expected: expected})
-		return failure == nil && len(total.Digests) == 1 && total.states()[0] == r.observer.Digest()
-	})
-	if err := errors.Join(err, failure); err != nil {
-		return err
-	}
-	states := total.states()
-	equal := total.Digests[r.observer.Digest()]
-	r.run.Checks = append(r.run.Checks,
-		atMost("end: gateways whose state differs", float64(total.Gateways-equal), 0, "1", fmt.Sprintf("%d states, %v", len(states), states[:min(len(states), 3)])),
-		atMost("end: drains undone", float64(total.Undone), 0, "1", ""))
-	return nil
-}
-
-// judgeRollout compares what the voters know to be in force with what is: at all hollow and real gateways and the observer.
-func (r *runner) judgeRollout(ctx context.Context, expected uint64) error {
-	total, err := r.report(ctx, Report{Expected: expected})
-	if err != nil {
-		return err
-	}
-	subscribers := total.Gateways + len(r.gateways) + 1
-	var report store.RolloutReport
-	var failure error
-	err = waitFor(ctx, "the rollout", func() bool {
-		report, failure = r.voters[0].Rollout(expected)
-		return failure == nil && int(report.InForce) == subscribers && report.Subscribers == report.InForce
-	})
-	if err != nil {
-		return err
-	}
-	detail := fmt.Sprintf("%d subscribers, %d in force, silent voters %v, lagging %v", report.Subscribers, report.InForce, report.Silent, report.Lagging)
-	if failure != nil {
-		detail = failure.Error()
-	}
-	missing := max(subscribers-int(report.InForce), int(report.Subscribers)-int(report.InForce), int(report.InForce)-subscribers)
-	r.run.Checks = append(r.run.Checks, atMost("end: subscribers that the voters' rollout counts wrongly", float64(missing), 0, "1", detail))
-	return nil
-}
-
-// judgeNodes compares the catalogs of voters, and what the real gateways hold.
-func (r *runner) judgeNodes(ctx context.Context) error {
-	digests := func() map[string]int {
-		out := map[string]int{}
-		for _, n := range r.voters {
-			s, err := n.Status()
-			if err != nil {
-				s.Digest = err.Error()
-			}
-			out[s.Digest]++
-		}
-		return out
-	}
-	if err := waitFor(ctx, "equal catalogs", func() bool { return len(digests()) == 1 }); err != nil {
-		return err
-	}
-	r.run.Checks = append(r.run.Checks, atMost("end: different catalogs of voters", float64(len(digests())), 1, "1", fmt.Sprint(digests())))
-	if r.load == nil {
-		return nil
-	}
-	answer, err := r.load.Do(ctx, Order{Report: &Report{}})
-	if err != nil {
-		return err
-	}
-	l := answer.Load
-	r.run.Checks = append(r.run.Checks,
-		measure.Check{Name: "real gateways: requests served", Bound: 1, Value: float64(l.Served), Unit: "1", Passed: l.Served > 0,
-			Detail: fmt.Sprintf("%d refused, %d failed", l.Refused, l.Failed)},
-		atMost("real gateways: requests at a draining database later than the grace", float64(l.LateDrains), 0, "1", ""))
-	return nil
-}
--- a/internal/experiment/trial/trial.go
+++ b/internal/experiment/trial/trial.go
@@ -244,10 +244,10 @@
 	ids     atomic.Int64
 	address [3]atomic.Pointer[string]
 
-	served, refused, failed atomic.Int64
-	mu                      sync.Mutex
-	last                    [3]time.Time
-	gap                     [3]time.Duration
+	counts pgclient.Counts
+	mu     sync.Mutex
+	last   [3]time.Time
+	gap    [3]time.Duration
 }
 
 func startLoad(d *daemon.Demo, o Options) *load {
@@ -274,7 +274,7 @@
 	l.quit.Store(true)
 	l.wg.Wait()
 	l.net.Stop()
-	r.Served, r.Refused, r.Failed = l.served.Load(), l.refused.Load(), l.failed.Load()
+	r.Served, r.Refused, r.Failed = l.counts.Served.Load(), l.counts.Refused.Load(), l.counts.Failed.Load()
 	r.PerSecond = float64(r.Served) / time.Since(l.began).Seconds()
 	r.LongestGap = append(r.LongestGap, l.gap[:]...)
 }
@@ -299,17 +299,12 @@
 			class = "timetable"
 		}
 		id := l.ids.Add(1)
-		switch code, err := c.Query(fmt.Sprintf(verb, id%100, id, class)); {
-		case err != nil: // the connection ended
-			l.failed.Add(1)
-			c = nil
-		case code == "":
-			l.served.Add(1)
+		code, err := c.Query(fmt.Sprintf(verb, id%100, id, class))
+		if l.counts.Add(code, err) {
 			l.mark(i)
-		case code == "53300" || code == "57P03":
-			l.refused.Add(1)
-		default:
-			l.failed.Add(1)
+		}
+		if err != nil { // the connection ended
+			c = nil
 		}
 	}
 }
