--- a/internal/experiment/scale/installation.go
+++ b/internal/experiment/scale/installation.go
@@ -23,6 +23,8 @@
 	Join         time.Duration // over which the gateways of one worker start
 	Seed         uint64
 	MaxMemory    int64 // bytes of all processes together
+	WorkerMemory int64 // the soft limit of a worker's heap; 0: none
+	GrowthMemory int64 // the same while members come in, when one worker alone runs
 
 	NewInstance func() Instance       // of a daemon
 	NewWorker   func() (Doer, error)  // of hollow gateways, or of the load
@@ -271,6 +273,15 @@
 	return nil
 }
 
+// limitMemory sets the soft limit of all workers' heaps; 0: it stays.
+func (x *installation) limitMemory(ctx context.Context, limit int64) error {
+	if limit == 0 {
+		return nil
+	}
+	_, err := x.tellAll(ctx, Order{Memory: &Memory{Limit: limit}})
+	return err
+}
+
 // tellAll hands an order to all workers side by side.
 func (x *installation) tellAll(ctx context.Context, o Order) ([]Answer, error) {
 	answers, errs := make([]Answer, len(x.workers)), make([]error, len(x.workers))
--- a/internal/experiment/scale/messages.go
+++ b/internal/experiment/scale/messages.go
@@ -17,6 +17,7 @@
 	Report    *Report    `json:"report,omitempty"`
 	Load      *Load      `json:"load,omitempty"`
 	Drain     *Drain     `json:"drain,omitempty"`
+	Memory    *Memory    `json:"memory,omitempty"`
 }
 
 // Configure comes first: where the voters are.
@@ -85,6 +86,11 @@
 	Database string `json:"database"`
 }
 
+// Memory sets the Go runtime's soft limit in a worker.
+type Memory struct {
+	Limit int64 `json:"limit_bytes"`
+}
+
 // Answer is what a child answers to an Order.
 type Answer struct {
 	Error string      `json:"error,omitempty"`
--- a/internal/experiment/scale/process.go
+++ b/internal/experiment/scale/process.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"strconv"
 	"time"
 )
@@ -9,9 +10,12 @@
 const (
 	// memoryShare is the part of the machine's memory that a run may take at most, all of its processes together.
 	memoryShare = 2
-	// workerMemory is the Go runtime's soft limit for a worker: 150 gateways hold some 2.6 MB each at 21,000 members, and
-	// 16 workers stay below memoryShare of 24 GB.
-	workerMemory = "GOMEMLIMIT=600MiB"
+	// workerMemory is the Go runtime's soft limit for a worker, bytes: 150 gateways hold some 2.6 MB each at 21,000 members,
+	// and 16 workers stay below memoryShare of 24 GB.
+	workerMemory = 600 << 20
+	// growthMemory is the same while members come in: states that grew by changes take up to twice as much as those of a
+	// snapshot, and a heap at its limit would measure the collector.
+	growthMemory = 1800 << 20
 	perWorker    = 150
 	emptySettle  = 2 * time.Second // for an empty worker's start
 	loadClients  = 8
@@ -21,6 +25,7 @@
 func ProcessOptions(program Command, dir string) Options {
 	return Options{
 		Dir: dir, Voters: 5, RealGateways: 2, Clients: loadClients, PerWorker: perWorker, Delays: true, MaxMemory: machineMemory() / memoryShare,
+		WorkerMemory: workerMemory, GrowthMemory: growthMemory,
 		NewInstance: func() Instance { return &ProcessInstance{Command: program} },
 		NewWorker:   func() (Doer, error) { return startWorkerProcess(program) },
 		Progress:    func(string, ...any) {},
@@ -32,7 +37,7 @@
 
 func startWorkerProcess(program Command) (Doer, error) {
 	program.Args = append(append([]string(nil), program.Args...), "experiment", "hollow")
-	program.Env = append(append([]string(nil), program.Env...), workerMemory)
+	program.Env = append(append([]string(nil), program.Env...), fmt.Sprint("GOMEMLIMIT=", workerMemory))
 	return StartChild(program)
 }
 
--- a/internal/experiment/scale/scale.go
+++ b/internal/experiment/scale/scale.go
@@ -123,6 +123,9 @@
 	if err := r.grow(ctx, r.plan.Gateways[0]); err != nil {
 		return err
 	}
+	if err := r.limitMemory(ctx, r.options.GrowthMemory); err != nil {
+		return err
+	}
 	var points seriesPoints
 	for _, members := range r.plan.Members {
 		f, err := r.measureSize(ctx, members)
@@ -134,7 +137,7 @@
 	held := fmt.Sprintf("%d gateways, %d voters, %.2f changes/s", r.plan.Gateways[0], r.options.Voters, OrdinaryRate)
 	r.run.Series = append(r.run.Series, points.series("members", "members", "1", held)...)
 	r.ordinary = points.rows[len(points.rows)-1]
-	return nil
+	return r.limitMemory(ctx, r.options.WorkerMemory)
 }
 
 // measureSize brings in members until there are so many, restarts all gateways once, and measures a steady window.
--- a/internal/experiment/scale/worker.go
+++ b/internal/experiment/scale/worker.go
@@ -7,6 +7,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"runtime/debug"
 )
 
 // maxLine bounds one order or answer. The longest answer holds two histograms of some 10 kB.
@@ -37,6 +38,9 @@
 		return Answer{}, w.configure(*o.Configure)
 	case o.Load != nil:
 		return w.doLoad(*o.Load)
+	case o.Memory != nil:
+		debug.SetMemoryLimit(o.Memory.Limit)
+		return Answer{}, nil
 	case o.Drain != nil && w.load != nil:
 		return Answer{}, w.load.drain(o.Drain.Database)
 	case o.Report != nil:
