--- /dev/null
+++ b/internal/netio/conn.go
@@ -0,0 +1,159 @@
+package netio
+
+import (
+	"context"
+	"errors"
+	"io"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"time"
+
+	"github.com/lesismal/nbio"
+	"github.com/sirupsen/logrus"
+)
+
+// Conn is one connection. Its methods may be called from any goroutine.
+type Conn struct {
+	mu     sync.Mutex // held while the poller comes to know c: before that nobody may close it
+	c      *nbio.Conn // nil while the dial is on
+	h      Handler
+	closed atomic.Bool  // the handler hears nothing more
+	unsent atomic.Int64 // bytes that Write has taken and the system not yet
+	budget *atomic.Int64
+	cancel context.CancelFunc // of the dial
+
+	reading sync.Mutex // held from a read to the end of its Data: Shut knows by it that nothing lies between the two
+}
+
+// hangUp ends sending at once and has the poller close c. A descriptor that anybody else closed could be another
+// connection's before the poller comes to what the system had told it of this one, and that one would end for it.
+func hangUp(c *nbio.Conn) {
+	c.Lock() // it can't be closed meanwhile
+	defer c.Unlock()
+	if done, _ := c.IsClosed(); !done {
+		_ = syscall.Shutdown(c.Hash(), syscall.SHUT_RDWR) // where that fails the poller has the end before it already
+	}
+}
+
+// Write sends or queues b. An error means that its last byte never left.
+func (x *Conn) Write(b []byte) error {
+	c := x.conn()
+	if c == nil || x.closed.Load() {
+		return ErrClosed
+	}
+	x.unsent.Add(int64(len(b)))
+	_, err := c.Write(b)
+	return err
+}
+
+func (x *Conn) conn() *nbio.Conn {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	return x.c
+}
+
+// Unsent tells whether some of what was written still waits for the peer to read. Close would drop it.
+func (x *Conn) Unsent() bool { return x.unsent.Load() > 0 }
+
+// read hands on what has come; the caller holds reading. whole: until nothing is left, though that costs one more call.
+// An error means that nothing more will come.
+func (x *Conn) read(c *nbio.Conn, buf []byte, whole bool) error {
+	for range maxReads {
+		n, err := c.Read(buf)
+		switch {
+		case errors.Is(err, syscall.EINTR):
+		case errors.Is(err, syscall.EAGAIN):
+			return nil
+		case err != nil:
+			return err
+		case n == 0:
+			return io.EOF
+		default:
+			if !x.closed.Load() {
+				x.guard(func() { x.h.Data(buf[:n]) })
+			}
+			if n < len(buf) && !whole {
+				return nil
+			}
+		}
+	}
+	return nil
+}
+
+// Shut ends the connection in order: it stops sending, drops what still comes, and closes once the peer has, within
+// LingerLimit. A close over unread bytes would reset the connection, and take with it what the peer has not read yet.
+//
+// All that has come before is handed on first. Then idle says whether that leaves the connection without a purpose; if
+// not, nothing happens and Shut returns false. What comes later was never read, and its sender knows that.
+// After Shut, as after Close, no Closed follows.
+func (x *Conn) Shut(idle func() bool) bool {
+	x.reading.Lock()
+	defer x.reading.Unlock()
+	c := x.conn()
+	if c == nil {
+		x.Close()
+		return true
+	}
+	err := x.read(c, make([]byte, 4<<10), true)
+	if !idle() {
+		return false
+	}
+	x.closed.Store(true)
+	if err == nil {
+		c.Lock() // it can't be closed meanwhile
+		if done, _ := c.IsClosed(); !done {
+			err = syscall.Shutdown(c.Hash(), syscall.SHUT_WR)
+		}
+		c.Unlock()
+	}
+	if err != nil {
+		hangUp(c)
+		return true
+	}
+	time.AfterFunc(LingerLimit, func() { hangUp(c) })
+	return true
+}
+
+// Close ends the connection at once; no Closed follows.
+func (x *Conn) Close() {
+	x.closed.Store(true)
+	if c := x.conn(); c != nil {
+		hangUp(c)
+	} else if x.cancel != nil {
+		x.cancel()
+	}
+}
+
+// end gives the descriptor back and tells the handler, unless it closed itself.
+func (x *Conn) end(err error) {
+	x.budget.Add(-1)
+	x.waitForReader()
+	x.fail(err)
+}
+
+// waitForReader returns once the handler has had all that was read. nbio reports the end of a connection on a goroutine
+// of its own, which may overtake the one that reads. A read that begins later finds the connection ended.
+func (x *Conn) waitForReader() {
+	x.reading.Lock()
+	defer x.reading.Unlock()
+}
+
+func (x *Conn) fail(err error) {
+	if !x.closed.Swap(true) {
+		x.h.Closed(err)
+	}
+}
+
+// guard keeps a panic in a parser from ending the program: the connection is closed instead.
+func (x *Conn) guard(f func()) {
+	defer func() {
+		if p := recover(); p != nil {
+			logrus.WithField("panic", p).Error("connection closed: panic while reading it")
+			if c := x.conn(); c != nil {
+				hangUp(c)
+			}
+		}
+	}()
+	f()
+}
