--- a/internal/experiment/scenario/mysql_test.go
+++ b/internal/experiment/scenario/mysql_test.go
@@ -70,6 +70,10 @@
 			}
 			switch sql := string(body[1:]); {
 			case body[0] == mysqlwire.ComStmtPrepare:
+				m.Prepares.Add(1)
+				if m.HoldNextPrepare.Swap(false) {
+					m.hold(true)
+				}
 				next++
 				stmts[next] = sql
 				return m.Write(c, mysqlwire.PreparedOK(next, sql))
--- a/internal/experiment/scenario/scenario.go
+++ b/internal/experiment/scenario/scenario.go
@@ -64,6 +64,9 @@
 	Got     chan Got
 	last    Got
 
+	Prepares        atomic.Int64 // statements that it was told to prepare
+	HoldNextPrepare atomic.Bool  // it holds from its next answer to that on
+
 	mu    sync.Mutex
 	holds bool
 	held  []func() // what it has said meanwhile
@@ -80,6 +83,13 @@
 	return c.Write(b)
 }
 
+// Holding tells whether what it says stays under way.
+func (m *Member) Holding() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.holds
+}
+
 func (m *Member) hold(on bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
