--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -1,6 +1,7 @@
 package netio
 
 import (
+	"cmp"
 	"context"
 	"errors"
 	"io"
@@ -15,13 +16,15 @@
 
 // Conn is one connection. Its methods may be called from any goroutine.
 type Conn struct {
-	mu     sync.Mutex // held while the poller comes to know c: before that nobody may close it
-	c      *nbio.Conn // nil while the dial is on
-	h      Handler
-	closed atomic.Bool  // the handler hears nothing more
-	unsent atomic.Int64 // bytes that Write has taken and the system not yet
-	budget *atomic.Int64
-	cancel context.CancelFunc // of the dial
+	mu      sync.Mutex // held while the poller comes to know c: before that nobody may close it
+	c       *nbio.Conn // nil while the dial is on
+	h       Handler
+	closed  atomic.Bool  // the handler hears nothing more
+	unsent  atomic.Int64 // bytes that Write has taken and the system not yet
+	budget  *atomic.Int64
+	queue   writeQueue
+	flusher *flusher
+	cancel  context.CancelFunc // of the dial
 
 	reading sync.Mutex // held from a read to the end of its Data: Shut knows by it that nothing lies between the two
 }
@@ -31,20 +34,14 @@
 func hangUp(c *nbio.Conn) {
 	c.Lock() // it can't be closed meanwhile
 	defer c.Unlock()
-	if done, _ := c.IsClosed(); !done {
-		_ = syscall.Shutdown(c.Hash(), syscall.SHUT_RDWR) // where that fails the poller has the end before it already
-	}
+	shutDown(c)
 }
 
-// Write sends or queues b. An error means that its last byte never left.
-func (x *Conn) Write(b []byte) error {
-	c := x.conn()
-	if c == nil || x.closed.Load() {
-		return ErrClosed
+// shutDown is hangUp for one who holds c's lock.
+func shutDown(c *nbio.Conn) {
+	if done, _ := c.IsClosed(); !done {
+		_ = syscall.Shutdown(c.Hash(), syscall.SHUT_RDWR) // where that fails the poller has the end before it already
 	}
-	x.unsent.Add(int64(len(b)))
-	_, err := c.Write(b)
-	return err
 }
 
 func (x *Conn) conn() *nbio.Conn {
@@ -128,6 +125,9 @@
 // end gives the descriptor back and tells the handler, unless it closed itself.
 func (x *Conn) end(err error) {
 	x.budget.Add(-1)
+	if c := x.conn(); c != nil {
+		err = cmp.Or(x.endWrites(c), err)
+	}
 	x.waitForReader()
 	x.fail(err)
 }
--- a/internal/netio/dial.go
+++ b/internal/netio/dial.go
@@ -28,7 +28,7 @@
 		return nil, ErrBudget
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
-	x := &Conn{h: h, budget: &n.dials, cancel: cancel}
+	x := &Conn{h: h, budget: &n.dials, flusher: n.flusher, cancel: cancel}
 	go func() {
 		defer cancel()
 		var d net.Dialer
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -24,8 +24,6 @@
 	ErrClosed  = errors.New("connection closed")
 )
 
-const maxWriteBuffer = 2 << 20 // bytes of one connection, where Config.WriteBuffer is 0; nbio closes one that queues more
-
 const (
 	stopLimit = 2 * time.Second // for an engine to end
 	readSize  = 64 << 10
@@ -51,7 +49,7 @@
 	// Clients and Dials are the descriptors for each way in and out. Of the latter the last
 	// Reserved are for discovery and probes: without those no link would be of use.
 	Clients, Dials, Reserved int
-	// WriteBuffer bounds the bytes that one connection queues; one that queues more is closed. 0: 2 MiB.
+	// WriteBuffer bounds the bytes that one connection queues; one that queues more is closed. 0: maxWriteBuffer.
 	WriteBuffer int
 }
 
@@ -63,6 +61,7 @@
 	turnedAway     atomic.Int64   // clients since the last log line about them
 	logAway        rate.Sometimes // clients that come back at once must not fill the log
 	ln             *listener
+	flusher        *flusher
 	stop           sync.Once
 	ending         sync.RWMutex // held from a look at stopped to the poller's knowing of a connection
 	stopped        bool
@@ -80,13 +79,17 @@
 // New starts an engine.
 func New(cfg Config) (*Net, error) {
 	n := &Net{cfg: cfg, logAway: rate.Sometimes{Interval: time.Second}}
-	nc := nbio.Config{Name: cfg.Name, NPoller: 1, ReadBufferSize: readSize, MaxWriteBufferSize: cmp.Or(cfg.WriteBuffer, maxWriteBuffer),
-		Listen: n.listen}
+	nc := nbio.Config{Name: cfg.Name, NPoller: 1, ReadBufferSize: readSize, Listen: n.listen}
 	if cfg.Listen != "" {
 		network, addr := split(cfg.Listen)
 		nc.Network, nc.Addrs = network, []string{addr}
 	}
 	n.eng = nbio.NewEngine(nc)
+	var err error
+	if n.flusher, err = newFlusher(); err != nil {
+		return n, err
+	}
+	n.flusher.writeBuffer = cmp.Or(cfg.WriteBuffer, maxWriteBuffer)
 	n.eng.OnOpen(n.opened)
 	n.eng.OnRead(func(c *nbio.Conn) {
 		n.published.Load()
@@ -101,11 +104,6 @@
 			_ = c.CloseWithError(err)
 		}
 	})
-	n.eng.OnWrittenSize(func(c *nbio.Conn, _ []byte, size int) {
-		if x, ok := c.Session().(*Conn); ok {
-			x.unsent.Add(-int64(size))
-		}
-	})
 	n.eng.OnClose(func(c *nbio.Conn, err error) {
 		n.published.Load()
 		if x, ok := c.Session().(*Conn); ok {
@@ -113,8 +111,10 @@
 		}
 	})
 	if err := n.eng.Start(); err != nil {
+		n.flusher.stop()
 		return n, err
 	}
+	go n.flusher.run()
 	if n.ln != nil {
 		<-n.ln.accepting
 	}
@@ -151,6 +151,9 @@
 		case <-done:
 		case <-time.After(stopLimit):
 		}
+		if n.flusher != nil {
+			n.flusher.stop()
+		}
 	})
 }
 
@@ -159,7 +162,7 @@
 		return
 	}
 	syscall.CloseOnExec(c.Hash())
-	x := &Conn{c: c, budget: &n.clients}
+	x := &Conn{c: c, budget: &n.clients, flusher: n.flusher}
 	c.SetSession(x)
 	if n.clients.Add(1) > int64(n.cfg.Clients) {
 		n.turnedAway.Add(1)
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -188,8 +188,10 @@
 // hold keeps the poller busy with another connection, so that what comes meanwhile lies unread.
 func hold(t *testing.T, n *Net, accepted chan *probe) (release func()) {
 	raw, in := pair(t, n, accepted)
-	in.data = make(chan string)
+	busy := make(chan bool)
+	in.data, in.before = make(chan string), func() { close(busy) }
 	_, _ = raw.Write([]byte("x"))
+	want(t, "the poller", busy) // else it may read another connection first
 	return func() { want(t, "the held data", in.data) }
 }
 
