--- a/internal/frontend/mysql/backend.go
+++ b/internal/frontend/mysql/backend.go
@@ -36,6 +36,18 @@
 	Data  []byte
 }
 
+// size is roughly what the statement keeps in memory, in bytes.
+func (s *Statement) size() int {
+	size := len(s.Tag.SQL)
+	if s.Execute != nil {
+		size += len(s.Execute.Values)
+	}
+	for _, piece := range s.Long {
+		size += len(piece.Data)
+	}
+	return size
+}
+
 // Probes are the queries that ask a member for its role and position.
 type Probes struct {
 	Role     string // first column 0 or OFF: the primary
--- a/internal/frontend/mysql/front.go
+++ b/internal/frontend/mysql/front.go
@@ -188,7 +188,7 @@
 }
 
 // reply answers a command without asking anybody, in its turn.
-func (s *clientConn) reply(b []byte) { s.session.Post(func(x *session.Slot) { x.Fill(b) }) }
+func (s *clientConn) reply(b []byte) { s.session.Post(len(b), func(x *session.Slot) { x.Fill(b) }) }
 
 func (s *clientConn) refuse(code uint16, state, message string) {
 	s.reply(mysqlwire.Error{Code: code, State: state, Message: message}.Packet(1))
@@ -222,13 +222,13 @@
 	"RELEASE": true, "XA": true, "LOCK": true, "UNLOCK": true}
 
 func (s *clientConn) bad(err error) {
-	s.session.Post(func(x *session.Slot) { x.Ask(request.Query{}, err, 0, s.f.answer) })
+	s.session.Post(0, func(x *session.Slot) { x.Ask(request.Query{}, err, 0, s.f.answer) })
 }
 
 func (s *clientConn) ask(st *Statement, tag sqlcomment.Tag, form func(request.Final) []byte) {
 	arrived := s.f.Loop.Now()
 	q, err := s.f.query(tag, st)
-	s.session.Post(func(x *session.Slot) { x.Ask(q, err, arrived, form) })
+	s.session.Post(st.size(), func(x *session.Slot) { x.Ask(q, err, arrived, form) })
 }
 
 // isWrite tells whether a statement is anything but a plain read. Taking one
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -66,11 +66,11 @@
 			return pgwire.ErrMalformed
 		}
 		if strings.TrimSpace(sql) == "" {
-			s.session.Post(func(x *session.Slot) { x.Fill(pgwire.Ready(pgwire.Append(nil, 'I'))) })
+			s.session.Post(len(m.Body), func(x *session.Slot) { x.Fill(pgwire.Ready(pgwire.Append(nil, 'I'))) })
 			return nil
 		}
 		q, err := s.f.parse(sql)
-		s.session.Post(func(x *session.Slot) { x.Ask(q, err, arrived, s.f.answer) })
+		s.session.Post(len(m.Body), func(x *session.Slot) { x.Ask(q, err, arrived, s.f.answer) })
 	case 'X':
 		return errBye
 	default:
--- /dev/null
+++ b/internal/frontend/session/memory_test.go
@@ -0,0 +1,106 @@
+package session
+
+import (
+	"testing"
+
+	"aspenshed/internal/dataplane/eventloop"
+)
+
+// counting is a client that notes how many answers were written to it.
+type counting struct{ answers, closed int }
+
+func (c *counting) Write([]byte) error { c.answers++; return nil }
+func (c *counting) Unsent() bool       { return false }
+func (c *counting) Close()             { c.closed++ }
+func (c *counting) Shut(idle func() bool) bool {
+	if !idle() {
+		return false
+	}
+	c.closed++
+	return true
+}
+
+// Guards the memory, and the other clients: many that send without end, while the loop is busy elsewhere, are held to a bound.
+// One that sends a single command, however long, is taken. What was taken is answered, and those that overdrew are closed then.
+func TestAFloodOfCommandsIsBounded(t *testing.T) {
+	const flooders = 20
+	for name, size := range map[string]int{"long": 140 << 10, "short": 1} {
+		t.Run(name, func(t *testing.T) {
+			clock := &clock{1000 * ms}
+			rejected := 0
+			m := &Manager{Loop: eventloop.NewLoop(clock), Limits: Limits{Silent: 2000 * ms, Idle: 2000 * ms}, Rejected: func(string) { rejected++ }}
+			var conns []*counting
+			var sessions []*Session
+			for range flooders + 1 {
+				c := &counting{}
+				conns, sessions = append(conns, c), append(sessions, m.Open(c))
+			}
+			m.Loop.Turn()
+			var slots []*Slot
+			take := func(x *Slot) { slots = append(slots, x) }
+			for range 200_000 / flooders * 20 { // commands come in turn, and the loop stands still
+				for _, s := range sessions[:flooders] {
+					s.Post(size, take)
+				}
+				if !sessions[0].overdrawn {
+					continue
+				}
+				if got := m.unanswered.Load(); got > maxUnansweredInAll+flooders*(fairUnanswered+int64(size)+commandOverhead) {
+					t.Fatalf("%d bytes are kept", got)
+				}
+			}
+			sessions[flooders].Post(1<<20, take)
+			m.Loop.Turn()
+			taken := len(slots)
+			if last := slots[taken-1]; last.s != sessions[flooders] {
+				t.Error("the one that sends a single command was not taken")
+			}
+			if rejected != flooders {
+				t.Errorf("%d of %d floods were ended", rejected, flooders)
+			}
+			for _, x := range slots {
+				x.Fill([]byte("answer"))
+			}
+			for range 3 {
+				clock.now += sweepEvery
+				m.Loop.Turn()
+			}
+			answers := 0
+			for i, c := range conns {
+				answers += c.answers
+				if want := i < flooders; (c.closed > 0) != want {
+					t.Errorf("connection %d: closed %d times", i, c.closed)
+				}
+			}
+			if answers != taken || m.unanswered.Load() != 0 {
+				t.Errorf("%d of %d commands were answered; %d bytes still count", answers, taken, m.unanswered.Load())
+			}
+		})
+	}
+}
+
+// Guards the memory against answers that pile up behind one that does not come: the connection ends, and all is given back.
+func TestAnswersBehindOneThatDoesNotComeAreBounded(t *testing.T) {
+	clock := &clock{1000 * ms}
+	m := &Manager{Loop: eventloop.NewLoop(clock), Rejected: func(string) {}}
+	conn := &counting{}
+	s := m.Open(conn)
+	var slots []*Slot
+	for range maxPipeline {
+		s.Post(1, func(x *Slot) { slots = append(slots, x) })
+	}
+	m.Loop.Turn()
+	filled := 0
+	for _, x := range slots[1:] {
+		if conn.closed == 0 {
+			x.Fill(make([]byte, 4<<20))
+			filled++
+		}
+		if got := m.unanswered.Load(); got > maxUnanswered {
+			t.Fatalf("%d bytes are kept", got)
+		}
+	}
+	if conn.closed != 1 || filled > maxUnanswered>>22+1 || m.unanswered.Load() != 0 {
+		t.Errorf("closed %d times after %d answers, %d bytes still count", conn.closed, filled, m.unanswered.Load())
+	}
+}
--- a/internal/frontend/session/session.go
+++ b/internal/frontend/session/session.go
@@ -54,8 +54,9 @@
 	Leave    func(*request.Request)
 	Rejected func(string)
 
-	sessions map[*Session]bool // the loop's
-	closing  bool              // connections are closed as soon as nothing is owed on them
+	unanswered atomic.Int64      // bytes, of all connections
+	sessions   map[*Session]bool // the loop's
+	closing    bool              // connections are closed as soon as nothing is owed on them
 }
 
 // Session is one client connection. The loop owns its slots; the goroutine
@@ -71,6 +72,9 @@
 	quiet  aspenshed.Nanos // when it connected or, later, when the last answer was written
 	taken  int64           // of the commands that were read, those that the loop has seen
 
+	unanswered atomic.Int64 // bytes of commands without an answer, and of answers that wait for one before them
+	overdrawn  bool         // nothing more is taken; owned by the goroutine that reads
+
 	read  atomic.Int64 // commands that were read whole
 	begun atomic.Int64 // when the first byte of a command came whose last is still missing; 0: none
 }
@@ -82,6 +86,7 @@
 	form   func(request.Final) []byte
 	answer []byte
 	done   bool
+	size   int // of what it keeps, in bytes
 }
 
 // Open makes a session for a connection.
@@ -108,29 +113,50 @@
 	}
 }
 
-// Post gives a command its slot, in order, and has f called with it on the loop.
-func (s *Session) Post(f func(*Slot)) {
+// Post gives a command of that many bytes its slot, in order, and has f called with it on the loop.
+func (s *Session) Post(size int, f func(*Slot)) {
+	if s.overdrawn {
+		return
+	}
+	size += commandOverhead
 	s.read.Add(1)
+	if !s.reserve(size) {
+		s.overdrawn = true
+		s.manager.Loop.Post(func() {
+			s.taken++
+			s.refuseMore("too many bytes without an answer")
+		})
+		return
+	}
 	s.manager.Loop.Post(func() {
 		s.taken++
 		if s.closed || s.ending {
+			s.release(size)
 			return
 		}
-		if len(s.slots) >= maxPipeline { // those before it are owed their answers
-			s.manager.Rejected("too many commands without an answer on one connection")
-			s.ending = true
+		if len(s.slots) >= maxPipeline {
+			s.release(size)
+			s.refuseMore("too many commands without an answer on one connection")
 			return
 		}
 		s.asked = true
-		x := &Slot{s: s}
+		x := &Slot{s: s, size: size}
 		s.slots = append(s.slots, x)
 		f(x)
 	})
 }
 
+// refuseMore ends the connection once the commands before have the answers that they are owed.
+func (s *Session) refuseMore(why string) {
+	if !s.closed && !s.ending {
+		s.manager.Rejected(why)
+		s.ending = true
+	}
+}
+
 // Fatal answers what cannot be read, and closes once the commands before it have their answers.
 func (s *Session) Fatal(answer []byte, problem string) {
-	s.Post(func(x *Slot) {
+	s.Post(len(answer), func(x *Slot) {
 		s.manager.Rejected(problem)
 		s.ending = true
 		x.Fill(answer)
@@ -164,17 +190,26 @@
 	if s.closed {
 		return
 	}
+	x.size += len(b)
+	s.keep(len(b))
+	waits := len(s.slots) > 0 && s.slots[0] != x
 	for len(s.slots) > 0 && s.slots[0].done {
 		if s.conn.Write(s.slots[0].answer) != nil {
 			s.end()
 			return
 		}
+		s.release(s.slots[0].size)
 		s.slots[0] = nil // else the array under the rest would keep the answer
 		if s.slots = s.slots[1:]; len(s.slots) == 0 {
 			s.slots = nil
 		}
 		s.quiet = s.manager.Loop.Now()
 	}
+	if waits && !s.within(0) {
+		s.manager.Rejected("too many bytes without an answer")
+		s.end()
+		return
+	}
 	if (s.ending || s.manager.closing) && len(s.slots) == 0 && !s.conn.Unsent() { // else sweep ends it
 		s.retire(!s.ending)
 	}
@@ -203,6 +238,7 @@
 		if x.r != nil {
 			s.manager.Leave(x.r)
 		}
+		s.release(x.size)
 	}
 	s.slots = nil
 }
--- a/internal/frontend/session/session_test.go
+++ b/internal/frontend/session/session_test.go
@@ -34,7 +34,7 @@
 			d := &Manager{Loop: eventloop.NewLoop(c), Limits: Limits{Silent: 2000 * ms, Idle: 2000 * ms}, Rejected: func(string) {}}
 			conn := &slow{unsent: true}
 			s := d.Open(conn)
-			s.Post(func(x *Slot) { x.Fill([]byte("a long answer")) })
+			s.Post(1, func(x *Slot) { x.Fill([]byte("a long answer")) })
 			if fatal {
 				s.Fatal([]byte("an error"), "noise")
 			}
