--- a/cmd/aspenshed/experiment.go
+++ b/cmd/aspenshed/experiment.go
@@ -33,7 +33,7 @@
 			}
 			_, err = fmt.Fprintf(c.OutOrStdout(), "served %d (%.0f a second), refused %d, failed %d\nlongest gap of each instance %v\n"+
 				"sends after told drains %d\nhighest share of what topples the cold database %.2f, fell %v, agreed to be warm after %v\n"+
-				"most runs of one booking %d, catalogs equal %v, modes at the end of the cut %v\n", r.Served, r.PerSecond, r.Refused, r.Failed,
+				"most runs of one order %d, catalogs equal %v, modes at the end of the cut %v\n", r.Served, r.PerSecond, r.Refused, r.Failed,
 				r.LongestGap, r.LateDrains, r.HighestCold, r.Fell, r.WarmAfter.Round(time.Millisecond), r.MostRun, r.Equal, r.Modes)
 			return err
 		}}
--- a/cmd/aspenshed/gateway.go
+++ b/cmd/aspenshed/gateway.go
@@ -37,7 +37,7 @@
 	front    *postgres.Front
 	watcher  *discovery.Watcher
 	pipeline *pipeline.Pipeline
-	fares    *daemon.Front // nil: the MySQL front is off
+	mysql    *daemon.Front // nil: the MySQL front is off
 
 	draining bool
 }
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	if deploy.MySQL.Listen != "" {
-		if g.fares, err = daemon.NewMySQL(&deploy.MySQL, g.loop, node.SeedNumber()+1, nil); err != nil {
+		if g.mysql, err = daemon.NewMySQL(&deploy.MySQL, g.loop, node.SeedNumber()+1, nil); err != nil {
 			return nil, err
 		}
 	}
@@ -114,8 +114,8 @@
 			g.front.CloseIdle()
 		}
 		left := g.net.Clients() + g.pipeline.Response.Live()
-		if g.fares != nil {
-			left += g.fares.Left(true)
+		if g.mysql != nil {
+			left += g.mysql.Left(true)
 		}
 		if left == 0 || now >= answerAll+lastAnswer/2 {
 			g.loop.Quit()
@@ -125,8 +125,8 @@
 	}
 	g.loop.At(start+acceptAfterTerm, func() {
 		g.net.StopListening()
-		if g.fares != nil {
-			g.fares.Net.StopListening()
+		if g.mysql != nil {
+			g.mysql.Net.StopListening()
 		}
 		tick()
 	})
@@ -144,8 +144,8 @@
 // reload takes the configuration as SIGHUP found it. Of it only discovery's address changes without a restart; a
 // bad file changes nothing. NODE_DISCOVERY is as old as the start: what counts is what the file names now.
 func (g *gateway) reload(next *config.Node, err error) {
-	if g.fares != nil {
-		g.fares.Reload()
+	if g.mysql != nil {
+		g.mysql.Reload()
 	}
 	if err != nil {
 		g.log.WithError(err).Error("configuration refused: the running one stays")
@@ -163,7 +163,7 @@
 // stop writes the last counts.
 func (g *gateway) stop() {
 	g.pipeline.Accounting.Write(g.pipeline.Response.Live())
-	if g.fares != nil {
-		g.fares.Stop()
+	if g.mysql != nil {
+		g.mysql.Stop()
 	}
 }
--- a/cmd/aspenshed/main_test.go
+++ b/cmd/aspenshed/main_test.go
@@ -253,13 +253,13 @@
 		t.Fatal(err)
 	}
 	g, clock, ended := startGateway(t, deploy)
-	t.Cleanup(g.fares.Net.Stop)
+	t.Cleanup(g.mysql.Net.Stop)
 	after := func(text string) (n int) {
 		put("inventory.csv", text)
 		done := make(chan bool)
 		g.loop.Post(func() {
 			g.reload(g.node, nil)
-			n = len(g.fares.Pipeline.Routing.Last())
+			n = len(g.mysql.Pipeline.Routing.Last())
 			close(done)
 		})
 		<-done
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -93,23 +93,23 @@
 		t.Fatalf("%v: %+v", err, d)
 	}
 	// Nothing proves a position here: bounded reads are for the primary alone.
-	if c := d.MySQL.Settings.Classes[0]; c.Name != "seat-check" || c.Need != aspenshed.AllWrites {
+	if c := d.MySQL.Settings.Classes[0]; c.Name != "point-read" || c.Need != aspenshed.AllWrites {
 		t.Errorf("bounded class without a position: %+v", c)
 	}
 	for want, change := range map[string][2]string{
 		"field mysql.classes[2].effect":        {"late_worth: 0.5, effect: unsafe", "effect: safe"},
 		"field mysql.classes[1].read":          {"read: any", "read: some"},
-		"field mysql.defaults.read_class":      {"read_class: timetable", "read_class: seat-check"},
-		"field mysql.defaults.write_class":     {"write_class: booking", "write_class: timetable"},
+		"field mysql.defaults.read_class":      {"read_class: report", "read_class: point-read"},
+		"field mysql.defaults.write_class":     {"write_class: order", "write_class: report"},
 		"field mysql.probe.role":               {"SELECT @@global.read_only", ""},
 		"field mysql.accounts":                 {"accounts.yaml", "nowhere.yaml"},
 		"field mysql.clients":                  {"clients: 300", "clients: 0"},
-		"field colour not found":               {"database: fares", "colour: red"},
+		"field colour not found":               {"database: app", "colour: red"},
 		"field store.data_dir: missing":        {`address: ""`, "address: 127.0.0.1:1"},
 		"cannot unmarshal !!str `soon`":        {"wait: 2s", "wait: soon"},
 		"give_up: aim must be positive":        {"aim: 400ms", "aim: 4s"},
 		"field mysql.server.password_file":     {`password_file: ""`, "password_file: nowhere"},
-		"field mysql.classes[1].name: missing": {"name: timetable", "name: seat-check"},
+		"field mysql.classes[1].name: missing": {"name: report", "name: point-read"},
 	} {
 		if _, err := read(change[0], change[1]); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s -> %s: %v, want %s", change[0], change[1], err, want)
--- a/internal/daemon/demo.go
+++ b/internal/daemon/demo.go
@@ -18,7 +18,7 @@
 	"aspenshed/internal/protocol/pgwire"
 )
 
-// demoConfig is what the daemon begins with where nothing is configured: the booking service's classes, loopback only.
+// demoConfig is what the daemon begins with where nothing is configured: three classes, loopback only.
 const demoConfig = `
 postgres:
   listen: 127.0.0.1:0
@@ -26,9 +26,9 @@
   clients: 200
   links: 100
   classes: &classes
-    - {name: seat-check, read: bounded, bound: 300ms, aim: 400ms, give_up: 1s, worth: 1, late_worth: 0.2, effect: safe}
-    - {name: timetable, read: any, aim: 750ms, give_up: 2s, worth: 2, effect: safe}
-    - {name: booking, read: write, aim: 750ms, give_up: 5s, worth: 6, late_worth: 0.5, effect: unsafe}
+    - {name: point-read, read: bounded, bound: 300ms, aim: 400ms, give_up: 1s, worth: 1, late_worth: 0.2, effect: safe}
+    - {name: report, read: any, aim: 750ms, give_up: 2s, worth: 2, effect: safe}
+    - {name: order, read: write, aim: 750ms, give_up: 5s, worth: 6, late_worth: 0.5, effect: unsafe}
   attempts: 10
   connect_timeout: 250ms
   idle_close: 60s
@@ -39,10 +39,10 @@
   clients: 200
   links: 100
   accounts: accounts.yaml
-  database: fares
+  database: app
   server: {user: gateway, password_file: password}
   probe: {role: "SELECT @@global.read_only", position: "SELECT applied_ms FROM heartbeat"}
-  defaults: {read_class: timetable, write_class: booking, group: 2, wait: 2s}
+  defaults: {read_class: report, write_class: order, group: 2, wait: 2s}
   classes: *classes
   attempts: 10
   connect_timeout: 250ms
@@ -181,7 +181,7 @@
 		if x.ID == draining {
 			state = "terminating"
 		}
-		b = fmt.Appendf(b, "%s,%s,hobart,%d,std-4core,%s\n", x.ID, x.Address(), group, state)
+		b = fmt.Appendf(b, "%s,%s,site-1,%d,std-4core,%s\n", x.ID, x.Address(), group, state)
 	}
 	return os.WriteFile(filepath.Join(d.Dir, wire+".csv"), b, 0o600)
 }
@@ -217,11 +217,11 @@
 	return err
 }
 
-// Sample asks a front for a seat-check until it is served, or the limit is over, and returns the row.
+// Sample asks a front for a point read until it is served, or the limit is over, and returns the row.
 func Sample(address string, id string, limit time.Duration) (row string, err error) {
 	for end := time.Now().Add(limit); ; {
-		row, err = Query(address, fmt.Sprintf("SELECT payload FROM entries WHERE ref = 'hobart-launceston-0730' "+
-			"/* id=%s-%d,c=seat-check,d=900,cluster=1 */", id, time.Now().UnixNano()), time.Until(end))
+		row, err = Query(address, fmt.Sprintf("SELECT payload FROM entries WHERE ref = 'entry-1' "+
+			"/* id=%s-%d,c=point-read,d=900,cluster=1 */", id, time.Now().UnixNano()), time.Until(end))
 		if err == nil || time.Now().After(end) {
 			return row, err
 		}
@@ -311,7 +311,7 @@
 	if err != nil {
 		return errors.Join(fmt.Errorf("the sample query was not served: %w", err), d.Stop())
 	}
-	fmt.Printf("SELECT payload ... /* c=seat-check */ -> %s\n", row)
+	fmt.Printf("SELECT payload ... /* c=point-read */ -> %s\n", row)
 	logrus.WithFields(logrus.Fields{"took_ms": time.Since(begin).Milliseconds(), "row": row}).Info("sample query served")
 	go func() {
 		<-end
--- a/internal/daemon/mysql_test.go
+++ b/internal/daemon/mysql_test.go
@@ -11,7 +11,7 @@
 	"aspenshed/internal/experiment/standin"
 )
 
-// The MySQL front of the demonstration serves an ordinary client, text and prepared; bookings follow the role when it
+// The MySQL front of the demonstration serves an ordinary client, text and prepared; orders follow the role when it
 // is handed over, and none runs twice.
 func TestAnOrdinaryMySQLClient(t *testing.T) {
 	d, err := NewDemo(t.TempDir(), DemoOptions{Instances: 1, Limits: standin.DefaultLimits()})
@@ -23,7 +23,7 @@
 			t.Error(err)
 		}
 	}()
-	db, err := sql.Open("mysql", fmt.Sprintf("web:pass@tcp(%s)/fares", d.Instances[0].Front(WireMySQL).Net.Addr()))
+	db, err := sql.Open("mysql", fmt.Sprintf("web:pass@tcp(%s)/app", d.Instances[0].Front(WireMySQL).Net.Addr()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,20 +32,20 @@
 		return row, db.QueryRow(query, args...).Scan(&row)
 	}
 	eventually(t, "a served read", func() bool {
-		_, err := ask(nil, "SELECT payload FROM entries /* id=r,c=timetable */")
+		_, err := ask(nil, "SELECT payload FROM entries /* id=r,c=report */")
 		return err == nil
 	})
 	group := d.Databases["mysql"]
 	n := 0
 	for _, to := range []string{"my-a", "my-b", "my-c"} {
 		group.HandOver(to)
-		eventually(t, "a booking at "+to, func() bool {
+		eventually(t, "an order at "+to, func() bool {
 			n++
-			row, err := ask([]any{n}, fmt.Sprintf("SELECT book(?) /* id=b%d,c=booking */", n))
+			row, err := ask([]any{n}, fmt.Sprintf("SELECT place(?) /* id=b%d,c=order */", n))
 			return err == nil && strings.HasPrefix(row, "b")
 		})
 	}
 	if n := group.Ran(); n != 1 {
-		t.Errorf("a booking ran %d times", n)
+		t.Errorf("an order ran %d times", n)
 	}
 }
--- a/internal/experiment/standin/standin.go
+++ b/internal/experiment/standin/standin.go
@@ -142,7 +142,7 @@
 // serve takes one statement; answer is called once, later, with what became of it.
 func (d *DB) serve(sql string, answer func(value string, v Verdict)) {
 	tag, _ := sqlcomment.Parse(sql)
-	write := tag.Values["c"] == "booking"
+	write := tag.Values["c"] == "order"
 	now := time.Now().UnixNano()
 	d.mu.Lock()
 	v, took := d.m.Take(now, write)
--- a/internal/experiment/trial/store.go
+++ b/internal/experiment/trial/store.go
@@ -178,7 +178,7 @@
 }
 
 func entry(i int) *pb.Entry {
-	return &pb.Entry{Id: fmt.Sprintf("db-%07d", i), Address: "10.1.2.3:6432", Site: "hobart", Group: int32(i / 6), Kind: "std-4core", State: "in_service"}
+	return &pb.Entry{Id: fmt.Sprintf("db-%07d", i), Address: "10.1.2.3:6432", Site: "site-1", Group: int32(i / 6), Kind: "std-4core", State: "in_service"}
 }
 
 // sizeAfter is the size of a catalog of 20 members after so many have come and gone, one in each inventory.
--- a/internal/experiment/trial/trial.go
+++ b/internal/experiment/trial/trial.go
@@ -55,7 +55,7 @@
 	HighestCold             float64         // of what topples a cold database
 	Fell                    bool
 	WarmAfter               time.Duration // from its start until all instances took the cold one for warm
-	MostRun                 int           // how often the most repeated booking ran
+	MostRun                 int           // how often the most repeated order ran
 	Equal                   bool          // catalogs, at the end
 	Cut                     int           // the instance that was cut off: the leader
 	Modes                   []string      // at the end of the cut
@@ -289,12 +289,12 @@
 				continue
 			}
 		}
-		class, verb := "seat-check", "SELECT payload FROM entries WHERE ref = 'k%d' /* id=%d,c=%s,d=900,cluster=1 */"
+		class, verb := "point-read", "SELECT payload FROM entries WHERE ref = 'k%d' /* id=%d,c=%s,d=900,cluster=1 */"
 		switch (n + k) % 10 {
 		case 0, 1:
-			class, verb = "booking", "INSERT INTO entries (ref, payload) VALUES ('k%d', '\\x00') RETURNING payload /* id=%d,c=%s,d=900,cluster=1 */"
+			class, verb = "order", "INSERT INTO entries (ref, payload) VALUES ('k%d', '\\x00') RETURNING payload /* id=%d,c=%s,d=900,cluster=1 */"
 		case 2, 3, 4, 5:
-			class = "timetable"
+			class = "report"
 		}
 		id := l.ids.Add(1)
 		switch code, ok := c.ask(fmt.Sprintf(verb, id%100, id, class)); {
