--- a/cmd/aspenshed/gateway.go
+++ b/cmd/aspenshed/gateway.go
@@ -26,6 +26,7 @@
 	spareLimit      = aspenshed.Nanos(200e6) // the same where connections are scarce: clients hold a third of all descriptors at most
 	otherFiles      = 32                     // standard streams, epoll, listener, timers
 	mostHeld        = 8192
+	bufferedShare   = 8 // commands without an answer may take one part in so many of the memory, and answers that nobody reads too
 )
 
 // gateway is the platform's side of the program: one pipeline behind the thin front.
@@ -52,10 +53,12 @@
 	}
 	files := node.Limits.Sockets - otherFiles
 	clients := files * 6 / 10
+	buffered := int64(node.Limits.MemoryMB) << 20 / bufferedShare
 	g.front = &postgres.Front{Manager: session.Manager{Loop: g.loop, Settings: &node.Settings,
-		Limits: session.Limits{Silent: clientLimit, Idle: clientLimit, Roomy: node.Limits.Sockets / 4, Spare: spareLimit}}}
+		Limits: session.Limits{Silent: clientLimit, Idle: clientLimit, Roomy: node.Limits.Sockets / 4, Spare: spareLimit,
+			Unanswered: buffered}}}
 	ready := make(chan struct{})
-	g.net, err = netio.New(netio.Config{Name: "platform", Listen: node.Listen, Clients: clients, Dials: files * 4 / 10, Reserved: files / 20,
+	g.net, err = netio.New(netio.Config{Name: "platform", Listen: node.Listen, Clients: clients, Dials: files * 4 / 10, Reserved: files / 20, Queued: buffered,
 		Accept: func(c *netio.Conn) netio.Handler {
 			<-ready
 			return g.front.Accept(c)
--- a/internal/frontend/session/session.go
+++ b/internal/frontend/session/session.go
@@ -33,6 +33,8 @@
 	// Beyond Roomy connections they get scarce: those idle for longest make room, if for Spare at least. 0: never.
 	Roomy int
 	Spare aspenshed.Nanos
+	// Unanswered bounds the bytes of commands without an answer, of all connections together; 0: defaultUnanswered.
+	Unanswered int64
 }
 
 // Conn is a client's connection, whatever its wire.
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -51,6 +51,10 @@
 	Clients, Dials, Reserved int
 	// WriteBuffer bounds the bytes that one connection queues; one that queues more is closed. 0: maxWriteBuffer.
 	WriteBuffer int
+	// Queued bounds the bytes that wait on all connections together for their peers to read; beyond it one may
+	// add to what waits on it only up to its share, this over the number of connections: those whose peers read nothing end,
+	// and one that is slow for a moment does not. 0: each connection's own bound is the only one.
+	Queued int64
 }
 
 // Net is one engine.
@@ -86,7 +90,7 @@
 	}
 	n.eng = nbio.NewEngine(nc)
 	var err error
-	if n.flusher, err = newFlusher(); err != nil {
+	if n.flusher, err = newFlusher(cfg); err != nil {
 		return n, err
 	}
 	n.flusher.writeBuffer = cmp.Or(cfg.WriteBuffer, maxWriteBuffer)
--- a/internal/netio/write.go
+++ b/internal/netio/write.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"errors"
+	"math"
 	"os"
 	"sync"
 	"sync/atomic"
@@ -23,13 +24,6 @@
 // made it holds it already.
 const maxWriteBuffer = 2 << 20
 
-// maxQueued bounds what waits on all connections of a Net together. Beyond it a connection may add to what waits on it only
-// up to fairShare, so those whose peers read nothing end, and one that is slow for a moment does not.
-const (
-	maxQueued = 64 << 20
-	fairShare = 256 << 10
-)
-
 // writeQueue is what waits for the system to take it; the lock of nbio's connection guards it.
 type writeQueue struct {
 	buffer  []byte
@@ -133,7 +127,7 @@
 // tooMuch tells whether that many bytes may not wait on the connection.
 func (x *Conn) tooMuch(waiting int) bool {
 	total := x.flusher.queued.Load() - x.unsent.Load() + int64(waiting)
-	return waiting > x.flusher.writeBuffer || waiting > fairShare && total > x.flusher.maxQueued
+	return waiting > x.flusher.writeBuffer || waiting > x.flusher.share && total > x.flusher.maxQueued
 }
 
 // countWaiting brings the counts of what waits up to date.
@@ -168,13 +162,14 @@
 	writeBuffer int // bytes that may wait on one connection
 
 	queued    atomic.Int64 // bytes that wait on all connections
-	maxQueued int64        // a test's may be less
+	maxQueued int64
+	share     int // of a connection, beyond maxQueued
 
 	mu    sync.Mutex
 	stuck map[int32]*Conn // by descriptor; no more than there are
 }
 
-func newFlusher() (*flusher, error) {
+func newFlusher(c Config) (*flusher, error) {
 	descriptor, err := syscall.EpollCreate1(syscall.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, os.NewSyscallError("epoll_create1", err)
@@ -183,7 +178,8 @@
 		_ = syscall.Close(descriptor)
 		return nil, os.NewSyscallError("fcntl", err)
 	}
-	f := &flusher{epoll: os.NewFile(uintptr(descriptor), "epoll"), maxQueued: maxQueued, stuck: map[int32]*Conn{}}
+	f := &flusher{epoll: os.NewFile(uintptr(descriptor), "epoll"), stuck: map[int32]*Conn{}, maxQueued: cmp.Or(c.Queued, math.MaxInt64)}
+	f.share = int(f.maxQueued) / max(c.Clients+c.Dials, 1)
 	if f.raw, err = f.epoll.SyscallConn(); err != nil {
 		return nil, errors.Join(err, f.epoll.Close())
 	}
