--- /dev/null
+++ b/internal/dataplane/dispatch/connection.go
@@ -0,0 +1,165 @@
+package dispatch
+
+import (
+	"cmp"
+	"slices"
+
+	"aspenshed"
+
+	"aspenshed/internal/dataplane/eventloop"
+	"aspenshed/internal/dataplane/request"
+)
+
+// link is one connection and what is out on it.
+type link struct {
+	s       *Stage
+	p       *pool
+	c       request.Link
+	up      bool
+	closed  bool
+	a       *attempt
+	idle    aspenshed.Nanos // since when; 0: it has served nothing yet
+	probing bool            // a probe's link, and one is out
+	began   aspenshed.Nanos // that probe
+	timer   *eventloop.Timer
+}
+
+// write sends what the link was opened or taken for.
+func (l *link) write() {
+	s, a := l.s, l.a
+	switch {
+	case l.p.leaving: // the word came while the link did: not a byte more
+		if a != nil {
+			l.turn(deniedLeaving)
+			return
+		}
+		if l.close(); l.probing {
+			s.Loop.Post(func() { s.probed(l, request.Result{Outcome: aspenshed.NotSent}) })
+		}
+	case a != nil:
+		limit := cmp.Or(s.ConnectTimeout, probeTimeout)
+		a.silence = s.Loop.At(s.Loop.Now()+limit, func() {
+			how := request.Unreachable
+			if a.lay > 0 { // an old link may have been dropped unseen: only a new one tells
+				how, a.links = request.CutBefore, mostLinks-1
+			}
+			s.cut(a, how, "link does not show that it is alive")
+		})
+		if !l.c.Send(a.r.Statement, a.end-s.Loop.Now()) { // the attempt's own remaining wait
+			s.cut(a, request.CutBefore, "link closed before the statement left")
+		}
+	case l.probing:
+		if !l.c.Probe() {
+			l.close()
+			s.Loop.Post(func() { s.probed(l, request.Result{Outcome: aspenshed.NoLink}) })
+		}
+	}
+}
+
+// Leave is asked when the attempt's last byte is about to leave.
+func (l *link) Leave() bool {
+	s, a := l.s, l.a
+	if l.closed || a == nil {
+		return false
+	}
+	s.Loop.Stop(a.silence)
+	switch {
+	case l.p.leaving: // guards drains: the word came after the statement's first bytes
+		l.turn(deniedLeaving)
+	case a.leaveBy > 0 && s.Loop.Now() > a.leaveBy: // guards the age of data and the time for repeats
+		l.turn("it took too long to get here")
+	default:
+		a.r.Out = true
+		return true
+	}
+	return false
+}
+
+const deniedLeaving = "the member was told to leave meanwhile"
+
+// turn ends the attempt before its statement has left: it must not.
+func (l *link) turn(why string) {
+	a := l.a
+	l.a = nil
+	l.close()
+	l.s.endLater(a, request.Result{Outcome: aspenshed.Turned, Detail: why})
+}
+
+// Up is called when the member is ready for a statement.
+func (l *link) Up() {
+	if l.closed {
+		return
+	}
+	l.up = true
+	l.write()
+}
+
+// Done is called when what was out has ended.
+func (l *link) Done(r request.Result) {
+	if l.closed {
+		return
+	}
+	if r.Close {
+		l.close()
+	}
+	l.idle = l.s.Loop.Now()
+	if a := l.a; a != nil {
+		l.a = nil
+		l.rest()
+		l.s.end(a, r)
+	} else if l.probing {
+		l.rest()
+		l.s.probed(l, r)
+	}
+}
+
+// rest leaves the link to the next attempt or probe.
+func (l *link) rest() {
+	if l.p.probe == l {
+		l.p.probe = nil
+	}
+	switch {
+	case l.closed:
+	case l.p.wanted:
+		l.p.idle = append(l.p.idle, l)
+	default:
+		l.close()
+	}
+}
+
+// Down is called when the link is no more.
+func (l *link) Down(how request.End, err error) {
+	if l.closed {
+		return
+	}
+	l.close()
+	detail := ""
+	if err != nil {
+		detail = err.Error()
+	}
+	r := request.Result{Outcome: aspenshed.NoLink, Detail: detail}
+	if how == request.CutAfter {
+		r.Outcome = aspenshed.LinkBroke
+	}
+	switch a := l.a; {
+	case a != nil && how == request.CutAfter:
+		l.a = nil
+		l.s.end(a, r)
+	case a != nil:
+		l.s.cut(a, how, detail)
+	case l.probing:
+		l.s.probed(l, r)
+	}
+}
+
+func (l *link) close() {
+	if l.closed {
+		return
+	}
+	l.closed = true
+	l.c.Close()
+	if l.p.probe == l {
+		l.p.probe = nil
+	}
+	l.p.idle = slices.DeleteFunc(l.p.idle, func(x *link) bool { return x == l })
+}
--- /dev/null
+++ b/internal/dataplane/dispatch/pool.go
@@ -0,0 +1,117 @@
+package dispatch
+
+import (
+	"slices"
+
+	"aspenshed"
+)
+
+// pool is a member's connections.
+type pool struct {
+	id, address string
+	wanted      bool    // the list has it up
+	leaving     bool    // the list has said that it drains or is gone: nothing leaves for it from then on
+	idle        []*link // the newest last
+	probe       *link   // on which a probe is out
+}
+
+// Members keeps addresses, and closes what is idle at members that are not up. Those that are gone are forgotten,
+// as ids are always new; what is still out there holds its pool itself.
+func (s *Stage) Members(l aspenshed.MemberList, addresses map[string]string) {
+	listed := map[string]bool{}
+	for _, m := range l.Members {
+		listed[m.ID] = true
+		p := s.pools[m.ID]
+		if p == nil {
+			p = &pool{id: m.ID}
+			s.pools[m.ID] = p
+		}
+		if a := addresses[m.ID]; a != "" && a != p.address {
+			s.ClosePool(m.ID)
+			p.address = a
+		}
+		p.leaving = m.State != aspenshed.Up
+		if p.wanted = !p.leaving; p.leaving {
+			s.ClosePool(p.id)
+		}
+		if m.State == aspenshed.Gone {
+			delete(s.pools, m.ID)
+		}
+	}
+	if !l.Whole {
+		return
+	}
+	for _, p := range s.pools {
+		if !listed[p.id] {
+			p.wanted = false
+			s.ClosePool(p.id)
+			if !s.SoftRemoval {
+				p.leaving = true
+				delete(s.pools, p.id)
+			}
+		}
+	}
+}
+
+func (s *Stage) takeIdle(p *pool) *link {
+	for n := len(p.idle); n > 0; n = len(p.idle) {
+		l := p.idle[n-1]
+		p.idle = p.idle[:n-1]
+		if !s.stale(l) {
+			return l
+		}
+		l.close()
+	}
+	return nil
+}
+
+func (s *Stage) stale(l *link) bool {
+	return s.IdleClose > 0 && s.Loop.Now() >= l.idle+max(s.IdleClose-idleMargin, s.IdleClose/2)
+}
+
+// makeRoom closes the link that has lain idle for longest, of whichever member.
+func (s *Stage) makeRoom() bool {
+	var oldest *link
+	for _, p := range s.pools {
+		for _, l := range p.idle {
+			if oldest == nil || l.idle < oldest.idle {
+				oldest = l
+			}
+		}
+	}
+	if oldest != nil {
+		oldest.close()
+	}
+	return oldest != nil
+}
+
+func (s *Stage) open(p *pool, probe bool) (*link, error) {
+	l := &link{s: s, p: p}
+	c, err := s.Backend.Open(p.address, s.ConnectTimeout, probe, l)
+	if err != nil {
+		return nil, err
+	}
+	l.c = c
+	return l, nil
+}
+
+// ClosePool closes a member's idle links.
+func (s *Stage) ClosePool(member string) {
+	if p := s.pools[member]; p != nil {
+		for _, l := range slices.Clone(p.idle) {
+			l.close()
+		}
+	}
+}
+
+// sweep closes links before the member does: a statement that crosses the close would be lost.
+func (s *Stage) sweep() {
+	for _, p := range s.pools {
+		for _, l := range slices.Clone(p.idle) {
+			if s.stale(l) {
+				l.close()
+			}
+		}
+	}
+	s.Loop.At(s.Loop.Now()+sweepEvery, s.sweep)
+}
