--- a/internal/dataplane/dispatch/attempt.go
+++ b/internal/dataplane/dispatch/attempt.go
@@ -11,18 +11,18 @@
 
 // attempt is one of a request: at most one is out.
 type attempt struct {
-	r       *request.Request
-	n       int
-	p       *pool
-	l       *link
-	at      aspenshed.Nanos
-	end     aspenshed.Nanos // when it is given up
-	leaveBy aspenshed.Nanos // it must not leave later: what is known of the member's data is too old then; 0: no matter
-	lay     aspenshed.Nanos // how long its link had lain idle; 0: a new one
-	links   int             // taken up so far
-	timer   *eventloop.Timer
-	silence *eventloop.Timer // ends a link that does not show that it is alive
-	ended   bool
+	r           *request.Request
+	n           int
+	p           *pool
+	l           *connection
+	at          aspenshed.Nanos
+	end         aspenshed.Nanos // when it is given up
+	leaveBy     aspenshed.Nanos // it must not leave later: what is known of the member's data is too old then; 0: no matter
+	idleFor     aspenshed.Nanos // how long its connection had lain idle; 0: a new one
+	connections int             // taken up so far
+	timer       *eventloop.Timer
+	silence     *eventloop.Timer // ends a connection that does not show that it is alive
+	ended       bool
 }
 
 // Send starts an attempt, the n-th of its request. leaveBy: when its statement must have left, if at all; 0: no matter.
@@ -51,14 +51,14 @@
 	s.carry(a)
 }
 
-// carry takes up the newest idle link for an attempt, or a new one.
+// carry takes up the newest idle connection for an attempt, or a new one.
 func (s *Stage) carry(a *attempt) {
-	a.links++
+	a.connections++
 	l := s.takeIdle(a.p)
-	if l == nil || a.links == mostLinks {
+	if l == nil || a.connections == maxConnections {
 		var err error
 		if l, err = s.open(a.p, false); err != nil && s.makeRoom() {
-			if l, err = s.open(a.p, false); err != nil && a.links < mostLinks {
+			if l, err = s.open(a.p, false); err != nil && a.connections < maxConnections {
 				s.Loop.At(s.Loop.Now()+roomWait, func() {
 					if !a.ended {
 						s.carry(a)
@@ -72,23 +72,23 @@
 			return
 		}
 	}
-	a.l, l.a, a.lay = l, a, 0
+	a.l, l.a, a.idleFor = l, a, 0
 	if l.idle > 0 {
-		a.lay = max(s.Loop.Now()-l.idle, 1)
+		a.idleFor = max(s.Loop.Now()-l.idle, 1)
 	}
 	if l.up {
-		l.write()
+		l.start()
 	}
 }
 
-// cut ends a link on which the attempt's statement did not leave. The attempt takes up another one, as members and
-// the network drop links unseen; where the member can't be reached, or all are cut, it has not run.
+// cut ends a connection on which the attempt's statement did not leave. The attempt takes up another one, as members and
+// the network drop connections unseen; where the member can't be reached, or all are cut, it has not run.
 func (s *Stage) cut(a *attempt, how request.End, detail string) {
 	s.Loop.Stop(a.silence)
 	a.l.a = nil
 	a.l.close()
 	a.l, a.r.Out = nil, false // its last byte was let go, maybe, but could not be written
-	if how == request.CutBefore && a.links < mostLinks && !a.p.leaving {
+	if how == request.CutBefore && a.connections < maxConnections && !a.p.draining {
 		s.carry(a)
 		return
 	}
@@ -102,10 +102,10 @@
 	}
 }
 
-// giveUp closes the attempt's link before anything else may be sent for its request.
+// giveUp closes the attempt's connection before anything else may be sent for its request.
 func (s *Stage) giveUp(a *attempt, o aspenshed.Outcome) {
 	if o == aspenshed.TimedOut && (a.l == nil || !a.l.up || !a.l.c.Out()) {
-		o = aspenshed.NoLink // the statement never left: no link came up in time
+		o = aspenshed.NoLink // the statement never left: no connection came up in time
 	}
 	if a.l != nil {
 		a.l.close()
@@ -165,7 +165,7 @@
 	}
 	neverRan := res.Outcome == aspenshed.Full || res.Outcome == aspenshed.NoLink || res.Outcome == aspenshed.NotSent || res.Outcome == aspenshed.Turned
 	a.r.Out = false
-	res.Took, res.Lay = s.Loop.Now()-a.at, a.lay
+	res.Took, res.Lay = s.Loop.Now()-a.at, a.idleFor
 	a.r.MayHaveRun = a.r.MayHaveRun || !neverRan
 	s.Attempted(a.r, member, res)
 	if a.r.Final {
--- a/internal/dataplane/dispatch/connection.go
+++ b/internal/dataplane/dispatch/connection.go
@@ -10,8 +10,8 @@
 	"aspenshed/internal/dataplane/request"
 )
 
-// link is one connection and what is out on it.
-type link struct {
+// connection is one to a member, and what is out on it.
+type connection struct {
 	s       *Stage
 	p       *pool
 	c       request.Link
@@ -19,18 +19,18 @@
 	closed  bool
 	a       *attempt
 	idle    aspenshed.Nanos // since when; 0: it has served nothing yet
-	probing bool            // a probe's link, and one is out
+	probing bool            // a probe's connection, and one is out
 	began   aspenshed.Nanos // that probe
 	timer   *eventloop.Timer
 }
 
-// write sends what the link was opened or taken for.
-func (l *link) write() {
+// start sends what the connection was opened or taken for.
+func (l *connection) start() {
 	s, a := l.s, l.a
 	switch {
-	case l.p.leaving: // the word came while the link did: not a byte more
+	case l.p.draining: // the word came while the connection did: not a byte more
 		if a != nil {
-			l.turn(deniedLeaving)
+			l.turn(deniedDraining)
 			return
 		}
 		if l.close(); l.probing {
@@ -40,8 +40,8 @@
 		limit := cmp.Or(s.ConnectTimeout, probeTimeout)
 		a.silence = s.Loop.At(s.Loop.Now()+limit, func() {
 			how := request.Unreachable
-			if a.lay > 0 { // an old link may have been dropped unseen: only a new one tells
-				how, a.links = request.CutBefore, mostLinks-1
+			if a.idleFor > 0 { // an old connection may have been dropped unseen: only a new one tells
+				how, a.connections = request.CutBefore, maxConnections-1
 			}
 			s.cut(a, how, "link does not show that it is alive")
 		})
@@ -57,15 +57,15 @@
 }
 
 // Leave is asked when the attempt's last byte is about to leave.
-func (l *link) Leave() bool {
+func (l *connection) Leave() bool {
 	s, a := l.s, l.a
 	if l.closed || a == nil {
 		return false
 	}
 	s.Loop.Stop(a.silence)
 	switch {
-	case l.p.leaving: // guards drains: the word came after the statement's first bytes
-		l.turn(deniedLeaving)
+	case l.p.draining: // guards drains: the word came after the statement's first bytes
+		l.turn(deniedDraining)
 	case a.leaveBy > 0 && s.Loop.Now() > a.leaveBy: // guards the age of data and the time for repeats
 		l.turn("it took too long to get here")
 	default:
@@ -75,10 +75,10 @@
 	return false
 }
 
-const deniedLeaving = "the member was told to leave meanwhile"
+const deniedDraining = "the member was told to leave meanwhile"
 
 // turn ends the attempt before its statement has left: it must not.
-func (l *link) turn(why string) {
+func (l *connection) turn(why string) {
 	a := l.a
 	l.a = nil
 	l.close()
@@ -86,16 +86,16 @@
 }
 
 // Up is called when the member is ready for a statement.
-func (l *link) Up() {
+func (l *connection) Up() {
 	if l.closed {
 		return
 	}
 	l.up = true
-	l.write()
+	l.start()
 }
 
 // Done is called when what was out has ended.
-func (l *link) Done(r request.Result) {
+func (l *connection) Done(r request.Result) {
 	if l.closed {
 		return
 	}
@@ -105,16 +105,16 @@
 	l.idle = l.s.Loop.Now()
 	if a := l.a; a != nil {
 		l.a = nil
-		l.rest()
+		l.release()
 		l.s.end(a, r)
 	} else if l.probing {
-		l.rest()
+		l.release()
 		l.s.probed(l, r)
 	}
 }
 
-// rest leaves the link to the next attempt or probe.
-func (l *link) rest() {
+// release leaves the connection to the next attempt or probe.
+func (l *connection) release() {
 	if l.p.probe == l {
 		l.p.probe = nil
 	}
@@ -127,8 +127,8 @@
 	}
 }
 
-// Down is called when the link is no more.
-func (l *link) Down(how request.End, err error) {
+// Down is called when the connection is no more.
+func (l *connection) Down(how request.End, err error) {
 	if l.closed {
 		return
 	}
@@ -152,7 +152,7 @@
 	}
 }
 
-func (l *link) close() {
+func (l *connection) close() {
 	if l.closed {
 		return
 	}
@@ -161,5 +161,5 @@
 	if l.p.probe == l {
 		l.p.probe = nil
 	}
-	l.p.idle = slices.DeleteFunc(l.p.idle, func(x *link) bool { return x == l })
+	l.p.idle = slices.DeleteFunc(l.p.idle, func(x *connection) bool { return x == l })
 }
--- a/internal/dataplane/dispatch/dispatch.go
+++ b/internal/dataplane/dispatch/dispatch.go
@@ -1,5 +1,5 @@
 // Package dispatch is the stage that carries attempts and probes to the members:
-// it keeps a pool of links to each, one attempt on a link, and its time-outs.
+// it keeps a pool of connections to each, one attempt on a connection, and its time-outs.
 package dispatch
 
 import (
@@ -12,11 +12,11 @@
 )
 
 const (
-	probeTimeout = aspenshed.Nanos(250e6)
-	idleMargin   = aspenshed.Nanos(1e9) // idle links close this long before the member would
-	sweepEvery   = aspenshed.Nanos(500e6)
-	mostLinks    = 3                    // that an attempt takes up, as long as its statement has not left on any
-	roomWait     = aspenshed.Nanos(2e6) // for the descriptor of a link that was closed to be given back: its poller does that
+	probeTimeout   = aspenshed.Nanos(250e6)
+	idleMargin     = aspenshed.Nanos(1e9) // idle connections close this long before the member would
+	sweepEvery     = aspenshed.Nanos(500e6)
+	maxConnections = 3                    // that an attempt takes up, as long as its statement has not left on any
+	roomWait       = aspenshed.Nanos(2e6) // for the descriptor of a connection that was closed to be given back: its poller does that
 )
 
 // Stage sends. All of it runs on the loop.
@@ -25,7 +25,7 @@
 	Log            *logrus.Entry
 	Backend        request.Backend
 	ConnectTimeout aspenshed.Nanos
-	IdleClose      aspenshed.Nanos // 0: members never close idle links
+	IdleClose      aspenshed.Nanos // 0: members never close idle connections
 	SoftRemoval    bool            // absence from the list does not end a member
 	Get            func(id string) *request.Request
 	Tell           func(aspenshed.Event)
@@ -40,7 +40,7 @@
 	attempts map[string]*attempt // the one that is out, by request
 }
 
-// Start begins the sweep of idle links.
+// Start begins the sweep of idle connections.
 func (s *Stage) Start() {
 	s.pools, s.attempts = map[string]*pool{}, map[string]*attempt{}
 	s.sweep()
--- a/internal/dataplane/dispatch/pool.go
+++ b/internal/dataplane/dispatch/pool.go
@@ -9,10 +9,10 @@
 // pool is a member's connections.
 type pool struct {
 	id, address string
-	wanted      bool    // the list has it up
-	leaving     bool    // the list has said that it drains or is gone: nothing leaves for it from then on
-	idle        []*link // the newest last
-	probe       *link   // on which a probe is out
+	wanted      bool          // the list has it up
+	draining    bool          // the list has said that it drains or is gone: nothing leaves for it from then on
+	idle        []*connection // the newest last
+	probe       *connection   // on which a probe is out
 }
 
 // Members keeps addresses, and closes what is idle at members that are not up. Those that are gone are forgotten,
@@ -30,8 +30,8 @@
 			s.ClosePool(m.ID)
 			p.address = a
 		}
-		p.leaving = m.State != aspenshed.Up
-		if p.wanted = !p.leaving; p.leaving {
+		p.draining = m.State != aspenshed.Up
+		if p.wanted = !p.draining; p.draining {
 			s.ClosePool(p.id)
 		}
 		if m.State == aspenshed.Gone {
@@ -46,14 +46,14 @@
 			p.wanted = false
 			s.ClosePool(p.id)
 			if !s.SoftRemoval {
-				p.leaving = true
+				p.draining = true
 				delete(s.pools, p.id)
 			}
 		}
 	}
 }
 
-func (s *Stage) takeIdle(p *pool) *link {
+func (s *Stage) takeIdle(p *pool) *connection {
 	for n := len(p.idle); n > 0; n = len(p.idle) {
 		l := p.idle[n-1]
 		p.idle = p.idle[:n-1]
@@ -65,13 +65,13 @@
 	return nil
 }
 
-func (s *Stage) stale(l *link) bool {
+func (s *Stage) stale(l *connection) bool {
 	return s.IdleClose > 0 && s.Loop.Now() >= l.idle+max(s.IdleClose-idleMargin, s.IdleClose/2)
 }
 
-// makeRoom closes the link that has lain idle for longest, of whichever member.
+// makeRoom closes the connection that has lain idle for longest, of whichever member.
 func (s *Stage) makeRoom() bool {
-	var oldest *link
+	var oldest *connection
 	for _, p := range s.pools {
 		for _, l := range p.idle {
 			if oldest == nil || l.idle < oldest.idle {
@@ -85,8 +85,8 @@
 	return oldest != nil
 }
 
-func (s *Stage) open(p *pool, probe bool) (*link, error) {
-	l := &link{s: s, p: p}
+func (s *Stage) open(p *pool, probe bool) (*connection, error) {
+	l := &connection{s: s, p: p}
 	c, err := s.Backend.Open(p.address, s.ConnectTimeout, probe, l)
 	if err != nil {
 		return nil, err
@@ -95,7 +95,7 @@
 	return l, nil
 }
 
-// ClosePool closes a member's idle links.
+// ClosePool closes a member's idle connections.
 func (s *Stage) ClosePool(member string) {
 	if p := s.pools[member]; p != nil {
 		for _, l := range slices.Clone(p.idle) {
@@ -104,7 +104,7 @@
 	}
 }
 
-// sweep closes links before the member does: a statement that crosses the close would be lost.
+// sweep closes connections before the member does: a statement that crosses the close would be lost.
 func (s *Stage) sweep() {
 	for _, p := range s.pools {
 		for _, l := range slices.Clone(p.idle) {
--- a/internal/dataplane/dispatch/probe.go
+++ b/internal/dataplane/dispatch/probe.go
@@ -5,7 +5,7 @@
 	"aspenshed/internal/dataplane/request"
 )
 
-// Probe asks a member on an idle link, or a new one. Links are dear to a member that many gateways ask: the next
+// Probe asks a member on an idle connection, or a new one. Connections are dear to a member that many gateways ask: the next
 // attempt there goes out on the same one.
 func (s *Stage) Probe(member string) {
 	p := s.pools[member]
@@ -20,7 +20,9 @@
 	if l == nil {
 		var err error
 		if l, err = s.open(p, true); err != nil {
-			s.Loop.Post(func() { s.probed(&link{s: s, p: p, began: s.Loop.Now()}, request.Result{Outcome: aspenshed.NoLink}) })
+			s.Loop.Post(func() {
+				s.probed(&connection{s: s, p: p, began: s.Loop.Now()}, request.Result{Outcome: aspenshed.NoLink})
+			})
 			return
 		}
 	}
@@ -31,11 +33,11 @@
 		s.probed(l, request.Result{Outcome: aspenshed.TimedOut})
 	})
 	if l.up {
-		l.write()
+		l.start()
 	}
 }
 
-func (s *Stage) probed(l *link, r request.Result) {
+func (s *Stage) probed(l *connection, r request.Result) {
 	l.probing = false
 	s.Loop.Stop(l.timer)
 	s.Probed(l.p.id, r)
