--- a/internal/experiment/datapath/process.go
+++ b/internal/experiment/datapath/process.go
@@ -56,7 +56,7 @@
 	}
 	inventory := []byte("id,address,site,group,kind,state\n")
 	for _, d := range p.group.DBs() {
-		inventory = fmt.Appendf(inventory, "%s,%s,hobart,1,std-4core,in_service\n", d.ID, d.Address())
+		inventory = fmt.Appendf(inventory, "%s,%s,site-1,1,std-4core,in_service\n", d.ID, d.Address())
 	}
 	deploy := filepath.Join(dir, "aspenshed.yaml")
 	text := strings.Replace(service, "127.0.0.1:0", p.address, 1)
@@ -72,7 +72,8 @@
 		return nil, errors.Join(err, p.stop())
 	}
 	if _, err = daemon.Sample(p.address, "first", startLimit); err != nil {
-		return nil, errors.Join(fmt.Errorf("the gateway did not serve: %w\n%s", err, p.log.String()), p.stop())
+		stopErr := p.stop() // the process writes its log until it has ended
+		return nil, errors.Join(fmt.Errorf("the gateway did not serve: %w\n%s", err, p.log.String()), stopErr)
 	}
 	return p, nil
 }
--- a/internal/experiment/datapath/settings.go
+++ b/internal/experiment/datapath/settings.go
@@ -18,9 +18,9 @@
   clients: 9200
   links: 4000
   classes:
-    - {name: seat-check, read: bounded, bound: 300ms, aim: 400ms, give_up: 1s, worth: 1, late_worth: 0.2, effect: safe}
-    - {name: timetable, read: any, aim: 750ms, give_up: 2s, worth: 2, effect: safe}
-    - {name: booking, read: write, aim: 750ms, give_up: 5s, worth: 6, late_worth: 0.5, effect: unsafe}
+    - {name: point-read, read: bounded, bound: 300ms, aim: 400ms, give_up: 1s, worth: 1, late_worth: 0.2, effect: safe}
+    - {name: report, read: any, aim: 750ms, give_up: 2s, worth: 2, effect: safe}
+    - {name: order, read: write, aim: 750ms, give_up: 5s, worth: 6, late_worth: 0.5, effect: unsafe}
   attempts: 10
   connect_timeout: 250ms
   idle_close: 60s
@@ -34,7 +34,7 @@
 	write
 )
 
-var classNames = []string{boundedRead: "seat-check", anyRead: "timetable", write: "booking"}
+var classNames = []string{boundedRead: "point-read", anyRead: "report", write: "order"}
 
 // mix is the order in which clients ask: 40% bounded reads, 40% reads of any age, 20% writes, as in experiment cut.
 var mix = []int{write, write, anyRead, anyRead, anyRead, anyRead, boundedRead, boundedRead, boundedRead, boundedRead}
