--- a/internal/netio/write.go
+++ b/internal/netio/write.go
@@ -19,8 +19,8 @@
 // ErrFull is the error of a write on a connection whose peer does not read.
 var ErrFull = errors.New("write buffer full")
 
-// maxWriteBuffer bounds what waits on one connection for its peer to read, where its Config does not: a write that finds so much waiting, or would
-// come to more with what waits, ends the connection. A single write that finds nothing waiting may be longer, as whoever
+// maxWriteBuffer bounds what waits on one connection for its peer to read, where the Config says nothing else: a write that
+// would come to more with what waits ends the connection. A single write that finds nothing waiting may be longer, as whoever
 // made it holds it already.
 const maxWriteBuffer = 2 << 20
 
