--- a/internal/controlplane/store/change.go
+++ b/internal/controlplane/store/change.go
@@ -59,21 +59,20 @@
 		return ErrAlone
 	}
 	var last error = ErrUnavailable
+	removed := false
 	for end := time.Now().Add(limit); time.Now().Before(end); {
 		r, err := s.askLeader(&pb.Call{Body: &pb.Call_Remove{Remove: &pb.Remove{Id: id}}}, time.Until(end))
 		switch {
 		case err != nil:
 			last = err
 		case r.Voter: // done
-			x, err := s.Submit(&pb.Command{Body: &pb.Command_Leave{Leave: &pb.Leave{Instance: id}}}, time.Until(end))
-			if err == nil && x.Refused != "" {
-				err = errors.New(x.Refused)
-			}
-			return err
+			return s.forgetInstance(id, removed, time.Until(end))
 		case r.Refused != "" && !r.Retry:
 			return errors.New(r.Refused)
 		case r.Refused != "":
 			last = errors.New(r.Refused)
+		default: // it is being taken out
+			removed = true
 		}
 		if !s.pause(50 * time.Millisecond) {
 			return ErrClosed
@@ -81,3 +80,13 @@
 	}
 	return last
 }
+
+// forgetInstance takes an instance's record out of the catalog. An instance that was removed before its first heartbeat
+// was agreed on has none, and is gone all the same; otherwise an id without a record is not known at all.
+func (s *Store) forgetInstance(id string, removed bool, limit time.Duration) error {
+	result, err := s.Submit(&pb.Command{Body: &pb.Command_Leave{Leave: &pb.Leave{Instance: id}}}, limit)
+	if err != nil || result.Refused == "" || removed {
+		return err
+	}
+	return errors.New(result.Refused)
+}
--- a/internal/controlplane/store/membership_test.go
+++ b/internal/controlplane/store/membership_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"os"
+	"slices"
 	"sync"
 	"testing"
 	"time"
@@ -11,6 +12,7 @@
 	"github.com/hashicorp/raft"
 
 	"aspenshed/internal/controlplane/catalog"
+	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 	"aspenshed/internal/controlplane/mode"
 )
 
@@ -49,6 +51,38 @@
 	c.equal(map[string]string{"k": "v", "k2": "v2"})
 }
 
+// withoutCommands is a connection to the other instances over which no command gets through.
+type withoutCommands struct{ Caller }
+
+func (c withoutCommands) Call(service string, call *pb.Call, limit time.Duration) (*pb.Reply, error) {
+	if call.GetSubmit() != nil {
+		return nil, ErrUnavailable
+	}
+	return c.Caller.Call(service, call, limit)
+}
+
+// Guards the removal of an instance that died before its first heartbeat was agreed on: the catalog has no record of it.
+func TestAnInstanceLeavesThatNeverSentAHeartbeat(t *testing.T) {
+	c := newCluster(t, "a", "b", "c")
+	c.put(c.leader(), "k", "v")
+	c.add("d").cfg.Calls = func(all Caller) Caller { return withoutCommands{all} }
+	c.open("d")
+	c.until("its vote", func() bool { return c.votes("d") })
+	c.kill("d")
+	lead := c.nodes[c.leader()].store
+	lead.Read(func(x *catalog.Catalog) {
+		if slices.ContainsFunc(x.Instances(), func(i *pb.Instance) bool { return i.Id == "d" }) {
+			t.Fatal("its heartbeat came through")
+		}
+	})
+	if err := lead.Leave("d", patient); err != nil {
+		t.Error(err)
+	}
+	if err := lead.Leave("never-there", patient); err == nil {
+		t.Error("an id that nobody knows left")
+	}
+}
+
 // One instance is cut off, both ways or one way only: it serves what it holds, is told nothing wrong, and holds the
 // same as all once it is back. Its own writes are refused as never done or in doubt, not as done.
 func TestCutOffAndBack(t *testing.T) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -61,30 +61,17 @@
 
 // New starts an instance. It serves as soon as it knows members: from its own files at once, from the store once that
 // tells them.
-func New(c Config) (d *Daemon, err error) {
+func New(c Config) (*Daemon, error) {
 	if c.Clock == nil {
 		c.Clock = eventloop.NewClock()
 	}
-	d = &Daemon{cfg: c, loop: eventloop.NewLoop(c.Clock), opened: make(chan struct{}), ended: make(chan struct{}), broken: make(chan error, 1),
+	d := &Daemon{cfg: c, loop: eventloop.NewLoop(c.Clock), opened: make(chan struct{}), ended: make(chan struct{}), broken: make(chan error, 1),
 		log: logrus.WithField("instance", c.Deploy.Store.ID)}
 	d.loop.Panicked = func(p any) {
 		d.log.WithFields(logrus.Fields{"panic": p, "stack": string(debug.Stack())}).Error("panic on the loop: it goes on")
 	}
-	defer func() {
-		if err != nil {
-			err = errors.Join(err, d.close())
-		}
-	}()
-	if err = d.openControl(); err != nil {
-		return nil, err
-	}
-	if err = d.openFronts(); err != nil {
-		return nil, err
-	}
-	if c.Deploy.Admin.Socket != "" {
-		if d.admin, err = newAdmin(d, c.Deploy.Admin.Socket); err != nil {
-			return nil, err
-		}
+	if err := d.open(); err != nil {
+		return nil, errors.Join(err, d.close())
 	}
 	d.loop.Post(func() {})
 	go func() {
@@ -95,6 +82,20 @@
 	return d, nil
 }
 
+// open starts what the deploy file turns on, in order. After an error close ends what was started before it.
+func (d *Daemon) open() (err error) {
+	if err := d.openControl(); err != nil {
+		return err
+	}
+	if err := d.openFronts(); err != nil {
+		return err
+	}
+	if socket := d.cfg.Deploy.Admin.Socket; socket != "" {
+		d.admin, err = newAdmin(d, socket)
+	}
+	return err
+}
+
 // openFronts starts the fronts that are on.
 func (d *Daemon) openFronts() error {
 	deploy, rules := d.cfg.Deploy, d.cfg.Deploy.Store.Rules()
