--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -27,6 +27,9 @@
 )
 
 const (
+	// maxQueuedAnswers bounds what waits for a front's clients to read, bytes: as much as unanswered commands may take.
+	maxQueuedAnswers = 64 << 20
+
 	loginLimit = aspenshed.Nanos(10e9) // MySQL's connect_timeout: to log in and send a first command
 	startLimit = aspenshed.Nanos(2e9)  // the same for PostgreSQL's wire, which asks for no password
 	mostHeld   = 8192
@@ -86,6 +89,7 @@
 		Roomy: c.Clients * 3 / 4, Spare: silent}}
 	ready := make(chan struct{})
 	f.Net, err = netio.New(netio.Config{Name: f.Wire, Listen: c.Listen, Clients: c.Clients, Dials: c.Links, Reserved: c.Links / 10,
+		Queued: maxQueuedAnswers,
 		Accept: func(x *netio.Conn) netio.Handler {
 			<-ready
 			return accept(x)
