--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test lint run capacity
+.PHONY: build test lint run capacity scale
 
 # The same as in deploy/balancer.toml: linked dynamically against the C library, as the platform loads one of its own.
 build:
@@ -19,3 +19,7 @@
 # The page docs/CAPACITY.md and its plots, made of the committed runs in docs/capacity.
 capacity:
 	go run ./internal/experiment/capacity/cmd/capacity
+
+# The whole scale run: about ten minutes on 8 cores, up to 2,400 hollow gateways and 21,000 members.
+scale: build
+	bin/aspenshed experiment scale --full --out docs/capacity/scale-COMMIT.json
