--- a/internal/experiment/scale/load.go
+++ b/internal/experiment/scale/load.go
@@ -114,9 +114,9 @@
 	id := l.ids.Add(1)
 	group := FirstLoadGroup + n%len(l.groups)
 	if n%5 == 0 {
-		return fmt.Sprintf(`INSERT INTO entries (ref, payload) VALUES ('k%d', '\x00') RETURNING payload /* id=%d,c=booking,d=900,cluster=%d */`, id%100, id, group)
+		return fmt.Sprintf(`INSERT INTO entries (ref, payload) VALUES ('k%d', '\x00') RETURNING payload /* id=%d,c=order,d=900,cluster=%d */`, id%100, id, group)
 	}
-	return fmt.Sprintf("SELECT payload FROM entries WHERE ref = 'k%d' /* id=%d,c=timetable,d=900,cluster=%d */", id%100, id, group)
+	return fmt.Sprintf("SELECT payload FROM entries WHERE ref = 'k%d' /* id=%d,c=report,d=900,cluster=%d */", id%100, id, group)
 }
 
 // drain has a database note from when on nothing new may come.
--- a/internal/experiment/scale/voter.go
+++ b/internal/experiment/scale/voter.go
@@ -119,8 +119,8 @@
   clients: 200
   links: 100
   classes:
-    - {name: timetable, read: any, aim: 750ms, give_up: 2s, worth: 2, effect: safe}
-    - {name: booking, read: write, aim: 750ms, give_up: 5s, worth: 6, late_worth: 0.5, effect: unsafe}
+    - {name: report, read: any, aim: 750ms, give_up: 2s, worth: 2, effect: safe}
+    - {name: order, read: write, aim: 750ms, give_up: 5s, worth: 6, late_worth: 0.5, effect: unsafe}
   attempts: 10
   connect_timeout: 250ms
   idle_close: 60s
