--- a/internal/experiment/scale/installation.go
+++ b/internal/experiment/scale/installation.go
@@ -23,8 +23,7 @@
 	Join         time.Duration // over which the gateways of one worker start
 	Seed         uint64
 	MaxMemory    int64 // bytes of all processes together
-	WorkerMemory int64 // the soft limit of a worker's heap; 0: none
-	GrowthMemory int64 // the same while members come in, when one worker alone runs
+	GrowthMemory int64 // the soft limit of workers' heaps while members come in; 0: as they were started
 
 	NewInstance func() Instance       // of a daemon
 	NewWorker   func() (Doer, error)  // of hollow gateways, or of the load
@@ -312,6 +311,20 @@
 	return total, nil
 }
 
+// closeWorkers ends all hollow gateways.
+func (x *installation) closeWorkers() {
+	var wait sync.WaitGroup
+	for _, w := range x.workers {
+		wait.Add(1)
+		go func() {
+			defer wait.Done()
+			w.Close()
+		}()
+	}
+	wait.Wait()
+	x.workers = nil
+}
+
 // close ends all that was started.
 func (x *installation) close() (err error) {
 	if x.submitter != nil {
@@ -320,18 +333,10 @@
 	if x.observer != nil {
 		x.observer.Close()
 	}
-	var wait sync.WaitGroup
-	for _, w := range append(x.workers, x.load) {
-		if w == nil {
-			continue
-		}
-		wait.Add(1)
-		go func() {
-			defer wait.Done()
-			w.Close()
-		}()
+	x.closeWorkers()
+	if x.load != nil {
+		x.load.Close()
 	}
-	wait.Wait()
 	for _, n := range append(x.gateways, x.voters...) {
 		err = errors.Join(err, n.Instance.Kill())
 	}
--- a/internal/experiment/scale/process.go
+++ b/internal/experiment/scale/process.go
@@ -25,13 +25,13 @@
 func ProcessOptions(program Command, dir string) Options {
 	return Options{
 		Dir: dir, Voters: 5, RealGateways: 2, Clients: loadClients, PerWorker: perWorker, Delays: true, MaxMemory: machineMemory() / memoryShare,
-		WorkerMemory: workerMemory, GrowthMemory: growthMemory,
-		NewInstance: func() Instance { return &ProcessInstance{Command: program} },
-		NewWorker:   func() (Doer, error) { return startWorkerProcess(program) },
-		Progress:    func(string, ...any) {},
-		Empty:       func() (Usage, error) { return emptyWorker(program) },
-		WorkerPID:   func(d Doer) int { return d.(*Child).PID() },
-		Kill:        func(d Doer) { d.(*Child).Kill() },
+		GrowthMemory: growthMemory,
+		NewInstance:  func() Instance { return &ProcessInstance{Command: program} },
+		NewWorker:    func() (Doer, error) { return startWorkerProcess(program) },
+		Progress:     func(string, ...any) {},
+		Empty:        func() (Usage, error) { return emptyWorker(program) },
+		WorkerPID:    func(d Doer) int { return d.(*Child).PID() },
+		Kill:         func(d Doer) { d.(*Child).Kill() },
 	}
 }
 
--- a/internal/experiment/scale/scale.go
+++ b/internal/experiment/scale/scale.go
@@ -137,7 +137,9 @@
 	held := fmt.Sprintf("%d gateways, %d voters, %.2f changes/s", r.plan.Gateways[0], r.options.Voters, OrdinaryRate)
 	r.run.Series = append(r.run.Series, points.series("members", "members", "1", held)...)
 	r.ordinary = points.rows[len(points.rows)-1]
-	return r.limitMemory(ctx, r.options.WorkerMemory)
+	// The heap of the worker that has seen all sizes stays fragmented, and would be collected all the time within its limit.
+	r.closeWorkers()
+	return nil
 }
 
 // measureSize brings in members until there are so many, restarts all gateways once, and measures a steady window.
@@ -164,7 +166,19 @@
 	return f, nil
 }
 
+// join starts gateways until there are so many, and lets them get the state.
+func (r *runner) join(ctx context.Context, gateways int) error {
+	if err := r.grow(ctx, gateways); err != nil {
+		return err
+	}
+	_, err := r.window(ctx, windowPlan{name: fmt.Sprintf("join-to-%d-gateways", gateways), lasts: r.plan.Steady / 5, converge: r.plan.Events.converge})
+	return err
+}
+
 func (r *runner) measureRates(ctx context.Context) error {
+	if err := r.join(ctx, r.plan.Gateways[0]); err != nil {
+		return err
+	}
 	var points seriesPoints
 	points.add(OrdinaryRate, r.ordinary)
 	for _, rate := range r.plan.Rates {
@@ -182,11 +196,7 @@
 func (r *runner) measureGateways(ctx context.Context) error {
 	var points seriesPoints
 	for _, gateways := range r.plan.Gateways {
-		if err := r.grow(ctx, gateways); err != nil {
-			return err
-		}
-		join := windowPlan{name: fmt.Sprintf("join-to-%d-gateways", gateways), lasts: r.plan.Steady / 5, converge: r.plan.Events.converge}
-		if _, err := r.window(ctx, join); err != nil {
+		if err := r.join(ctx, gateways); err != nil {
 			return err
 		}
 		w, err := r.steady(ctx, fmt.Sprintf("steady-%d-gateways", gateways), OrdinaryRate)
