--- a/cmd/aspenshed/gateway.go
+++ b/cmd/aspenshed/gateway.go
@@ -55,8 +55,8 @@
 	clients := files * 6 / 10
 	buffered := int64(node.Limits.MemoryMB) << 20 / bufferedShare
 	g.front = &postgres.Front{Manager: session.Manager{Loop: g.loop, Settings: &node.Settings,
-		Limits: session.Limits{Silent: clientLimit, Idle: clientLimit, Roomy: node.Limits.Sockets / 4, Spare: spareLimit,
-			Unanswered: buffered}}}
+		Limits: session.Limits{CommandTimeout: clientLimit, IdleTimeout: clientLimit, ReclaimAbove: node.Limits.Sockets / 4, ReclaimMinIdle: spareLimit,
+			MaxPendingBytes: buffered}}}
 	ready := make(chan struct{})
 	g.net, err = netio.New(netio.Config{Name: "platform", Listen: node.Listen, Clients: clients, Dials: files * 4 / 10, Reserved: files / 20, Queued: buffered,
 		Accept: func(c *netio.Conn) netio.Handler {
@@ -67,17 +67,17 @@
 		return nil, err
 	}
 	g.watcher = &discovery.Watcher{Loop: g.loop, Log: log, Net: g.net, Address: node.Discovery, Zones: node.Zones,
-		Index: node.Known.Generation, Keep: !node.Settings.AskDiscovery}
-	g.watcher.Report(log.WithField("version", node.Known.Generation), faults)
+		Index: node.Known.Generation, Pushed: !node.Settings.AskDiscovery}
+	g.watcher.LogFaults(log.WithField("version", node.Known.Generation), faults)
 	held := mostHeld
-	if node.MostHeld > 0 {
-		held = min(held, node.MostHeld)
+	if node.MaxHeld > 0 {
+		held = min(held, node.MaxHeld)
 	}
 	g.pipeline = pipeline.New(pipeline.Config{Loop: g.loop, Log: log, Settings: node.Settings, Seed: node.SeedNumber(),
 		MostHeld: held, Backend: &postgres.Backend{Net: g.net, Loop: g.loop}, Watch: g.watcher.Watch})
-	g.watcher.Changed = func(u discovery.Update) { g.pipeline.Members(u.List, u.Addresses) }
-	g.watcher.Broke = g.pipeline.DiscoveryBroke
-	g.front.Take, g.front.Leave, g.front.Rejected = g.pipeline.Accept.Take, g.pipeline.Leave, g.pipeline.Accounting.Rejected
+	g.watcher.OnUpdate = func(u discovery.Update) { g.pipeline.Members(u.List, u.Addresses) }
+	g.watcher.OnBreak = g.pipeline.DiscoveryBroke
+	g.front.Submit, g.front.Cancel, g.front.CountRejected = g.pipeline.Accept.Take, g.pipeline.Leave, g.pipeline.Accounting.Rejected
 	known.List.Whole, known.List.Remnant = true, true
 	if err := g.pipeline.Start(known.List, known.Addresses); err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 		}
 	}
 	g.loop.Post(func() { // the first Step asks for the list, where it must be asked for
-		if g.watcher.Keep {
+		if g.watcher.Pushed {
 			g.watcher.Watch()
 		}
 	})
@@ -118,7 +118,7 @@
 		}
 		left := g.net.Clients() + g.pipeline.Response.Live()
 		if g.mysql != nil {
-			left += g.mysql.Left(true)
+			left += g.mysql.Remaining(true)
 		}
 		if left == 0 || now >= answerAll+lastAnswer/2 {
 			g.loop.Quit()
@@ -154,12 +154,12 @@
 		g.log.WithError(err).Error("configuration refused: the running one stays")
 		return
 	}
-	moved := next.Named != "" && next.Named != g.node.Named
+	moved := next.ConfiguredDiscovery != "" && next.ConfiguredDiscovery != g.node.ConfiguredDiscovery
 	if moved {
-		g.node.Named = next.Named
-		g.watcher.Move(next.Named)
+		g.node.ConfiguredDiscovery = next.ConfiguredDiscovery
+		g.watcher.SetAddress(next.ConfiguredDiscovery)
 	}
-	g.log.WithFields(logrus.Fields{"discovery": g.watcher.Address, "moved": moved, "needs_restart": g.node.Fixed(next)}).
+	g.log.WithFields(logrus.Fields{"discovery": g.watcher.Address, "moved": moved, "needs_restart": g.node.RestartFields(next)}).
 		Info("configuration read again")
 }
 
--- a/cmd/aspenshed/inventory.go
+++ b/cmd/aspenshed/inventory.go
@@ -54,7 +54,7 @@
 
 // checkInventories reads what the fronts that are on would read.
 func checkInventories(d *config.Deploy) (err error) {
-	for _, s := range []config.Service{d.MySQL.Service, d.Postgres.Service} {
+	for _, s := range []config.Front{d.MySQL.Front, d.Postgres.Front} {
 		if s.Listen != "" && s.Inventory != "" {
 			_, e := inventory.Read(s.Inventory)
 			err = errors.Join(err, e)
--- a/cmd/aspenshed/kill_test.go
+++ b/cmd/aspenshed/kill_test.go
@@ -58,7 +58,7 @@
 	_ = p.cmd.Wait()
 }
 
-func (p *process) ask(q daemon.Ask, into any) error {
+func (p *process) ask(q daemon.AdminRequest, into any) error {
 	b, err := daemon.Call(p.socket, q)
 	if err == nil && into != nil {
 		err = json.Unmarshal(b, into)
@@ -113,7 +113,7 @@
 	rng := rand.New(rand.NewPCG(seed, 0))
 	put := func(k int) {
 		for end := time.Now().Add(patient * 4); ; {
-			if ps[rng.IntN(3)].ask(daemon.Ask{Do: "put", Key: fmt.Sprint("k", k%500), Value: fmt.Sprint(k)}, nil) == nil {
+			if ps[rng.IntN(3)].ask(daemon.AdminRequest{Command: "put", Key: fmt.Sprint("k", k%500), Value: fmt.Sprint(k)}, nil) == nil {
 				return
 			}
 			if time.Now().After(end) {
@@ -150,7 +150,7 @@
 		digests = map[string]bool{}
 		for i, p := range ps {
 			var s store.Status
-			if err := p.ask(daemon.Ask{Do: "status"}, &s); err != nil || s.Applied != s.Commit || s.Commit == 0 {
+			if err := p.ask(daemon.AdminRequest{Command: "status"}, &s); err != nil || s.Applied != s.Commit || s.Commit == 0 {
 				s.Digest = fmt.Sprint("none of ", i, err)
 			}
 			digests[s.Digest] = true
@@ -158,7 +158,7 @@
 	}
 	for i := range k {
 		var got daemon.Pair
-		if err := ps[i%3].ask(daemon.Ask{Do: "get", Key: fmt.Sprint("k", i%500)}, &got); err != nil || got.Value != fmt.Sprint(i) {
+		if err := ps[i%3].ask(daemon.AdminRequest{Command: "get", Key: fmt.Sprint("k", i%500)}, &got); err != nil || got.Value != fmt.Sprint(i) {
 			t.Fatalf("seed %d: k%d is %+v, %v", seed, i, got, err)
 		}
 	}
--- a/cmd/aspenshed/main_test.go
+++ b/cmd/aspenshed/main_test.go
@@ -108,7 +108,7 @@
 	}
 	clock.at.Add(1)
 	for end, left := time.Now().Add(patient), -1; left != 0; turn() { // until what is sent comes behind the shutdown: before, it is answered
-		if g.loop.Post(func() { left = g.front.Sessions() }); time.Now().After(end) {
+		if g.loop.Post(func() { left = g.front.SessionCount() }); time.Now().After(end) {
 			t.Fatalf("%d sessions were never shut", left)
 		}
 		turn()
--- a/cmd/aspenshed/rollout.go
+++ b/cmd/aspenshed/rollout.go
@@ -14,7 +14,7 @@
 func newRollout(o *options) *cobra.Command {
 	return &cobra.Command{Use: "rollout [REVISION]", Short: "How many gateways have a revision in force (by default the newest), and which lag",
 		Args: cobra.MaximumNArgs(1), RunE: func(c *cobra.Command, args []string) error {
-			q := daemon.Ask{Do: "rollout"}
+			q := daemon.AdminRequest{Command: "rollout"}
 			if len(args) > 0 {
 				revision, err := strconv.ParseUint(args[0], 10, 64)
 				if err != nil || revision == 0 {
--- a/cmd/aspenshed/store.go
+++ b/cmd/aspenshed/store.go
@@ -16,7 +16,7 @@
 )
 
 // ask puts a question to the daemon and reads its answer.
-func (o *options) ask(q daemon.Ask, into any) error {
+func (o *options) ask(q daemon.AdminRequest, into any) error {
 	socket := o.socket
 	if socket == "" {
 		d, err := config.ReadDeploy(o.deploy)
@@ -79,7 +79,7 @@
 			var x struct {
 				Done bool `json:"done"`
 			}
-			if err := o.ask(daemon.Ask{Do: do, Key: args[0]}, &x); err != nil {
+			if err := o.ask(daemon.AdminRequest{Command: do, Key: args[0]}, &x); err != nil {
 				return err
 			}
 			if o.output == "json" {
@@ -104,7 +104,7 @@
 func newStatus(o *options) *cobra.Command {
 	return &cobra.Command{Use: "status", Short: "How the daemon's instance of the store stands", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		var s store.Status
-		if err := o.ask(daemon.Ask{Do: "status"}, &s); err != nil {
+		if err := o.ask(daemon.AdminRequest{Command: "status"}, &s); err != nil {
 			return err
 		}
 		if o.output == "json" {
@@ -128,7 +128,7 @@
 func newMembers(o *options) *cobra.Command {
 	return &cobra.Command{Use: "members", Short: "The databases that the store knows", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		var ms []daemon.Member
-		if err := o.ask(daemon.Ask{Do: "members"}, &ms); err != nil {
+		if err := o.ask(daemon.AdminRequest{Command: "members"}, &ms); err != nil {
 			return err
 		}
 		return show(c, o, ms, table{"member", "address", "wire", "group", "state", "warmth", "leased", "primary", "reason"}, func(m daemon.Member) []any {
@@ -141,7 +141,7 @@
 	latest := false
 	c := &cobra.Command{Use: "get KEY", Short: "Read a value", Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		var p daemon.Pair
-		if err := o.ask(daemon.Ask{Do: "get", Key: args[0], Latest: latest}, &p); err != nil {
+		if err := o.ask(daemon.AdminRequest{Command: "get", Key: args[0], Latest: latest}, &p); err != nil {
 			return err
 		}
 		return show(c, o, []daemon.Pair{p}, table{"key", "version", "value"}, func(p daemon.Pair) []any { return []any{p.Key, p.Version, p.Value} })
@@ -156,7 +156,7 @@
 		var x struct {
 			Version uint64 `json:"version"`
 		}
-		if err := o.ask(daemon.Ask{Do: "put", Key: args[0], Value: args[1], Base: uint64(max(base, 0)), Check: base >= 0}, &x); err != nil {
+		if err := o.ask(daemon.AdminRequest{Command: "put", Key: args[0], Value: args[1], Base: uint64(max(base, 0)), CheckBase: base >= 0}, &x); err != nil {
 			return err
 		}
 		if o.output == "json" {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -29,13 +29,13 @@
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Raw json.RawMessage `json:"settings"`
+	RawSettings json.RawMessage `json:"settings"`
 
-	// Named is the discovery address that the file names, whatever NODE_DISCOVERY says.
-	Named    string             `json:"-"`
-	Settings aspenshed.Settings `json:"-"`
-	Zones    []string           `json:"-"`
-	MostHeld int                `json:"-"`
+	// ConfiguredDiscovery is the discovery address that the file names, whatever NODE_DISCOVERY says.
+	ConfiguredDiscovery string             `json:"-"`
+	Settings            aspenshed.Settings `json:"-"`
+	Zones               []string           `json:"-"`
+	MaxHeld             int                `json:"-"`
 }
 
 // ReadNode reads NODE_CONFIG's file; the other variables go before it.
@@ -56,7 +56,7 @@
 		}
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	n.Named = n.Discovery
+	n.ConfiguredDiscovery = n.Discovery
 	for _, v := range []struct {
 		env  string
 		into *string
@@ -79,9 +79,9 @@
 		return errors.New("field discovery: missing")
 	case !isAddress(n.Listen):
 		return fmt.Errorf("field listen: %q is not host:port", n.Listen)
-	case !isAddress(n.Discovery) || n.Named != "" && !isAddress(n.Named):
-		return fmt.Errorf("field discovery: %q is not host:port", n.Named)
-	case len(n.Raw) == 0:
+	case !isAddress(n.Discovery) || n.ConfiguredDiscovery != "" && !isAddress(n.ConfiguredDiscovery):
+		return fmt.Errorf("field discovery: %q is not host:port", n.ConfiguredDiscovery)
+	case len(n.RawSettings) == 0:
 		return errors.New("field settings: missing")
 	case n.Limits.Sockets < 0 || n.Limits.Sockets > 0 && n.Limits.Sockets < 64:
 		return errors.New("field limits.sockets: at least 64 are needed")
@@ -94,7 +94,7 @@
 	if n.Limits.MemoryMB == 0 {
 		n.Limits.MemoryMB = 192
 	}
-	if n.Settings, err = simwire.Settings(n.Raw); err != nil {
+	if n.Settings, err = simwire.Settings(n.RawSettings); err != nil {
 		return err
 	}
 	var more struct {
@@ -103,12 +103,12 @@
 			MostHeld int `json:"mostHeld"`
 		} `json:"limits"`
 	}
-	if err := json.Unmarshal(n.Raw, &more); err != nil {
+	if err := json.Unmarshal(n.RawSettings, &more); err != nil {
 		return fmt.Errorf("field settings: %w", err)
 	}
-	n.Zones, n.MostHeld = more.Zones, more.Limits.MostHeld
+	n.Zones, n.MaxHeld = more.Zones, more.Limits.MostHeld
 	_, faults := discovery.Convert(n.Known, n.Zones)
-	if err := discovery.Bad(faults); err != nil {
+	if err := discovery.StartupFaults(faults); err != nil {
 		return fmt.Errorf("field known.%w", err)
 	}
 	return nil
@@ -123,13 +123,13 @@
 	return err == nil
 }
 
-// Fixed names the fields in which next differs from n and which only a restart changes.
-func (n *Node) Fixed(next *Node) (fields []string) {
+// RestartFields names the fields in which next differs from n and which only a restart changes.
+func (n *Node) RestartFields(next *Node) (fields []string) {
 	for _, f := range []struct {
 		name string
 		same bool
 	}{{"name", n.Name == next.Name}, {"listen", n.Listen == next.Listen}, {"limits", n.Limits == next.Limits},
-		{"settings", bytes.Equal(n.Raw, next.Raw)}} {
+		{"settings", bytes.Equal(n.RawSettings, next.RawSettings)}} {
 		if !f.same {
 			fields = append(fields, f.name)
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n.Listen != "127.0.0.9:9" || n.Zones[1] != "b" || n.MostHeld != 7 || n.SeedNumber() != 0x8c1f || n.Settings.Classes[0].Need != aspenshed.AnyData {
+	if n.Listen != "127.0.0.9:9" || n.Zones[1] != "b" || n.MaxHeld != 7 || n.SeedNumber() != 0x8c1f || n.Settings.Classes[0].Need != aspenshed.AnyData {
 		t.Errorf("%+v", n)
 	}
 	for want, change := range map[string][2]string{
@@ -89,7 +89,7 @@
 		return ReadDeploy(path)
 	}
 	d, err := read("", "")
-	if err != nil || d.MySQL.Passwords["web"] != "pass" {
+	if err != nil || d.MySQL.AccountPasswords["web"] != "pass" {
 		t.Fatalf("%v: %+v", err, d)
 	}
 	// Nothing proves a position here: bounded reads are for the primary alone.
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -49,16 +49,16 @@
 	Group int    `yaml:"group"`
 }
 
-// Subscribes reports whether the instance is a gateway that has no vote.
-func (c *Control) Subscribes() bool { return len(c.Subscribe) > 0 }
+// IsSubscriber reports whether the instance is a gateway that has no vote.
+func (c *Control) IsSubscriber() bool { return len(c.Subscribe) > 0 }
 
 // Empty reports whether the file configures neither a front nor a part in the control plane.
 func (d *Deploy) Empty() bool {
-	return d.MySQL.Listen == "" && d.Postgres.Listen == "" && d.Store.Address == "" && !d.Store.Subscribes()
+	return d.MySQL.Listen == "" && d.Postgres.Listen == "" && d.Store.Address == "" && !d.Store.IsSubscriber()
 }
 
-// Revisions is the scope as the control plane names it.
-func (s Scope) Revisions() (out revision.Scope) {
+// RevisionScope is the scope as the control plane names it.
+func (s Scope) RevisionScope() (out revision.Scope) {
 	for _, g := range s.Groups {
 		out.Groups = append(out.Groups, revision.Group{Wire: g.Wire, ID: int32(g.Group)})
 	}
@@ -68,7 +68,7 @@
 
 // check looks at the whole section.
 func (s *Store) check(c *checker) {
-	if s.Subscribes() {
+	if s.IsSubscriber() {
 		s.checkSubscriber(c)
 		return
 	}
--- a/internal/config/control_test.go
+++ b/internal/config/control_test.go
@@ -30,14 +30,14 @@
 
 func TestRolesInTheControlPlane(t *testing.T) {
 	voter, err := ParseDeploy("x.yaml", []byte(voterSection))
-	if err != nil || voter.Store.Subscribes() || voter.Store.Subscribers != "127.0.0.1:7201" || voter.Empty() {
+	if err != nil || voter.Store.IsSubscriber() || voter.Store.Subscribers != "127.0.0.1:7201" || voter.Empty() {
 		t.Errorf("a voter: %v, %+v", err, voter.Store)
 	}
 	gateway, err := ParseDeploy("x.yaml", []byte(gatewaySection))
-	if err != nil || !gateway.Store.Subscribes() || gateway.Store.Region != "tas" || gateway.Store.Zone != "tas-1" || gateway.Empty() {
+	if err != nil || !gateway.Store.IsSubscriber() || gateway.Store.Region != "tas" || gateway.Store.Zone != "tas-1" || gateway.Empty() {
 		t.Errorf("a gateway: %v, %+v", err, gateway.Store)
 	}
-	scope := gateway.Store.Scope.Revisions()
+	scope := gateway.Store.Scope.RevisionScope()
 	if !slices.Equal(scope.Groups, []revision.Group{{Wire: "mysql", ID: 3}}) || !slices.Equal(scope.Sites, []string{"hobart"}) {
 		t.Errorf("scope %+v", scope)
 	}
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -25,31 +25,31 @@
 	Text []byte `yaml:"-"` // the file itself; passwords stand in files of their own
 }
 
-// Service is what all fronts of our own have in common.
-type Service struct {
-	Listen         string        `yaml:"listen"` // empty: off
-	Inventory      string        `yaml:"inventory"`
-	Clients        int           `yaml:"clients"` // connections from clients
-	Links          int           `yaml:"links"`   // connections to servers
-	Classes        []Class       `yaml:"classes"`
-	Tenants        []string      `yaml:"tenants"`
-	Attempts       int           `yaml:"attempts"`
-	RetryAdvice    bool          `yaml:"retry_advice"`
-	ConnectTimeout time.Duration `yaml:"connect_timeout"`
-	IdleClose      time.Duration `yaml:"idle_close"`
-	ClientIdle     time.Duration `yaml:"client_idle"`
+// Front is what all fronts of our own have in common.
+type Front struct {
+	Listen             string        `yaml:"listen"` // empty: off
+	Inventory          string        `yaml:"inventory"`
+	Clients            int           `yaml:"clients"` // connections from clients
+	BackendConnections int           `yaml:"links"`   // connections to servers
+	Classes            []Class       `yaml:"classes"`
+	Tenants            []string      `yaml:"tenants"`
+	Attempts           int           `yaml:"attempts"`
+	RetryAdvice        bool          `yaml:"retry_advice"`
+	ConnectTimeout     time.Duration `yaml:"connect_timeout"`
+	IdleTimeout        time.Duration `yaml:"idle_close"`
+	ClientIdleTimeout  time.Duration `yaml:"client_idle"`
 
 	Settings aspenshed.Settings `yaml:"-"`
 }
 
 // Postgres configures a front that speaks the platform's protocol to members that an inventory names.
 type Postgres struct {
-	Service `yaml:",inline"`
+	Front `yaml:",inline"`
 }
 
 // MySQL configures the MySQL front and its pipeline.
 type MySQL struct {
-	Service  `yaml:",inline"`
+	Front    `yaml:",inline"`
 	Accounts string `yaml:"accounts"`
 	Database string `yaml:"database"`
 	Server   struct {
@@ -68,8 +68,8 @@
 		Wait       time.Duration `yaml:"wait"`
 	} `yaml:"defaults"`
 
-	Passwords map[string]string `yaml:"-"`
-	Password  string            `yaml:"-"`
+	AccountPasswords map[string]string `yaml:"-"`
+	ServerPassword   string            `yaml:"-"`
 }
 
 // Class is one class of statement.
@@ -114,7 +114,7 @@
 		d.MySQL.check(c, dir)
 	}
 	if d.Postgres.Listen != "" {
-		d.Postgres.Service.check(c, "postgres", dir, true)
+		d.Postgres.Front.check(c, "postgres", dir, true)
 	}
 	if d.Postgres.Listen != "" && d.Postgres.Listen == d.MySQL.Listen && !strings.HasSuffix(d.MySQL.Listen, ":0") {
 		c.bad("postgres.listen", "is that of mysql too")
@@ -130,7 +130,7 @@
 }
 
 // InventoryPath is where the inventory lies, whether the front is on or off.
-func (s *Service) InventoryPath(deployPath string) string {
+func (s *Front) InventoryPath(deployPath string) string {
 	if s.Inventory == "" || filepath.IsAbs(s.Inventory) || s.Listen != "" {
 		return s.Inventory
 	}
@@ -150,7 +150,7 @@
 	if m.Accounts != "" {
 		data, err := os.ReadFile(m.Accounts)
 		if err == nil {
-			err = strict(data, &m.Passwords)
+			err = strict(data, &m.AccountPasswords)
 		}
 		if err != nil {
 			c.bad("mysql.accounts", "%v", err)
@@ -161,9 +161,9 @@
 		if err != nil {
 			c.bad("mysql.server.password_file", "%v", err)
 		}
-		m.Password = string(bytes.TrimRight(data, "\r\n"))
+		m.ServerPassword = string(bytes.TrimRight(data, "\r\n"))
 	}
-	byName := m.Service.check(c, "mysql", dir, m.Probe.Position != "")
+	byName := m.Front.check(c, "mysql", dir, m.Probe.Position != "")
 	if k := byName[m.Defaults.ReadClass]; k.Need != aspenshed.AnyData || k.Effect != aspenshed.Safe {
 		c.bad("mysql.defaults.read_class", "%q is no safe class that any member answers", m.Defaults.ReadClass)
 	}
@@ -174,7 +174,7 @@
 
 // check looks at the fields that all fronts have, and makes what the decision module is told. The cold-start figures
 // are the platform's. positions: what members say proves how fresh they are.
-func (s *Service) check(c *checker, at, dir string, positions bool) map[string]aspenshed.Class {
+func (s *Front) check(c *checker, at, dir string, positions bool) map[string]aspenshed.Class {
 	if s.Inventory != "" {
 		s.Inventory = within(dir, s.Inventory)
 	}
@@ -183,13 +183,13 @@
 		ok   bool
 	}{
 		{"listen", isAddress(s.Listen)}, {"inventory", s.Inventory != ""}, {"classes", len(s.Classes) > 0}, {"clients", s.Clients > 0},
-		{"links", s.Links > 0}, {"connect_timeout", s.ConnectTimeout > 0}, {"attempts", s.Attempts > 0}, {"idle_close", s.IdleClose >= 0},
-		{"client_idle", s.ClientIdle > 0},
+		{"links", s.BackendConnections > 0}, {"connect_timeout", s.ConnectTimeout > 0}, {"attempts", s.Attempts > 0}, {"idle_close", s.IdleTimeout >= 0},
+		{"client_idle", s.ClientIdleTimeout > 0},
 	} {
 		c.need(at+"."+f.name, f.ok)
 	}
 	s.Settings = aspenshed.Settings{Routers: 1, Quantum: 1e6, MayProbe: true, MayCancel: true, MaxAttempts: s.Attempts,
-		RetryAdvice: s.RetryAdvice, MaxRetryIn: 1e9, ConnectTimeout: aspenshed.Nanos(s.ConnectTimeout), IdleClose: aspenshed.Nanos(s.IdleClose),
+		RetryAdvice: s.RetryAdvice, MaxRetryIn: 1e9, ConnectTimeout: aspenshed.Nanos(s.ConnectTimeout), IdleClose: aspenshed.Nanos(s.IdleTimeout),
 		AnswerSlack: 20e6, DrainGrace: 2e9, StartCapacity: 0.15, ColdFor: 16e9, FallMultiple: 2.5, FallFor: 1500e6, PriceProbe: 0.021}
 	needs := map[string]aspenshed.Need{"any": aspenshed.AnyData, "bounded": aspenshed.Bounded, "fresh": aspenshed.AllWrites, "write": aspenshed.WriteToIt}
 	effects := map[string]aspenshed.Effect{"safe": aspenshed.Safe, "unsafe": aspenshed.Unsafe}
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -28,20 +28,20 @@
 	rolloutLimit = 3 * time.Second // for the other voters to answer: one that is cut off must not hide the others' counts
 )
 
-// Ask is one question.
-type Ask struct {
-	Do     string `json:"do"`
-	Key    string `json:"key,omitempty"` // what it is about: a key, member, instance, path or address
-	Value  string `json:"value,omitempty"`
-	Base   uint64 `json:"base,omitempty"`
-	Check  bool   `json:"check,omitempty"`  // put only over version Base
-	Latest bool   `json:"latest,omitempty"` // read what all have agreed on, not what is held here
+// AdminRequest is one question.
+type AdminRequest struct {
+	Command   string `json:"do"`
+	Key       string `json:"key,omitempty"` // what it is about: a key, member, instance, path or address
+	Value     string `json:"value,omitempty"`
+	Base      uint64 `json:"base,omitempty"`
+	CheckBase bool   `json:"check,omitempty"`  // put only over version Base
+	Latest    bool   `json:"latest,omitempty"` // read what all have agreed on, not what is held here
 	// Revision is the one that a rollout is asked of; 0: the newest.
 	Revision uint64 `json:"revision,omitempty"`
 }
 
-// Answer is its answer.
-type Answer struct {
+// AdminResponse is its answer.
+type AdminResponse struct {
 	Error string          `json:"error,omitempty"`
 	Data  json.RawMessage `json:"data,omitempty"`
 }
@@ -91,8 +91,8 @@
 	line := x.in[:end]
 	x.in = nil
 	go func() { // it may wait for a majority; the poller must not
-		var q Ask
-		var out Answer
+		var q AdminRequest
+		var out AdminResponse
 		err := json.Unmarshal(line, &q)
 		if err == nil {
 			var data any
@@ -101,7 +101,7 @@
 			}
 		}
 		if err != nil {
-			out = Answer{Error: err.Error()}
+			out = AdminResponse{Error: err.Error()}
 		}
 		b, _ := json.Marshal(out) // of strings and JSON only
 		_ = x.c.Write(append(b, '\n'))
@@ -111,12 +111,12 @@
 // needVote are the requests that a subscriber can't serve.
 var needVote = []string{"rollout", "join", "leave", "save", "restore"}
 
-func (a *admin) do(q Ask) (any, error) {
+func (a *admin) do(q AdminRequest) (any, error) {
 	st := a.d.Store
-	if st == nil && slices.Contains(needVote, q.Do) {
+	if st == nil && slices.Contains(needVote, q.Command) {
 		return nil, subscriber.ErrNoVote
 	}
-	switch q.Do {
+	switch q.Command {
 	case "status":
 		return a.d.Status(), nil
 	case "members":
@@ -126,7 +126,7 @@
 	case "get":
 		return a.get(q)
 	case "put":
-		return a.submit(&pb.Command{Body: &pb.Command_Set{Set: &pb.Set{Key: q.Key, Value: []byte(q.Value), Base: q.Base, Checked: q.Check}}})
+		return a.submit(&pb.Command{Body: &pb.Command_Set{Set: &pb.Set{Key: q.Key, Value: []byte(q.Value), Base: q.Base, Checked: q.CheckBase}}})
 	case "drain":
 		held := a.d.drainHere(q.Key)
 		x, err := a.submit(&pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: q.Key, Reason: "the operator's word"}}})
@@ -159,7 +159,7 @@
 		}
 		return a.told(err)
 	}
-	return nil, fmt.Errorf("unknown request %q", q.Do)
+	return nil, fmt.Errorf("unknown request %q", q.Command)
 }
 
 // drainHere has this instance hold a drain before anything is agreed on: a split must not delay it.
@@ -201,7 +201,7 @@
 	Version uint64 `json:"version"`
 }
 
-func (a *admin) get(q Ask) (out Pair, err error) {
+func (a *admin) get(q AdminRequest) (out Pair, err error) {
 	found := false
 	look := func(c *catalog.Catalog) {
 		p := c.Pair(q.Key)
@@ -263,7 +263,7 @@
 var asks = sync.OnceValues(func() (*netio.Net, error) { return netio.New(netio.Config{Name: "ask", Dials: 64}) })
 
 // Call asks a daemon through its socket.
-func Call(socket string, q Ask) (json.RawMessage, error) {
+func Call(socket string, q AdminRequest) (json.RawMessage, error) {
 	n, err := asks()
 	if err != nil {
 		return nil, err
@@ -291,7 +291,7 @@
 	}
 	select {
 	case line := <-x.got:
-		var a Answer
+		var a AdminResponse
 		if err := json.Unmarshal(line, &a); err != nil {
 			return nil, err
 		}
--- a/internal/daemon/admin_test.go
+++ b/internal/daemon/admin_test.go
@@ -22,7 +22,7 @@
 			t.Error(err)
 		}
 	}()
-	row, err := Sample(d.Instances[2].Front(WirePostgres).Net.Addr(), "s", patient)
+	row, err := QueryUntilServed(d.Instances[2].Front(WirePostgres).Net.Addr(), "s", patient)
 	if err != nil || !strings.HasPrefix(row, "s-") {
 		t.Fatalf("the sample: %q %v", row, err)
 	}
@@ -30,32 +30,32 @@
 	if info, err := os.Stat(socket); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("the socket: %v %v", info, err)
 	}
-	ask := func(q Ask) (string, error) {
+	ask := func(q AdminRequest) (string, error) {
 		b, err := Call(socket, q)
 		return string(b), err
 	}
 	eventually(t, "members", func() bool {
-		got, err := ask(Ask{Do: "members"})
+		got, err := ask(AdminRequest{Command: "members"})
 		return err == nil && strings.Count(got, `"in_service"`) == 6
 	})
 	eventually(t, "the agreed configuration", func() bool { return d.Instances[1].Store.Status().Config == 1 })
-	if got, err := ask(Ask{Do: "put", Key: "k", Value: "v"}); err != nil || !strings.Contains(got, `"version":1`) {
+	if got, err := ask(AdminRequest{Command: "put", Key: "k", Value: "v"}); err != nil || !strings.Contains(got, `"version":1`) {
 		t.Errorf("put: %s %v", got, err)
 	}
-	if got, err := ask(Ask{Do: "get", Key: "k", Latest: true}); err != nil || !strings.Contains(got, `"value":"v"`) {
+	if got, err := ask(AdminRequest{Command: "get", Key: "k", Latest: true}); err != nil || !strings.Contains(got, `"value":"v"`) {
 		t.Errorf("get: %s %v", got, err)
 	}
-	if got, err := ask(Ask{Do: "rollout"}); err != nil || !strings.Contains(got, `"answered":["a","b","c"],"silent":[]`) {
+	if got, err := ask(AdminRequest{Command: "rollout"}); err != nil || !strings.Contains(got, `"answered":["a","b","c"],"silent":[]`) {
 		t.Errorf("rollout: %s %v", got, err)
 	}
 	path := filepath.Join(t.TempDir(), "saved")
 	for _, c := range []struct {
-		q    Ask
+		q    AdminRequest
 		want string // of the error; empty: none
 	}{
-		{Ask{Do: "put", Key: "k", Value: "w", Base: 7, Check: true}, "version 1, not 7"}, {Ask{Do: "get", Key: "zz"}, `no key "zz"`},
-		{Ask{Do: "drain", Key: "zz"}, "no member"}, {Ask{Do: "dance"}, "unknown request"}, {Ask{Do: "save", Key: "here"}, "must be absolute"},
-		{Ask{Do: "save", Key: path}, ""}, {Ask{Do: "drain", Key: "po-b"}, ""},
+		{AdminRequest{Command: "put", Key: "k", Value: "w", Base: 7, CheckBase: true}, "version 1, not 7"}, {AdminRequest{Command: "get", Key: "zz"}, `no key "zz"`},
+		{AdminRequest{Command: "drain", Key: "zz"}, "no member"}, {AdminRequest{Command: "dance"}, "unknown request"}, {AdminRequest{Command: "save", Key: "here"}, "must be absolute"},
+		{AdminRequest{Command: "save", Key: path}, ""}, {AdminRequest{Command: "drain", Key: "po-b"}, ""},
 	} {
 		if got, err := ask(c.q); (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%+v: %s %v", c.q, got, err)
@@ -63,12 +63,12 @@
 	}
 	for _, x := range d.Deploys {
 		eventually(t, "the drain everywhere", func() bool {
-			b, err := Call(x.Admin.Socket, Ask{Do: "members"})
+			b, err := Call(x.Admin.Socket, AdminRequest{Command: "members"})
 			var ms []Member
 			return err == nil && json.Unmarshal(b, &ms) == nil && len(ms) == 6 && ms[4].ID == "po-b" && ms[4].State == "draining"
 		})
 	}
-	if _, err := Call(filepath.Join(t.TempDir(), "none"), Ask{Do: "status"}); err == nil || !strings.Contains(err.Error(), "no daemon answers") {
+	if _, err := Call(filepath.Join(t.TempDir(), "none"), AdminRequest{Command: "status"}); err == nil || !strings.Contains(err.Error(), "no daemon answers") {
 		t.Errorf("no daemon: %v", err)
 	}
 }
--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -31,14 +31,14 @@
 
 // alike is that part of a configuration.
 func alike(d *config.Deploy) (string, error) {
-	of := func(s config.Service, more any) *agreedPart {
+	of := func(s config.Front, more any) *agreedPart {
 		if s.Listen == "" {
 			return nil
 		}
 		return &agreedPart{s.Classes, s.Tenants, s.Attempts, s.RetryAdvice, more}
 	}
-	b, err := yaml.Marshal(map[string]*agreedPart{"mysql": of(d.MySQL.Service, []any{d.MySQL.Database, d.MySQL.Probe, d.MySQL.Defaults}),
-		"postgres": of(d.Postgres.Service, nil)})
+	b, err := yaml.Marshal(map[string]*agreedPart{"mysql": of(d.MySQL.Front, []any{d.MySQL.Database, d.MySQL.Probe, d.MySQL.Defaults}),
+		"postgres": of(d.Postgres.Front, nil)})
 	return string(b), err
 }
 
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -31,7 +31,7 @@
 
 // openControl opens the store, or subscribes to one.
 func (d *Daemon) openControl() error {
-	if d.cfg.Deploy.Store.Subscribes() {
+	if d.cfg.Deploy.Store.IsSubscriber() {
 		return d.openSubscriber()
 	}
 	return d.openStore()
@@ -46,8 +46,8 @@
 		default:
 		}
 	}
-	if d.cfg.Store != nil {
-		d.cfg.Store(&sc)
+	if d.cfg.StoreHook != nil {
+		d.cfg.StoreHook(&sc)
 	}
 	if listen := d.cfg.Deploy.Store.Subscribers; listen != "" {
 		if d.Server, err = d.newServer(listen, sc.Cluster); err != nil {
@@ -97,7 +97,7 @@
 func (d *Daemon) openSubscriber() (err error) {
 	section := &d.cfg.Deploy.Store
 	d.Subscriber, err = subscriber.Open(subscriber.Config{Cluster: section.Cluster, ID: section.ID, Region: section.Region, Zone: section.Zone,
-		Release: d.cfg.Release, Scope: section.Scope.Revisions(), Servers: section.Subscribe, Seed: d.cfg.Seed, Pipelines: wiresOf(d.cfg.Deploy),
+		Release: d.cfg.Release, Scope: section.Scope.RevisionScope(), Servers: section.Subscribe, Seed: d.cfg.Seed, Pipelines: wiresOf(d.cfg.Deploy),
 		Check: checkAgreed, Changed: d.changed, Log: d.log, Clock: d.cfg.Clock, Network: d.cfg.Network})
 	if err != nil {
 		return err
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -35,8 +35,8 @@
 	Seed    uint64
 	Release string
 	Clock   eventloop.Clock // nil: the wall's
-	// Store, where it is set, changes the store's configuration: seams for faults.
-	Store func(*store.Config)
+	// StoreHook, where it is set, changes the store's configuration: seams for faults.
+	StoreHook func(*store.Config)
 	// Network carries a subscriber's stream; nil: sockets. It is the seam for delays and cuts.
 	Network stream.Network
 }
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// On runs f on the loop and waits for it.
-func (d *Daemon) On(f func()) {
+// RunOnLoop runs f on the loop and waits for it.
+func (d *Daemon) RunOnLoop(f func()) {
 	done := make(chan struct{})
 	d.loop.Post(func() { defer close(done); f() })
 	select {
@@ -159,7 +159,7 @@
 		for _, f := range d.Fronts {
 			f.Reload()
 		}
-		if d.Subscriber != nil && next.Store.Subscribes() {
+		if d.Subscriber != nil && next.Store.IsSubscriber() {
 			d.Subscriber.SetServers(next.Store.Subscribe)
 		}
 		if was, _ := alike(d.cfg.Deploy); was != "" {
@@ -198,7 +198,7 @@
 			if now >= answerAll {
 				f.Pipeline.FailAll("the gateway ends")
 			}
-			left += f.Left(now >= max(closeFrom, start+acceptAfterTerm))
+			left += f.Remaining(now >= max(closeFrom, start+acceptAfterTerm))
 		}
 		if left == 0 || now >= answerAll+lastAnswer {
 			d.loop.Quit()
--- a/internal/daemon/demo.go
+++ b/internal/daemon/demo.go
@@ -72,16 +72,16 @@
 
 // DemoOptions change a demonstration, for tests.
 type DemoOptions struct {
-	Instances int
-	Limits    standin.Limits
-	Change    func(text string) string
-	Seams     func(i int, c *store.Config)
-	Clock     func(i int) eventloop.Clock // nil: the wall's
+	Instances  int
+	Limits     standin.Limits
+	EditConfig func(text string) string
+	StoreHook  func(i int, c *store.Config)
+	Clock      func(i int) eventloop.Clock // nil: the wall's
 }
 
 // NewDemo starts one in a folder.
 func NewDemo(dir string, o DemoOptions) (*Demo, error) {
-	d := &Demo{Dir: dir, Databases: map[string]*standin.Group{}, seams: o.Seams, clock: o.Clock}
+	d := &Demo{Dir: dir, Databases: map[string]*standin.Group{}, seams: o.StoreHook, clock: o.Clock}
 	if err := d.begin(o); err != nil {
 		return nil, errors.Join(err, d.Stop())
 	}
@@ -116,8 +116,8 @@
 	for i, a := range addresses {
 		text := strings.NewReplacer("ID", instance(i), "ADDRESS", a[0], "SERVICE", a[1], "PEERS", strings.Join(peers, ", "),
 			"inventory: ", "inventory: ../").Replace(demoConfig)
-		if o.Change != nil {
-			text = o.Change(text)
+		if o.EditConfig != nil {
+			text = o.EditConfig(text)
 		}
 		folder := filepath.Join(d.Dir, instance(i))
 		if err := os.MkdirAll(folder, 0o700); err != nil {
@@ -157,7 +157,7 @@
 	if d.seams != nil {
 		seams = func(c *store.Config) { d.seams(i, c) }
 	}
-	cfg := Config{Deploy: c, Path: path, Seed: uint64(i) + 1, Release: "demonstration", Store: seams}
+	cfg := Config{Deploy: c, Path: path, Seed: uint64(i) + 1, Release: "demonstration", StoreHook: seams}
 	if d.clock != nil {
 		cfg.Clock = d.clock(i)
 	}
@@ -217,8 +217,8 @@
 	return err
 }
 
-// Sample asks a front for a point read until it is served, or the limit is over, and returns the row.
-func Sample(address string, id string, limit time.Duration) (row string, err error) {
+// QueryUntilServed asks a front for a point read until it is served, or the limit is over, and returns the row.
+func QueryUntilServed(address string, id string, limit time.Duration) (row string, err error) {
 	for end := time.Now().Add(limit); ; {
 		row, err = Query(address, fmt.Sprintf("SELECT payload FROM entries WHERE ref = 'entry-1' "+
 			"/* id=%s-%d,c=point-read,d=900,cluster=1 */", id, time.Now().UnixNano()), time.Until(end))
@@ -307,7 +307,7 @@
 		logrus.WithFields(logrus.Fields{"instance": instance(i), "postgres": x.Front(WirePostgres).Net.Addr(), "mysql": x.Front(WireMySQL).Net.Addr(),
 			"admin": d.Deploys[i].Admin.Socket}).Info("demonstration instance: connect here")
 	}
-	row, err := Sample(d.Instances[0].Front(WirePostgres).Net.Addr(), "sample", 5*time.Second)
+	row, err := QueryUntilServed(d.Instances[0].Front(WirePostgres).Net.Addr(), "sample", 5*time.Second)
 	if err != nil {
 		return errors.Join(fmt.Errorf("the sample query was not served: %w", err), d.Stop())
 	}
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -49,7 +49,7 @@
 	Manager  *session.Manager
 	Pipeline *pipeline.Pipeline
 
-	cfg     *config.Service
+	cfg     *config.Front
 	log     *logrus.Entry
 	control *Control     // nil: there is no control plane
 	agent   *agent.Agent // nil: the same
@@ -58,10 +58,10 @@
 // NewMySQL makes the MySQL front. Without a control plane its members are those of the inventory alone.
 func NewMySQL(c *config.MySQL, loop *eventloop.Loop, seed uint64, control *Control) (*Front, error) {
 	var f mysql.Front
-	x := &Front{Wire: WireMySQL, cfg: &c.Service, Manager: &f.Manager, control: control}
-	backend := &mysql.Backend{Loop: loop, User: c.Server.User, Password: c.Password, Database: c.Database,
+	x := &Front{Wire: WireMySQL, cfg: &c.Front, Manager: &f.Manager, control: control}
+	backend := &mysql.Backend{Loop: loop, User: c.Server.User, Password: c.ServerPassword, Database: c.Database,
 		Probes: mysql.Probes{Role: c.Probe.Role, Position: c.Probe.Position}}
-	f.Accounts, f.Database = c.Passwords, c.Database
+	f.Accounts, f.Database = c.AccountPasswords, c.Database
 	f.Defaults = mysql.Defaults{ReadClass: c.Defaults.ReadClass, WriteClass: c.Defaults.WriteClass, Tenant: c.Defaults.Tenant,
 		Group: c.Defaults.Group, WaitMs: c.Defaults.Wait.Milliseconds()}
 	err := x.start(loop, seed, loginLimit, f.Accept, func(n *netio.Net) request.Backend { backend.Net = n; return backend })
@@ -71,7 +71,7 @@
 // NewPostgres makes a front that speaks the platform's protocol.
 func NewPostgres(c *config.Postgres, loop *eventloop.Loop, seed uint64, control *Control) (*Front, error) {
 	var f postgres.Front
-	x := &Front{Wire: WirePostgres, cfg: &c.Service, Manager: &f.Manager, control: control}
+	x := &Front{Wire: WirePostgres, cfg: &c.Front, Manager: &f.Manager, control: control}
 	backend := &postgres.Backend{Loop: loop}
 	err := x.start(loop, seed, startLimit, f.Accept, func(n *netio.Net) request.Backend { backend.Net = n; return backend })
 	return x, err
@@ -85,10 +85,10 @@
 	if err != nil && (f.control == nil || !errors.Is(err, os.ErrNotExist)) {
 		return err
 	}
-	*f.Manager = session.Manager{Loop: loop, Settings: &c.Settings, Limits: session.Limits{Silent: silent, Idle: aspenshed.Nanos(c.ClientIdle),
-		Roomy: c.Clients * 3 / 4, Spare: silent}}
+	*f.Manager = session.Manager{Loop: loop, Settings: &c.Settings, Limits: session.Limits{CommandTimeout: silent, IdleTimeout: aspenshed.Nanos(c.ClientIdleTimeout),
+		ReclaimAbove: c.Clients * 3 / 4, ReclaimMinIdle: silent}}
 	ready := make(chan struct{})
-	f.Net, err = netio.New(netio.Config{Name: f.Wire, Listen: c.Listen, Clients: c.Clients, Dials: c.Links, Reserved: c.Links / 10,
+	f.Net, err = netio.New(netio.Config{Name: f.Wire, Listen: c.Listen, Clients: c.Clients, Dials: c.BackendConnections, Reserved: c.BackendConnections / 10,
 		Queued: maxQueuedAnswers,
 		Accept: func(x *netio.Conn) netio.Handler {
 			<-ready
@@ -99,10 +99,10 @@
 	}
 	f.Pipeline = pipeline.New(pipeline.Config{Loop: loop, Log: f.log, Settings: c.Settings, Seed: seed, MostHeld: mostHeld,
 		Backend: backend(f.Net), Watch: func() {}})
-	f.Manager.Take, f.Manager.Leave, f.Manager.Rejected = f.Pipeline.Accept.Take, f.Pipeline.Leave, f.Pipeline.Accounting.Rejected
+	f.Manager.Submit, f.Manager.Cancel, f.Manager.CountRejected = f.Pipeline.Accept.Take, f.Pipeline.Leave, f.Pipeline.Accounting.Rejected
 	list, addresses := aspenshed.MemberList{Whole: true}, map[string]string{}
 	if f.control == nil {
-		list, addresses = inventory.List(own)
+		list, addresses = inventory.MemberList(own)
 	}
 	if err := f.Pipeline.Start(list, addresses); err != nil {
 		f.Net.Stop()
@@ -138,7 +138,7 @@
 
 // told is an inventory as the agent takes it.
 func (f *Front) told(ms []inventory.Member) (out []roster.Told) {
-	l, addresses := inventory.List(ms)
+	l, addresses := inventory.MemberList(ms)
 	for i, m := range l.Members {
 		out = append(out, roster.Told{Member: m, Address: addresses[m.ID], Site: ms[i].Site})
 	}
@@ -170,7 +170,7 @@
 		return
 	}
 	if f.agent == nil {
-		f.Pipeline.Members(inventory.List(members))
+		f.Pipeline.Members(inventory.MemberList(members))
 		f.log.WithField("members", len(members)).Info("inventory in use")
 		return
 	}
@@ -185,14 +185,14 @@
 	}()
 }
 
-// Hear tells the front alone that a member has started, as its own list would: for trials of what an instance does
+// NotifyStarted tells the front alone that a member has started, as its own list would: for trials of what an instance does
 // that cannot hear the store.
-func (f *Front) Hear(id string, start time.Time) {
+func (f *Front) NotifyStarted(id string, start time.Time) {
 	f.agent.Started(id, aspenshed.Nanos(start.UnixNano()))
 }
 
-// Left is how many clients' connections and requests are still there; closing: those between requests are closed first.
-func (f *Front) Left(closing bool) int {
+// Remaining is how many clients' connections and requests are still there; closing: those between requests are closed first.
+func (f *Front) Remaining(closing bool) int {
 	if closing {
 		f.Manager.CloseIdle()
 	}
--- a/internal/daemon/fronts_test.go
+++ b/internal/daemon/fronts_test.go
@@ -32,7 +32,7 @@
 
 func newTwoFronts(t *testing.T) *twoFronts {
 	dir := t.TempDir()
-	demo, err := NewDemo(dir, DemoOptions{Instances: 1, Limits: standin.DefaultLimits(), Change: func(text string) string {
+	demo, err := NewDemo(dir, DemoOptions{Instances: 1, Limits: standin.DefaultLimits(), EditConfig: func(text string) string {
 		inventory, err := os.ReadFile(filepath.Join(dir, "mysql.csv"))
 		if err == nil {
 			err = os.WriteFile(filepath.Join(dir, "mysql.csv"), []byte(strings.ReplaceAll(string(inventory), ",2,", ",1,")), 0o600)
@@ -81,7 +81,7 @@
 }
 
 func (x *twoFronts) state(f *Front) (s state) {
-	x.instance.On(func() {
+	x.instance.RunOnLoop(func() {
 		s = state{f.Pipeline.Routing.Settings, map[string]aspenshed.MemberState{}, ""}
 		for _, m := range f.Pipeline.Routing.Last() {
 			s.members[m.ID] = m.State
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -103,7 +103,7 @@
 			fault(".lifecycle missing: taken as draining")
 			m.State = aspenshed.Draining
 		default:
-			faults = append(faults, Unknown{fmt.Sprintf("instances[%d].lifecycle", i), x.Lifecycle})
+			faults = append(faults, UnknownValueError{fmt.Sprintf("instances[%d].lifecycle", i), x.Lifecycle})
 			m.State = aspenshed.Draining
 		}
 		if x.ID == "" {
@@ -128,18 +128,18 @@
 	return u, errors.Join(faults...)
 }
 
-// Unknown is a fault in which a word stands that this release does not know: a newer one may. Nothing else is wrong.
-type Unknown struct{ Place, Word string }
+// UnknownValueError is a fault in which a word stands that this release does not know: a newer one may. Nothing else is wrong.
+type UnknownValueError struct{ Field, Value string }
 
-func (u Unknown) Error() string {
-	return fmt.Sprintf("%s: unknown value %q: taken as draining", u.Place, u.Word)
+func (u UnknownValueError) Error() string {
+	return fmt.Sprintf("%s: unknown value %q: taken as draining", u.Field, u.Value)
 }
 
-// Bad is what of a list's faults stops a start: all but words that this release does not know.
-func Bad(err error) error {
+// StartupFaults is what of a list's faults stops a start: all but words that this release does not know.
+func StartupFaults(err error) error {
 	var bad []error
 	for _, e := range each(err) {
-		if !errors.As(e, &Unknown{}) {
+		if !errors.As(e, &UnknownValueError{}) {
 			bad = append(bad, e)
 		}
 	}
@@ -156,17 +156,17 @@
 
 // Watcher keeps one watch. Its methods run on the loop.
 type Watcher struct {
-	Loop    *eventloop.Loop
-	Log     *logrus.Entry
-	Net     *netio.Net
-	Address string
-	Zones   []string
-	Index   int64 // the version that the gateway has
-	Changed func(Update)
-	Broke   func(aspenshed.DiscoveryBroke)
-	// Keep: lists are pushed. An agent on this machine has them at no cost, and what it has counts as told: the watch
+	Loop     *eventloop.Loop
+	Log      *logrus.Entry
+	Net      *netio.Net
+	Address  string
+	Zones    []string
+	Index    int64 // the version that the gateway has
+	OnUpdate func(Update)
+	OnBreak  func(aspenshed.DiscoveryBroke)
+	// Pushed: lists are pushed. An agent on this machine has them at no cost, and what it has counts as told: the watch
 	// is opened at once, and again whenever it breaks, and nobody else is asked.
-	Keep bool
+	Pushed bool
 
 	cur   *watch
 	old   *watch          // at the address before, until cur has told something: no gap between the two
@@ -192,8 +192,8 @@
 	over    bool
 }
 
-// Move watches at another address from now on. The watch at the old one is heard until the new one has told something.
-func (w *Watcher) Move(address string) {
+// SetAddress watches at another address from now on. The watch at the old one is heard until the new one has told something.
+func (w *Watcher) SetAddress(address string) {
 	if address == w.Address {
 		return
 	}
@@ -259,7 +259,7 @@
 	}
 	w := x.w
 	w.Log.WithError(err).WithFields(logrus.Fields{"told": x.told, "reached": x.up}).Warn("discovery watch broke")
-	if !w.Keep {
+	if !w.Pushed {
 		b := aspenshed.DiscoveryBroke{Unreached: !x.up}
 		if x.told || x.up && err == errSilent { // else discovery itself has turned the call down
 			b.Heard = x.heard
@@ -268,9 +268,9 @@
 			b.Heard = x.moved - movedEarly
 		}
 		if next := x.began + leastGap; x.told && w.Loop.Now() < next {
-			w.Loop.At(next, func() { w.Broke(b) })
+			w.Loop.At(next, func() { w.OnBreak(b) })
 		} else {
-			w.Broke(b)
+			w.OnBreak(b)
 		}
 		return
 	}
@@ -331,13 +331,13 @@
 		w.leaving(version, &u)
 	}
 	u.List.Remnant = x == w.old // it may be behind, and the call that is planned to the new address stands
-	w.Changed(u)
+	w.OnUpdate(u)
 }
 
 // told logs a list: what was not understood always, and at debug who is up and who leaves.
 func (w *Watcher) told(version int64, u Update, faults error) {
 	log := w.Log.WithField("version", version)
-	w.Report(log, faults)
+	w.LogFaults(log, faults)
 	if w.Log.Logger.IsLevelEnabled(logrus.DebugLevel) {
 		var up, off []string
 		for _, m := range u.List.Members {
@@ -351,19 +351,19 @@
 	}
 }
 
-// Report logs what was not understood of a list. An unknown word is named once.
-func (w *Watcher) Report(log *logrus.Entry, faults error) {
+// LogFaults logs what was not understood of a list. An unknown word is named once.
+func (w *Watcher) LogFaults(log *logrus.Entry, faults error) {
 	var news []error
 	for _, e := range each(faults) {
-		var u Unknown
+		var u UnknownValueError
 		if errors.As(e, &u) {
-			if w.named[u.Word] || len(w.named) >= mostNamed {
+			if w.named[u.Value] || len(w.named) >= mostNamed {
 				continue
 			}
 			if w.named == nil {
 				w.named = map[string]bool{}
 			}
-			w.named[u.Word] = true
+			w.named[u.Value] = true
 		}
 		news = append(news, e)
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -130,8 +130,8 @@
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
 	n := g.service()
-	g.Watcher = &Watcher{Loop: eventloop.NewLoop(g.clock), Log: logrus.NewEntry(log), Net: n, Address: n.Addr(), Index: 41, Broke: func(b aspenshed.DiscoveryBroke) { g.broke, g.last = g.broke+1, b },
-		Changed: func(u Update) {
+	g.Watcher = &Watcher{Loop: eventloop.NewLoop(g.clock), Log: logrus.NewEntry(log), Net: n, Address: n.Addr(), Index: 41, OnBreak: func(b aspenshed.DiscoveryBroke) { g.broke, g.last = g.broke+1, b },
+		OnUpdate: func(u Update) {
 			g.versions = append(g.versions, fmt.Sprint(u.List.Whole, len(u.List.Members)))
 			for _, m := range u.List.Members {
 				g.states[m.ID] = m.State
@@ -232,7 +232,7 @@
 	g := newRig(t)
 	old := g.watched()
 	other := g.service()
-	g.Move(other.Addr())
+	g.SetAddress(other.Addr())
 	next := g.asked()
 	if next.line != "GET /v1/servers?stream=1&index=42 HTTP/1.1" {
 		t.Errorf("asked %q", next.line)
@@ -247,7 +247,7 @@
 	if len(g.versions) != 3 || g.broke != 0 {
 		t.Errorf("updates %v, broke %d times", g.versions, g.broke)
 	}
-	g.Move(other.Addr())
+	g.SetAddress(other.Addr())
 	if g.cur == nil || !g.cur.told || g.old != nil {
 		t.Error("a move to the same address broke the watch")
 	}
@@ -258,14 +258,14 @@
 func TestAListFromTheFormerAddressLeavesThePlannedCallStanding(t *testing.T) {
 	g := newRig(t)
 	var lists []aspenshed.MemberList
-	changed := g.Changed
-	g.Changed = func(u Update) {
+	changed := g.OnUpdate
+	g.OnUpdate = func(u Update) {
 		lists = append(lists, u.List)
 		changed(u)
 	}
 	old := g.watched()
 	other := g.service()
-	g.Move(other.Addr())
+	g.SetAddress(other.Addr())
 	_ = g.asked().conn.Write([]byte("HTTP/1.1 503 Service Unavailable\r\n\r\n"))
 	g.until("the refusal", func() bool { return g.broke == 1 })
 	old.tell(43)
@@ -294,7 +294,7 @@
 		list := `{"generation":43,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"h:1","lifecycle":"terminating"}]}` + "\n"
 		_ = old.conn.Write([]byte(fmt.Sprintf("%x\r\n%s", len(list), list[:len(list)-9])))
 		other := g.service()
-		g.Move(other.Addr())
+		g.SetAddress(other.Addr())
 		next := g.asked()
 		if next.line != "GET /v1/servers?stream=1&index=42 HTTP/1.1" {
 			t.Errorf("whole %t: asked %q", whole, next.line)
@@ -321,7 +321,7 @@
 	g.Watch()
 	g.asked()
 	other := g.service()
-	g.Move(other.Addr())
+	g.SetAddress(other.Addr())
 	next := g.asked()
 	moved := g.clock.now
 	g.clock.now += 500e6
@@ -462,7 +462,7 @@
 // never came there is told apart from one that failed there.
 func TestAWatchAtAnAgentIsKept(t *testing.T) {
 	g := newRig(t)
-	g.Keep = true
+	g.Pushed = true
 	g.Watch()
 	for range 3 {
 		s := g.asked()
--- a/internal/discovery/dribble_test.go
+++ b/internal/discovery/dribble_test.go
@@ -126,7 +126,7 @@
 		for _, keep := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, pushed %t", name, keep), func(t *testing.T) {
 				g := newRig(t)
-				g.Keep = keep
+				g.Pushed = keep
 				script(t, g)
 			})
 		}
@@ -136,7 +136,7 @@
 // move has the watcher watch at another address, and returns the call that comes there, from that version on.
 func (g *rig) move(t *testing.T, version int) *server {
 	t.Helper()
-	g.Move(g.service().Addr())
+	g.SetAddress(g.service().Addr())
 	next := g.asked()
 	if want := fmt.Sprintf("GET /v1/servers?stream=1&index=%d HTTP/1.1", version); next.line != want {
 		t.Errorf("asked %q, want %q", next.line, want)
@@ -155,7 +155,7 @@
 // when the news that it may have missed binds; where they are pushed, the call is repeated at the new address.
 func (g *rig) brokenOnce(t *testing.T, moved aspenshed.Nanos) {
 	t.Helper()
-	if !g.Keep {
+	if !g.Pushed {
 		if g.broke != 1 || g.last.Heard != moved-movedEarly || g.cur != nil {
 			t.Errorf("broke %d times, last %+v, want it heard at %d", g.broke, g.last, moved-movedEarly)
 		}
--- a/internal/experiment/datapath/process.go
+++ b/internal/experiment/datapath/process.go
@@ -71,7 +71,7 @@
 		p.cmd = nil
 		return nil, errors.Join(err, p.stop())
 	}
-	if _, err = daemon.Sample(p.address, "first", startLimit); err != nil {
+	if _, err = daemon.QueryUntilServed(p.address, "first", startLimit); err != nil {
 		stopErr := p.stop() // the process writes its log until it has ended
 		return nil, errors.Join(fmt.Errorf("the gateway did not serve: %w\n%s", err, p.log.String()), stopErr)
 	}
--- a/internal/experiment/scenario/pg_test.go
+++ b/internal/experiment/scenario/pg_test.go
@@ -20,8 +20,8 @@
 type pgKit struct{}
 
 func manager(l *eventloop.Loop, s *aspenshed.Settings, e *pipeline.Pipeline) session.Manager {
-	return session.Manager{Loop: l, Settings: s, Limits: session.Limits{Silent: 2000 * ms, Idle: 2000 * ms, Roomy: 7, Spare: 200 * ms},
-		Take: e.Accept.Take, Leave: e.Leave, Rejected: e.Accounting.Rejected}
+	return session.Manager{Loop: l, Settings: s, Limits: session.Limits{CommandTimeout: 2000 * ms, IdleTimeout: 2000 * ms, ReclaimAbove: 7, ReclaimMinIdle: 200 * ms},
+		Submit: e.Accept.Take, Cancel: e.Leave, CountRejected: e.Accounting.Rejected}
 }
 
 func (pgKit) Backend(n *netio.Net, l *eventloop.Loop) request.Backend {
--- a/internal/experiment/scenario/platform_test.go
+++ b/internal/experiment/scenario/platform_test.go
@@ -126,7 +126,7 @@
 		s.RetryAdvice = allowed
 		var f *postgres.Front
 		p := newPlayer(t, pgKit{}, []string{"a=primary"})
-		f = &postgres.Front{Manager: session.Manager{Loop: p.loop, Settings: &s, Rejected: func(string) {}, Take: func(q request.Query, _ aspenshed.Nanos) *request.Request {
+		f = &postgres.Front{Manager: session.Manager{Loop: p.loop, Settings: &s, CountRejected: func(string) {}, Submit: func(q request.Query, _ aspenshed.Nanos) *request.Request {
 			q.Client.Finish(request.Final{Verdict: request.Refused, RetryIn: 250 * ms, Reason: "try again"})
 			return nil
 		}}}
--- a/internal/experiment/scenario/scenario.go
+++ b/internal/experiment/scenario/scenario.go
@@ -342,7 +342,7 @@
 	half := class == "half"
 	switch {
 	case class == "nothing":
-		p.until("the connection", func() bool { return p.manager.Sessions() >= len(p.clients) })
+		p.until("the connection", func() bool { return p.manager.SessionCount() >= len(p.clients) })
 		return
 	case half || class == "rest":
 		class = "booking"
@@ -360,10 +360,10 @@
 		sql = `INSERT INTO entries (ref, payload) VALUES ('r', 'v') RETURNING payload`
 	}
 	var halves int
-	p.on(func() { halves, p.prepared = p.manager.Halfway(), p.pipeline.Accounting.Counts.Auxiliary })
+	p.on(func() { halves, p.prepared = p.manager.PartialSessions(), p.pipeline.Accounting.Counts.Auxiliary })
 	c.Send(half, fmt.Sprintf("%s /* id=%s,c=%s,d=%s,cluster=%s */", sql, tag["id"], class, tag["d"], tag["cluster"]))
 	if half {
-		p.until("half a command", func() bool { return p.manager.Halfway() > halves })
+		p.until("half a command", func() bool { return p.manager.PartialSessions() > halves })
 	}
 	p.settle()
 }
--- a/internal/experiment/scenario/scenario_test.go
+++ b/internal/experiment/scenario/scenario_test.go
@@ -377,14 +377,14 @@
 			p.loop.Post(func() { p.manager.CloseIdle() }) // ahead of the request's turn
 			p.sent++
 			p.clients["x"].Send(false, "")
-			for end := time.Now().Add(patient); p.manager.Halfway() > 0; runtime.Gosched() { // the loop stands still
+			for end := time.Now().Add(patient); p.manager.PartialSessions() > 0; runtime.Gosched() { // the loop stands still
 				if time.Now().After(end) {
 					t.Fatal("the request was never read")
 				}
 			}
 			close(goOn)
 			p.say("a expect booking", "a send served", "x expect served", "x expect closed")
-			p.until("the session's end", func() bool { return p.manager.Sessions() == 0 })
+			p.until("the session's end", func() bool { return p.manager.SessionCount() == 0 })
 			p.on(p.loop.Quit)
 		})
 	}
@@ -415,7 +415,7 @@
 			p.members["b"].Primary.Store(true)
 			p.clock.at.Add(int64(300 * ms)) // a round is due in the same batch
 			close(goOn)
-			p.until("their leave", func() bool { return p.pipeline.Response.Live() == 0 && p.manager.Sessions() == 0 })
+			p.until("their leave", func() bool { return p.pipeline.Response.Live() == 0 && p.manager.SessionCount() == 0 })
 			p.recount()
 			p.say("wait 500ms", "y send booking d=5000", "b expect booking", "b send served", "y expect served")
 			p.on(func() {
--- a/internal/experiment/trial/trial.go
+++ b/internal/experiment/trial/trial.go
@@ -132,9 +132,9 @@
 	}
 	defer os.RemoveAll(dir)
 	net := &cuts{off: map[int]bool{}}
-	opts := daemon.DemoOptions{Instances: 3, Limits: o.Limits, Seams: net.seam}
+	opts := daemon.DemoOptions{Instances: 3, Limits: o.Limits, StoreHook: net.seam}
 	if !o.Leases {
-		opts.Change = func(text string) string {
+		opts.EditConfig = func(text string) string {
 			return strings.Replace(text, "  cluster:", "  no_leases: true\n  cluster:", 1)
 		}
 	}
@@ -171,7 +171,7 @@
 	net.set(cut, true)
 	// The drain is agreed on while the old leader is cut off; that one hears it from its own list only, and the others'
 	// lists still say in_service. It counts as told once it is agreed on: the leader has just been lost.
-	if _, err := daemon.Call(admin, daemon.Ask{Do: "drain", Key: dbs[drained].ID}); err != nil {
+	if _, err := daemon.Call(admin, daemon.AdminRequest{Command: "drain", Key: dbs[drained].ID}); err != nil {
 		return r, fmt.Errorf("drain: %w", err)
 	}
 	dbs[drained].Drain()
@@ -182,10 +182,10 @@
 	// A database starts cold just then. Both sides hear of it; only one side can agree on anything.
 	dbs[cold].Restart()
 	start := time.Now()
-	if _, err := daemon.Call(admin, daemon.Ask{Do: "restart", Key: dbs[cold].ID}); err != nil {
+	if _, err := daemon.Call(admin, daemon.AdminRequest{Command: "restart", Key: dbs[cold].ID}); err != nil {
 		return r, fmt.Errorf("restart: %w", err)
 	}
-	d.Instances[cut].On(func() { d.Instances[cut].Front(daemon.WirePostgres).Hear(dbs[cold].ID, start) })
+	d.Instances[cut].RunOnLoop(func() { d.Instances[cut].Front(daemon.WirePostgres).NotifyStarted(dbs[cold].ID, start) })
 	if o.Kill {
 		time.Sleep(o.Cut / 3)
 		if err := d.Instances[killed].Kill(); err != nil {
--- a/internal/frontend/mysql/backend.go
+++ b/internal/frontend/mysql/backend.go
@@ -24,10 +24,10 @@
 
 // Statement is what the MySQL front has a member do.
 type Statement struct {
-	Tag     sqlcomment.Tag
-	Prepare bool // only prepare it
-	Execute *mysqlwire.Execute
-	Long    []LongData
+	Tag         sqlcomment.Tag
+	PrepareOnly bool // only prepare it
+	Execute     *mysqlwire.Execute
+	LongData    []LongData
 }
 
 // LongData is a piece of a parameter that a client sent ahead of the execution.
@@ -42,7 +42,7 @@
 	if s.Execute != nil {
 		size += len(s.Execute.Values)
 	}
-	for _, piece := range s.Long {
+	for _, piece := range s.LongData {
 		size += len(piece.Data)
 	}
 	return size
@@ -275,7 +275,7 @@
 	s := l.stmt
 	p, known := l.prepared[s.Tag.SQL]
 	switch {
-	case s.Prepare:
+	case s.PrepareOnly:
 		return l.ev.Leave() && l.prepare()
 	case s.Execute != nil && known:
 		return l.execute(p)
@@ -312,7 +312,7 @@
 			}
 			l.prepared[l.stmt.Tag.SQL] = p
 		}
-		if a.Err != nil || l.stmt.Prepare {
+		if a.Err != nil || l.stmt.PrepareOnly {
 			l.finish(a)
 		} else if l.extra || !l.execute(p) {
 			l.down(netio.ErrClosed)
@@ -322,7 +322,7 @@
 
 func (l *link) execute(p mysqlwire.Prepared) bool {
 	var b []byte
-	for _, d := range l.stmt.Long {
+	for _, d := range l.stmt.LongData {
 		head := binary.LittleEndian.AppendUint16(binary.LittleEndian.AppendUint32(nil, p.ID), d.Param)
 		b = append(b, mysqlwire.Command(mysqlwire.ComStmtSendLongData, head, d.Data)...)
 	}
@@ -335,7 +335,7 @@
 	r := request.Result{Outcome: aspenshed.Served, Value: a.Raw}
 	if a.Err != nil {
 		r = outcomeOf(*a.Err)
-	} else if l.stmt != nil && !l.stmt.Prepare && isWrite(l.stmt.Tag.SQL) {
+	} else if l.stmt != nil && !l.stmt.PrepareOnly && isWrite(l.stmt.Tag.SQL) {
 		r.Role = aspenshed.RolePrimary // it has taken a write
 	}
 	l.sent, l.stmt, r.Close = false, nil, l.extra
--- a/internal/frontend/mysql/front.go
+++ b/internal/frontend/mysql/front.go
@@ -85,15 +85,15 @@
 func (s *clientConn) Up() { _ = s.conn.Write(mysqlwire.Greeting(s.f.connections.Add(1), s.challenge)) }
 
 // Closed is called when the client has gone.
-func (s *clientConn) Closed(error) { s.session.Gone() }
+func (s *clientConn) Closed(error) { s.session.ClientClosed() }
 
 // Data parses and posts.
 func (s *clientConn) Data(b []byte) {
 	err := s.in.Feed(b, s.packet)
-	s.session.Reading(s.in.Partial())
+	s.session.SetPartial(s.in.Partial())
 	switch {
 	case errors.Is(err, errBye):
-		s.session.Gone()
+		s.session.ClientClosed()
 	case errors.Is(err, errAnswered):
 	case err != nil:
 		seq := byte(1)
@@ -188,7 +188,9 @@
 }
 
 // reply answers a command without asking anybody, in its turn.
-func (s *clientConn) reply(b []byte) { s.session.Post(len(b), func(x *session.Slot) { x.Fill(b) }) }
+func (s *clientConn) reply(b []byte) {
+	s.session.Enqueue(len(b), func(x *session.Slot) { x.Respond(b) })
+}
 
 func (s *clientConn) refuse(code uint16, state, message string) {
 	s.reply(mysqlwire.Error{Code: code, State: state, Message: message}.Packet(1))
@@ -222,13 +224,13 @@
 	"RELEASE": true, "XA": true, "LOCK": true, "UNLOCK": true}
 
 func (s *clientConn) bad(err error) {
-	s.session.Post(0, func(x *session.Slot) { x.Ask(request.Query{}, err, 0, s.f.answer) })
+	s.session.Enqueue(0, func(x *session.Slot) { x.Submit(request.Query{}, err, 0, s.f.answer) })
 }
 
 func (s *clientConn) ask(st *Statement, tag sqlcomment.Tag, form func(request.Final) []byte) {
 	arrived := s.f.Loop.Now()
 	q, err := s.f.query(tag, st)
-	s.session.Post(st.size(), func(x *session.Slot) { x.Ask(q, err, arrived, form) })
+	s.session.Enqueue(st.size(), func(x *session.Slot) { x.Submit(q, err, arrived, form) })
 }
 
 // isWrite tells whether a statement is anything but a plain read. Taking one
@@ -256,15 +258,15 @@
 		v[k] = x
 	}
 	tag.Values = v
-	q, err := f.Query(tag, st)
+	q, err := f.BuildQuery(tag, st)
 	if err != nil {
 		return q, err
 	}
 	switch {
-	case st.Prepare: // runs nothing: any member will do
-		q.Name, q.Class, q.Auxiliary = "", f.Class(f.Defaults.ReadClass), true
+	case st.PrepareOnly: // runs nothing: any member will do
+		q.Name, q.Class, q.Auxiliary = "", f.ClassIndex(f.Defaults.ReadClass), true
 	case isWrite(tag.SQL) && f.Settings.Classes[q.Class].Need != aspenshed.WriteToIt:
-		q.Class = f.Class(f.Defaults.WriteClass)
+		q.Class = f.ClassIndex(f.Defaults.WriteClass)
 	}
 	return q, nil
 }
@@ -282,7 +284,7 @@
 	s.lastID++
 	id, st := s.lastID, &stmt{tag: tag}
 	s.stmts[id] = st
-	s.ask(&Statement{Tag: tag, Prepare: true}, tag, func(x request.Final) []byte {
+	s.ask(&Statement{Tag: tag, PrepareOnly: true}, tag, func(x request.Final) []byte {
 		b := s.f.answer(x)
 		if p, ok := mysqlwire.ParsePrepared(b[4:]); ok && x.Verdict == request.Served {
 			st.params.Store(int32(p.Params))
@@ -321,7 +323,7 @@
 			return err
 		}
 		st.types = e.Types
-		s.ask(&Statement{Tag: st.tag, Execute: &e, Long: st.long}, st.tag, s.f.answer)
+		s.ask(&Statement{Tag: st.tag, Execute: &e, LongData: st.long}, st.tag, s.f.answer)
 		st.long, st.longSize = nil, 0
 	}
 	return nil
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -38,15 +38,15 @@
 func (s *clientConn) Up() {}
 
 // Closed is called when the client has gone.
-func (s *clientConn) Closed(error) { s.session.Gone() }
+func (s *clientConn) Closed(error) { s.session.ClientClosed() }
 
 // Data parses and posts.
 func (s *clientConn) Data(b []byte) {
 	err := s.in.Feed(b, s.message)
-	s.session.Reading(s.in.Partial())
+	s.session.SetPartial(s.in.Partial())
 	switch {
 	case errors.Is(err, errBye):
-		s.session.Gone()
+		s.session.ClientClosed()
 	case err != nil:
 		s.session.Fatal(pgwire.AppendError(nil, pgwire.Error{Severity: "FATAL", Code: "08P01", Message: err.Error()}), err.Error())
 	}
@@ -66,11 +66,11 @@
 			return pgwire.ErrMalformed
 		}
 		if strings.TrimSpace(sql) == "" {
-			s.session.Post(len(m.Body), func(x *session.Slot) { x.Fill(pgwire.Ready(pgwire.Append(nil, 'I'))) })
+			s.session.Enqueue(len(m.Body), func(x *session.Slot) { x.Respond(pgwire.Ready(pgwire.Append(nil, 'I'))) })
 			return nil
 		}
 		q, err := s.f.parse(sql)
-		s.session.Post(len(m.Body), func(x *session.Slot) { x.Ask(q, err, arrived, s.f.answer) })
+		s.session.Enqueue(len(m.Body), func(x *session.Slot) { x.Submit(q, err, arrived, s.f.answer) })
 	case 'X':
 		return errBye
 	default:
@@ -109,7 +109,7 @@
 	if err != nil {
 		return request.Query{}, err
 	}
-	return f.Query(tag, tag)
+	return f.BuildQuery(tag, tag)
 }
 
 // answer is a final answer in bytes.
--- a/internal/frontend/session/memory.go
+++ b/internal/frontend/session/memory.go
@@ -26,7 +26,7 @@
 
 // within tells whether what has been counted is within the bounds; alone: one command of that size always is.
 func (s *Session) within(alone int) bool {
-	limit := cmp.Or(s.manager.Limits.Unanswered, defaultUnanswered)
+	limit := cmp.Or(s.manager.Limits.MaxPendingBytes, defaultUnanswered)
 	own := s.unanswered.Load()
 	return own <= max(int64(alone), fairUnanswered) || own <= limit/2 && s.manager.unanswered.Load() <= limit
 }
--- a/internal/frontend/session/memory_test.go
+++ b/internal/frontend/session/memory_test.go
@@ -28,8 +28,8 @@
 		t.Run(name, func(t *testing.T) {
 			clock := &clock{1000 * ms}
 			rejected := 0
-			m := &Manager{Loop: eventloop.NewLoop(clock), Limits: Limits{Silent: 2000 * ms, Idle: 2000 * ms, Unanswered: limit},
-				Rejected: func(string) { rejected++ }}
+			m := &Manager{Loop: eventloop.NewLoop(clock), Limits: Limits{CommandTimeout: 2000 * ms, IdleTimeout: 2000 * ms, MaxPendingBytes: limit},
+				CountRejected: func(string) { rejected++ }}
 			var conns []*counting
 			var sessions []*Session
 			for range flooders + 1 {
@@ -41,13 +41,13 @@
 			take := func(x *Slot) { slots = append(slots, x) }
 			for range 200_000 { // commands come in turn, and the loop stands still
 				for _, s := range sessions[:flooders] {
-					s.Post(size, take)
+					s.Enqueue(size, take)
 				}
 				if got := m.unanswered.Load(); got > limit+flooders*max(fairUnanswered, int64(size)+commandOverhead) {
 					t.Fatalf("%d bytes are kept", got)
 				}
 			}
-			sessions[flooders].Post(1<<20, take)
+			sessions[flooders].Enqueue(1<<20, take)
 			m.Loop.Turn()
 			taken := len(slots)
 			if last := slots[taken-1]; last.s != sessions[flooders] {
@@ -57,7 +57,7 @@
 				t.Errorf("%d of %d floods were ended", rejected, flooders)
 			}
 			for _, x := range slots {
-				x.Fill([]byte("answer"))
+				x.Respond([]byte("answer"))
 			}
 			for range 3 {
 				clock.now += sweepEvery
@@ -81,18 +81,18 @@
 func TestAnswersBehindOneThatDoesNotComeAreBounded(t *testing.T) {
 	const limit = 64 << 20
 	clock := &clock{1000 * ms}
-	m := &Manager{Loop: eventloop.NewLoop(clock), Limits: Limits{Unanswered: limit}, Rejected: func(string) {}}
+	m := &Manager{Loop: eventloop.NewLoop(clock), Limits: Limits{MaxPendingBytes: limit}, CountRejected: func(string) {}}
 	conn := &counting{}
 	s := m.Open(conn)
 	var slots []*Slot
 	for range maxPipeline {
-		s.Post(1, func(x *Slot) { slots = append(slots, x) })
+		s.Enqueue(1, func(x *Slot) { slots = append(slots, x) })
 	}
 	m.Loop.Turn()
 	filled := 0
 	for _, x := range slots[1:] {
 		if conn.closed == 0 {
-			x.Fill(make([]byte, 4<<20))
+			x.Respond(make([]byte, 4<<20))
 			filled++
 		}
 		if got := m.unanswered.Load(); got > limit/2+4<<20 {
--- a/internal/frontend/session/session.go
+++ b/internal/frontend/session/session.go
@@ -28,13 +28,13 @@
 // clients that connect and say nothing, or ask once and stay, would otherwise
 // use up the descriptors that the others need.
 type Limits struct {
-	Silent aspenshed.Nanos // from connecting to the first whole command, and from a later command's first byte to its last
-	Idle   aspenshed.Nanos // between requests
-	// Beyond Roomy connections they get scarce: those idle for longest make room, if for Spare at least. 0: never.
-	Roomy int
-	Spare aspenshed.Nanos
-	// Unanswered bounds the bytes of commands without an answer, of all connections together; 0: defaultUnanswered.
-	Unanswered int64
+	CommandTimeout aspenshed.Nanos // from connecting to the first whole command, and from a later command's first byte to its last
+	IdleTimeout    aspenshed.Nanos // between requests
+	// Beyond ReclaimAbove connections they get scarce: those idle for longest make room, if for Spare at least. 0: never.
+	ReclaimAbove   int
+	ReclaimMinIdle aspenshed.Nanos
+	// MaxPendingBytes bounds the bytes of commands without an answer, of all connections together; 0: defaultUnanswered.
+	MaxPendingBytes int64
 }
 
 // Conn is a client's connection, whatever its wire.
@@ -49,12 +49,12 @@
 
 // Manager is where a front's sessions meet their pipeline.
 type Manager struct {
-	Loop     *eventloop.Loop
-	Settings *aspenshed.Settings
-	Limits   Limits
-	Take     func(request.Query, aspenshed.Nanos) *request.Request
-	Leave    func(*request.Request)
-	Rejected func(string)
+	Loop          *eventloop.Loop
+	Settings      *aspenshed.Settings
+	Limits        Limits
+	Submit        func(request.Query, aspenshed.Nanos) *request.Request
+	Cancel        func(*request.Request)
+	CountRejected func(string)
 
 	unanswered atomic.Int64      // bytes, of all connections
 	sessions   map[*Session]bool // the loop's
@@ -105,8 +105,8 @@
 	return s
 }
 
-// Reading notes whether part of a command has come and the rest not yet.
-func (s *Session) Reading(part bool) {
+// SetPartial notes whether part of a command has come and the rest not yet.
+func (s *Session) SetPartial(part bool) {
 	switch {
 	case !part:
 		s.begun.Store(0)
@@ -115,8 +115,8 @@
 	}
 }
 
-// Post gives a command of that many bytes its slot, in order, and has f called with it on the loop.
-func (s *Session) Post(size int, f func(*Slot)) {
+// Enqueue gives a command of that many bytes its slot, in order, and has f called with it on the loop.
+func (s *Session) Enqueue(size int, f func(*Slot)) {
 	if s.overdrawn {
 		return
 	}
@@ -151,42 +151,42 @@
 // refuseMore ends the connection once the commands before have the answers that they are owed.
 func (s *Session) refuseMore(why string) {
 	if !s.closed && !s.ending {
-		s.manager.Rejected(why)
+		s.manager.CountRejected(why)
 		s.ending = true
 	}
 }
 
 // Fatal answers what cannot be read, and closes once the commands before it have their answers.
 func (s *Session) Fatal(answer []byte, problem string) {
-	s.Post(len(answer), func(x *Slot) {
-		s.manager.Rejected(problem)
+	s.Enqueue(len(answer), func(x *Slot) {
+		s.manager.CountRejected(problem)
 		s.ending = true
-		x.Fill(answer)
+		x.Respond(answer)
 	})
 }
 
-// Gone ends the session: the client has closed it or taken its leave.
-func (s *Session) Gone() { s.manager.Loop.Post(s.end) }
+// ClientClosed ends the session: the client has closed it or taken its leave.
+func (s *Session) ClientClosed() { s.manager.Loop.Post(s.end) }
 
-// Ask hands a query on; form turns its final answer into bytes. err is why there is no query.
-func (x *Slot) Ask(q request.Query, err error, arrived aspenshed.Nanos, form func(request.Final) []byte) {
+// Submit hands a query on; form turns its final answer into bytes. err is why there is no query.
+func (x *Slot) Submit(q request.Query, err error, arrived aspenshed.Nanos, form func(request.Final) []byte) {
 	x.form = form
 	if err != nil {
-		x.s.manager.Rejected(err.Error())
+		x.s.manager.CountRejected(err.Error())
 		x.Finish(request.Final{Verdict: request.Failed, Reason: err.Error(), Bad: true})
 		return
 	}
 	q.Client = x
-	if r := x.s.manager.Take(q, arrived); r != nil && !r.Final {
+	if r := x.s.manager.Submit(q, arrived); r != nil && !r.Final {
 		x.r = r
 	}
 }
 
 // Finish takes the one final answer.
-func (x *Slot) Finish(f request.Final) { x.Fill(x.form(f)) }
+func (x *Slot) Finish(f request.Final) { x.Respond(x.form(f)) }
 
-// Fill sets a command's answer and writes all answers that are next in order.
-func (x *Slot) Fill(b []byte) {
+// Respond sets a command's answer and writes all answers that are next in order.
+func (x *Slot) Respond(b []byte) {
 	s := x.s
 	x.answer, x.done, x.r = b, true, nil
 	if s.closed {
@@ -208,7 +208,7 @@
 		s.quiet = s.manager.Loop.Now()
 	}
 	if waits && !s.within(0) {
-		s.manager.Rejected("too many bytes without an answer")
+		s.manager.CountRejected("too many bytes without an answer")
 		s.end()
 		return
 	}
@@ -238,7 +238,7 @@
 	delete(s.manager.sessions, s)
 	for _, x := range s.slots {
 		if x.r != nil {
-			s.manager.Leave(x.r)
+			s.manager.Cancel(x.r)
 		}
 		s.release(x.size)
 	}
@@ -248,7 +248,7 @@
 // sweep closes connections that hold no request and have reached their limits, and makes room where they are scarce.
 func (d *Manager) sweep() {
 	now, next := d.Loop.Now(), sweepEvery
-	crowded := d.Limits.Roomy > 0 && len(d.sessions) > d.Limits.Roomy
+	crowded := d.Limits.ReclaimAbove > 0 && len(d.sessions) > d.Limits.ReclaimAbove
 	var spare []*Session
 	for s := range d.sessions {
 		switch {
@@ -257,12 +257,12 @@
 			s.end()
 		case now >= s.limit(crowded):
 			s.retire(false)
-		case crowded && s.asked && s.begun.Load() == 0 && !s.conn.Unsent() && now >= s.quiet+d.Limits.Spare:
+		case crowded && s.asked && s.begun.Load() == 0 && !s.conn.Unsent() && now >= s.quiet+d.Limits.ReclaimMinIdle:
 			spare = append(spare, s)
 		}
 	}
 	slices.SortFunc(spare, func(a, b *Session) int { return cmp.Compare(a.quiet, b.quiet) })
-	for _, s := range spare[:min(len(spare), max(len(d.sessions)-d.Limits.Roomy, 0))] {
+	for _, s := range spare[:min(len(spare), max(len(d.sessions)-d.Limits.ReclaimAbove, 0))] {
 		s.retire(true)
 	}
 	if crowded {
@@ -282,18 +282,18 @@
 	case crowded && !s.asked && begun == 0:
 		return s.quiet + crowdedLimit
 	case !s.asked:
-		return s.quiet + s.manager.Limits.Silent
+		return s.quiet + s.manager.Limits.CommandTimeout
 	case begun > 0:
-		return max(s.quiet, begun) + s.manager.Limits.Silent
+		return max(s.quiet, begun) + s.manager.Limits.CommandTimeout
 	}
-	return s.quiet + s.manager.Limits.Idle
+	return s.quiet + s.manager.Limits.IdleTimeout
 }
 
-// Sessions is the number of open ones.
-func (d *Manager) Sessions() int { return len(d.sessions) }
+// SessionCount is the number of open ones.
+func (d *Manager) SessionCount() int { return len(d.sessions) }
 
-// Halfway is the number of sessions that have sent part of a command and not yet the rest.
-func (d *Manager) Halfway() (n int) {
+// PartialSessions is the number of sessions that have sent part of a command and not yet the rest.
+func (d *Manager) PartialSessions() (n int) {
 	for s := range d.sessions {
 		if s.begun.Load() > 0 {
 			n++
@@ -314,10 +314,10 @@
 	return len(d.sessions)
 }
 
-// Query reads what a statement's comment says of it. Class and tenant go by name.
-func (d *Manager) Query(tag sqlcomment.Tag, statement any) (q request.Query, err error) {
+// BuildQuery reads what a statement's comment says of it. Class and tenant go by name.
+func (d *Manager) BuildQuery(tag sqlcomment.Tag, statement any) (q request.Query, err error) {
 	q = request.Query{Name: tag.Values["id"], Statement: statement, Repeat: tag.Values["r"] == "1"}
-	if q.Class = d.Class(tag.Values["c"]); q.Class < 0 {
+	if q.Class = d.ClassIndex(tag.Values["c"]); q.Class < 0 {
 		return q, errors.New("unknown class " + sqlcomment.Short(tag.Values["c"]))
 	}
 	if t, ok := tag.Values["t"]; ok && len(d.Settings.Tenants) > 0 {
@@ -348,8 +348,8 @@
 	return q, err
 }
 
-// Class is the number of a class, or -1.
-func (d *Manager) Class(name string) int {
+// ClassIndex is the number of a class, or -1.
+func (d *Manager) ClassIndex(name string) int {
 	for i, c := range d.Settings.Classes {
 		if c.Name == name {
 			return i
--- a/internal/frontend/session/session_test.go
+++ b/internal/frontend/session/session_test.go
@@ -31,10 +31,10 @@
 	for _, fatal := range []bool{false, true} {
 		for _, reads := range []bool{true, false} {
 			c := &clock{1000 * ms}
-			d := &Manager{Loop: eventloop.NewLoop(c), Limits: Limits{Silent: 2000 * ms, Idle: 2000 * ms}, Rejected: func(string) {}}
+			d := &Manager{Loop: eventloop.NewLoop(c), Limits: Limits{CommandTimeout: 2000 * ms, IdleTimeout: 2000 * ms}, CountRejected: func(string) {}}
 			conn := &slow{unsent: true}
 			s := d.Open(conn)
-			s.Post(1, func(x *Slot) { x.Fill([]byte("a long answer")) })
+			s.Enqueue(1, func(x *Slot) { x.Respond([]byte("a long answer")) })
 			if fatal {
 				s.Fatal([]byte("an error"), "noise")
 			}
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -275,8 +275,8 @@
 	return os.Rename(tmp.Name(), path)
 }
 
-// List turns members into a router's list and their addresses. Sites are numbered as they first appear.
-func List(ms []Member) (aspenshed.MemberList, map[string]string) {
+// MemberList turns members into a router's list and their addresses. Sites are numbered as they first appear.
+func MemberList(ms []Member) (aspenshed.MemberList, map[string]string) {
 	l, addresses, sites := aspenshed.MemberList{Whole: true}, map[string]string{}, map[string]int{}
 	for _, m := range ms {
 		if _, seen := sites[m.Site]; !seen {
