--- a/internal/frontend/mysql/backend.go
+++ b/internal/frontend/mysql/backend.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	maxAnswer   = 4 << 20 // of one result
+	maxResponse = 4 << 20 // of one result
 	maxPrepared = 64      // statements kept on one link
 )
 
@@ -62,102 +62,102 @@
 	Probes                   Probes
 }
 
-// link is one connection to a server. The poller's goroutine owns the reading
+// backendConn is one connection to a server. The poller's goroutine owns the reading
 // side up to whole answers; all else is the loop's.
-type link struct {
-	b       *Backend
-	ev      request.LinkEvents
+type backendConn struct {
+	backend *Backend
+	events  request.LinkEvents
 	conn    *netio.Conn
-	in      mysqlwire.Reader
+	reader  mysqlwire.Reader
 	pending session.PendingResponses
 
 	// The poller's.
-	phase  int // of the login
-	answer mysqlwire.Answer
-	seq    byte               // of the answer's last packet
-	whole  []mysqlwire.Answer // answers that the bytes at hand have brought to their end
+	phase     int // of the login
+	response  mysqlwire.Answer
+	seq       byte               // of the answer's last packet
+	completed []mysqlwire.Answer // answers that the bytes at hand have brought to their end
 
 	// The loop's.
-	limit    *eventloop.Timer
-	closed   bool
-	sent     bool // the statement's last byte may have left
-	stmt     *Statement
-	prepared map[string]mysqlwire.Prepared
-	then     func(*mysqlwire.Answer) // what the next whole answer is for
-	report   aspenshed.Report
-	extra    bool // more came than belongs to the answer: it is good, the link is not
+	timeout       *eventloop.Timer
+	closed        bool
+	sent          bool // the statement's last byte may have left
+	stmt          *Statement
+	prepared      map[string]mysqlwire.Prepared
+	onResponse    func(*mysqlwire.Answer) // what the next whole answer is for
+	report        aspenshed.Report
+	trailingBytes bool // more came than belongs to the answer: it is good, the link is not
 }
 
 // What a link may be owed.
 const (
-	forResult = iota + 1
-	forPrepare
-	forCheck
+	pendingResult = iota + 1
+	pendingPrepare
+	pendingCheck
 )
 
 var (
-	errSpoilt = errors.New("spoilt answer")
-	errExtra  = errors.New("bytes that belong to no answer")
+	errMalformedResponse = errors.New("spoilt answer")
+	errUnsolicited       = errors.New("bytes that belong to no answer")
 )
 
 const (
-	greeting = iota
-	loggingIn
-	ready
+	awaitGreeting = iota
+	awaitLoginResult
+	loggedIn
 )
 
 // Open dials. The limit holds until the server has let the link in.
 func (b *Backend) Open(address string, limit aspenshed.Nanos, probe bool, ev request.LinkEvents) (request.Link, error) {
-	l := &link{b: b, ev: ev, in: mysqlwire.Reader{Max: maxAnswer}, prepared: map[string]mysqlwire.Prepared{}}
+	l := &backendConn{backend: b, events: ev, reader: mysqlwire.Reader{Max: maxResponse}, prepared: map[string]mysqlwire.Prepared{}}
 	conn, err := b.Net.Dial(address, time.Duration(limit), probe, l)
 	if err != nil {
 		return nil, err
 	}
 	l.conn = conn
-	l.limit = b.Loop.At(b.Loop.Now()+limit, func() { l.down(fmt.Errorf("%w: not up within the limit", netio.ErrRefused)) })
+	l.timeout = b.Loop.At(b.Loop.Now()+limit, func() { l.down(fmt.Errorf("%w: not up within the limit", netio.ErrRefused)) })
 	return l, nil
 }
 
 // Up waits for the greeting.
-func (l *link) Up() {}
+func (l *backendConn) Up() {}
 
 // Closed is called when the connection ends by itself.
-func (l *link) Closed(err error) { l.b.Loop.Post(func() { l.down(err) }) }
+func (l *backendConn) Closed(err error) { l.backend.Loop.Post(func() { l.down(err) }) }
 
-func (l *link) down(err error) {
+func (l *backendConn) down(err error) {
 	if l.closed {
 		return
 	}
 	l.Close()
-	l.ev.Down(request.HowEnded(l.sent, errors.Is(err, netio.ErrRefused)), err)
+	l.events.Down(request.HowEnded(l.sent, errors.Is(err, netio.ErrRefused)), err)
 }
 
 // Close ends the connection without another event.
-func (l *link) Close() {
+func (l *backendConn) Close() {
 	l.closed = true
-	l.b.Loop.Stop(l.limit)
+	l.backend.Loop.Stop(l.timeout)
 	l.conn.Close()
 }
 
 // Out tells whether the statement itself may have left; preparing it runs nothing.
-func (l *link) Out() bool { return l.sent }
+func (l *backendConn) Out() bool { return l.sent }
 
 // Data parses; only whole answers reach the loop. What can't be read ends the
 // link, and so does what comes unasked: it could be taken for the next answer.
-func (l *link) Data(b []byte) {
-	err := l.in.Feed(b, l.packet)
-	if err == nil && l.phase == ready && l.pending.Next() == 0 && l.in.Partial() {
-		err = errExtra
+func (l *backendConn) Data(b []byte) {
+	err := l.reader.Feed(b, l.packet)
+	if err == nil && l.phase == loggedIn && l.pending.Next() == 0 && l.reader.Partial() {
+		err = errUnsolicited
 	}
-	whole := l.whole
-	l.whole = nil
+	whole := l.completed
+	l.completed = nil
 	if len(whole) == 0 && err == nil {
 		return
 	}
-	l.b.Loop.Post(func() {
-		l.extra = err != nil
+	l.backend.Loop.Post(func() {
+		l.trailingBytes = err != nil
 		for _, a := range whole {
-			l.done(&a)
+			l.deliver(&a)
 		}
 		if err != nil {
 			l.down(err)
@@ -165,93 +165,93 @@
 	})
 }
 
-func (l *link) done(a *mysqlwire.Answer) {
-	then := l.then
+func (l *backendConn) deliver(a *mysqlwire.Answer) {
+	then := l.onResponse
 	if !l.closed && then != nil {
-		l.then = nil
+		l.onResponse = nil
 		then(a)
 	}
 }
 
-func (l *link) packet(seq byte, body, raw []byte) error {
-	if l.phase != ready {
+func (l *backendConn) packet(seq byte, body, raw []byte) error {
+	if l.phase != loggedIn {
 		return l.login(seq, body)
 	}
 	what := l.pending.Next()
-	if l.answer.First == nil {
+	if l.response.First == nil {
 		if what == 0 {
-			return errExtra
+			return errUnsolicited
 		}
-		l.answer.Prepare, l.seq = what == forPrepare, 0
+		l.response.Prepare, l.seq = what == pendingPrepare, 0
 	}
 	if l.seq++; l.seq != seq {
-		return errSpoilt
+		return errMalformedResponse
 	}
-	done, err := l.answer.Add(body, raw)
-	if err == nil && len(l.answer.Raw) > maxAnswer {
+	done, err := l.response.Add(body, raw)
+	if err == nil && len(l.response.Raw) > maxResponse {
 		err = mysqlwire.ErrTooLong
 	}
 	if err != nil || !done {
 		return err
 	}
-	a := l.answer
-	l.answer = mysqlwire.Answer{}
-	if what == forCheck && (a.Err != nil || a.First[0] != 0) {
-		return errSpoilt
+	a := l.response
+	l.response = mysqlwire.Answer{}
+	if what == pendingCheck && (a.Err != nil || a.First[0] != 0) {
+		return errMalformedResponse
 	}
 	l.pending.Done()
-	l.whole = append(l.whole, a)
+	l.completed = append(l.completed, a)
 	return nil
 }
 
 // login answers the greeting, and a wish for a native password with another challenge.
-func (l *link) login(seq byte, body []byte) error {
+func (l *backendConn) login(seq byte, body []byte) error {
 	var challenge []byte
 	var out func() []byte
 	switch {
 	case len(body) == 0:
 		return mysqlwire.ErrMalformed
-	case l.phase == greeting:
+	case l.phase == awaitGreeting:
 		var err error
 		if challenge, err = mysqlwire.ParseGreeting(body); err != nil {
-			return l.turnedAway(err)
+			return l.loginRefused(err)
 		}
-		l.phase = loggingIn
+		l.phase = awaitLoginResult
 		out = func() []byte {
-			return mysqlwire.Response(seq+1, mysqlwire.Login{User: l.b.User, DB: l.b.Database,
-				Auth: mysqlwire.Scramble(challenge, l.b.Password)})
+			return mysqlwire.Response(seq+1, mysqlwire.Login{User: l.backend.User, DB: l.backend.Database,
+				Auth: mysqlwire.Scramble(challenge, l.backend.Password)})
 		}
 	case body[0] == 0:
-		l.phase = ready
-		l.b.Loop.Post(func() {
+		l.phase = loggedIn
+		l.backend.Loop.Post(func() {
 			if !l.closed {
-				l.b.Loop.Stop(l.limit)
-				l.ev.Up()
+				l.backend.Loop.Stop(l.timeout)
+				l.events.Up()
 			}
 		})
 		return nil
 	case body[0] == 0xff:
 		e := mysqlwire.ParseError(body)
-		return l.turnedAway(&e)
+		return l.loginRefused(&e)
 	default:
 		plugin, fresh, ok := mysqlwire.ParseSwitch(body)
 		if !ok || plugin != mysqlwire.NativePassword {
 			return errors.New("server wants a way to log in that is not supported")
 		}
-		out = func() []byte { return mysqlwire.Packet(nil, seq+1, mysqlwire.Scramble(fresh, l.b.Password)) }
+		out = func() []byte { return mysqlwire.Packet(nil, seq+1, mysqlwire.Scramble(fresh, l.backend.Password)) }
 	}
 	// The connection is the loop's to write on: its Dial may not have returned yet.
-	l.b.Loop.Post(func() { _ = l.conn.Write(out()) })
+	l.backend.Loop.Post(func() { _ = l.conn.Write(out()) })
 	return nil
 }
 
-// turnedAway ends a link that the server did not let in: too many connections are a full server.
-func (l *link) turnedAway(err error) error {
+// loginRefused ends a link that the server did not let in: too many connections are a full server.
+func (l *backendConn) loginRefused(err error) error {
 	var e *mysqlwire.Error
 	if errors.As(err, &e) && (e.Code == 1040 || e.Code == 1203) {
-		l.b.Loop.Post(func() {
+		l.backend.Loop.Post(func() {
 			if !l.closed {
-				l.ev.Done(request.Result{Outcome: aspenshed.Full, Close: true, Detail: e.Message})
+				l.events.Done(request.Result{Outcome: aspenshed.Full, Close: true, Detail: e.Message})
 			}
 		})
 		return nil
@@ -262,32 +262,32 @@
 // Send pings: the answer shows that the link is alive and that nothing else came ahead of it. Then it writes the
 // statement. One that is prepared is first prepared here, if this server has not seen it; that runs nothing, so
 // only the execution counts as sent.
-func (l *link) Send(statement any, wait aspenshed.Nanos) bool {
+func (l *backendConn) Send(statement any, wait aspenshed.Nanos) bool {
 	l.stmt = statement.(*Statement)
-	return l.ask(forCheck, mysqlwire.Command(mysqlwire.ComPing), func(*mysqlwire.Answer) {
-		if !l.extra && !l.begin(wait) { // where more came, down follows anyway
+	return l.sendCommand(pendingCheck, mysqlwire.Command(mysqlwire.ComPing), func(*mysqlwire.Answer) {
+		if !l.trailingBytes && !l.sendStatement(wait) { // where more came, down follows anyway
 			l.down(netio.ErrClosed)
 		}
 	})
 }
 
-func (l *link) begin(wait aspenshed.Nanos) bool {
+func (l *backendConn) sendStatement(wait aspenshed.Nanos) bool {
 	s := l.stmt
 	p, known := l.prepared[s.Tag.SQL]
 	switch {
 	case s.PrepareOnly:
-		return l.ev.Leave() && l.prepare()
+		return l.events.Leave() && l.prepare()
 	case s.Execute != nil && known:
 		return l.execute(p)
 	case s.Execute != nil:
 		return l.prepare()
 	}
-	l.sent = l.ev.Leave()
-	return l.sent && l.ask(forResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(s.Tag.WithWait(int64(wait)/1e6))), l.finish)
+	l.sent = l.events.Leave()
+	return l.sent && l.sendCommand(pendingResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(s.Tag.WithWait(int64(wait)/1e6))), l.finishAttempt)
 }
 
-func (l *link) ask(what int, command []byte, then func(*mysqlwire.Answer)) bool {
-	l.then = then
+func (l *backendConn) sendCommand(what int, command []byte, then func(*mysqlwire.Answer)) bool {
+	l.onResponse = then
 	l.pending.Add(what)
 	if l.conn.Write(command) != nil {
 		l.sent = false
@@ -296,7 +296,7 @@
 	return true
 }
 
-func (l *link) prepare() bool {
+func (l *backendConn) prepare() bool {
 	if len(l.prepared) >= maxPrepared { // any will do: it is prepared again when it is wanted
 		for sql, p := range l.prepared {
 			delete(l.prepared, sql)
@@ -304,7 +304,7 @@
 			break
 		}
 	}
-	return l.ask(forPrepare, mysqlwire.Command(mysqlwire.ComStmtPrepare, []byte(l.stmt.Tag.SQL)), func(a *mysqlwire.Answer) {
+	return l.sendCommand(pendingPrepare, mysqlwire.Command(mysqlwire.ComStmtPrepare, []byte(l.stmt.Tag.SQL)), func(a *mysqlwire.Answer) {
 		p, ok := mysqlwire.ParsePrepared(a.First)
 		if ok && a.Err == nil {
 			if old, twice := l.prepared[l.stmt.Tag.SQL]; twice {
@@ -313,38 +313,38 @@
 			l.prepared[l.stmt.Tag.SQL] = p
 		}
 		if a.Err != nil || l.stmt.PrepareOnly {
-			l.finish(a)
-		} else if l.extra || !l.execute(p) {
+			l.finishAttempt(a)
+		} else if l.trailingBytes || !l.execute(p) {
 			l.down(netio.ErrClosed)
 		}
 	})
 }
 
-func (l *link) execute(p mysqlwire.Prepared) bool {
+func (l *backendConn) execute(p mysqlwire.Prepared) bool {
 	var b []byte
 	for _, d := range l.stmt.LongData {
 		head := binary.LittleEndian.AppendUint16(binary.LittleEndian.AppendUint32(nil, p.ID), d.Param)
 		b = append(b, mysqlwire.Command(mysqlwire.ComStmtSendLongData, head, d.Data)...)
 	}
-	l.sent = l.ev.Leave()
-	return l.sent && l.ask(forResult, append(b, l.stmt.Execute.Command(p.ID)...), l.finish)
+	l.sent = l.events.Leave()
+	return l.sent && l.sendCommand(pendingResult, append(b, l.stmt.Execute.Command(p.ID)...), l.finishAttempt)
 }
 
-// finish ends an attempt.
-func (l *link) finish(a *mysqlwire.Answer) {
+// finishAttempt ends an attempt.
+func (l *backendConn) finishAttempt(a *mysqlwire.Answer) {
 	r := request.Result{Outcome: aspenshed.Served, Value: a.Raw}
 	if a.Err != nil {
-		r = outcomeOf(*a.Err)
+		r = resultForError(*a.Err)
 	} else if l.stmt != nil && !l.stmt.PrepareOnly && isWrite(l.stmt.Tag.SQL) {
 		r.Role = aspenshed.RolePrimary // it has taken a write
 	}
-	l.sent, l.stmt, r.Close = false, nil, l.extra
-	l.ev.Done(r)
+	l.sent, l.stmt, r.Close = false, nil, l.trailingBytes
+	l.events.Done(r)
 }
 
-// outcomeOf maps a server's error. What the statement itself got wrong is the
+// resultForError maps a server's error. What the statement itself got wrong is the
 // answer, as no server would do better; what the server got wrong may be tried elsewhere.
-func outcomeOf(e mysqlwire.Error) request.Result {
+func resultForError(e mysqlwire.Error) request.Result {
 	r := request.Result{Outcome: aspenshed.Errored, Value: e, Detail: strconv.Itoa(int(e.Code)) + " " + e.Message}
 	switch {
 	case e.Code == 1290 || e.Code == 1836: // read-only: untouched
@@ -358,35 +358,35 @@
 }
 
 // Probe asks for the role, then for the position.
-func (l *link) Probe() bool {
+func (l *backendConn) Probe() bool {
 	l.report, l.stmt = aspenshed.Report{}, nil
 	l.sent = true
-	return l.ask(forResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(l.b.Probes.Role)), func(a *mysqlwire.Answer) {
+	return l.sendCommand(pendingResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(l.backend.Probes.Role)), func(a *mysqlwire.Answer) {
 		if v, _, ok := mysqlwire.LenencString(a.Row); ok {
 			l.report.HasRole, l.report.Primary = true, v == "0" || v == "OFF"
 		}
-		if a.Err != nil || l.b.Probes.Position == "" {
-			l.probed(a)
-		} else if l.extra || !l.ask(forResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(l.b.Probes.Position)), l.positioned) {
+		if a.Err != nil || l.backend.Probes.Position == "" {
+			l.finishProbe(a)
+		} else if l.trailingBytes || !l.sendCommand(pendingResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(l.backend.Probes.Position)), l.handlePosition) {
 			l.down(netio.ErrClosed)
 		}
 	})
 }
 
-func (l *link) positioned(a *mysqlwire.Answer) {
+func (l *backendConn) handlePosition(a *mysqlwire.Answer) {
 	if v, _, ok := mysqlwire.LenencString(a.Row); ok {
 		if ms, err := strconv.ParseInt(v, 10, 64); err == nil && ms > 0 {
 			l.report.HasPosition, l.report.Position = true, eventloop.UnixMs(ms)
 		}
 	}
-	l.probed(a)
+	l.finishProbe(a)
 }
 
-func (l *link) probed(a *mysqlwire.Answer) {
+func (l *backendConn) finishProbe(a *mysqlwire.Answer) {
 	r := request.Result{Outcome: aspenshed.Served, Report: l.report}
 	if a.Err != nil {
 		r = request.Result{Outcome: aspenshed.Errored, Detail: a.Err.Message}
 	}
-	l.sent, r.Close = false, l.extra
-	l.ev.Done(r)
+	l.sent, r.Close = false, l.trailingBytes
+	l.events.Done(r)
 }
--- a/internal/frontend/mysql/front.go
+++ b/internal/frontend/mysql/front.go
@@ -45,35 +45,35 @@
 
 // clientConn is one client connection; the poller's goroutine owns all of it but the session's session.
 type clientConn struct {
-	f         *Front
+	front     *Front
 	conn      *netio.Conn
 	session   *session.Session
-	in        mysqlwire.Reader
+	reader    mysqlwire.Reader
 	challenge []byte
 	user      string // the user, until a switched login is through
 	phase     int
-	stmts     map[uint32]*stmt
+	stmts     map[uint32]*preparedStmt
 	lastID    uint32
 }
 
 const (
-	wantLogin = iota
-	wantSwitched
-	commands
+	awaitLogin = iota
+	awaitAuthSwitch
+	awaitCommand
 )
 
-// stmt is a client's prepared statement.
-type stmt struct {
+// preparedStmt is a client's prepared statement.
+type preparedStmt struct {
 	tag      sqlcomment.Tag
 	params   atomic.Int32 // as the server said; the loop sets it before the client hears of the statement
 	types    []byte
-	long     []LongData
+	longData []LongData
 	longSize int
 }
 
 // Accept makes a session for a new connection.
 func (f *Front) Accept(c *netio.Conn) netio.Handler {
-	s := &clientConn{f: f, conn: c, session: f.Open(c), in: mysqlwire.Reader{Max: maxPacket}, challenge: make([]byte, 20)}
+	s := &clientConn{front: f, conn: c, session: f.Open(c), reader: mysqlwire.Reader{Max: maxPacket}, challenge: make([]byte, 20)}
 	_, _ = rand.Read(s.challenge) // never fails
 	for i, b := range s.challenge {
 		s.challenge[i] = b&0x7f | 1 // no zero byte may stand in it
@@ -82,22 +82,24 @@
 }
 
 // Up greets the client.
-func (s *clientConn) Up() { _ = s.conn.Write(mysqlwire.Greeting(s.f.connections.Add(1), s.challenge)) }
+func (s *clientConn) Up() {
+	_ = s.conn.Write(mysqlwire.Greeting(s.front.connections.Add(1), s.challenge))
+}
 
 // Closed is called when the client has gone.
 func (s *clientConn) Closed(error) { s.session.ClientClosed() }
 
 // Data parses and posts.
 func (s *clientConn) Data(b []byte) {
-	err := s.in.Feed(b, s.packet)
-	s.session.SetPartial(s.in.Partial())
+	err := s.reader.Feed(b, s.packet)
+	s.session.SetPartial(s.reader.Partial())
 	switch {
-	case errors.Is(err, errBye):
+	case errors.Is(err, errClientClosed):
 		s.session.ClientClosed()
-	case errors.Is(err, errAnswered):
+	case errors.Is(err, errAlreadyAnswered):
 	case err != nil:
 		seq := byte(1)
-		if s.phase != commands {
+		if s.phase != awaitCommand {
 			seq = 2
 		}
 		s.session.Fatal(mysqlwire.Error{Code: 1835, State: "HY000", Message: err.Error()}.Packet(seq), err.Error())
@@ -105,26 +107,26 @@
 }
 
 var (
-	errBye      = errors.New("client ended the connection")
-	errAnswered = errors.New("answered already: the connection ends")
+	errClientClosed    = errors.New("client ended the connection")
+	errAlreadyAnswered = errors.New("answered already: the connection ends")
 )
 
 func (s *clientConn) packet(seq byte, body, _ []byte) error {
 	switch s.phase {
-	case wantLogin:
+	case awaitLogin:
 		l, err := mysqlwire.ParseResponse(body)
 		if err != nil {
 			return err
 		}
-		if l.DB != "" && l.DB != s.f.Database {
+		if l.DB != "" && l.DB != s.front.Database {
 			return fmt.Errorf("unknown database %q", l.DB)
 		}
 		if l.Plugin != "" && l.Plugin != mysqlwire.NativePassword {
-			s.phase, s.user = wantSwitched, l.User
-			return s.say(mysqlwire.SwitchAuth(seq+1, s.challenge))
+			s.phase, s.user = awaitAuthSwitch, l.User
+			return s.writeNow(mysqlwire.SwitchAuth(seq+1, s.challenge))
 		}
 		return s.login(seq, l)
-	case wantSwitched:
+	case awaitAuthSwitch:
 		return s.login(seq, mysqlwire.Login{User: s.user, Auth: body})
 	}
 	if len(body) == 0 {
@@ -134,19 +136,19 @@
 }
 
 func (s *clientConn) login(seq byte, l mysqlwire.Login) error {
-	if password, known := s.f.Accounts[l.User]; !known || !l.Matches(s.challenge, password) {
+	if password, known := s.front.Accounts[l.User]; !known || !l.Matches(s.challenge, password) {
 		s.session.Fatal(mysqlwire.Error{Code: 1045, State: "28000",
 			Message: fmt.Sprintf("Access denied for user '%s'", l.User)}.Packet(seq+1), "access denied")
-		return errAnswered
+		return errAlreadyAnswered
 	}
-	s.phase, s.stmts = commands, map[uint32]*stmt{}
-	return s.say(mysqlwire.OK(seq + 1))
+	s.phase, s.stmts = awaitCommand, map[uint32]*preparedStmt{}
+	return s.writeNow(mysqlwire.OK(seq + 1))
 }
 
-// say answers without a slot. A client that can't be answered has gone: that is no bad input.
-func (s *clientConn) say(b []byte) error {
+// writeNow answers without a slot. A client that can't be answered has gone: that is no bad input.
+func (s *clientConn) writeNow(b []byte) error {
 	if s.conn.Write(b) != nil {
-		return errBye
+		return errClientClosed
 	}
 	return nil
 }
@@ -154,21 +156,21 @@
 func (s *clientConn) command(com byte, body []byte) error {
 	switch com {
 	case mysqlwire.ComQuit:
-		return errBye
+		return errClientClosed
 	case mysqlwire.ComPing:
 		s.reply(mysqlwire.OK(1))
 	case mysqlwire.ComResetConnection:
-		s.stmts = map[uint32]*stmt{}
+		s.stmts = map[uint32]*preparedStmt{}
 		s.reply(mysqlwire.OK(1))
 	case mysqlwire.ComInitDB:
-		if string(body) != s.f.Database {
-			s.refuse(1049, "42000", fmt.Sprintf("Unknown database '%s'", body))
+		if string(body) != s.front.Database {
+			s.replyError(1049, "42000", fmt.Sprintf("Unknown database '%s'", body))
 			break
 		}
 		s.reply(mysqlwire.OK(1))
 	case mysqlwire.ComQuery:
-		if tag, ok := s.readable(string(body)); ok {
-			s.ask(&Statement{Tag: tag}, tag, s.f.answer)
+		if tag, ok := s.checkRoutable(string(body)); ok {
+			s.submit(&Statement{Tag: tag}, tag, s.front.encodeResponse)
 		}
 	case mysqlwire.ComStmtPrepare:
 		s.prepare(string(body))
@@ -178,11 +180,11 @@
 			return mysqlwire.ErrMalformed
 		}
 		id := binary.LittleEndian.Uint32(body)
-		return s.prepared(com, id, s.stmts[id], body)
+		return s.statementCommand(com, id, s.stmts[id], body)
 	case mysqlwire.ComSetOption:
-		s.refuse(1235, "42000", "multi-statements are not supported")
+		s.replyError(1235, "42000", "multi-statements are not supported")
 	default:
-		s.refuse(1047, "08S01", fmt.Sprintf("command 0x%02x is not supported", com))
+		s.replyError(1047, "08S01", fmt.Sprintf("command 0x%02x is not supported", com))
 	}
 	return nil
 }
@@ -192,44 +194,44 @@
 	s.session.Enqueue(len(b), func(x *session.Slot) { x.Respond(b) })
 }
 
-func (s *clientConn) refuse(code uint16, state, message string) {
+func (s *clientConn) replyError(code uint16, state, message string) {
 	s.reply(mysqlwire.Error{Code: code, State: state, Message: message}.Packet(1))
 }
 
-// readable looks at a statement's text; what cannot be routed is answered here.
-func (s *clientConn) readable(sql string) (sqlcomment.Tag, bool) {
+// checkRoutable looks at a statement's text; what cannot be routed is answered here.
+func (s *clientConn) checkRoutable(sql string) (sqlcomment.Tag, bool) {
 	tag, err := sqlcomment.Parse(sql)
 	verb := mysqlwire.Verb(sql)
 	switch {
 	case err != nil && !errors.Is(err, sqlcomment.ErrNone):
-		s.bad(err)
+		s.replyInvalid(err)
 	case verb == "":
-		s.refuse(1065, "42000", "Query was empty")
+		s.replyError(1065, "42000", "Query was empty")
 	case mysqlwire.Several(sql):
-		s.refuse(1235, "42000", "multi-statements are not supported")
-	case transactional[verb]:
-		s.refuse(1235, "42000", "transactions are not supported: "+verb)
-	case harmless.MatchString(sql):
+		s.replyError(1235, "42000", "multi-statements are not supported")
+	case transactionVerbs[verb]:
+		s.replyError(1235, "42000", "transactions are not supported: "+verb)
+	case connectorSettings.MatchString(sql):
 		s.reply(mysqlwire.OK(1))
 	case verb == "SET" || verb == "USE":
-		s.refuse(1235, "42000", "session state is not supported: "+verb)
+		s.replyError(1235, "42000", "session state is not supported: "+verb)
 	default:
 		return tag, true
 	}
 	return tag, false
 }
 
-// transactional statements need a connection of their own, which no client has here.
-var transactional = map[string]bool{"BEGIN": true, "START": true, "COMMIT": true, "ROLLBACK": true, "SAVEPOINT": true,
+// transactionVerbs statements need a connection of their own, which no client has here.
+var transactionVerbs = map[string]bool{"BEGIN": true, "START": true, "COMMIT": true, "ROLLBACK": true, "SAVEPOINT": true,
 	"RELEASE": true, "XA": true, "LOCK": true, "UNLOCK": true}
 
-func (s *clientConn) bad(err error) {
-	s.session.Enqueue(0, func(x *session.Slot) { x.Submit(request.Query{}, err, 0, s.f.answer) })
+func (s *clientConn) replyInvalid(err error) {
+	s.session.Enqueue(0, func(x *session.Slot) { x.Submit(request.Query{}, err, 0, s.front.encodeResponse) })
 }
 
-func (s *clientConn) ask(st *Statement, tag sqlcomment.Tag, form func(request.Final) []byte) {
-	arrived := s.f.Loop.Now()
-	q, err := s.f.query(tag, st)
+func (s *clientConn) submit(st *Statement, tag sqlcomment.Tag, form func(request.Final) []byte) {
+	arrived := s.front.Loop.Now()
+	q, err := s.front.buildQuery(tag, st)
 	s.session.Enqueue(st.size(), func(x *session.Slot) { x.Submit(q, err, arrived, form) })
 }
 
@@ -240,12 +242,12 @@
 	return mysqlwire.Verb(sql) != "SELECT" || strings.Contains(up, "FOR UPDATE") || strings.Contains(up, "INTO ")
 }
 
-// harmless session settings are what every connector says first.
-var harmless = regexp.MustCompile(`(?i)^\s*SET\s+(NAMES\s+'?\w+'?|(SESSION\s+)?AUTOCOMMIT\s*=\s*(1|ON))\s*;?\s*$`)
+// connectorSettings session settings are what every connector says first.
+var connectorSettings = regexp.MustCompile(`(?i)^\s*SET\s+(NAMES\s+'?\w+'?|(SESSION\s+)?AUTOCOMMIT\s*=\s*(1|ON))\s*;?\s*$`)
 
-// query reads the comment, with the configured defaults behind it. What is not
+// buildQuery reads the comment, with the configured defaults behind it. What is not
 // known to be a read counts as a write that must never run twice, whatever class it names.
-func (f *Front) query(tag sqlcomment.Tag, st *Statement) (request.Query, error) {
+func (f *Front) buildQuery(tag sqlcomment.Tag, st *Statement) (request.Query, error) {
 	class := f.Defaults.ReadClass
 	if isWrite(tag.SQL) {
 		class = f.Defaults.WriteClass
@@ -273,19 +275,19 @@
 
 // prepare has some member prepare the statement, to learn what it looks like.
 func (s *clientConn) prepare(sql string) {
-	tag, ok := s.readable(sql)
+	tag, ok := s.checkRoutable(sql)
 	if !ok {
 		return
 	}
 	if len(s.stmts) >= maxStatements {
-		s.refuse(1461, "42000", "too many prepared statements on this connection")
+		s.replyError(1461, "42000", "too many prepared statements on this connection")
 		return
 	}
 	s.lastID++
-	id, st := s.lastID, &stmt{tag: tag}
+	id, st := s.lastID, &preparedStmt{tag: tag}
 	s.stmts[id] = st
-	s.ask(&Statement{Tag: tag, PrepareOnly: true}, tag, func(x request.Final) []byte {
-		b := s.f.answer(x)
+	s.submit(&Statement{Tag: tag, PrepareOnly: true}, tag, func(x request.Final) []byte {
+		b := s.front.encodeResponse(x)
 		if p, ok := mysqlwire.ParsePrepared(b[4:]); ok && x.Verdict == request.Served {
 			st.params.Store(int32(p.Params))
 			binary.LittleEndian.PutUint32(b[5:], id) // the client knows it by our name
@@ -294,10 +296,10 @@
 	})
 }
 
-func (s *clientConn) prepared(com byte, id uint32, st *stmt, body []byte) error {
+func (s *clientConn) statementCommand(com byte, id uint32, st *preparedStmt, body []byte) error {
 	if st == nil {
 		if com != mysqlwire.ComStmtClose && com != mysqlwire.ComStmtSendLongData { // those two have no answer
-			s.refuse(1243, "HY000", fmt.Sprintf("Unknown prepared statement handler (%d)", id))
+			s.replyError(1243, "HY000", fmt.Sprintf("Unknown prepared statement handler (%d)", id))
 		}
 		return nil
 	}
@@ -305,10 +307,10 @@
 	case mysqlwire.ComStmtClose:
 		delete(s.stmts, id)
 	case mysqlwire.ComStmtReset:
-		st.long, st.longSize = nil, 0
+		st.longData, st.longSize = nil, 0
 		s.reply(mysqlwire.OK(1))
 	case mysqlwire.ComStmtFetch:
-		s.refuse(1421, "HY000", fmt.Sprintf("The statement (%d) has no open cursor.", id))
+		s.replyError(1421, "HY000", fmt.Sprintf("The statement (%d) has no open cursor.", id))
 	case mysqlwire.ComStmtSendLongData:
 		if len(body) < 6 {
 			return mysqlwire.ErrMalformed
@@ -316,21 +318,21 @@
 		if st.longSize += len(body); st.longSize > maxLongData {
 			return mysqlwire.ErrTooLong
 		}
-		st.long = append(st.long, LongData{binary.LittleEndian.Uint16(body[4:]), append([]byte{}, body[6:]...)})
+		st.longData = append(st.longData, LongData{binary.LittleEndian.Uint16(body[4:]), append([]byte{}, body[6:]...)})
 	case mysqlwire.ComStmtExecute:
 		e, err := mysqlwire.ParseExecute(body, int(st.params.Load()), st.types)
 		if err != nil {
 			return err
 		}
 		st.types = e.Types
-		s.ask(&Statement{Tag: st.tag, Execute: &e, LongData: st.long}, st.tag, s.f.answer)
-		st.long, st.longSize = nil, 0
+		s.submit(&Statement{Tag: st.tag, Execute: &e, LongData: st.longData}, st.tag, s.front.encodeResponse)
+		st.longData, st.longSize = nil, 0
 	}
 	return nil
 }
 
-// answer is a final answer in bytes.
-func (f *Front) answer(x request.Final) []byte {
+// encodeResponse is a final encodeResponse in bytes.
+func (f *Front) encodeResponse(x request.Final) []byte {
 	switch e, known := x.Value.(mysqlwire.Error); {
 	case x.Verdict == request.Served:
 		return x.Value.([]byte)
--- a/internal/frontend/postgres/backend.go
+++ b/internal/frontend/postgres/backend.go
@@ -18,12 +18,12 @@
 	"aspenshed/internal/protocol/sqlcomment"
 )
 
-// maxAnswer is the longest message taken. The protocol speaks of values of 64 KiB, but databases were seen to send
+// maxResponse is the longest message taken. The protocol speaks of values of 64 KiB, but databases were seen to send
 // 400 KB (day rate+silent+leave); longer ones are noise.
-const maxAnswer = 512 << 10
+const maxResponse = 512 << 10
 
-// ahead is how far a member's clock may be before ours.
-const ahead = aspenshed.Nanos(1e9)
+// maxClockAhead is how far a member's clock may be before ours.
+const maxClockAhead = aspenshed.Nanos(1e9)
 
 // Backend opens links to databases that speak the platform's protocol.
 type Backend struct {
@@ -31,63 +31,63 @@
 	Loop *eventloop.Loop
 }
 
-// link is one connection to a database. The poller's goroutine owns the parser
+// backendConn is one connection to a database. The poller's goroutine owns the parser
 // state, the loop what was sent; they meet in the loop's mailbox and in owed.
-type link struct {
+type backendConn struct {
 	loop    *eventloop.Loop
-	ev      request.LinkEvents
+	events  request.LinkEvents
 	conn    *netio.Conn
-	in      pgwire.Reader
+	reader  pgwire.Reader
 	pending session.PendingResponses
 
 	// The poller's.
-	ready bool
-	next  byte // type of the message that the answer at hand goes on with; 0: none is at hand
-	answer
-	whole []ended // answers that the bytes at hand have brought to their end
+	ready    bool
+	expected byte // type of the message that the answer at hand goes on with; 0: none is at hand
+	partialResponse
+	completed []completeResponse // answers that the bytes at hand have brought to their end
 
 	// The loop's.
-	sent   bool   // a statement is out
-	rest   []byte // the last byte of one that is about to leave
-	limit  *eventloop.Timer
-	closed bool
+	sent     bool   // a statement is out
+	lastByte []byte // the last byte of one that is about to leave
+	timeout  *eventloop.Timer
+	closed   bool
 }
 
-// answer is what has come of one so far. Nothing of it is believed before its end.
-type answer struct {
-	rows   []byte // messages that pass on to the client
-	row    string
-	params map[string]string
-	fault  *pgwire.Error
+// partialResponse is what has come of one so far. Nothing of it is believed before its end.
+type partialResponse struct {
+	rows        []byte // messages that pass on to the client
+	row         string
+	params      map[string]string
+	serverError *pgwire.Error
 }
 
-// ended is a whole answer and what it was owed for.
-type ended struct {
+// completeResponse is a whole answer and what it was owed for.
+type completeResponse struct {
 	request.Result
-	what int
+	kind int
 }
 
 // What a link may be owed.
 const (
-	forStatement = iota + 1
-	forProbe
-	forCheck
+	pendingStatement = iota + 1
+	pendingProbe
+	pendingCheck
 )
 
 var (
-	errSpoilt = errors.New("spoilt answer")
-	errExtra  = errors.New("bytes that belong to no answer")
+	errMalformedResponse = errors.New("spoilt answer")
+	errUnsolicited       = errors.New("bytes that belong to no answer")
 )
 
 // Open dials. The limit holds until the database is ready for a statement.
 func (b *Backend) Open(address string, limit aspenshed.Nanos, probe bool, ev request.LinkEvents) (request.Link, error) {
-	l := &link{loop: b.Loop, ev: ev, in: pgwire.Reader{Max: maxAnswer}, next: 'R'}
+	l := &backendConn{loop: b.Loop, events: ev, reader: pgwire.Reader{Max: maxResponse}, expected: 'R'}
 	conn, err := b.Net.Dial(address, time.Duration(limit), probe, l)
 	if err != nil {
 		return nil, err
 	}
 	l.conn = conn
-	l.limit = b.Loop.At(b.Loop.Now()+limit, func() {
+	l.timeout = b.Loop.At(b.Loop.Now()+limit, func() {
 		if !l.closed {
 			l.down(fmt.Errorf("%w: not up within the limit", netio.ErrRefused))
 		}
@@ -97,74 +97,74 @@
 
 // Send writes an empty query and the statement, only d in it changed, but for its last byte. The empty query's answer
 // shows that the link is alive and that nothing else came ahead of it: till then a break proves that nothing has run.
-func (l *link) Send(statement any, wait aspenshed.Nanos) bool {
+func (l *backendConn) Send(statement any, wait aspenshed.Nanos) bool {
 	sql := pgwire.Query(statement.(sqlcomment.Tag).WithWait(int64(wait) / 1e6))
-	l.rest = sql[len(sql)-1:]
-	l.pending.Add(forCheck)
+	l.lastByte = sql[len(sql)-1:]
+	l.pending.Add(pendingCheck)
 	return l.conn.Write(append(pgwire.Query(""), sql[:len(sql)-1]...)) == nil
 }
 
-// checked lets the statement's last byte go.
-func (l *link) checked() {
-	if !l.ev.Leave() {
+// sendLastByte lets the statement's last byte go.
+func (l *backendConn) sendLastByte() {
+	if !l.events.Leave() {
 		return
 	}
-	l.pending.Add(forStatement)
+	l.pending.Add(pendingStatement)
 	l.sent = true
-	if l.conn.Write(l.rest) != nil {
+	if l.conn.Write(l.lastByte) != nil {
 		l.sent = false
 		l.down(netio.ErrClosed)
 	}
 }
 
 // Probe asks for the load report.
-func (l *link) Probe() bool {
+func (l *backendConn) Probe() bool {
 	l.sent = true
-	l.pending.Add(forProbe)
+	l.pending.Add(pendingProbe)
 	return l.conn.Write(pgwire.Query("SHOW health")) == nil
 }
 
 // Out tells whether a statement may have left.
-func (l *link) Out() bool { return l.sent }
+func (l *backendConn) Out() bool { return l.sent }
 
 // Close ends the connection without another event.
-func (l *link) Close() {
+func (l *backendConn) Close() {
 	l.closed = true
-	l.loop.Stop(l.limit)
+	l.loop.Stop(l.timeout)
 	l.conn.Close()
 }
 
 // Up greets the database. It may run before Dial has returned.
-func (l *link) Up() { l.loop.Post(func() { _ = l.conn.Write(pgwire.Startup("web", "orders")) }) }
+func (l *backendConn) Up() { l.loop.Post(func() { _ = l.conn.Write(pgwire.Startup("web", "orders")) }) }
 
 // Closed is called when the connection ends by itself.
-func (l *link) Closed(err error) { l.loop.Post(func() { l.down(err) }) }
+func (l *backendConn) Closed(err error) { l.loop.Post(func() { l.down(err) }) }
 
-func (l *link) down(err error) {
+func (l *backendConn) down(err error) {
 	if l.closed {
 		return
 	}
 	l.Close()
-	l.ev.Down(request.HowEnded(l.sent, errors.Is(err, netio.ErrRefused)), err)
+	l.events.Down(request.HowEnded(l.sent, errors.Is(err, netio.ErrRefused)), err)
 }
 
 // Data parses; only whole answers reach the loop. What can't be read ends the
 // link, and so does what comes unasked: it could be taken for the next answer.
-func (l *link) Data(b []byte) {
-	err := l.in.Feed(b, l.message)
-	if err == nil && l.ready && l.pending.Next() == 0 && l.in.Partial() {
-		err = errExtra
+func (l *backendConn) Data(b []byte) {
+	err := l.reader.Feed(b, l.message)
+	if err == nil && l.ready && l.pending.Next() == 0 && l.reader.Partial() {
+		err = errUnsolicited
 	}
-	whole := l.whole
-	l.whole = nil
+	whole := l.completed
+	l.completed = nil
 	if len(whole) == 0 && err == nil {
 		return
 	}
 	l.loop.Post(func() {
 		for i, r := range whole {
 			r.Close = r.Close || err != nil && i == len(whole)-1 // the answer is good, the link is not
-			if err == nil || r.what != forCheck {                // behind a spoilt check no statement leaves
-				l.done(r)
+			if err == nil || r.kind != pendingCheck {            // behind a spoilt check no statement leaves
+				l.deliver(r)
 			}
 		}
 		if err != nil {
@@ -173,23 +173,23 @@
 	})
 }
 
-func (l *link) message(m pgwire.Message) error {
+func (l *backendConn) message(m pgwire.Message) error {
 	what := l.pending.Next()
 	switch {
-	case !l.ready || l.next != 0:
+	case !l.ready || l.expected != 0:
 	case what == 0:
-		return errExtra
-	case what == forCheck:
-		l.next = 'I'
+		return errUnsolicited
+	case what == pendingCheck:
+		l.expected = 'I'
 	default:
-		l.next = 'T'
+		l.expected = 'T'
 	}
 	switch {
 	case m.Type == 'N': // notices get passed over
 	case m.Type == 'S':
 		k, v, ok := pgwire.Parameter(m.Body)
 		if !ok {
-			return errSpoilt
+			return errMalformedResponse
 		}
 		if k == "recovery" || k == "lsn_ms" || k == "health" {
 			if l.params == nil {
@@ -198,73 +198,73 @@
 			l.params[k] = v
 		}
 	case m.Type == 'K' && !l.ready:
-	case m.Type == 'E' && l.next != 'Z' && what != forCheck:
+	case m.Type == 'E' && l.expected != 'Z' && what != pendingCheck:
 		e, ok := pgwire.ParseError(m.Body)
 		if !ok {
-			return errSpoilt
+			return errMalformedResponse
 		}
-		l.fault, l.next = &e, 'Z'
+		l.serverError, l.expected = &e, 'Z'
 		if e.Severity == "FATAL" || e.Severity == "PANIC" { // needs no ReadyForQuery
-			l.finish(what, true)
+			l.complete(what, true)
 		}
-	case m.Type != l.next:
-		return errSpoilt
+	case m.Type != l.expected:
+		return errMalformedResponse
 	default:
-		return l.step(m, what)
+		return l.advance(m, what)
 	}
 	return nil
 }
 
-// step takes the message that was due: R Z at the start, then T D C Z for a row, I Z for a check.
-func (l *link) step(m pgwire.Message, what int) error {
+// advance takes the message that was due: R Z at the start, then T D C Z for a row, I Z for a check.
+func (l *backendConn) advance(m pgwire.Message, what int) error {
 	ok := true
 	switch m.Type {
 	case 'R':
-		l.next, ok = 'Z', string(m.Body) == "\x00\x00\x00\x00"
+		l.expected, ok = 'Z', string(m.Body) == "\x00\x00\x00\x00"
 	case 'T':
-		l.next, ok = 'D', pgwire.IsOneColumn(m.Body)
+		l.expected, ok = 'D', pgwire.IsOneColumn(m.Body)
 	case 'D':
-		l.next = 'C'
+		l.expected = 'C'
 		l.row, ok = pgwire.OneColumn(m.Body)
 	case 'C':
 		_, rest, whole := pgwire.CString(m.Body)
-		l.next, ok = 'Z', whole && len(rest) == 0
+		l.expected, ok = 'Z', whole && len(rest) == 0
 	case 'I':
-		l.next, ok = 'Z', len(m.Body) == 0
+		l.expected, ok = 'Z', len(m.Body) == 0
 	case 'Z':
 		if len(m.Body) != 1 || m.Body[0] != 'I' {
-			return errSpoilt
+			return errMalformedResponse
 		}
 		if l.ready {
-			l.finish(what, false)
+			l.complete(what, false)
 		} else {
 			l.ready = true
 			l.loop.Post(l.up)
 		}
-		l.answer, l.next = answer{}, 0
+		l.partialResponse, l.expected = partialResponse{}, 0
 		return nil
 	}
 	if !ok {
-		return errSpoilt
+		return errMalformedResponse
 	}
-	if what == forStatement {
+	if what == pendingStatement {
 		l.rows = pgwire.Append(l.rows, m.Type, string(m.Body))
 	}
 	return nil
 }
 
-func (l *link) up() {
+func (l *backendConn) up() {
 	if !l.closed {
-		l.loop.Stop(l.limit)
-		l.ev.Up()
+		l.loop.Stop(l.timeout)
+		l.events.Up()
 	}
 }
 
-// finish keeps a whole answer for the loop.
-func (l *link) finish(what int, last bool) {
+// complete keeps a whole answer for the loop.
+func (l *backendConn) complete(what int, last bool) {
 	r := request.Result{Close: last, Outcome: aspenshed.Served, Value: l.rows}
-	if e := l.fault; e != nil {
-		r.Outcome, r.Detail, r.Value = outcomeOf(e.Code, l.ready), e.Code+" "+e.Message, *e
+	if e := l.serverError; e != nil {
+		r.Outcome, r.Detail, r.Value = outcomeForCode(e.Code, l.ready), e.Code+" "+e.Message, *e
 	}
 	switch l.params["recovery"] {
 	case "off":
@@ -273,31 +273,31 @@
 		r.Role = aspenshed.RoleReplica
 	}
 	now := l.loop.Now()
-	if ms, err := strconv.ParseInt(l.params["lsn_ms"], 10, 64); err == nil && ms > 0 && ms <= int64(now+ahead)/1e6 {
+	if ms, err := strconv.ParseInt(l.params["lsn_ms"], 10, 64); err == nil && ms > 0 && ms <= int64(now+maxClockAhead)/1e6 {
 		r.Position = eventloop.UnixMs(ms)
 	}
 	health := l.params["health"]
-	if what == forProbe {
+	if what == pendingProbe {
 		health = l.row
 	}
 	r.Report = parseReport(health, now)
 	l.pending.Done()
-	l.whole = append(l.whole, ended{r, what})
+	l.completed = append(l.completed, completeResponse{r, what})
 }
 
-func (l *link) done(e ended) {
+func (l *backendConn) deliver(e completeResponse) {
 	switch {
 	case l.closed:
-	case e.what == forCheck:
-		l.checked()
+	case e.kind == pendingCheck:
+		l.sendLastByte()
 	default:
 		l.sent = false
-		l.ev.Done(e.Result)
+		l.events.Done(e.Result)
 	}
 }
 
-// outcomeOf maps a database's error code. ready: it had accepted the connection, so a statement may be out.
-func outcomeOf(code string, ready bool) aspenshed.Outcome {
+// outcomeForCode maps a database's error code. ready: it had accepted the connection, so a statement may be out.
+func outcomeForCode(code string, ready bool) aspenshed.Outcome {
 	switch {
 	case code == "53300":
 		return aspenshed.Full
@@ -320,7 +320,7 @@
 	for _, part := range strings.Split(s, ",") {
 		k, v, _ := strings.Cut(part, "=")
 		f, err := strconv.ParseFloat(v, 64)
-		if err != nil || !(f >= 0 && f <= float64(now+ahead)/1e9) || k == "x1" && f != 0 && f != 1 {
+		if err != nil || !(f >= 0 && f <= float64(now+maxClockAhead)/1e9) || k == "x1" && f != 0 && f != 1 {
 			return aspenshed.Report{}
 		}
 		switch k {
--- a/internal/frontend/postgres/backend_test.go
+++ b/internal/frontend/postgres/backend_test.go
@@ -20,7 +20,7 @@
 
 // ears note what a link tells.
 type ears struct {
-	link *link
+	link *backendConn
 	said string
 	last request.Result
 }
@@ -46,8 +46,8 @@
 // hear feeds a link that is up and owed something with what a database writes, in pieces of that size.
 func hear(owed []int, wire string, size int) *ears {
 	e := &ears{}
-	l := &link{loop: eventloop.NewLoop(now), ev: e, conn: &netio.Conn{}, in: pgwire.Reader{Max: maxAnswer}, ready: true,
-		sent: slices.Contains(owed, forStatement)}
+	l := &backendConn{loop: eventloop.NewLoop(now), events: e, conn: &netio.Conn{}, reader: pgwire.Reader{Max: maxResponse}, ready: true,
+		sent: slices.Contains(owed, pendingStatement)}
 	e.link = l
 	for _, what := range owed {
 		l.pending.Add(what)
@@ -71,7 +71,7 @@
 	fault := string(pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: "XX000", Message: "no"}))
 	fatal := string(pgwire.AppendError(nil, pgwire.Error{Severity: "FATAL", Code: "57P01", Message: "shutting down"}))
 	check := msg('I', "") + z
-	one, ahead := []int{forStatement}, []int{forCheck}
+	one, ahead := []int{pendingStatement}, []int{pendingCheck}
 	for name, c := range map[string]struct {
 		owed       []int
 		wire, want string
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -22,16 +22,16 @@
 
 // clientConn is one client connection; the poller's goroutine owns the parser.
 type clientConn struct {
-	f       *Front
-	conn    *netio.Conn
-	session *session.Session
-	in      pgwire.Reader
-	start   bool
+	front        *Front
+	conn         *netio.Conn
+	session      *session.Session
+	reader       pgwire.Reader
+	awaitStartup bool
 }
 
 // Accept makes a session for a new connection.
 func (f *Front) Accept(c *netio.Conn) netio.Handler {
-	return &clientConn{f: f, conn: c, session: f.Open(c), in: pgwire.Reader{Startup: true, Max: maxQuery}, start: true}
+	return &clientConn{front: f, conn: c, session: f.Open(c), reader: pgwire.Reader{Startup: true, Max: maxQuery}, awaitStartup: true}
 }
 
 // Up has nothing to say: the client speaks first.
@@ -42,23 +42,23 @@
 
 // Data parses and posts.
 func (s *clientConn) Data(b []byte) {
-	err := s.in.Feed(b, s.message)
-	s.session.SetPartial(s.in.Partial())
+	err := s.reader.Feed(b, s.message)
+	s.session.SetPartial(s.reader.Partial())
 	switch {
-	case errors.Is(err, errBye):
+	case errors.Is(err, errClientClosed):
 		s.session.ClientClosed()
 	case err != nil:
 		s.session.Fatal(pgwire.AppendError(nil, pgwire.Error{Severity: "FATAL", Code: "08P01", Message: err.Error()}), err.Error())
 	}
 }
 
-var errBye = errors.New("client ended the connection")
+var errClientClosed = errors.New("client ended the connection")
 
 func (s *clientConn) message(m pgwire.Message) error {
-	if s.start {
+	if s.awaitStartup {
 		return s.startup(m)
 	}
-	arrived := s.f.Loop.Now()
+	arrived := s.front.Loop.Now()
 	switch m.Type {
 	case 'Q':
 		sql, _, ok := pgwire.CString(m.Body)
@@ -69,10 +69,10 @@
 			s.session.Enqueue(len(m.Body), func(x *session.Slot) { x.Respond(pgwire.Ready(pgwire.Append(nil, 'I'))) })
 			return nil
 		}
-		q, err := s.f.parse(sql)
-		s.session.Enqueue(len(m.Body), func(x *session.Slot) { x.Submit(q, err, arrived, s.f.answer) })
+		q, err := s.front.parseStatement(sql)
+		s.session.Enqueue(len(m.Body), func(x *session.Slot) { x.Submit(q, err, arrived, s.front.encodeResponse) })
 	case 'X':
-		return errBye
+		return errClientClosed
 	default:
 		return errors.New("message type " + strconv.QuoteRune(rune(m.Type)) + " not supported: simple queries only")
 	}
@@ -82,26 +82,26 @@
 func (s *clientConn) startup(m pgwire.Message) error {
 	switch code := binary.BigEndian.Uint32(m.Body); {
 	case code == pgwire.SSLRequest || code == pgwire.GSSENCRequest:
-		return s.say([]byte{'N'})
+		return s.writeNow([]byte{'N'})
 	case code == pgwire.CancelRequest:
-		return errBye
+		return errClientClosed
 	case code>>16 != pgwire.Version3>>16:
 		return errors.New("protocol version not supported")
 	}
-	s.start, s.in.Startup = false, false
-	return s.say(pgwire.Welcome())
+	s.awaitStartup, s.reader.Startup = false, false
+	return s.writeNow(pgwire.Welcome())
 }
 
-// say answers without a slot. A client that can't be answered has gone: that is no bad input.
-func (s *clientConn) say(b []byte) error {
+// writeNow answers without a slot. A client that can't be answered has gone: that is no bad input.
+func (s *clientConn) writeNow(b []byte) error {
 	if s.conn.Write(b) != nil {
-		return errBye
+		return errClientClosed
 	}
 	return nil
 }
 
-// parse turns a statement into a query.
-func (f *Front) parse(sql string) (request.Query, error) {
+// parseStatement turns a statement into a query.
+func (f *Front) parseStatement(sql string) (request.Query, error) {
 	tag, err := sqlcomment.Parse(sql)
 	if err == nil && tag.Values["id"] == "" {
 		err = errors.New("comment names no id")
@@ -112,8 +112,8 @@
 	return f.BuildQuery(tag, tag)
 }
 
-// answer is a final answer in bytes.
-func (f *Front) answer(x request.Final) []byte {
+// encodeResponse is a final encodeResponse in bytes.
+func (f *Front) encodeResponse(x request.Final) []byte {
 	e := pgwire.Error{Severity: "ERROR", Code: "XX000", Message: "failed: " + x.Reason}
 	own, known := x.Value.(pgwire.Error)
 	switch {
--- a/internal/frontend/session/memory.go
+++ b/internal/frontend/session/memory.go
@@ -5,35 +5,35 @@
 // What a command takes is kept until it has its answer, and an answer until those before it are written. These bounds are in
 // bytes; a connection that reaches them is ended as one that has too many commands without an answer is.
 const (
-	// defaultUnanswered is for all connections of a front together, where its Limits do not say. One connection may have half
+	// defaultMaxPendingBytes is for all connections of a front together, where its Limits do not say. One connection may have half
 	// of it. Beyond it each may still have fairUnanswered, and one command of any size: who sends one and waits for its
 	// answer is always served.
-	defaultUnanswered = 64 << 20
-	fairUnanswered    = 16 << 10
+	defaultMaxPendingBytes = 64 << 20
+	guaranteedPendingBytes = 16 << 10
 	// commandOverhead is about what a command takes beside its bytes: its slot, its request and its turn in the loop's mailbox.
 	commandOverhead = 256
 )
 
 // reserve counts a command's bytes, if there is room for them. Any goroutine may call it.
 func (s *Session) reserve(size int) bool {
-	s.keep(size)
-	if s.within(size) {
+	s.addPending(size)
+	if s.withinLimits(size) {
 		return true
 	}
-	s.release(size)
+	s.releasePending(size)
 	return false
 }
 
-// within tells whether what has been counted is within the bounds; alone: one command of that size always is.
-func (s *Session) within(alone int) bool {
-	limit := cmp.Or(s.manager.Limits.MaxPendingBytes, defaultUnanswered)
-	own := s.unanswered.Load()
-	return own <= max(int64(alone), fairUnanswered) || own <= limit/2 && s.manager.unanswered.Load() <= limit
+// withinLimits tells whether what has been counted is withinLimits the bounds; alone: one command of that size always is.
+func (s *Session) withinLimits(alone int) bool {
+	limit := cmp.Or(s.manager.Limits.MaxPendingBytes, defaultMaxPendingBytes)
+	own := s.pendingBytes.Load()
+	return own <= max(int64(alone), guaranteedPendingBytes) || own <= limit/2 && s.manager.pendingBytes.Load() <= limit
 }
 
-func (s *Session) keep(size int) {
-	s.unanswered.Add(int64(size))
-	s.manager.unanswered.Add(int64(size))
+func (s *Session) addPending(size int) {
+	s.pendingBytes.Add(int64(size))
+	s.manager.pendingBytes.Add(int64(size))
 }
 
-func (s *Session) release(size int) { s.keep(-size) }
+func (s *Session) releasePending(size int) { s.addPending(-size) }
--- a/internal/frontend/session/memory_test.go
+++ b/internal/frontend/session/memory_test.go
@@ -43,14 +43,14 @@
 				for _, s := range sessions[:flooders] {
 					s.Enqueue(size, take)
 				}
-				if got := m.unanswered.Load(); got > limit+flooders*max(fairUnanswered, int64(size)+commandOverhead) {
+				if got := m.pendingBytes.Load(); got > limit+flooders*max(guaranteedPendingBytes, int64(size)+commandOverhead) {
 					t.Fatalf("%d bytes are kept", got)
 				}
 			}
 			sessions[flooders].Enqueue(1<<20, take)
 			m.Loop.Turn()
 			taken := len(slots)
-			if last := slots[taken-1]; last.s != sessions[flooders] {
+			if last := slots[taken-1]; last.session != sessions[flooders] {
 				t.Error("the one that sends a single command was not taken")
 			}
 			if rejected != flooders {
@@ -60,7 +60,7 @@
 				x.Respond([]byte("answer"))
 			}
 			for range 3 {
-				clock.now += sweepEvery
+				clock.now += sweepInterval
 				m.Loop.Turn()
 			}
 			answers := 0
@@ -70,8 +70,8 @@
 					t.Errorf("connection %d: closed %d times", i, c.closed)
 				}
 			}
-			if answers != taken || m.unanswered.Load() != 0 {
-				t.Errorf("%d of %d commands were answered; %d bytes still count", answers, taken, m.unanswered.Load())
+			if answers != taken || m.pendingBytes.Load() != 0 {
+				t.Errorf("%d of %d commands were answered; %d bytes still count", answers, taken, m.pendingBytes.Load())
 			}
 		})
 	}
@@ -85,7 +85,7 @@
 	conn := &counting{}
 	s := m.Open(conn)
 	var slots []*Slot
-	for range maxPipeline {
+	for range maxPendingCommands {
 		s.Enqueue(1, func(x *Slot) { slots = append(slots, x) })
 	}
 	m.Loop.Turn()
@@ -95,11 +95,11 @@
 			x.Respond(make([]byte, 4<<20))
 			filled++
 		}
-		if got := m.unanswered.Load(); got > limit/2+4<<20 {
+		if got := m.pendingBytes.Load(); got > limit/2+4<<20 {
 			t.Fatalf("%d bytes are kept", got)
 		}
 	}
-	if conn.closed != 1 || filled > limit/2>>22+1 || m.unanswered.Load() != 0 {
-		t.Errorf("closed %d times after %d answers, %d bytes still count", conn.closed, filled, m.unanswered.Load())
+	if conn.closed != 1 || filled > limit/2>>22+1 || m.pendingBytes.Load() != 0 {
+		t.Errorf("closed %d times after %d answers, %d bytes still count", conn.closed, filled, m.pendingBytes.Load())
 	}
 }
--- a/internal/frontend/session/pending.go
+++ b/internal/frontend/session/pending.go
@@ -6,14 +6,14 @@
 // the poller takes off. Bytes that come while nothing is owed belong to no
 // answer; without this a second copy of one answer could pass for the next.
 type PendingResponses struct {
-	mu   sync.Mutex
-	what []int
+	mu    sync.Mutex
+	kinds []int
 }
 
 // Add notes what is about to be written.
 func (o *PendingResponses) Add(what int) {
 	o.mu.Lock()
-	o.what = append(o.what, what)
+	o.kinds = append(o.kinds, what)
 	o.mu.Unlock()
 }
 
@@ -21,17 +21,17 @@
 func (o *PendingResponses) Next() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if len(o.what) == 0 {
+	if len(o.kinds) == 0 {
 		return 0
 	}
-	return o.what[0]
+	return o.kinds[0]
 }
 
 // Done takes off what has been answered whole.
 func (o *PendingResponses) Done() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if len(o.what) > 0 {
-		o.what = o.what[1:]
+	if len(o.kinds) > 0 {
+		o.kinds = o.kinds[1:]
 	}
 }
--- a/internal/frontend/session/session.go
+++ b/internal/frontend/session/session.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	maxPipeline  = 256                    // commands of one connection without an answer
-	sweepEvery   = aspenshed.Nanos(100e6) // for clients that say nothing, and often when connections get scarce
-	sweepCrowded = aspenshed.Nanos(20e6)
-	unreadLimit  = aspenshed.Nanos(10e9)  // for a client to read its last answer
-	crowdedLimit = aspenshed.Nanos(100e6) // for a first byte while connections are scarce
+	maxPendingCommands      = 256                    // commands of one connection without an answer
+	sweepInterval           = aspenshed.Nanos(100e6) // for clients that say nothing, and often when connections get scarce
+	crowdedSweepInterval    = aspenshed.Nanos(20e6)
+	unreadTimeout           = aspenshed.Nanos(10e9)  // for a client to read its last answer
+	crowdedFirstByteTimeout = aspenshed.Nanos(100e6) // for a first byte while connections are scarce
 )
 
 // Limits bound what a connection may hold on to without a request of its own:
@@ -56,9 +56,9 @@
 	Cancel        func(*request.Request)
 	CountRejected func(string)
 
-	unanswered atomic.Int64      // bytes, of all connections
-	sessions   map[*Session]bool // the loop's
-	closing    bool              // connections are closed as soon as nothing is owed on them
+	pendingBytes atomic.Int64      // bytes, of all connections
+	sessions     map[*Session]bool // the loop's
+	closing      bool              // connections are closed as soon as nothing is owed on them
 }
 
 // Session is one client connection. The loop owns its slots; the goroutine
@@ -67,28 +67,28 @@
 	manager *Manager
 	conn    Conn
 
-	slots  []*Slot // commands in order, from the first without an answer written
-	closed bool
-	asked  bool            // it has sent a whole command
-	ending bool            // close once the slots are written
-	quiet  aspenshed.Nanos // when it connected or, later, when the last answer was written
-	taken  int64           // of the commands that were read, those that the loop has seen
+	slots        []*Slot // commands in order, from the first without an answer written
+	closed       bool
+	sentCommand  bool            // it has sent a whole command
+	ending       bool            // close once the slots are written
+	idleSince    aspenshed.Nanos // when it connected or, later, when the last answer was written
+	commandsSeen int64           // of the commands that were read, those that the loop has seen
 
-	unanswered atomic.Int64 // bytes of commands without an answer, and of answers that wait for one before them
-	overdrawn  bool         // nothing more is taken; owned by the goroutine that reads
+	pendingBytes atomic.Int64 // bytes of commands without an answer, and of answers that wait for one before them
+	overLimit    bool         // nothing more is taken; owned by the goroutine that reads
 
-	read  atomic.Int64 // commands that were read whole
-	begun atomic.Int64 // when the first byte of a command came whose last is still missing; 0: none
+	commandsRead atomic.Int64 // commands that were read whole
+	partialSince atomic.Int64 // when the first byte of a command came whose last is still missing; 0: none
 }
 
 // Slot keeps a command's place in the order of answers.
 type Slot struct {
-	s      *Session
-	r      *request.Request
-	form   func(request.Final) []byte
-	answer []byte
-	done   bool
-	size   int // of what it keeps, in bytes
+	session  *Session
+	request  *request.Request
+	encode   func(request.Final) []byte
+	response []byte
+	done     bool
+	size     int // of what it keeps, in bytes
 }
 
 // Open makes a session for a connection.
@@ -100,7 +100,7 @@
 			d.sweep()
 		}
 		d.sessions[s] = true
-		s.quiet = d.Loop.Now()
+		s.idleSince = d.Loop.Now()
 	})
 	return s
 }
@@ -109,47 +109,47 @@
 func (s *Session) SetPartial(part bool) {
 	switch {
 	case !part:
-		s.begun.Store(0)
-	case s.begun.Load() == 0:
-		s.begun.Store(int64(s.manager.Loop.Now()))
+		s.partialSince.Store(0)
+	case s.partialSince.Load() == 0:
+		s.partialSince.Store(int64(s.manager.Loop.Now()))
 	}
 }
 
 // Enqueue gives a command of that many bytes its slot, in order, and has f called with it on the loop.
 func (s *Session) Enqueue(size int, f func(*Slot)) {
-	if s.overdrawn {
+	if s.overLimit {
 		return
 	}
 	size += commandOverhead
-	s.read.Add(1)
+	s.commandsRead.Add(1)
 	if !s.reserve(size) {
-		s.overdrawn = true
+		s.overLimit = true
 		s.manager.Loop.Post(func() {
-			s.taken++
-			s.refuseMore("too many bytes without an answer")
+			s.commandsSeen++
+			s.rejectFurther("too many bytes without an answer")
 		})
 		return
 	}
 	s.manager.Loop.Post(func() {
-		s.taken++
+		s.commandsSeen++
 		if s.closed || s.ending {
-			s.release(size)
+			s.releasePending(size)
 			return
 		}
-		if len(s.slots) >= maxPipeline {
-			s.release(size)
-			s.refuseMore("too many commands without an answer on one connection")
+		if len(s.slots) >= maxPendingCommands {
+			s.releasePending(size)
+			s.rejectFurther("too many commands without an answer on one connection")
 			return
 		}
-		s.asked = true
-		x := &Slot{s: s, size: size}
+		s.sentCommand = true
+		x := &Slot{session: s, size: size}
 		s.slots = append(s.slots, x)
 		f(x)
 	})
 }
 
-// refuseMore ends the connection once the commands before have the answers that they are owed.
-func (s *Session) refuseMore(why string) {
+// rejectFurther ends the connection once the commands before have the answers that they are owed.
+func (s *Session) rejectFurther(why string) {
 	if !s.closed && !s.ending {
 		s.manager.CountRejected(why)
 		s.ending = true
@@ -166,70 +166,70 @@
 }
 
 // ClientClosed ends the session: the client has closed it or taken its leave.
-func (s *Session) ClientClosed() { s.manager.Loop.Post(s.end) }
+func (s *Session) ClientClosed() { s.manager.Loop.Post(s.closeNow) }
 
 // Submit hands a query on; form turns its final answer into bytes. err is why there is no query.
 func (x *Slot) Submit(q request.Query, err error, arrived aspenshed.Nanos, form func(request.Final) []byte) {
-	x.form = form
+	x.encode = form
 	if err != nil {
-		x.s.manager.CountRejected(err.Error())
+		x.session.manager.CountRejected(err.Error())
 		x.Finish(request.Final{Verdict: request.Failed, Reason: err.Error(), Bad: true})
 		return
 	}
 	q.Client = x
-	if r := x.s.manager.Submit(q, arrived); r != nil && !r.Final {
-		x.r = r
+	if r := x.session.manager.Submit(q, arrived); r != nil && !r.Final {
+		x.request = r
 	}
 }
 
 // Finish takes the one final answer.
-func (x *Slot) Finish(f request.Final) { x.Respond(x.form(f)) }
+func (x *Slot) Finish(f request.Final) { x.Respond(x.encode(f)) }
 
 // Respond sets a command's answer and writes all answers that are next in order.
 func (x *Slot) Respond(b []byte) {
-	s := x.s
-	x.answer, x.done, x.r = b, true, nil
+	s := x.session
+	x.response, x.done, x.request = b, true, nil
 	if s.closed {
 		return
 	}
 	x.size += len(b)
-	s.keep(len(b))
+	s.addPending(len(b))
 	waits := len(s.slots) > 0 && s.slots[0] != x
 	for len(s.slots) > 0 && s.slots[0].done {
-		if s.conn.Write(s.slots[0].answer) != nil {
-			s.end()
+		if s.conn.Write(s.slots[0].response) != nil {
+			s.closeNow()
 			return
 		}
-		s.release(s.slots[0].size)
+		s.releasePending(s.slots[0].size)
 		s.slots[0] = nil // else the array under the rest would keep the answer
 		if s.slots = s.slots[1:]; len(s.slots) == 0 {
 			s.slots = nil
 		}
-		s.quiet = s.manager.Loop.Now()
+		s.idleSince = s.manager.Loop.Now()
 	}
-	if waits && !s.within(0) {
+	if waits && !s.withinLimits(0) {
 		s.manager.CountRejected("too many bytes without an answer")
-		s.end()
+		s.closeNow()
 		return
 	}
 	if (s.ending || s.manager.closing) && len(s.slots) == 0 && !s.conn.Unsent() { // else sweep ends it
-		s.retire(!s.ending)
+		s.closeGracefully(!s.ending)
 	}
 }
 
-// retire ends the connection on our part, with nothing owed on it. What the client had under way then was never read,
+// closeGracefully ends the connection on our part, with nothing owed on it. What the client had under way then was never read,
 // and it knows that; a command that has been read is answered first. whole: so is one of which a part has come.
-func (s *Session) retire(whole bool) {
+func (s *Session) closeGracefully(whole bool) {
 	if s.conn.Shut(func() bool {
-		return s.ending || s.read.Load() == s.taken && !(whole && s.begun.Load() > 0)
+		return s.ending || s.commandsRead.Load() == s.commandsSeen && !(whole && s.partialSince.Load() > 0)
 	}) {
 		s.closed = true
 		delete(s.manager.sessions, s)
 	}
 }
 
-// end closes the connection at once, as its client has gone; what it still waited for has been left.
-func (s *Session) end() {
+// closeNow closes the connection at once, as its client has gone; what it still waited for has been left.
+func (s *Session) closeNow() {
 	if s.closed {
 		return
 	}
@@ -237,56 +237,56 @@
 	s.conn.Close()
 	delete(s.manager.sessions, s)
 	for _, x := range s.slots {
-		if x.r != nil {
-			s.manager.Cancel(x.r)
+		if x.request != nil {
+			s.manager.Cancel(x.request)
 		}
-		s.release(x.size)
+		s.releasePending(x.size)
 	}
 	s.slots = nil
 }
 
 // sweep closes connections that hold no request and have reached their limits, and makes room where they are scarce.
 func (d *Manager) sweep() {
-	now, next := d.Loop.Now(), sweepEvery
+	now, next := d.Loop.Now(), sweepInterval
 	crowded := d.Limits.ReclaimAbove > 0 && len(d.sessions) > d.Limits.ReclaimAbove
 	var spare []*Session
 	for s := range d.sessions {
 		switch {
 		case len(s.slots) > 0:
-		case now >= s.limit(crowded) && s.conn.Unsent(): // it reads nothing
-			s.end()
-		case now >= s.limit(crowded):
-			s.retire(false)
-		case crowded && s.asked && s.begun.Load() == 0 && !s.conn.Unsent() && now >= s.quiet+d.Limits.ReclaimMinIdle:
+		case now >= s.deadline(crowded) && s.conn.Unsent(): // it reads nothing
+			s.closeNow()
+		case now >= s.deadline(crowded):
+			s.closeGracefully(false)
+		case crowded && s.sentCommand && s.partialSince.Load() == 0 && !s.conn.Unsent() && now >= s.idleSince+d.Limits.ReclaimMinIdle:
 			spare = append(spare, s)
 		}
 	}
-	slices.SortFunc(spare, func(a, b *Session) int { return cmp.Compare(a.quiet, b.quiet) })
+	slices.SortFunc(spare, func(a, b *Session) int { return cmp.Compare(a.idleSince, b.idleSince) })
 	for _, s := range spare[:min(len(spare), max(len(d.sessions)-d.Limits.ReclaimAbove, 0))] {
-		s.retire(true)
+		s.closeGracefully(true)
 	}
 	if crowded {
-		next = sweepCrowded
+		next = crowdedSweepInterval
 	}
 	d.Loop.At(now+next, d.sweep)
 }
 
-// limit is when a session without a request is closed.
-func (s *Session) limit(crowded bool) aspenshed.Nanos {
-	begun := aspenshed.Nanos(s.begun.Load())
+// deadline is when a session without a request is closed.
+func (s *Session) deadline(crowded bool) aspenshed.Nanos {
+	begun := aspenshed.Nanos(s.partialSince.Load())
 	switch {
 	case s.conn.Unsent(): // a slow reader is owed the rest; one that does not read at all is not waited for
-		return s.quiet + unreadLimit
+		return s.idleSince + unreadTimeout
 	case s.ending:
 		return 0
-	case crowded && !s.asked && begun == 0:
-		return s.quiet + crowdedLimit
-	case !s.asked:
-		return s.quiet + s.manager.Limits.CommandTimeout
+	case crowded && !s.sentCommand && begun == 0:
+		return s.idleSince + crowdedFirstByteTimeout
+	case !s.sentCommand:
+		return s.idleSince + s.manager.Limits.CommandTimeout
 	case begun > 0:
-		return max(s.quiet, begun) + s.manager.Limits.CommandTimeout
+		return max(s.idleSince, begun) + s.manager.Limits.CommandTimeout
 	}
-	return s.quiet + s.manager.Limits.IdleTimeout
+	return s.idleSince + s.manager.Limits.IdleTimeout
 }
 
 // SessionCount is the number of open ones.
@@ -295,7 +295,7 @@
 // PartialSessions is the number of sessions that have sent part of a command and not yet the rest.
 func (d *Manager) PartialSessions() (n int) {
 	for s := range d.sessions {
-		if s.begun.Load() > 0 {
+		if s.partialSince.Load() > 0 {
 			n++
 		}
 	}
@@ -308,7 +308,7 @@
 	d.closing = true
 	for s := range d.sessions {
 		if len(s.slots) == 0 && !s.conn.Unsent() {
-			s.retire(true)
+			s.closeGracefully(true)
 		}
 	}
 	return len(d.sessions)
@@ -321,7 +321,7 @@
 		return q, errors.New("unknown class " + sqlcomment.Short(tag.Values["c"]))
 	}
 	if t, ok := tag.Values["t"]; ok && len(d.Settings.Tenants) > 0 {
-		if q.Tenant = d.tenant(t); q.Tenant < 0 {
+		if q.Tenant = d.tenantIndex(t); q.Tenant < 0 {
 			return q, errors.New("unknown tenant " + sqlcomment.Short(t))
 		}
 	}
@@ -358,7 +358,7 @@
 	return -1
 }
 
-func (d *Manager) tenant(name string) int {
+func (d *Manager) tenantIndex(name string) int {
 	for i, t := range d.Settings.Tenants {
 		if t.Name == name {
 			return i
--- a/internal/frontend/session/session_test.go
+++ b/internal/frontend/session/session_test.go
@@ -39,8 +39,8 @@
 				s.Fatal([]byte("an error"), "noise")
 			}
 			pass := func(span aspenshed.Nanos) {
-				for ; span > 0; span -= sweepEvery {
-					c.now += sweepEvery
+				for ; span > 0; span -= sweepInterval {
+					c.now += sweepInterval
 					d.Loop.Turn()
 				}
 			}
@@ -48,9 +48,9 @@
 				t.Fatalf("fatal %t: closed with bytes unsent", fatal)
 			}
 			if conn.unsent = !reads; reads {
-				pass(2 * sweepEvery)
+				pass(2 * sweepInterval)
 			} else {
-				pass(unreadLimit)
+				pass(unreadTimeout)
 			}
 			if !conn.closed {
 				t.Errorf("fatal %t, reads %t: still open", fatal, reads)
