--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -77,9 +77,9 @@
 		return errors.New("field listen: missing")
 	case n.Discovery == "":
 		return errors.New("field discovery: missing")
-	case !isAddress(n.Listen):
+	case !isHostPort(n.Listen):
 		return fmt.Errorf("field listen: %q is not host:port", n.Listen)
-	case !isAddress(n.Discovery) || n.ConfiguredDiscovery != "" && !isAddress(n.ConfiguredDiscovery):
+	case !isHostPort(n.Discovery) || n.ConfiguredDiscovery != "" && !isHostPort(n.ConfiguredDiscovery):
 		return fmt.Errorf("field discovery: %q is not host:port", n.ConfiguredDiscovery)
 	case len(n.RawSettings) == 0:
 		return errors.New("field settings: missing")
@@ -114,7 +114,7 @@
 	return nil
 }
 
-func isAddress(s string) bool {
+func isHostPort(s string) bool {
 	_, port, err := net.SplitHostPort(s)
 	if err != nil {
 		return false
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -19,8 +19,8 @@
 	maxScopeItems = 7000
 )
 
-// wires are those that members may speak, as the catalog names them.
-var wires = []string{"mysql", "postgres"}
+// supportedWires are those that members may speak, as the catalog names them.
+var supportedWires = []string{"mysql", "postgres"}
 
 // Store is the store section: an instance of the store, or a gateway that subscribes to one.
 type Store struct {
@@ -73,14 +73,14 @@
 		return
 	}
 	for _, f := range s.Faults() {
-		c.bad("store."+f.Field, "%s", f.Problem)
+		c.addFault("store."+f.Field, "%s", f.Problem)
 	}
 	for _, f := range []struct {
 		name  string
 		given bool
 	}{{"region", s.Region != ""}, {"zone", s.Zone != ""}, {"scope", len(s.Scope.Groups)+len(s.Scope.Sites) > 0}} {
 		if f.given {
-			c.bad("store."+f.name, "only an instance that subscribes has one")
+			c.addFault("store."+f.name, "only an instance that subscribes has one")
 		}
 	}
 	if s.Subscribers != "" {
@@ -91,15 +91,15 @@
 // checkServer looks at a voter that serves the control stream.
 func (s *Store) checkServer(c *checker) {
 	switch {
-	case !isAddress(s.Subscribers):
-		c.bad("store.subscribers", "%q is no host:port", s.Subscribers)
+	case !isHostPort(s.Subscribers):
+		c.addFault("store.subscribers", "%q is no host:port", s.Subscribers)
 	case s.Address == "":
-		c.bad("store.subscribers", "an instance alone in memory serves none: its revisions end with it")
-	case !endsInZero(s.Subscribers) && (s.Subscribers == s.Address || s.Subscribers == s.Service):
-		c.bad("store.subscribers", "is the store's address or service too")
+		c.addFault("store.subscribers", "an instance alone in memory serves none: its revisions end with it")
+	case !hasEphemeralPort(s.Subscribers) && (s.Subscribers == s.Address || s.Subscribers == s.Service):
+		c.addFault("store.subscribers", "is the store's address or service too")
 	}
 	if len(s.Peers) > maxVoters {
-		c.bad("store.peers", "%d of them, %d at most where subscribers are served: further gateways subscribe", len(s.Peers), maxVoters)
+		c.addFault("store.peers", "%d of them, %d at most where subscribers are served: further gateways subscribe", len(s.Peers), maxVoters)
 	}
 }
 
@@ -111,21 +111,21 @@
 	}{{"address", s.Address != ""}, {"service", s.Service != ""}, {"peers", len(s.Peers) > 0}, {"data_dir", s.DataDir != ""},
 		{"subscribers", s.Subscribers != ""}} {
 		if f.given {
-			c.bad("store."+f.name, "an instance that subscribes has none")
+			c.addFault("store."+f.name, "an instance that subscribes has none")
 		}
 	}
 	for _, f := range []struct{ name, value string }{{"cluster", s.Cluster}, {"id", s.ID}} {
 		if f.value == "" {
-			c.bad("store."+f.name, "missing")
+			c.addFault("store."+f.name, "missing")
 		}
 	}
 	for _, f := range []struct{ name, value string }{{"id", s.ID}, {"region", s.Region}, {"zone", s.Zone}} {
 		if len(f.value) > maxNameBytes {
-			c.bad("store."+f.name, "%d bytes, %d at most", len(f.value), maxNameBytes)
+			c.addFault("store."+f.name, "%d bytes, %d at most", len(f.value), maxNameBytes)
 		}
 	}
 	if s.Rules() == nil {
-		c.bad("store.pool", "pool, clock_bound or most_instances out of range")
+		c.addFault("store.pool", "pool, clock_bound or most_instances out of range")
 	}
 	s.checkServers(c)
 	s.Scope.check(c)
@@ -133,44 +133,46 @@
 
 func (s *Store) checkServers(c *checker) {
 	if len(s.Subscribe) > maxServers {
-		c.bad("store.subscribe", "%d of them, %d at most", len(s.Subscribe), maxServers)
+		c.addFault("store.subscribe", "%d of them, %d at most", len(s.Subscribe), maxServers)
 	}
 	for i, server := range s.Subscribe {
 		field := fmt.Sprintf("store.subscribe[%d]", i)
 		switch {
-		case !isAddress(server):
-			c.bad(field, "%q is no host:port", server)
+		case !isHostPort(server):
+			c.addFault(field, "%q is no host:port", server)
 		case slices.Contains(s.Subscribe[:i], server):
-			c.bad(field, "is named twice")
+			c.addFault(field, "is named twice")
 		}
 	}
 }
 
 func (s Scope) check(c *checker) {
 	if n := len(s.Groups) + len(s.Sites); n > maxScopeItems {
-		c.bad("store.scope", "%d groups and sites, %d at most", n, maxScopeItems)
+		c.addFault("store.scope", "%d groups and sites, %d at most", n, maxScopeItems)
 	}
 	for i, g := range s.Groups {
 		field := fmt.Sprintf("store.scope.groups[%d]", i)
 		switch {
-		case !slices.Contains(wires, g.Wire):
-			c.bad(field+".wire", "%q is none of %v", g.Wire, wires)
+		case !slices.Contains(supportedWires, g.Wire):
+			c.addFault(field+".wire", "%q is none of %v", g.Wire, supportedWires)
 		case g.Group < 0 || g.Group > 1<<31-1:
-			c.bad(field+".group", "%d is no group", g.Group)
+			c.addFault(field+".group", "%d is no group", g.Group)
 		case slices.Contains(s.Groups[:i], g):
-			c.bad(field, "is named twice")
+			c.addFault(field, "is named twice")
 		}
 	}
 	for i, site := range s.Sites {
 		field := fmt.Sprintf("store.scope.sites[%d]", i)
 		switch {
 		case site == "" || len(site) > maxNameBytes:
-			c.bad(field, "a name has 1 to %d bytes", maxNameBytes)
+			c.addFault(field, "a name has 1 to %d bytes", maxNameBytes)
 		case slices.Contains(s.Sites[:i], site):
-			c.bad(field, "is named twice")
+			c.addFault(field, "is named twice")
 		}
 	}
 }
 
-// endsInZero reports whether the system picks the port.
-func endsInZero(address string) bool { return len(address) > 2 && address[len(address)-2:] == ":0" }
+// hasEphemeralPort reports whether the system picks the port.
+func hasEphemeralPort(address string) bool {
+	return len(address) > 2 && address[len(address)-2:] == ":0"
+}
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -105,10 +105,10 @@
 	d.Store.check(c)
 	dir := filepath.Dir(path)
 	if d.Store.DataDir != "" {
-		d.Store.DataDir = within(dir, d.Store.DataDir)
+		d.Store.DataDir = resolvePath(dir, d.Store.DataDir)
 	}
 	if d.Admin.Socket != "" {
-		d.Admin.Socket = within(dir, d.Admin.Socket)
+		d.Admin.Socket = resolvePath(dir, d.Admin.Socket)
 	}
 	if d.MySQL.Listen != "" {
 		d.MySQL.check(c, dir)
@@ -117,12 +117,12 @@
 		d.Postgres.Front.check(c, "postgres", dir, true)
 	}
 	if d.Postgres.Listen != "" && d.Postgres.Listen == d.MySQL.Listen && !strings.HasSuffix(d.MySQL.Listen, ":0") {
-		c.bad("postgres.listen", "is that of mysql too")
+		c.addFault("postgres.listen", "is that of mysql too")
 	}
 	return d, c.err()
 }
 
-func within(dir, path string) string {
+func resolvePath(dir, path string) string {
 	if filepath.IsAbs(path) {
 		return path
 	}
@@ -140,35 +140,35 @@
 func (m *MySQL) check(c *checker, dir string) {
 	for _, p := range []*string{&m.Accounts, &m.Server.PasswordFile} {
 		if *p != "" {
-			*p = within(dir, *p)
+			*p = resolvePath(dir, *p)
 		}
 	}
-	c.need("mysql.accounts", m.Accounts != "")
-	c.need("mysql.server.user", m.Server.User != "")
-	c.need("mysql.probe.role", m.Probe.Role != "")
-	c.need("mysql.defaults.wait", m.Defaults.Wait > 0)
+	c.require("mysql.accounts", m.Accounts != "")
+	c.require("mysql.server.user", m.Server.User != "")
+	c.require("mysql.probe.role", m.Probe.Role != "")
+	c.require("mysql.defaults.wait", m.Defaults.Wait > 0)
 	if m.Accounts != "" {
 		data, err := os.ReadFile(m.Accounts)
 		if err == nil {
-			err = strict(data, &m.AccountPasswords)
+			err = decodeStrict(data, &m.AccountPasswords)
 		}
 		if err != nil {
-			c.bad("mysql.accounts", "%v", err)
+			c.addFault("mysql.accounts", "%v", err)
 		}
 	}
 	if m.Server.PasswordFile != "" {
 		data, err := os.ReadFile(m.Server.PasswordFile)
 		if err != nil {
-			c.bad("mysql.server.password_file", "%v", err)
+			c.addFault("mysql.server.password_file", "%v", err)
 		}
 		m.ServerPassword = string(bytes.TrimRight(data, "\r\n"))
 	}
 	byName := m.Front.check(c, "mysql", dir, m.Probe.Position != "")
 	if k := byName[m.Defaults.ReadClass]; k.Need != aspenshed.AnyData || k.Effect != aspenshed.Safe {
-		c.bad("mysql.defaults.read_class", "%q is no safe class that any member answers", m.Defaults.ReadClass)
+		c.addFault("mysql.defaults.read_class", "%q is no safe class that any member answers", m.Defaults.ReadClass)
 	}
 	if k := byName[m.Defaults.WriteClass]; k.Need != aspenshed.WriteToIt {
-		c.bad("mysql.defaults.write_class", "%q is no class of writes", m.Defaults.WriteClass)
+		c.addFault("mysql.defaults.write_class", "%q is no class of writes", m.Defaults.WriteClass)
 	}
 }
 
@@ -176,17 +176,17 @@
 // are the platform's. positions: what members say proves how fresh they are.
 func (s *Front) check(c *checker, at, dir string, positions bool) map[string]aspenshed.Class {
 	if s.Inventory != "" {
-		s.Inventory = within(dir, s.Inventory)
+		s.Inventory = resolvePath(dir, s.Inventory)
 	}
 	for _, f := range []struct {
 		name string
 		ok   bool
 	}{
-		{"listen", isAddress(s.Listen)}, {"inventory", s.Inventory != ""}, {"classes", len(s.Classes) > 0}, {"clients", s.Clients > 0},
+		{"listen", isHostPort(s.Listen)}, {"inventory", s.Inventory != ""}, {"classes", len(s.Classes) > 0}, {"clients", s.Clients > 0},
 		{"links", s.BackendConnections > 0}, {"connect_timeout", s.ConnectTimeout > 0}, {"attempts", s.Attempts > 0}, {"idle_close", s.IdleTimeout >= 0},
 		{"client_idle", s.ClientIdleTimeout > 0},
 	} {
-		c.need(at+"."+f.name, f.ok)
+		c.require(at+"."+f.name, f.ok)
 	}
 	s.Settings = aspenshed.Settings{Routers: 1, Quantum: 1e6, MayProbe: true, MayCancel: true, MaxAttempts: s.Attempts,
 		RetryAdvice: s.RetryAdvice, MaxRetryIn: 1e9, ConnectTimeout: aspenshed.Nanos(s.ConnectTimeout), IdleClose: aspenshed.Nanos(s.IdleTimeout),
@@ -199,19 +199,19 @@
 			Worth: x.Worth, LateWorth: x.LateWorth, Effect: effects[x.Effect]}
 		where := fmt.Sprintf("%s.classes[%d].", at, i)
 		if x.Name == "" || byName[x.Name].Name != "" {
-			c.bad(where+"name", "missing or named twice")
+			c.addFault(where+"name", "missing or named twice")
 		}
 		if k.Need == 0 {
-			c.bad(where+"read", "%q is none of any, bounded, fresh, write", x.Read)
+			c.addFault(where+"read", "%q is none of any, bounded, fresh, write", x.Read)
 		}
 		if k.Effect == 0 || k.Need == aspenshed.WriteToIt && k.Effect != aspenshed.Unsafe {
-			c.bad(where+"effect", "%q is not safe or unsafe, or a write that is not unsafe", x.Effect)
+			c.addFault(where+"effect", "%q is not safe or unsafe, or a write that is not unsafe", x.Effect)
 		}
 		if k.Aim <= 0 || k.GiveUp < k.Aim {
-			c.bad(where+"give_up", "aim must be positive and not beyond it")
+			c.addFault(where+"give_up", "aim must be positive and not beyond it")
 		}
 		if k.Need == aspenshed.Bounded && k.Bound <= 0 {
-			c.bad(where+"bound", "missing")
+			c.addFault(where+"bound", "missing")
 		}
 		if k.Need == aspenshed.Bounded && !positions {
 			k.Need = aspenshed.AllWrites // no position can be proved: the primary alone is known to be fresh
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -58,16 +58,16 @@
 	return c
 }
 
-var typeFault = regexp.MustCompile(`^line (\d+): (.*)$`)
+var yamlErrorLine = regexp.MustCompile(`^line (\d+): (.*)$`)
 
 // decode reads all fields that can be read and notes those that cannot.
 func (c *checker) decode(into any) {
-	err := strict(c.data, into)
+	err := decodeStrict(c.data, into)
 	var te *yaml.TypeError
 	if errors.As(err, &te) {
 		for _, e := range te.Errors {
 			f := Fault{File: c.file, Problem: e}
-			if m := typeFault.FindStringSubmatch(e); m != nil {
+			if m := yamlErrorLine.FindStringSubmatch(e); m != nil {
 				f.Line, _ = strconv.Atoi(m[1])
 				f.Problem = m[2]
 			}
@@ -75,7 +75,7 @@
 		}
 	} else if err != nil {
 		f := Fault{File: c.file, Line: 1, Problem: strings.TrimPrefix(err.Error(), "yaml: ")}
-		if m := typeFault.FindStringSubmatch(f.Problem); m != nil {
+		if m := yamlErrorLine.FindStringSubmatch(f.Problem); m != nil {
 			f.Line, _ = strconv.Atoi(m[1])
 			f.Problem = m[2]
 		}
@@ -83,17 +83,17 @@
 	}
 }
 
-// bad notes a fault of one field; of several in a line that could not be read, the reading's counts.
-func (c *checker) bad(field, format string, a ...any) {
+// addFault notes a fault of one field; of several in a line that could not be read, the reading's counts.
+func (c *checker) addFault(field, format string, a ...any) {
 	f := Fault{c.file, c.line(field), field, fmt.Sprintf(format, a...)}
 	if !slices.ContainsFunc(c.faults, func(x Fault) bool { return x.Field == "" && x.Line == f.Line }) {
 		c.faults = append(c.faults, f)
 	}
 }
 
-func (c *checker) need(field string, ok bool) {
+func (c *checker) require(field string, ok bool) {
 	if !ok {
-		c.bad(field, "missing or out of range")
+		c.addFault(field, "missing or out of range")
 	}
 }
 
@@ -137,8 +137,8 @@
 	return errors.Join(errs...)
 }
 
-// strict refuses keys that are not known.
-func strict(data []byte, into any) error {
+// decodeStrict refuses keys that are not known.
+func decodeStrict(data []byte, into any) error {
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	dec.KnownFields(true)
 	if err := dec.Decode(into); err != nil && !errors.Is(err, io.EOF) {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -19,21 +19,21 @@
 )
 
 const (
-	dialLimit = 500 * time.Millisecond // a network that is cut says nothing: when it is back, word is due within 2 s
-	// silence ends a watch or a call: while nothing changes an empty line comes every 2 s, and discovery turns away
+	dialTimeout = 500 * time.Millisecond // a network that is cut says nothing: when it is back, word is due within 2 s
+	// silenceTimeout ends a watch or a call: while nothing changes an empty line comes every 2 s, and discovery turns away
 	// what has waited that long. What a silent watch misses counts as told 6 s after it fell silent, so the rest of
 	// these is left for the calls of many gateways.
-	silence = aspenshed.Nanos(3e9)
-	// movedEarly: after a move to another discovery news counts as told 2 s sooner than after a silence.
-	movedEarly = aspenshed.Nanos(2e9)
-	// soonest and latest are the pauses before an agent is called again: 2 s are left from what it has being told.
-	soonest, latest = aspenshed.Nanos(50e6), aspenshed.Nanos(500e6)
-	// leastGap lies between two calls where an answer ends as soon as it has told its list: one without a length does.
-	leastGap = aspenshed.Nanos(250e6)
-	// mostLeft is how many members that left are remembered, so that an old list can't bring them back.
-	mostLeft = 4096
-	// mostNamed is how many unknown words are logged: each is bad input, and there may be any number of them.
-	mostNamed = 64
+	silenceTimeout = aspenshed.Nanos(3e9)
+	// moveGrace: after a move to another discovery news counts as told 2 s sooner than after a silence.
+	moveGrace = aspenshed.Nanos(2e9)
+	// minRedialPause and maxRedialPause are the pauses before an agent is called again: 2 s are left from what it has being told.
+	minRedialPause, maxRedialPause = aspenshed.Nanos(50e6), aspenshed.Nanos(500e6)
+	// minCallInterval lies between two calls where an answer ends as soon as it has told its list: one without a length does.
+	minCallInterval = aspenshed.Nanos(250e6)
+	// maxDepartures is how many members that left are remembered, so that an old list can't bring them back.
+	maxDepartures = 4096
+	// maxLoggedValues is how many unknown words are logged: each is bad input, and there may be any number of them.
+	maxLoggedValues = 64
 )
 
 // List is the form that discovery and the configuration give the members in.
@@ -54,13 +54,13 @@
 	StartedAtMs int64    `json:"startedAtMs"`
 	Recovery    string   `json:"recovery"`
 
-	fault error // a field of the wrong type; the others were read
+	decodeErr error // a field of the wrong type; the others were read
 }
 
 // UnmarshalJSON keeps the good fields of an entry, and so the other entries of its list.
 func (x *Instance) UnmarshalJSON(b []byte) error {
 	type plain Instance
-	x.fault = json.Unmarshal(b, (*plain)(x))
+	x.decodeErr = json.Unmarshal(b, (*plain)(x))
 	return nil
 }
 
@@ -81,8 +81,8 @@
 		fault := func(format string, args ...any) {
 			faults = append(faults, fmt.Errorf("instances[%d]%s", i, fmt.Sprintf(format, args...)))
 		}
-		if x.fault != nil {
-			fault(": %v", x.fault)
+		if x.decodeErr != nil {
+			fault(": %v", x.decodeErr)
 		}
 		m := aspenshed.Member{ID: x.ID, Group: x.Cell, Zone: max(slices.Index(zones, x.Zone), 0), Size: 1,
 			Primary: x.Recovery == "off"}
@@ -138,7 +138,7 @@
 // StartupFaults is what of a list's faults stops a start: all but words that this release does not know.
 func StartupFaults(err error) error {
 	var bad []error
-	for _, e := range each(err) {
+	for _, e := range splitErrors(err) {
 		if !errors.As(e, &UnknownValueError{}) {
 			bad = append(bad, e)
 		}
@@ -146,8 +146,8 @@
 	return errors.Join(bad...)
 }
 
-// each takes the faults of a list apart.
-func each(err error) []error {
+// splitErrors takes the faults of a list apart.
+func splitErrors(err error) []error {
 	if many, ok := err.(interface{ Unwrap() []error }); ok {
 		return many.Unwrap()
 	}
@@ -168,28 +168,28 @@
 	// is opened at once, and again whenever it breaks, and nobody else is asked.
 	Pushed bool
 
-	cur   *watch
-	old   *watch          // at the address before, until cur has told something: no gap between the two
-	again aspenshed.Nanos // Keep: the pause before the next call, while they fail
-	left  map[string]left
-	order []string        // of left, the oldest first
-	named map[string]bool // unknown words that were logged
+	current        *watch
+	previous       *watch          // at the address before, until cur has told something: no gap between the two
+	redialPause    aspenshed.Nanos // Keep: the pause before the next call, while they fail
+	departures     map[string]departure
+	departureOrder []string        // of left, the oldest first
+	loggedValues   map[string]bool // unknown words that were logged
 }
 
-var errSilent = errors.New("silent for too long")
+var errSilence = errors.New("silent for too long")
 
 type watch struct {
-	w       *Watcher
-	conn    *netio.Conn
-	in      response
-	timer   *eventloop.Timer
-	version int64           // that it last told
-	heard   aspenshed.Nanos // when it last told anything, though it were that nothing had changed; before that when it was begun
-	began   aspenshed.Nanos
-	moved   aspenshed.Nanos // when the configuration named its address; 0: it did at the start
-	up      bool            // the call came there
-	told    bool
-	over    bool
+	watcher   *Watcher
+	conn      *netio.Conn
+	response  response
+	timer     *eventloop.Timer
+	version   int64           // that it last told
+	lastHeard aspenshed.Nanos // when it last told anything, though it were that nothing had changed; before that when it was begun
+	startedAt aspenshed.Nanos
+	movedAt   aspenshed.Nanos // when the configuration named its address; 0: it did at the start
+	connected bool            // the call came there
+	gotList   bool
+	closed    bool
 }
 
 // SetAddress watches at another address from now on. The watch at the old one is heard until the new one has told something.
@@ -198,108 +198,108 @@
 		return
 	}
 	w.Address = address
-	if w.cur != nil && w.cur.told {
-		if w.old != nil {
-			w.old.end()
+	if w.current != nil && w.current.gotList {
+		if w.previous != nil {
+			w.previous.close()
 		}
-		w.old, w.cur = w.cur, nil
-	} else if w.cur != nil {
-		w.cur.end()
+		w.previous, w.current = w.current, nil
+	} else if w.current != nil {
+		w.current.close()
 	}
 	w.Watch()
-	if w.cur != nil {
-		w.cur.moved = w.Loop.Now()
+	if w.current != nil {
+		w.current.movedAt = w.Loop.Now()
 	}
 }
 
 // Watch begins a watch, unless there is one. A call under way is left to its end, which silence bounds: one planned before
 // a move would lose the place that the new call has in discovery's turn, and with it the word on when its news binds.
 func (w *Watcher) Watch() {
-	if w.cur != nil {
+	if w.current != nil {
 		return
 	}
-	x := &watch{w: w}
-	conn, err := w.Net.Dial(w.Address, dialLimit, true, x)
+	x := &watch{watcher: w}
+	conn, err := w.Net.Dial(w.Address, dialTimeout, true, x)
 	if err != nil {
-		w.Loop.Post(func() { x.broke(err) })
+		w.Loop.Post(func() { x.fail(err) })
 		return
 	}
-	x.conn, w.cur, x.began = conn, x, w.Loop.Now()
+	x.conn, w.current, x.startedAt = conn, x, w.Loop.Now()
 	w.Log.WithFields(logrus.Fields{"discovery": w.Address, "version": w.Index}).Debug("discovery asked")
-	x.alive()
+	x.resetTimer()
 }
 
-func (x *watch) alive() {
-	x.w.Loop.Stop(x.timer)
-	x.heard = x.w.Loop.Now()
-	x.timer = x.w.Loop.At(x.heard+silence, func() { x.broke(errSilent) })
+func (x *watch) resetTimer() {
+	x.watcher.Loop.Stop(x.timer)
+	x.lastHeard = x.watcher.Loop.Now()
+	x.timer = x.watcher.Loop.At(x.lastHeard+silenceTimeout, func() { x.fail(errSilence) })
 }
 
-func (x *watch) end() {
-	x.over = true
-	x.w.Loop.Stop(x.timer)
+func (x *watch) close() {
+	x.closed = true
+	x.watcher.Loop.Stop(x.timer)
 	if x.conn != nil {
 		x.conn.Close()
 	}
 	switch x {
-	case x.w.cur:
-		x.w.cur = nil
-	case x.w.old:
-		x.w.old = nil
+	case x.watcher.current:
+		x.watcher.current = nil
+	case x.watcher.previous:
+		x.watcher.previous = nil
 	}
 }
 
-func (x *watch) broke(err error) {
-	if x.over {
+func (x *watch) fail(err error) {
+	if x.closed {
 		return
 	}
-	was := x == x.w.old
-	if x.end(); was { // as expected; the new one is on its way
+	was := x == x.watcher.previous
+	if x.close(); was { // as expected; the new one is on its way
 		return
 	}
-	w := x.w
-	w.Log.WithError(err).WithFields(logrus.Fields{"told": x.told, "reached": x.up}).Warn("discovery watch broke")
+	w := x.watcher
+	w.Log.WithError(err).WithFields(logrus.Fields{"told": x.gotList, "reached": x.connected}).Warn("discovery watch broke")
 	if !w.Pushed {
-		b := aspenshed.DiscoveryBroke{Unreached: !x.up}
-		if x.told || x.up && err == errSilent { // else discovery itself has turned the call down
-			b.Heard = x.heard
+		b := aspenshed.DiscoveryBroke{Unreached: !x.connected}
+		if x.gotList || x.connected && err == errSilence { // else discovery itself has turned the call down
+			b.Heard = x.lastHeard
 		}
-		if x.moved > 0 {
-			b.Heard = x.moved - movedEarly
+		if x.movedAt > 0 {
+			b.Heard = x.movedAt - moveGrace
 		}
-		if next := x.began + leastGap; x.told && w.Loop.Now() < next {
+		if next := x.startedAt + minCallInterval; x.gotList && w.Loop.Now() < next {
 			w.Loop.At(next, func() { w.OnBreak(b) })
 		} else {
 			w.OnBreak(b)
 		}
 		return
 	}
-	if w.again = min(max(2*w.again, soonest), latest); x.told {
-		w.again = soonest
+	if w.redialPause = min(max(2*w.redialPause, minRedialPause), maxRedialPause); x.gotList {
+		w.redialPause = minRedialPause
 	}
-	w.Loop.At(w.Loop.Now()+w.again, w.Watch)
+	w.Loop.At(w.Loop.Now()+w.redialPause, w.Watch)
 }
 
 // Up asks.
 func (x *watch) Up() {
-	x.w.Loop.Post(func() {
-		x.up = true
-		_ = x.conn.Write([]byte("GET /v1/servers?stream=1&index=" + strconv.FormatInt(x.w.Index, 10) +
-			" HTTP/1.1\r\nHost: " + x.w.Address + "\r\nAccept: application/json\r\n\r\n"))
+	x.watcher.Loop.Post(func() {
+		x.connected = true
+		_ = x.conn.Write([]byte("GET /v1/servers?stream=1&index=" + strconv.FormatInt(x.watcher.Index, 10) +
+			" HTTP/1.1\r\nHost: " + x.watcher.Address + "\r\nAccept: application/json\r\n\r\n"))
 	})
 }
 
 // Data parses what came and posts it.
 func (x *watch) Data(b []byte) {
-	err := x.in.feed(b, func(value []byte) error {
+	err := x.response.feed(b, func(value []byte) error {
 		var l List
 		if len(value) > 0 {
 			if err := json.Unmarshal(value, &l); err != nil {
 				return err
 			}
 		}
-		u, faults := Convert(l, x.w.Zones)
-		x.w.Loop.Post(func() { x.line(l.Generation, u, faults, len(value) == 0) })
+		u, faults := Convert(l, x.watcher.Zones)
+		x.watcher.Loop.Post(func() { x.handleUpdate(l.Generation, u, faults, len(value) == 0) })
 		return nil
 	})
 	if err != nil {
@@ -308,34 +308,34 @@
 }
 
 // Closed ends the watch.
-func (x *watch) Closed(err error) { x.w.Loop.Post(func() { x.broke(err) }) }
+func (x *watch) Closed(err error) { x.watcher.Loop.Post(func() { x.fail(err) }) }
 
-func (x *watch) line(version int64, u Update, faults error, empty bool) {
-	w := x.w
-	if x.over {
+func (x *watch) handleUpdate(version int64, u Update, faults error, empty bool) {
+	w := x.watcher
+	if x.closed {
 		return
 	}
-	x.alive()
-	if empty && x.told {
+	x.resetTimer()
+	if empty && x.gotList {
 		return
 	}
-	if x.told, x.moved = true, 0; x == w.cur && w.old != nil {
-		w.old.end()
+	if x.gotList, x.movedAt = true, 0; x == w.current && w.previous != nil {
+		w.previous.close()
 	}
 	if !empty { // an empty line first: nothing has changed since
-		w.told(version, u, faults)
+		w.logList(version, u, faults)
 		if !u.List.Whole && version < w.Index && version >= x.version {
 			return // known already, from the other of two watches
 		}
 		w.Index, x.version = version, version
-		w.leaving(version, &u)
+		w.applyDepartures(version, &u)
 	}
-	u.List.Remnant = x == w.old // it may be behind, and the call that is planned to the new address stands
+	u.List.Remnant = x == w.previous // it may be behind, and the call that is planned to the new address stands
 	w.OnUpdate(u)
 }
 
-// told logs a list: what was not understood always, and at debug who is up and who leaves.
-func (w *Watcher) told(version int64, u Update, faults error) {
+// logList logs a list: what was not understood always, and at debug who is up and who leaves.
+func (w *Watcher) logList(version int64, u Update, faults error) {
 	log := w.Log.WithField("version", version)
 	w.LogFaults(log, faults)
 	if w.Log.Logger.IsLevelEnabled(logrus.DebugLevel) {
@@ -354,16 +354,16 @@
 // LogFaults logs what was not understood of a list. An unknown word is named once.
 func (w *Watcher) LogFaults(log *logrus.Entry, faults error) {
 	var news []error
-	for _, e := range each(faults) {
+	for _, e := range splitErrors(faults) {
 		var u UnknownValueError
 		if errors.As(e, &u) {
-			if w.named[u.Value] || len(w.named) >= mostNamed {
+			if w.loggedValues[u.Value] || len(w.loggedValues) >= maxLoggedValues {
 				continue
 			}
-			if w.named == nil {
-				w.named = map[string]bool{}
+			if w.loggedValues == nil {
+				w.loggedValues = map[string]bool{}
 			}
-			w.named[u.Value] = true
+			w.loggedValues[u.Value] = true
 		}
 		news = append(news, e)
 	}
@@ -372,32 +372,32 @@
 	}
 }
 
-// leaving guards drains against discovery that is behind, as after a move or its own restart: who was told to leave by
+// applyDepartures guards drains against discovery that is behind, as after a move or its own restart: who was told to leave by
 // a newer list stays so, until it starts anew. Who is gone is remembered for as long as that takes, within a bound.
-func (w *Watcher) leaving(version int64, u *Update) {
+func (w *Watcher) applyDepartures(version int64, u *Update) {
 	for i := range u.List.Members {
 		m := &u.List.Members[i]
-		l, known := w.left[m.ID]
+		l, known := w.departures[m.ID]
 		switch {
 		case m.State != aspenshed.Up:
-			if w.left == nil {
-				w.left = map[string]left{}
+			if w.departures == nil {
+				w.departures = map[string]departure{}
 			}
-			if w.left[m.ID] = (left{max(version, l.version), max(m.StartedAt, l.start), max(m.State, l.state)}); !known {
-				w.order = append(w.order, m.ID)
+			if w.departures[m.ID] = (departure{max(version, l.version), max(m.StartedAt, l.start), max(m.State, l.state)}); !known {
+				w.departureOrder = append(w.departureOrder, m.ID)
 			}
 		case known && version < l.version && m.StartedAt <= l.start:
 			m.State = l.state
 		}
 	}
-	for len(w.order) > mostLeft {
-		delete(w.left, w.order[0])
-		w.order = w.order[1:]
+	for len(w.departureOrder) > maxDepartures {
+		delete(w.departures, w.departureOrder[0])
+		w.departureOrder = w.departureOrder[1:]
 	}
 }
 
-// left is a member that some list has told to leave.
-type left struct {
+// departure is a member that some list has told to leave.
+type departure struct {
 	version int64 // of the newest list that did
 	start   aspenshed.Nanos
 	state   aspenshed.MemberState
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -33,7 +33,7 @@
 				return nil
 			})
 		}
-		if s := strings.Join(got, "|"); s != `{"a":1}|{"b":2}|` || !errors.Is(err, errEnded) {
+		if s := strings.Join(got, "|"); s != `{"a":1}|{"b":2}|` || !errors.Is(err, errBodyEnded) {
 			t.Fatalf("in pieces of %d: %q, %v", size, s, err)
 		}
 	}
@@ -203,20 +203,20 @@
 	if g.versions[0] != "false 0" || g.versions[1] != "false 1" {
 		t.Errorf("updates %v", g.versions)
 	}
-	g.clock.now += silence - 1
+	g.clock.now += silenceTimeout - 1
 	if g.Loop.Turn(); g.broke != 0 {
 		t.Error("broke too early")
 	}
 	g.clock.now++
-	if g.Loop.Turn(); g.broke != 1 || g.last != (aspenshed.DiscoveryBroke{Heard: g.clock.now - silence}) {
+	if g.Loop.Turn(); g.broke != 1 || g.last != (aspenshed.DiscoveryBroke{Heard: g.clock.now - silenceTimeout}) {
 		t.Errorf("silence broke the watch %d times: %+v", g.broke, g.last)
 	}
 	g.Watch()
 	if s = g.asked(); s.line != "GET /v1/servers?stream=1&index=43 HTTP/1.1" {
 		t.Errorf("asked %q", s.line)
 	}
-	g.clock.now += silence
-	if g.Loop.Turn(); g.broke != 2 || g.last != (aspenshed.DiscoveryBroke{Heard: g.clock.now - silence}) {
+	g.clock.now += silenceTimeout
+	if g.Loop.Turn(); g.broke != 2 || g.last != (aspenshed.DiscoveryBroke{Heard: g.clock.now - silenceTimeout}) {
 		t.Errorf("a silent call broke %d times: %+v", g.broke, g.last)
 	}
 	g.Watch()
@@ -241,14 +241,14 @@
 	g.until("an update from the old address", func() bool { return len(g.versions) == 2 })
 	_ = next.conn.Write([]byte(head))
 	next.tell(43) // not news: it must not undo what 44 has told
-	g.until("the end of the old watch", func() bool { return g.old == nil })
+	g.until("the end of the old watch", func() bool { return g.previous == nil })
 	next.tell(45)
 	g.until("an update from the new address", func() bool { return g.Index == 45 })
 	if len(g.versions) != 3 || g.broke != 0 {
 		t.Errorf("updates %v, broke %d times", g.versions, g.broke)
 	}
 	g.SetAddress(other.Addr())
-	if g.cur == nil || !g.cur.told || g.old != nil {
+	if g.current == nil || !g.current.gotList || g.previous != nil {
 		t.Error("a move to the same address broke the watch")
 	}
 }
@@ -280,7 +280,7 @@
 			t.Errorf("list %d: marked as maybe out of date: %t, want %t", i, lists[i].Remnant, outdated)
 		}
 	}
-	if g.old != nil {
+	if g.previous != nil {
 		t.Error("the watch at the former address was kept")
 	}
 }
@@ -304,12 +304,12 @@
 			g.until("the rest", func() bool { return g.states["s-1"] == aspenshed.Draining })
 		} else {
 			old.conn.Close()
-			g.until("the old watch's end", func() bool { return g.old == nil })
+			g.until("the old watch's end", func() bool { return g.previous == nil })
 		}
 		_ = next.conn.Write([]byte(head))
 		next.member(44, false, false, "s-2", "in_service")
 		g.until("the new watch's word", func() bool { return g.Index == 44 })
-		if want := map[bool]aspenshed.MemberState{true: aspenshed.Draining, false: aspenshed.Up}[whole]; g.states["s-1"] != want || g.broke != 0 || g.old != nil {
+		if want := map[bool]aspenshed.MemberState{true: aspenshed.Draining, false: aspenshed.Up}[whole]; g.states["s-1"] != want || g.broke != 0 || g.previous != nil {
 			t.Errorf("whole %t: s-1 is %d, broke %d times", whole, g.states["s-1"], g.broke)
 		}
 	}
@@ -327,11 +327,11 @@
 	g.clock.now += 500e6
 	g.Watch()
 	_ = next.conn.Write([]byte(head))
-	if g.until("the new call's head", func() bool { return g.cur.up }); g.cur.moved != moved || g.cur.began != moved {
-		t.Errorf("moved at %d, the call is of %d and %d", moved, g.cur.began, g.cur.moved)
+	if g.until("the new call's head", func() bool { return g.current.connected }); g.current.movedAt != moved || g.current.startedAt != moved {
+		t.Errorf("moved at %d, the call is of %d and %d", moved, g.current.startedAt, g.current.movedAt)
 	}
-	g.clock.now += silence
-	if g.Loop.Turn(); g.broke != 1 || g.last.Heard != moved-movedEarly {
+	g.clock.now += silenceTimeout
+	if g.Loop.Turn(); g.broke != 1 || g.last.Heard != moved-moveGrace {
 		t.Errorf("broke %d times: %+v", g.broke, g.last)
 	}
 	if len(g.asks) > 0 {
@@ -401,11 +401,11 @@
 		_ = s.conn.Write([]byte("HTTP/1.1 200 OK\r\n" + answer))
 		g.until("the list", func() bool { return g.Index == 43 })
 		s.conn.Close()
-		g.until("the end", func() bool { return g.cur == nil })
+		g.until("the end", func() bool { return g.current == nil })
 		if g.states["s-1"] != aspenshed.Draining || g.broke != i {
 			t.Errorf("%q: %v, broke %d times at once", answer, g.states, g.broke)
 		}
-		g.clock.now += leastGap
+		g.clock.now += minCallInterval
 		if g.Loop.Turn(); g.broke != i+1 || g.last.Heard != began {
 			t.Errorf("%q: broke %d times, last %+v", answer, g.broke, g.last)
 		}
@@ -426,8 +426,8 @@
 		g.until("the break", func() bool {
 			if i == 0 {
 				g.clock.now += 100e6
-			} else if g.cur == nil { // another call does not come at once
-				g.clock.now = began + leastGap
+			} else if g.current == nil { // another call does not come at once
+				g.clock.now = began + minCallInterval
 			}
 			return g.broke == i+1
 		})
@@ -471,8 +471,8 @@
 		n := len(g.versions)
 		g.until("the update", func() bool { return len(g.versions) > n })
 		s.conn.Close()
-		g.until("the break", func() bool { return g.cur == nil })
-		g.clock.now += latest
+		g.until("the break", func() bool { return g.current == nil })
+		g.clock.now += maxRedialPause
 	}
 	g.asked()
 	if g.broke != 0 {
--- a/internal/discovery/dribble_test.go
+++ b/internal/discovery/dribble_test.go
@@ -40,7 +40,7 @@
 			g.until("the drain", func() bool { return g.states["s-1"] == aspenshed.Draining })
 			_ = next.conn.Write([]byte(head))
 			next.member(44, false, false, "s-2", "in_service")
-			g.until("the new watch's list", func() bool { return g.Index == 44 && g.old == nil })
+			g.until("the new watch's list", func() bool { return g.Index == 44 && g.previous == nil })
 			g.unbroken(t)
 		},
 		"at the old watch, cut off by the new one": func(t *testing.T, g *rig) {
@@ -50,7 +50,7 @@
 			next := g.move(t, 42)
 			_ = next.conn.Write([]byte(head))
 			next.member(44, false, false, "s-2", "in_service")
-			g.until("the new watch's list", func() bool { return g.Index == 44 && g.old == nil })
+			g.until("the new watch's list", func() bool { return g.Index == 44 && g.previous == nil })
 			g.dribble(old, list[half:], slowly)
 			next.member(45, false, false, "s-3", "in_service")
 			g.until("the next list", func() bool { return g.Index == 45 })
@@ -66,8 +66,8 @@
 			g.move(t, 42)
 			moved := g.clock.now
 			g.dribble(old, list[half:len(list)-lastBrace], tooSlowly)
-			if g.old != nil || g.Index != 42 || g.states["s-1"] != aspenshed.Up {
-				t.Errorf("the old watch is %v, s-1 %d at %d", g.old, g.states["s-1"], g.Index)
+			if g.previous != nil || g.Index != 42 || g.states["s-1"] != aspenshed.Up {
+				t.Errorf("the old watch is %v, s-1 %d at %d", g.previous, g.states["s-1"], g.Index)
 			}
 			g.brokenOnce(t, moved)
 		},
@@ -76,13 +76,13 @@
 			next := g.move(t, 42)
 			_ = next.conn.Write([]byte(head))
 			g.dribble(next, list[:len(list)-lastBrace], slowly)
-			if g.old == nil {
+			if g.previous == nil {
 				t.Fatal("half a list of the new watch ended the old one")
 			}
 			old.member(44, false, false, "s-2", "in_service")
 			g.until("the old watch's list", func() bool { return g.Index == 44 })
 			g.dribble(next, list[len(list)-lastBrace:], 0)
-			g.until("the old watch's end", func() bool { return g.old == nil })
+			g.until("the old watch's end", func() bool { return g.previous == nil })
 			next.member(45, false, false, "s-1", "terminating")
 			g.until("the new watch's list", func() bool { return g.Index == 45 })
 			if g.states["s-1"] != aspenshed.Draining || g.states["s-2"] != aspenshed.Up {
@@ -109,7 +109,7 @@
 			half := len(list) / 2
 			g.dribble(first, list[:half], slowly)
 			next := g.move(t, 41)
-			if g.old != nil {
+			if g.previous != nil {
 				t.Error("a watch that had told nothing is kept")
 			}
 			g.dribble(first, list[half:], slowly)
@@ -146,8 +146,8 @@
 
 func (g *rig) unbroken(t *testing.T) {
 	t.Helper()
-	if g.broke != 0 || g.cur == nil {
-		t.Errorf("broke %d times, watch %v", g.broke, g.cur)
+	if g.broke != 0 || g.current == nil {
+		t.Errorf("broke %d times, watch %v", g.broke, g.current)
 	}
 }
 
@@ -156,12 +156,12 @@
 func (g *rig) brokenOnce(t *testing.T, moved aspenshed.Nanos) {
 	t.Helper()
 	if !g.Pushed {
-		if g.broke != 1 || g.last.Heard != moved-movedEarly || g.cur != nil {
-			t.Errorf("broke %d times, last %+v, want it heard at %d", g.broke, g.last, moved-movedEarly)
+		if g.broke != 1 || g.last.Heard != moved-moveGrace || g.current != nil {
+			t.Errorf("broke %d times, last %+v, want it heard at %d", g.broke, g.last, moved-moveGrace)
 		}
 		return
 	}
-	g.clock.now += latest
+	g.clock.now += maxRedialPause
 	if next := g.asked(); next.line != "GET /v1/servers?stream=1&index=42 HTTP/1.1" || g.broke != 0 {
 		t.Errorf("asked %q, broke %d times", next.line, g.broke)
 	}
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -15,36 +15,36 @@
 // length, or goes on until the connection ends; then that end is none of the list's: an object counts once it is whole.
 // It accepts fragments of any size.
 type response struct {
-	buf     []byte // bytes of the wire not yet parsed
-	value   []byte // the body's object so far
-	depth   int    // of braces in it; 0: between objects
-	quoted  bool   // in a string of it
-	escaped bool
-	told    bool // an object has ended, its line not yet
-	headed  bool
-	left    int  // of the current chunk, or of a body of stated length
-	inside  bool // the chunk
-	form    form
+	buf          []byte // bytes of the wire not yet parsed
+	object       []byte // the body's object so far
+	depth        int    // of braces in it; 0: between objects
+	quoted       bool   // in a string of it
+	escaped      bool
+	objectEnded  bool // an object has ended, its line not yet
+	headerParsed bool
+	remaining    int  // of the current chunk, or of a body of stated length
+	inChunk      bool // the chunk
+	framing      framing
 }
 
-// form is how a body tells its end.
-type form int
+// framing is how a body tells its end.
+type framing int
 
 const (
-	untilClose form = iota
-	chunked
-	stated
+	framedByClose framing = iota
+	framedByChunks
+	framedByLength
 )
 
-var errEnded = errors.New("answer ended")
+var errBodyEnded = errors.New("answer ended")
 
 // feed calls f for each object of the body, and with nothing for each empty line. The body's end is errEnded.
 func (r *response) feed(b []byte, f func([]byte) error) error {
 	r.buf = append(r.buf, b...)
-	if len(r.buf)+len(r.value) > maxBuffered {
+	if len(r.buf)+len(r.object) > maxBuffered {
 		return errors.New("answer too long")
 	}
-	if !r.headed {
+	if !r.headerParsed {
 		end := bytes.Index(r.buf, []byte("\r\n\r\n"))
 		if end < 0 {
 			return nil
@@ -52,38 +52,38 @@
 		head := string(r.buf[:end])
 		r.buf = r.buf[end+4:]
 		var err error
-		if r.form, r.left, err = parseHead(head); err != nil {
+		if r.framing, r.remaining, err = parseHeader(head); err != nil {
 			return err
 		}
-		r.headed = true
+		r.headerParsed = true
 	}
-	switch r.form {
-	case untilClose:
+	switch r.framing {
+	case framedByClose:
 		b := r.buf
 		r.buf = nil
 		return r.body(b, f)
-	case stated:
-		b := r.buf[:min(r.left, len(r.buf))]
-		r.buf, r.left = nil, r.left-len(b)
-		if err := r.body(b, f); err != nil || r.left > 0 {
+	case framedByLength:
+		b := r.buf[:min(r.remaining, len(r.buf))]
+		r.buf, r.remaining = nil, r.remaining-len(b)
+		if err := r.body(b, f); err != nil || r.remaining > 0 {
 			return err
 		}
-		return errEnded
+		return errBodyEnded
 	}
 	for {
-		if r.inside {
-			n := min(r.left, len(r.buf))
+		if r.inChunk {
+			n := min(r.remaining, len(r.buf))
 			if err := r.body(r.buf[:n], f); err != nil {
 				return err
 			}
-			r.buf, r.left = r.buf[n:], r.left-n
-			if r.left > 0 || len(r.buf) < 2 {
+			r.buf, r.remaining = r.buf[n:], r.remaining-n
+			if r.remaining > 0 || len(r.buf) < 2 {
 				return nil
 			}
 			if string(r.buf[:2]) != "\r\n" {
 				return errors.New("malformed chunk")
 			}
-			r.buf, r.inside = r.buf[2:], false
+			r.buf, r.inChunk = r.buf[2:], false
 		}
 		end := bytes.Index(r.buf, []byte("\r\n"))
 		if end < 0 {
@@ -98,9 +98,9 @@
 			return errors.New("malformed chunk size")
 		}
 		if n == 0 {
-			return errEnded
+			return errBodyEnded
 		}
-		r.buf, r.left, r.inside = r.buf[end+2:], int(n), true
+		r.buf, r.remaining, r.inChunk = r.buf[end+2:], int(n), true
 	}
 }
 
@@ -108,11 +108,11 @@
 func (r *response) body(b []byte, f func([]byte) error) error {
 	for _, c := range b {
 		if r.depth > 0 {
-			if r.value = append(r.value, c); !r.inObject(c) {
+			if r.object = append(r.object, c); !r.inObject(c) {
 				continue
 			}
-			value := r.value
-			r.value, r.told = nil, true
+			value := r.object
+			r.object, r.objectEnded = nil, true
 			if err := f(value); err != nil {
 				return err
 			}
@@ -121,10 +121,10 @@
 		switch c {
 		case ' ', '\t', '\r':
 		case '{':
-			r.value, r.depth = append(r.value, c), 1
+			r.object, r.depth = append(r.object, c), 1
 		case '\n':
-			if r.told { // the end of the object's own line
-				r.told = false
+			if r.objectEnded { // the end of the object's own line
+				r.objectEnded = false
 			} else if err := f(nil); err != nil {
 				return err
 			}
@@ -153,8 +153,8 @@
 	return r.depth == 0
 }
 
-// parseHead reads status and headers: how the body ends, and its length where that is stated.
-func parseHead(head string) (form, int, error) {
+// parseHeader reads status and headers: how the body ends, and its length where that is stated.
+func parseHeader(head string) (framing, int, error) {
 	lines := strings.Split(head, "\r\n")
 	status := strings.SplitN(lines[0], " ", 3)
 	if len(status) < 2 || !strings.HasPrefix(status[0], "HTTP/1.") {
@@ -163,7 +163,7 @@
 	if status[1] != "200" {
 		return 0, 0, fmt.Errorf("status %s", status[1])
 	}
-	how, length := untilClose, 0
+	how, length := framedByClose, 0
 	for _, l := range lines[1:] {
 		k, v, _ := strings.Cut(l, ":")
 		switch v = strings.TrimSpace(v); {
@@ -171,13 +171,13 @@
 			if !strings.EqualFold(v, "chunked") {
 				return 0, 0, fmt.Errorf("transfer encoding %q", v)
 			}
-			return chunked, 0, nil
+			return framedByChunks, 0, nil
 		case strings.EqualFold(k, "Content-Length"):
 			n, err := strconv.ParseUint(v, 10, 31)
 			if err != nil {
 				return 0, 0, fmt.Errorf("content length %q", v)
 			}
-			how, length = stated, int(n)
+			how, length = framedByLength, int(n)
 		}
 	}
 	return how, length, nil
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -92,7 +92,7 @@
 	}
 	seen := map[string]bool{}
 	for _, f := range head {
-		if seen[f] || !known(f) {
+		if seen[f] || !isField(f) {
 			return nil, &FieldError{1, f, "unknown or named twice"}
 		}
 		seen[f] = true
@@ -143,7 +143,7 @@
 		v := values{n.Line, map[string]string{}}
 		for i := 0; i < len(n.Content); i += 2 {
 			k, x := n.Content[i], n.Content[i+1]
-			if _, twice := v.of[k.Value]; twice || !known(k.Value) {
+			if _, twice := v.of[k.Value]; twice || !isField(k.Value) {
 				return nil, &FieldError{k.Line, k.Value, "unknown or named twice"}
 			}
 			if x.Kind != yaml.ScalarNode {
@@ -156,7 +156,7 @@
 	return out, nil
 }
 
-func known(field string) bool {
+func isField(field string) bool {
 	for _, f := range Fields {
 		if f == field {
 			return true
