--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -69,7 +69,7 @@
 			return
 		}
 		delete(pending, id)
-		out, text := guarded(h.routers[id], b.Now, events)
+		out, text := stepRecovering(h.routers[id], b.Now, events)
 		for _, a := range out {
 			acts = append(acts, simwire.Directed{Driver: id, Action: a})
 		}
@@ -106,8 +106,8 @@
 	return acts, faults, nil
 }
 
-// guarded steps a router and turns a panic into text.
-func guarded(r *aspenshed.Router, now aspenshed.Nanos, events []aspenshed.Event) (out []aspenshed.Action, fault string) {
+// stepRecovering steps a router and turns a panic into text.
+func stepRecovering(r *aspenshed.Router, now aspenshed.Nanos, events []aspenshed.Event) (out []aspenshed.Action, fault string) {
 	defer func() {
 		if p := recover(); p != nil {
 			out, fault = nil, fmt.Sprint(p)
--- a/cmd/aspenshed/demo.go
+++ b/cmd/aspenshed/demo.go
@@ -6,9 +6,9 @@
 	"aspenshed/internal/daemon"
 )
 
-// demonstrate runs an installation in one process: what a newcomer gets without any configuration.
-func demonstrate() error {
-	_, end := signals()
+// runDemo runs an installation in one process: what a newcomer gets without any configuration.
+func runDemo() error {
+	_, end := notifySignals()
 	if err := daemon.RunDemo(end); err != nil {
 		return err
 	}
--- a/cmd/aspenshed/experiment.go
+++ b/cmd/aspenshed/experiment.go
@@ -29,7 +29,7 @@
 				return err
 			}
 			if o.output == "json" {
-				return asJSON(c, r)
+				return printJSON(c, r)
 			}
 			_, err = fmt.Fprintf(c.OutOrStdout(), "served %d (%.0f a second), refused %d, failed %d\nlongest gap of each instance %v\n"+
 				"sends after told drains %d\nhighest share of what topples the cold database %.2f, fell %v, agreed to be warm after %v\n"+
@@ -53,7 +53,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			logrus.SetLevel(logrus.ErrorLevel)
 			rows, err := trial.MeasureStore(b)
-			return errors.Join(show(c, o, rows, table{"figure", "value", "unit"}, func(r trial.Figure) []any { return []any{r.Name, fmt.Sprintf("%.3g", r.Value), r.Unit} }), err)
+			return errors.Join(printRows(c, o, rows, table{"figure", "value", "unit"}, func(r trial.Figure) []any { return []any{r.Name, fmt.Sprintf("%.3g", r.Value), r.Unit} }), err)
 		}}
 	f := c.Flags()
 	f.IntVar(&b.Writes, "writes", 2000, "whose latency is measured")
--- a/cmd/aspenshed/experiment_scale.go
+++ b/cmd/aspenshed/experiment_scale.go
@@ -127,11 +127,11 @@
 		_, err = fmt.Fprintf(c.OutOrStdout(), "%s\n", encoded)
 		return err
 	}
-	err = show(c, o, run.Series, table{"series", "points", "slope", "intercept", "r2", "unit"}, func(s measure.Series) []any {
+	err = printRows(c, o, run.Series, table{"series", "points", "slope", "intercept", "r2", "unit"}, func(s measure.Series) []any {
 		return []any{s.Name, formatPoints(s.Points), fmt.Sprintf("%.3g", s.Fit.Slope), fmt.Sprintf("%.3g", s.Fit.Intercept), fmt.Sprintf("%.3f", s.Fit.R2), s.YUnit}
 	})
 	if len(run.Checks) > 0 {
-		err = errors.Join(err, show(c, o, run.Checks, table{"check", "value", "bound", "unit", "passed", "detail"}, func(k measure.Check) []any {
+		err = errors.Join(err, printRows(c, o, run.Checks, table{"check", "value", "bound", "unit", "passed", "detail"}, func(k measure.Check) []any {
 			return []any{k.Name, fmt.Sprintf("%.4g", k.Value), fmt.Sprintf("%.4g", k.Bound), k.Unit, k.Passed, k.Detail}
 		}))
 	}
--- a/cmd/aspenshed/gateway.go
+++ b/cmd/aspenshed/gateway.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	acceptAfterTerm = aspenshed.Nanos(450e6)  // new connections still come for 0.4 s after SIGTERM, and take a moment to come up
-	lastServed      = aspenshed.Nanos(1700e6) // from then on before SIGKILL connections are closed between requests
-	lastAnswer      = aspenshed.Nanos(300e6)  // and what is still held then gets its answer
-	drainTick       = aspenshed.Nanos(10e6)
-	clientLimit     = aspenshed.Nanos(2e9)   // for a client without a request: to send one, and between two
-	spareLimit      = aspenshed.Nanos(200e6) // the same where connections are scarce: clients hold a third of all descriptors at most
-	otherFiles      = 32                     // standard streams, epoll, listener, timers
-	mostHeld        = 8192
-	bufferedShare   = 8 // commands without an answer may take one part in so many of the memory, and answers that nobody reads too
+	acceptAfterTerm     = aspenshed.Nanos(450e6)  // new connections still come for 0.4 s after SIGTERM, and take a moment to come up
+	idleCloseWindow     = aspenshed.Nanos(1700e6) // from then on before SIGKILL connections are closed between requests
+	finalResponseWindow = aspenshed.Nanos(300e6)  // and what is still held then gets its answer
+	drainInterval       = aspenshed.Nanos(10e6)
+	clientTimeout       = aspenshed.Nanos(2e9)   // for a client without a request: to send one, and between two
+	reclaimMinIdle      = aspenshed.Nanos(200e6) // the same where connections are scarce: clients hold a third of all descriptors at most
+	reservedDescriptors = 32                     // standard streams, epoll, listener, timers
+	maxHeld             = 8192
+	memoryShare         = 8 // commands without an answer may take one part in so many of the memory, and answers that nobody reads too
 )
 
 // gateway is the platform's side of the program: one pipeline behind the thin front.
@@ -51,11 +51,11 @@
 	g.loop.Panicked = func(p any) {
 		log.WithFields(logrus.Fields{"panic": p, "stack": string(debug.Stack())}).Error("panic on the loop: it goes on")
 	}
-	files := node.Limits.Sockets - otherFiles
+	files := node.Limits.Sockets - reservedDescriptors
 	clients := files * 6 / 10
-	buffered := int64(node.Limits.MemoryMB) << 20 / bufferedShare
+	buffered := int64(node.Limits.MemoryMB) << 20 / memoryShare
 	g.front = &postgres.Front{Manager: session.Manager{Loop: g.loop, Settings: &node.Settings,
-		Limits: session.Limits{CommandTimeout: clientLimit, IdleTimeout: clientLimit, ReclaimAbove: node.Limits.Sockets / 4, ReclaimMinIdle: spareLimit,
+		Limits: session.Limits{CommandTimeout: clientTimeout, IdleTimeout: clientTimeout, ReclaimAbove: node.Limits.Sockets / 4, ReclaimMinIdle: reclaimMinIdle,
 			MaxPendingBytes: buffered}}}
 	ready := make(chan struct{})
 	g.net, err = netio.New(netio.Config{Name: "platform", Listen: node.Listen, Clients: clients, Dials: files * 4 / 10, Reserved: files / 20, Queued: buffered,
@@ -67,9 +67,9 @@
 		return nil, err
 	}
 	g.watcher = &discovery.Watcher{Loop: g.loop, Log: log, Net: g.net, Address: node.Discovery, Zones: node.Zones,
-		Index: node.Known.Generation, Pushed: !node.Settings.AskDiscovery}
+		Version: node.Known.Generation, Pushed: !node.Settings.AskDiscovery}
 	g.watcher.LogFaults(log.WithField("version", node.Known.Generation), faults)
-	held := mostHeld
+	held := maxHeld
 	if node.MaxHeld > 0 {
 		held = min(held, node.MaxHeld)
 	}
@@ -105,8 +105,8 @@
 	}
 	g.draining = true
 	logrus.WithField("live", g.pipeline.Response.Live()).Info("draining")
-	start, kill := g.loop.Now(), g.killAfter()
-	closeFrom, answerAll := start+max(acceptAfterTerm, kill-lastServed), start+kill-lastAnswer
+	start, kill := g.loop.Now(), g.killDelay()
+	closeFrom, answerAll := start+max(acceptAfterTerm, kill-idleCloseWindow), start+kill-finalResponseWindow
 	var tick func()
 	tick = func() {
 		now := g.loop.Now()
@@ -120,11 +120,11 @@
 		if g.mysql != nil {
 			left += g.mysql.Remaining(true)
 		}
-		if left == 0 || now >= answerAll+lastAnswer/2 {
+		if left == 0 || now >= answerAll+finalResponseWindow/2 {
 			g.loop.Quit()
 			return
 		}
-		g.loop.At(now+drainTick, tick)
+		g.loop.At(now+drainInterval, tick)
 	}
 	g.loop.At(start+acceptAfterTerm, func() {
 		g.net.StopListening()
@@ -135,9 +135,9 @@
 	})
 }
 
-// killAfter is how soon after SIGTERM the platform may send SIGKILL: the longest deadline, counted as 3 s where it
+// killDelay is how soon after SIGTERM the platform may send SIGKILL: the longest deadline, counted as 3 s where it
 // is longer, and 0.7 s.
-func (g *gateway) killAfter() (after aspenshed.Nanos) {
+func (g *gateway) killDelay() (after aspenshed.Nanos) {
 	for _, c := range g.node.Settings.Classes {
 		after = max(after, c.GiveUp)
 	}
--- a/cmd/aspenshed/inventory.go
+++ b/cmd/aspenshed/inventory.go
@@ -22,7 +22,7 @@
 				if err != nil {
 					return err
 				}
-				if place = placeOf(d, front, o.deploy); place == "" {
+				if place = inventoryPath(d, front, o.deploy); place == "" {
 					return fmt.Errorf("field %s.inventory: missing", front)
 				}
 			}
@@ -45,7 +45,7 @@
 	return c
 }
 
-func placeOf(d *config.Deploy, front, deployPath string) string {
+func inventoryPath(d *config.Deploy, front, deployPath string) string {
 	if front == "postgres" {
 		return d.Postgres.InventoryPath(deployPath)
 	}
--- a/cmd/aspenshed/kill_test.go
+++ b/cmd/aspenshed/kill_test.go
@@ -59,7 +59,7 @@
 }
 
 func (p *process) ask(q daemon.AdminRequest, into any) error {
-	b, err := daemon.Call(p.socket, q)
+	b, err := daemon.CallAdmin(p.socket, q)
 	if err == nil && into != nil {
 		err = json.Unmarshal(b, into)
 	}
--- a/cmd/aspenshed/logs.go
+++ b/cmd/aspenshed/logs.go
@@ -18,7 +18,7 @@
 			if err != nil {
 				return err
 			}
-			return show(c, o, path, table{"at", "gateway", "line", "member", "outcome", "verdict", "took ms", "detail"}, func(l loganalysis.Line) []any {
+			return printRows(c, o, path, table{"at", "gateway", "line", "member", "outcome", "verdict", "took ms", "detail"}, func(l loganalysis.Line) []any {
 				f := l.Fields
 				return []any{l.At, l.Gateway, l.Msg, f["member"], f["outcome"], f["verdict"], f["took_ms"], f["detail"] + f["reason"]}
 			})
@@ -29,7 +29,7 @@
 			if err != nil {
 				return err
 			}
-			return show(c, o, rows, table{"class", "cause", "requests", "share"}, func(e loganalysis.End) []any {
+			return printRows(c, o, rows, table{"class", "cause", "requests", "share"}, func(e loganalysis.End) []any {
 				return []any{e.Class, e.Cause, e.Count, fmt.Sprintf("%.4f", e.Share)}
 			})
 		}}
@@ -40,7 +40,7 @@
 			if err != nil {
 				return err
 			}
-			return show(c, o, rows, table{"member", "from", "served", "median ms", "full", "silent", "others"}, func(s loganalysis.Span) []any {
+			return printRows(c, o, rows, table{"member", "from", "served", "median ms", "full", "silent", "others"}, func(s loganalysis.Span) []any {
 				return []any{s.Member, s.From, s.Served, s.Median, s.Full, s.Silent, s.Others}
 			})
 		}}
@@ -52,7 +52,7 @@
 			if err != nil {
 				return err
 			}
-			return show(c, o, rows, table{"gateway", "id", "member", "begun", "after the first word", "not told till then"}, func(l loganalysis.Late) []any {
+			return printRows(c, o, rows, table{"gateway", "id", "member", "begun", "after the first word", "not told till then"}, func(l loganalysis.Late) []any {
 				return []any{l.Gateway, l.ID, l.Member, l.Begun, l.Fleet, l.Untold}
 			})
 		}}
--- a/cmd/aspenshed/main.go
+++ b/cmd/aspenshed/main.go
@@ -21,15 +21,15 @@
 
 func main() {
 	c := newRoot()
-	c.SetArgs(oldForm(os.Args[1:]))
+	c.SetArgs(expandShortFlags(os.Args[1:]))
 	if err := c.Execute(); err != nil {
 		logFaults(err)
 		os.Exit(1)
 	}
 }
 
-// oldForm takes the flags of earlier releases, which had one dash.
-func oldForm(args []string) (out []string) {
+// expandShortFlags takes the flags of earlier releases, which had one dash.
+func expandShortFlags(args []string) (out []string) {
 	for _, a := range args {
 		if strings.HasPrefix(a, "-deploy") || a == "-verbose" {
 			a = "-" + a
@@ -111,7 +111,7 @@
 			}
 			if faults := config.Faults(err); len(faults) > 0 {
 				t := table{"file", "line", "field", "problem"}
-				return errors.Join(show(c, o, faults, t, func(f config.Fault) []any { return []any{f.File, f.Line, f.Field, f.Problem} }),
+				return errors.Join(printRows(c, o, faults, t, func(f config.Fault) []any { return []any{f.File, f.Line, f.Field, f.Problem} }),
 					fmt.Errorf("%d faults", len(faults)))
 			}
 			if err == nil {
--- a/cmd/aspenshed/main_test.go
+++ b/cmd/aspenshed/main_test.go
@@ -113,7 +113,7 @@
 		}
 		turn()
 		if left != 0 {
-			clock.at.Add(int64(drainTick))
+			clock.at.Add(int64(drainInterval))
 		}
 	}
 	for _, c := range []net.Conn{old, late} {
@@ -131,7 +131,7 @@
 		_ = c.Close()
 	}
 	for end := time.Now().Add(patient); ; {
-		clock.at.Add(int64(drainTick))
+		clock.at.Add(int64(drainInterval))
 		turn()
 		select {
 		case <-ended:
--- a/cmd/aspenshed/platform.go
+++ b/cmd/aspenshed/platform.go
@@ -27,7 +27,7 @@
 	// loop need not wait for the scheduler to take the first back.
 	runtime.GOMAXPROCS(2)
 	debug.SetMemoryLimit(int64(node.Limits.MemoryMB) << 20 * 6 / 10)
-	hangup, end := signals()
+	hangup, end := notifySignals()
 	g, err := newGateway(node, deploy, eventloop.NewClock())
 	if err != nil {
 		return err
@@ -48,9 +48,9 @@
 	return nil
 }
 
-// signals takes over those that the program hears; from here on none ends it unasked. A second SIGHUP on top of one
+// notifySignals takes over those that the program hears; from here on none ends it unasked. A second SIGHUP on top of one
 // that waits adds nothing, and SIGTERM has a channel of its own, which no number of others can fill.
-func signals() (hangup, end chan os.Signal) {
+func notifySignals() (hangup, end chan os.Signal) {
 	hangup, end = make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	signal.Notify(end, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/aspenshed/rollout.go
+++ b/cmd/aspenshed/rollout.go
@@ -27,7 +27,7 @@
 				return err
 			}
 			if o.output == "json" {
-				return asJSON(c, r)
+				return printJSON(c, r)
 			}
 			return showRollout(c, o, r)
 		}}
@@ -42,7 +42,7 @@
 	}
 	if len(r.Lagging) > 0 {
 		fmt.Fprintln(out)
-		err := show(c, o, r.Lagging, table{"lagging", "in force"}, func(x store.LaggingSubscriber) []any { return []any{x.Subscriber, x.InForce} })
+		err := printRows(c, o, r.Lagging, table{"lagging", "in force"}, func(x store.LaggingSubscriber) []any { return []any{x.Subscriber, x.InForce} })
 		if err != nil {
 			return err
 		}
@@ -51,7 +51,7 @@
 		return nil
 	}
 	fmt.Fprintln(out)
-	return show(c, o, r.Refusals, table{"refused by", "revision", "key", "reason"}, func(x store.RolloutRefusal) []any {
+	return printRows(c, o, r.Refusals, table{"refused by", "revision", "key", "reason"}, func(x store.RolloutRefusal) []any {
 		return []any{x.Subscriber, x.Revision, x.Key, x.Reason}
 	})
 }
--- a/cmd/aspenshed/serve.go
+++ b/cmd/aspenshed/serve.go
@@ -18,14 +18,14 @@
 				return err
 			}
 			if d.Empty() {
-				return demonstrate()
+				return runDemo()
 			}
 			return serve(d, o.deploy)
 		}}
 }
 
 func serve(d *config.Deploy, path string) error {
-	hangup, end := signals()
+	hangup, end := notifySignals()
 	x, err := daemon.New(daemon.Config{Deploy: d, Path: path, Seed: rand.Uint64(), Release: version})
 	if err != nil {
 		return err
--- a/cmd/aspenshed/store.go
+++ b/cmd/aspenshed/store.go
@@ -27,7 +27,7 @@
 			return errors.New("field admin.socket: missing; name the daemon's socket there or with --socket")
 		}
 	}
-	data, err := daemon.Call(socket, q)
+	data, err := daemon.CallAdmin(socket, q)
 	if err != nil {
 		return err
 	}
@@ -36,10 +36,10 @@
 
 type table []string
 
-// show prints rows as a table or as JSON.
-func show[T any](c *cobra.Command, o *options, rows []T, head table, cells func(T) []any) error {
+// printRows prints rows as a table or as JSON.
+func printRows[T any](c *cobra.Command, o *options, rows []T, head table, cells func(T) []any) error {
 	if o.output == "json" {
-		return asJSON(c, rows)
+		return printJSON(c, rows)
 	}
 	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 	line := func(cells []any) {
@@ -59,7 +59,7 @@
 	return w.Flush()
 }
 
-func asJSON(c *cobra.Command, x any) error {
+func printJSON(c *cobra.Command, x any) error {
 	e := json.NewEncoder(c.OutOrStdout())
 	e.SetIndent("", "  ")
 	return e.Encode(x)
@@ -83,7 +83,7 @@
 				return err
 			}
 			if o.output == "json" {
-				return asJSON(c, x)
+				return printJSON(c, x)
 			}
 			_, err = fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", args[0], done)
 			return err
@@ -108,11 +108,11 @@
 			return err
 		}
 		if o.output == "json" {
-			return asJSON(c, s)
+			return printJSON(c, s)
 		}
 		fmt.Fprintf(c.OutOrStdout(), "%s of %s: %s, leader %s, term %d, %d of %d applied, configuration %d, inventory %d, digest %s, %d waiting\n\n",
 			s.ID, s.Cluster, s.Mode, s.Leader, s.Term, s.Applied, s.Commit, s.Config, s.Inventory, s.Digest, s.Waiting)
-		return show(c, o, s.Servers, table{"instance", "address", "service", "votes", "mode", "release", "last beat"}, func(x store.StatusInstance) []any {
+		return printRows(c, o, s.Servers, table{"instance", "address", "service", "votes", "mode", "release", "last beat"}, func(x store.StatusInstance) []any {
 			return []any{x.ID, x.Address, x.Service, x.Voter, x.Mode, x.Release, ago(x.Beat)}
 		})
 	}}
@@ -131,7 +131,7 @@
 		if err := o.ask(daemon.AdminRequest{Command: "members"}, &ms); err != nil {
 			return err
 		}
-		return show(c, o, ms, table{"member", "address", "wire", "group", "state", "warmth", "leased", "primary", "reason"}, func(m daemon.Member) []any {
+		return printRows(c, o, ms, table{"member", "address", "wire", "group", "state", "warmth", "leased", "primary", "reason"}, func(m daemon.Member) []any {
 			return []any{m.ID, m.Address, m.Wire, m.Group, m.State, m.Warmth, fmt.Sprintf("%.2f", m.Leased), m.Primary, m.Reason}
 		})
 	}}
@@ -144,7 +144,7 @@
 		if err := o.ask(daemon.AdminRequest{Command: "get", Key: args[0], Latest: latest}, &p); err != nil {
 			return err
 		}
-		return show(c, o, []daemon.Pair{p}, table{"key", "version", "value"}, func(p daemon.Pair) []any { return []any{p.Key, p.Version, p.Value} })
+		return printRows(c, o, []daemon.Pair{p}, table{"key", "version", "value"}, func(p daemon.Pair) []any { return []any{p.Key, p.Version, p.Value} })
 	}}
 	c.Flags().BoolVar(&latest, "latest", false, "ask the leader: what all have agreed on, not what is held here")
 	return c
@@ -160,7 +160,7 @@
 			return err
 		}
 		if o.output == "json" {
-			return asJSON(c, x)
+			return printJSON(c, x)
 		}
 		_, err := fmt.Fprintf(c.OutOrStdout(), "%s: version %d\n", args[0], x.Version)
 		return err
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -22,10 +22,10 @@
 // JSON answers.
 
 const (
-	adminClients = 16
-	adminLine    = 256 << 10
-	adminLimit   = 15 * time.Second
-	rolloutLimit = 3 * time.Second // for the other voters to answer: one that is cut off must not hide the others' counts
+	maxAdminClients = 16
+	maxAdminLine    = 256 << 10
+	adminTimeout    = 15 * time.Second
+	rolloutTimeout  = 3 * time.Second // for the other voters to answer: one that is cut off must not hide the others' counts
 )
 
 // AdminRequest is one question.
@@ -47,16 +47,16 @@
 }
 
 type admin struct {
-	d   *Daemon
-	net *netio.Net
-	at  string
+	d    *Daemon
+	net  *netio.Net
+	path string
 }
 
 func newAdmin(d *Daemon, path string) (*admin, error) {
-	a := &admin{d: d, at: path}
+	a := &admin{d: d, path: path}
 	var err error
-	a.net, err = netio.New(netio.Config{Name: "admin", Listen: "unix:" + path, Clients: adminClients,
-		Accept: func(c *netio.Conn) netio.Handler { return &asking{a: a, c: c} }})
+	a.net, err = netio.New(netio.Config{Name: "admin", Listen: "unix:" + path, Clients: maxAdminClients,
+		Accept: func(c *netio.Conn) netio.Handler { return &adminConn{a: a, c: c} }})
 	if err != nil {
 		return nil, fmt.Errorf("field admin.socket: %w", err)
 	}
@@ -65,25 +65,25 @@
 
 func (a *admin) stop() {
 	a.net.Stop()
-	_ = os.Remove(a.at)
+	_ = os.Remove(a.path)
 }
 
-// asking is one administrator's connection.
-type asking struct {
+// adminConn is one administrator's connection.
+type adminConn struct {
 	a  *admin
 	c  *netio.Conn
 	in []byte
 }
 
-func (x *asking) Up() {}
+func (x *adminConn) Up() {}
 
-func (x *asking) Closed(error) {}
+func (x *adminConn) Closed(error) {}
 
-func (x *asking) Data(b []byte) {
+func (x *adminConn) Data(b []byte) {
 	x.in = append(x.in, b...)
 	end := bytes.IndexByte(x.in, '\n')
 	if end < 0 {
-		if len(x.in) > adminLine {
+		if len(x.in) > maxAdminLine {
 			x.c.Close()
 		}
 		return
@@ -108,12 +108,12 @@
 	}()
 }
 
-// needVote are the requests that a subscriber can't serve.
-var needVote = []string{"rollout", "join", "leave", "save", "restore"}
+// voterOnly are the requests that a subscriber can't serve.
+var voterOnly = []string{"rollout", "join", "leave", "save", "restore"}
 
 func (a *admin) do(q AdminRequest) (any, error) {
 	st := a.d.Store
-	if st == nil && slices.Contains(needVote, q.Command) {
+	if st == nil && slices.Contains(voterOnly, q.Command) {
 		return nil, subscriber.ErrNoVote
 	}
 	switch q.Command {
@@ -122,7 +122,7 @@
 	case "members":
 		return a.d.Members(), nil
 	case "rollout":
-		return st.Rollout(q.Revision, rolloutLimit)
+		return st.Rollout(q.Revision, rolloutTimeout)
 	case "get":
 		return a.get(q)
 	case "put":
@@ -137,17 +137,17 @@
 	case "restart":
 		return a.submit(&pb.Command{Body: &pb.Command_Start{Start: &pb.Start{Member: q.Key, Start: int64(a.d.loop.Now())}}})
 	case "join":
-		return a.told(st.Join(q.Key, adminLimit))
+		return a.doneOrError(st.Join(q.Key, adminTimeout))
 	case "leave":
-		return a.told(st.Leave(q.Key, adminLimit))
+		return a.doneOrError(st.Leave(q.Key, adminTimeout))
 	case "save":
-		path, err := cleanPath(q.Key)
+		path, err := absolutePath(q.Key)
 		if err == nil {
 			err = st.Save(path)
 		}
-		return a.told(err)
+		return a.doneOrError(err)
 	case "restore":
-		path, err := cleanPath(q.Key)
+		path, err := absolutePath(q.Key)
 		if err != nil {
 			return nil, err
 		}
@@ -157,7 +157,7 @@
 				a.d.log.WithFields(logrus.Fields{"file": path}).Warn("store restored by hand")
 			}
 		}
-		return a.told(err)
+		return a.doneOrError(err)
 	}
 	return nil, fmt.Errorf("unknown request %q", q.Command)
 }
@@ -176,22 +176,22 @@
 	return held
 }
 
-type done struct {
+type doneResponse struct {
 	Done    bool   `json:"done"`
 	Version uint64 `json:"version,omitempty"`
 }
 
-func (a *admin) told(err error) (any, error) { return done{Done: err == nil}, err }
+func (a *admin) doneOrError(err error) (any, error) { return doneResponse{Done: err == nil}, err }
 
 func (a *admin) submit(c *pb.Command) (any, error) {
-	r, err := a.d.control.Store.Submit(c, adminLimit)
+	r, err := a.d.control.Store.Submit(c, adminTimeout)
 	if err == nil && r.Refused != "" {
 		err = errors.New(r.Refused)
 	}
 	if err == nil { // who looks at this instance next sees what was done; a majority has it already
 		_ = a.d.control.Store.ReadLatest(time.Second, func(*catalog.Catalog) {})
 	}
-	return done{err == nil, r.GetVersion()}, err
+	return doneResponse{err == nil, r.GetVersion()}, err
 }
 
 // Pair is a value with its version.
@@ -208,7 +208,7 @@
 		found, out = p != nil, Pair{q.Key, string(p.GetValue()), p.GetVersion()}
 	}
 	if q.Latest {
-		err = a.d.control.Store.ReadLatest(adminLimit, look)
+		err = a.d.control.Store.ReadLatest(adminTimeout, look)
 	} else {
 		a.d.control.Store.Read(look)
 	}
@@ -258,23 +258,23 @@
 	return out
 }
 
-// asks is the engine of all that asks from this process. It is never stopped: nbio (v1.6.8) forgets a Stop that comes
+// clientNet is the engine of all that clientNet from this process. It is never stopped: nbio (v1.6.8) forgets a Stop that comes
 // before its poller runs, as it would where nobody answers.
-var asks = sync.OnceValues(func() (*netio.Net, error) { return netio.New(netio.Config{Name: "ask", Dials: 64}) })
+var clientNet = sync.OnceValues(func() (*netio.Net, error) { return netio.New(netio.Config{Name: "ask", Dials: 64}) })
 
-// Call asks a daemon through its socket.
-func Call(socket string, q AdminRequest) (json.RawMessage, error) {
-	n, err := asks()
+// CallAdmin asks a daemon through its socket.
+func CallAdmin(socket string, q AdminRequest) (json.RawMessage, error) {
+	n, err := clientNet()
 	if err != nil {
 		return nil, err
 	}
-	x := &caller{up: make(chan struct{}), end: make(chan error, 1), got: make(chan []byte, 1)}
+	x := &adminCall{up: make(chan struct{}), end: make(chan error, 1), got: make(chan []byte, 1)}
 	c, err := n.Dial("unix:"+socket, time.Second, false, x)
 	if err != nil {
 		return nil, err
 	}
 	defer c.Close()
-	limit := time.After(2 * adminLimit)
+	limit := time.After(2 * adminTimeout)
 	select {
 	case <-x.up:
 	case err := <-x.end:
@@ -306,18 +306,18 @@
 	}
 }
 
-type caller struct {
+type adminCall struct {
 	up  chan struct{}
 	end chan error
 	got chan []byte
 	in  []byte
 }
 
-func (x *caller) Up() { close(x.up) }
+func (x *adminCall) Up() { close(x.up) }
 
-func (x *caller) Closed(err error) { x.end <- err }
+func (x *adminCall) Closed(err error) { x.end <- err }
 
-func (x *caller) Data(b []byte) {
+func (x *adminCall) Data(b []byte) {
 	x.in = append(x.in, b...)
 	if end := bytes.IndexByte(x.in, '\n'); end >= 0 {
 		x.got <- bytes.Clone(x.in[:end])
--- a/internal/daemon/admin_test.go
+++ b/internal/daemon/admin_test.go
@@ -31,7 +31,7 @@
 		t.Errorf("the socket: %v %v", info, err)
 	}
 	ask := func(q AdminRequest) (string, error) {
-		b, err := Call(socket, q)
+		b, err := CallAdmin(socket, q)
 		return string(b), err
 	}
 	eventually(t, "members", func() bool {
@@ -63,12 +63,12 @@
 	}
 	for _, x := range d.Deploys {
 		eventually(t, "the drain everywhere", func() bool {
-			b, err := Call(x.Admin.Socket, AdminRequest{Command: "members"})
+			b, err := CallAdmin(x.Admin.Socket, AdminRequest{Command: "members"})
 			var ms []Member
 			return err == nil && json.Unmarshal(b, &ms) == nil && len(ms) == 6 && ms[4].ID == "po-b" && ms[4].State == "draining"
 		})
 	}
-	if _, err := Call(filepath.Join(t.TempDir(), "none"), AdminRequest{Command: "status"}); err == nil || !strings.Contains(err.Error(), "no daemon answers") {
+	if _, err := CallAdmin(filepath.Join(t.TempDir(), "none"), AdminRequest{Command: "status"}); err == nil || !strings.Contains(err.Error(), "no daemon answers") {
 		t.Errorf("no daemon: %v", err)
 	}
 }
--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -17,7 +17,7 @@
 
 const (
 	agreeRetryInterval = 2 * time.Second // between two attempts to agree on the configuration
-	leaveLimit         = 5 * time.Second // for the store to answer, before it is asked again
+	agreeTimeout       = 5 * time.Second // for the store to answer, before it is asked again
 )
 
 // agreedPart is what all instances should have alike of one front.
@@ -29,8 +29,8 @@
 	More        any            `yaml:"more,omitempty"`
 }
 
-// alike is that part of a configuration.
-func alike(d *config.Deploy) (string, error) {
+// sharedConfig is that part of a configuration.
+func sharedConfig(d *config.Deploy) (string, error) {
 	of := func(s config.Front, more any) *agreedPart {
 		if s.Listen == "" {
 			return nil
@@ -47,37 +47,37 @@
 
 func (e refusedError) Error() string { return "store: " + e.reason }
 
-// agree makes this instance's configuration the first version, or logs where it differs from the agreed one. renew: its
+// agreeOnConfig makes this instance's configuration the first version, or logs where it differs from the agreed one. renew: its
 // file has been changed and read again, and is to be the next version. It retries until the store has answered.
-func (d *Daemon) agree(deploy *config.Deploy, renew bool) {
-	text, err := alike(deploy)
+func (d *Daemon) agreeOnConfig(deploy *config.Deploy, renew bool) {
+	text, err := sharedConfig(deploy)
 	if err != nil {
 		d.log.WithError(err).Error("configuration cannot be compared with that of other instances")
 		return
 	}
 	for failures := 0; ; failures++ {
-		if err = d.agreeOnce(text, renew); err == nil {
+		if err = d.tryAgree(text, renew); err == nil {
 			return
 		}
 		if failures == 0 { // it goes on by its own file meanwhile: one line is enough
 			d.log.WithError(err).Warn("configuration not agreed on yet")
 		}
 		select {
-		case <-d.ended:
+		case <-d.stopped:
 			return
 		case <-time.After(agreeRetryInterval):
 		}
 	}
 }
 
-// agreeOnce compares text with the newest version that is agreed on and proposes it where it is due. An error says that
+// tryAgree compares text with the newest version that is agreed on and proposes it where it is due. An error says that
 // nothing is settled: there is no majority, or another instance was quicker.
-func (d *Daemon) agreeOnce(text string, renew bool) error {
+func (d *Daemon) tryAgree(text string, renew bool) error {
 	if d.Subscriber != nil {
-		return d.compareHeld(text)
+		return d.compareWithHeld(text)
 	}
 	var agreed *pb.ConfigVersion
-	err := d.Store.ReadLatest(leaveLimit, func(c *catalog.Catalog) { agreed = c.Config() })
+	err := d.Store.ReadLatest(agreeTimeout, func(c *catalog.Catalog) { agreed = c.Config() })
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 		return nil
 	}
 	put := &pb.PutConfig{Base: agreed.GetVersion(), Text: text, Author: d.Store.ID()}
-	result, err := d.Store.Submit(&pb.Command{Body: &pb.Command_PutConfig{PutConfig: put}}, leaveLimit)
+	result, err := d.Store.Submit(&pb.Command{Body: &pb.Command_PutConfig{PutConfig: put}}, agreeTimeout)
 	if err != nil {
 		return err
 	}
@@ -103,8 +103,8 @@
 // errNothingHeld says that a subscriber has not heard of anything yet.
 var errNothingHeld = errors.New("no server of the control stream has been reached yet")
 
-// compareHeld logs where a subscriber's configuration differs from the agreed one. The voters alone propose versions.
-func (d *Daemon) compareHeld(text string) (err error) {
+// compareWithHeld logs where a subscriber's configuration differs from the agreed one. The voters alone propose versions.
+func (d *Daemon) compareWithHeld(text string) (err error) {
 	d.Subscriber.Read(func(c *catalog.Catalog) {
 		switch agreed := c.Config(); {
 		case c.Index() == 0:
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -39,10 +39,10 @@
 
 func (d *Daemon) openStore() (err error) {
 	sc := d.cfg.Deploy.Store.Config
-	sc.Release, sc.Log, sc.Clock, sc.Changed = d.cfg.Release, d.log, d.cfg.Clock, d.changed
+	sc.Release, sc.Log, sc.Clock, sc.Changed = d.cfg.Release, d.log, d.cfg.Clock, d.pollAgents
 	sc.Damaged = func(err error) {
 		select {
-		case d.broken <- err:
+		case d.storeDamaged <- err:
 		default:
 		}
 	}
@@ -56,16 +56,16 @@
 		sc.Publisher, sc.Rollout = d.Server, d.Server.Rollout
 	}
 	d.Store, err = store.Open(sc)
-	close(d.opened)
+	close(d.storeOpened)
 	if err != nil {
 		return err
 	}
-	d.control = &Control{Store: d.Store, Lease: leaseOf(sc)}
+	d.control = &Control{Store: d.Store, Lease: leaseDuration(sc)}
 	return nil
 }
 
-// leaseOf is what a lease of cold capacity lasts; alone there is nobody to share with.
-func leaseOf(sc store.Config) time.Duration {
+// leaseDuration is what a lease of cold capacity lasts; alone there is nobody to share with.
+func leaseDuration(sc store.Config) time.Duration {
 	switch {
 	case sc.Address == "" || sc.NoLeases:
 		return 0
@@ -80,13 +80,13 @@
 	return stream.NewServer(stream.ServerConfig{Listen: listen, Cluster: cluster, Log: d.log, Clock: d.cfg.Clock,
 		Machine: subscription.ServerConfig{Seed: d.cfg.Seed},
 		Carry: func(b *pb.Batch) *pb.Reply {
-			if <-d.opened; d.Store == nil {
+			if <-d.storeOpened; d.Store == nil {
 				return &pb.Reply{Refused: "the store did not open", Retry: true}
 			}
 			return d.Store.Carry(b)
 		},
 		Records: func() (rev uint64, records []revision.Record) {
-			if <-d.opened; d.Store == nil {
+			if <-d.storeOpened; d.Store == nil {
 				return 0, nil
 			}
 			d.Store.Read(func(c *catalog.Catalog) { rev, records = c.Index(), c.Records() })
@@ -97,8 +97,8 @@
 func (d *Daemon) openSubscriber() (err error) {
 	section := &d.cfg.Deploy.Store
 	d.Subscriber, err = subscriber.Open(subscriber.Config{Cluster: section.Cluster, ID: section.ID, Region: section.Region, Zone: section.Zone,
-		Release: d.cfg.Release, Scope: section.Scope.RevisionScope(), Servers: section.Subscribe, Seed: d.cfg.Seed, Pipelines: wiresOf(d.cfg.Deploy),
-		Check: checkAgreed, Changed: d.changed, Log: d.log, Clock: d.cfg.Clock, Network: d.cfg.Network})
+		Release: d.cfg.Release, Scope: section.Scope.RevisionScope(), Servers: section.Subscribe, Seed: d.cfg.Seed, Pipelines: enabledWires(d.cfg.Deploy),
+		Check: checkAgreed, Changed: d.pollAgents, Log: d.log, Clock: d.cfg.Clock, Network: d.cfg.Network})
 	if err != nil {
 		return err
 	}
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// wiresOf are those of the fronts that are on.
-func wiresOf(c *config.Deploy) (wires []string) {
+// enabledWires are those of the fronts that are on.
+func enabledWires(c *config.Deploy) (wires []string) {
 	if c.MySQL.Listen != "" {
 		wires = append(wires, WireMySQL)
 	}
@@ -123,9 +123,9 @@
 	return yaml.Unmarshal([]byte(v.Text), &parts)
 }
 
-// followRules has a Router hold cold members by what the instances agree on: its leases and the safe share, or the safe
+// applyRules has a Router hold cold members by what the instances agree on: its leases and the safe share, or the safe
 // share alone where it gets no leases.
-func (c *Control) followRules(s *aspenshed.Settings, rules *pb.Rules) {
+func (c *Control) applyRules(s *aspenshed.Settings, rules *pb.Rules) {
 	s.ListTellsRole = true
 	if c.Lease == 0 && !c.Subscriber {
 		return
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	defaultLease    = 4 * time.Second
-	acceptAfterTerm = aspenshed.Nanos(400e6) // new connections still come this long after SIGTERM
-	lastServed      = aspenshed.Nanos(1e9)   // before the end connections are closed between requests
-	lastAnswer      = aspenshed.Nanos(300e6) // what is still held then gets its answer
-	drainTick       = aspenshed.Nanos(10e6)
-	minGrace        = aspenshed.Nanos(3e9)
+	defaultLease        = 4 * time.Second
+	acceptAfterTerm     = aspenshed.Nanos(400e6) // new connections still come this long after SIGTERM
+	idleCloseWindow     = aspenshed.Nanos(1e9)   // before the end connections are closed between requests
+	finalResponseWindow = aspenshed.Nanos(300e6) // what is still held then gets its answer
+	drainInterval       = aspenshed.Nanos(10e6)
+	minDrainTime        = aspenshed.Nanos(3e9)
 )
 
 // Config is what a daemon is made of.
@@ -48,15 +48,15 @@
 	Subscriber *subscriber.Subscriber // nil: it has a store of its own
 	Fronts     []*Front
 
-	cfg     Config
-	control *Control
-	loop    *eventloop.Loop
-	log     *logrus.Entry
-	admin   *admin
-	once    sync.Once
-	opened  chan struct{} // closed once there is a store
-	ended   chan struct{}
-	broken  chan error
+	cfg          Config
+	control      *Control
+	loop         *eventloop.Loop
+	log          *logrus.Entry
+	admin        *admin
+	once         sync.Once
+	storeOpened  chan struct{} // closed once there is a store
+	stopped      chan struct{}
+	storeDamaged chan error
 }
 
 // New starts an instance. It serves as soon as it knows members: from its own files at once, from the store once that
@@ -65,7 +65,7 @@
 	if c.Clock == nil {
 		c.Clock = eventloop.NewClock()
 	}
-	d := &Daemon{cfg: c, loop: eventloop.NewLoop(c.Clock), opened: make(chan struct{}), ended: make(chan struct{}), broken: make(chan error, 1),
+	d := &Daemon{cfg: c, loop: eventloop.NewLoop(c.Clock), storeOpened: make(chan struct{}), stopped: make(chan struct{}), storeDamaged: make(chan error, 1),
 		log: logrus.WithField("instance", c.Deploy.Store.ID)}
 	d.loop.Panicked = func(p any) {
 		d.log.WithFields(logrus.Fields{"panic": p, "stack": string(debug.Stack())}).Error("panic on the loop: it goes on")
@@ -76,9 +76,9 @@
 	d.loop.Post(func() {})
 	go func() {
 		d.loop.Run()
-		close(d.ended)
+		close(d.stopped)
 	}()
-	go d.agree(c.Deploy, false)
+	go d.agreeOnConfig(c.Deploy, false)
 	return d, nil
 }
 
@@ -100,7 +100,7 @@
 func (d *Daemon) openFronts() error {
 	deploy, rules := d.cfg.Deploy, d.cfg.Deploy.Store.Rules()
 	if deploy.MySQL.Listen != "" {
-		d.control.followRules(&deploy.MySQL.Settings, rules)
+		d.control.applyRules(&deploy.MySQL.Settings, rules)
 		front, err := NewMySQL(&deploy.MySQL, d.loop, d.cfg.Seed, d.control)
 		if err != nil {
 			return err
@@ -108,7 +108,7 @@
 		d.Fronts = append(d.Fronts, front)
 	}
 	if deploy.Postgres.Listen != "" {
-		d.control.followRules(&deploy.Postgres.Settings, rules)
+		d.control.applyRules(&deploy.Postgres.Settings, rules)
 		front, err := NewPostgres(&deploy.Postgres, d.loop, d.cfg.Seed+1, d.control)
 		if err != nil {
 			return err
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// changed has the agents look at once.
-func (d *Daemon) changed() {
+// pollAgents has the agents look at once.
+func (d *Daemon) pollAgents() {
 	d.loop.Post(func() {
 		for _, f := range d.Fronts {
 			f.agent.Poke()
@@ -143,7 +143,7 @@
 	d.loop.Post(func() { defer close(done); f() })
 	select {
 	case <-done:
-	case <-d.ended:
+	case <-d.stopped:
 	}
 }
 
@@ -162,9 +162,9 @@
 		if d.Subscriber != nil && next.Store.IsSubscriber() {
 			d.Subscriber.SetServers(next.Store.Subscribe)
 		}
-		if was, _ := alike(d.cfg.Deploy); was != "" {
-			if now, err := alike(next); err == nil && now != was {
-				go d.agree(next, true) // the loop must not wait for a majority
+		if was, _ := sharedConfig(d.cfg.Deploy); was != "" {
+			if now, err := sharedConfig(next); err == nil && now != was {
+				go d.agreeOnConfig(next, true) // the loop must not wait for a majority
 			}
 		}
 		d.log.WithField("needs_restart", string(next.Text) != string(d.cfg.Deploy.Text)).Info("configuration read again")
@@ -180,7 +180,7 @@
 }
 
 func (d *Daemon) drain() {
-	start, grace := d.loop.Now(), minGrace
+	start, grace := d.loop.Now(), minDrainTime
 	live := 0
 	for _, f := range d.Fronts {
 		live += f.Pipeline.Response.Live()
@@ -189,8 +189,8 @@
 		}
 	}
 	d.log.WithField("live", live).Info("draining")
-	answerAll := start + grace + lastAnswer
-	closeFrom := answerAll - max(grace, lastServed)
+	answerAll := start + grace + finalResponseWindow
+	closeFrom := answerAll - max(grace, idleCloseWindow)
 	var tick func()
 	tick = func() {
 		now, left := d.loop.Now(), 0
@@ -200,11 +200,11 @@
 			}
 			left += f.Remaining(now >= max(closeFrom, start+acceptAfterTerm))
 		}
-		if left == 0 || now >= answerAll+lastAnswer {
+		if left == 0 || now >= answerAll+finalResponseWindow {
 			d.loop.Quit()
 			return
 		}
-		d.loop.At(now+drainTick, tick)
+		d.loop.At(now+drainInterval, tick)
 	}
 	d.loop.At(start+acceptAfterTerm, func() {
 		for _, f := range d.Fronts {
@@ -217,9 +217,9 @@
 // Wait returns once the instance has drained, or the store was found damaged.
 func (d *Daemon) Wait() error {
 	select {
-	case <-d.ended:
+	case <-d.stopped:
 		return d.close()
-	case err := <-d.broken: // what it holds is not to be trusted: others go on
+	case err := <-d.storeDamaged: // what it holds is not to be trusted: others go on
 		return errors.Join(err, d.Kill())
 	}
 }
@@ -227,7 +227,7 @@
 // Kill ends the instance at once, as a crash would.
 func (d *Daemon) Kill() error {
 	d.loop.Post(d.loop.Quit)
-	<-d.ended
+	<-d.stopped
 	return d.close()
 }
 
@@ -253,8 +253,8 @@
 	return err
 }
 
-// cleanPath is a path that the administrator named, absolute.
-func cleanPath(p string) (string, error) {
+// absolutePath is a path that the administrator named, absolute.
+func absolutePath(p string) (string, error) {
 	if p == "" {
 		return "", errors.New("a path is missing")
 	}
--- a/internal/daemon/demo.go
+++ b/internal/daemon/demo.go
@@ -66,8 +66,8 @@
 	Databases map[string]*standin.Group // by wire
 	Deploys   []*config.Deploy
 
-	seams func(int, *store.Config)
-	clock func(int) eventloop.Clock
+	storeHook func(int, *store.Config)
+	clock     func(int) eventloop.Clock
 }
 
 // DemoOptions change a demonstration, for tests.
@@ -81,7 +81,7 @@
 
 // NewDemo starts one in a folder.
 func NewDemo(dir string, o DemoOptions) (*Demo, error) {
-	d := &Demo{Dir: dir, Databases: map[string]*standin.Group{}, seams: o.StoreHook, clock: o.Clock}
+	d := &Demo{Dir: dir, Databases: map[string]*standin.Group{}, storeHook: o.StoreHook, clock: o.Clock}
 	if err := d.begin(o); err != nil {
 		return nil, errors.Join(err, d.Stop())
 	}
@@ -111,15 +111,15 @@
 			}
 		}
 		addresses = append(addresses, a)
-		peers = append(peers, fmt.Sprintf("{id: %s, address: %s, service: %s}", instance(i), a[0], a[1]))
+		peers = append(peers, fmt.Sprintf("{id: %s, address: %s, service: %s}", instanceName(i), a[0], a[1]))
 	}
 	for i, a := range addresses {
-		text := strings.NewReplacer("ID", instance(i), "ADDRESS", a[0], "SERVICE", a[1], "PEERS", strings.Join(peers, ", "),
+		text := strings.NewReplacer("ID", instanceName(i), "ADDRESS", a[0], "SERVICE", a[1], "PEERS", strings.Join(peers, ", "),
 			"inventory: ", "inventory: ../").Replace(demoConfig)
 		if o.EditConfig != nil {
 			text = o.EditConfig(text)
 		}
-		folder := filepath.Join(d.Dir, instance(i))
+		folder := filepath.Join(d.Dir, instanceName(i))
 		if err := os.MkdirAll(folder, 0o700); err != nil {
 			return err
 		}
@@ -135,7 +135,7 @@
 	return nil
 }
 
-func instance(i int) string { return string(rune('a' + i)) }
+func instanceName(i int) string { return string(rune('a' + i)) }
 
 // FreeAddress is an ephemeral port, given back for the instance.
 func FreeAddress() (string, error) {
@@ -148,14 +148,14 @@
 
 // Start starts an instance, or starts it again from its folder.
 func (d *Demo) Start(i int) error {
-	path := filepath.Join(d.Dir, instance(i), "aspenshed.yaml")
+	path := filepath.Join(d.Dir, instanceName(i), "aspenshed.yaml")
 	c, err := config.ReadDeploy(path)
 	if err != nil {
 		return err
 	}
 	var seams func(*store.Config)
-	if d.seams != nil {
-		seams = func(c *store.Config) { d.seams(i, c) }
+	if d.storeHook != nil {
+		seams = func(c *store.Config) { d.storeHook(i, c) }
 	}
 	cfg := Config{Deploy: c, Path: path, Seed: uint64(i) + 1, Release: "demonstration", StoreHook: seams}
 	if d.clock != nil {
@@ -220,7 +220,7 @@
 // QueryUntilServed asks a front for a point read until it is served, or the limit is over, and returns the row.
 func QueryUntilServed(address string, id string, limit time.Duration) (row string, err error) {
 	for end := time.Now().Add(limit); ; {
-		row, err = Query(address, fmt.Sprintf("SELECT payload FROM entries WHERE ref = 'entry-1' "+
+		row, err = QueryPostgres(address, fmt.Sprintf("SELECT payload FROM entries WHERE ref = 'entry-1' "+
 			"/* id=%s-%d,c=point-read,d=900,cluster=1 */", id, time.Now().UnixNano()), time.Until(end))
 		if err == nil || time.Now().After(end) {
 			return row, err
@@ -229,13 +229,13 @@
 	}
 }
 
-// Query asks one statement on a connection of its own, over PostgreSQL's wire.
-func Query(address, sql string, limit time.Duration) (string, error) {
-	n, err := asks()
+// QueryPostgres asks one statement on a connection of its own, over PostgreSQL's wire.
+func QueryPostgres(address, sql string, limit time.Duration) (string, error) {
+	n, err := clientNet()
 	if err != nil {
 		return "", err
 	}
-	q := &query{in: pgwire.Reader{Max: 1 << 20}, up: make(chan struct{}), end: make(chan error, 2)}
+	q := &pgQuery{in: pgwire.Reader{Max: 1 << 20}, up: make(chan struct{}), end: make(chan error, 2)}
 	c, err := n.Dial(address, limit, false, q)
 	if err != nil {
 		return "", err
@@ -257,26 +257,26 @@
 	}
 }
 
-type query struct {
-	up  chan struct{}
-	in  pgwire.Reader
-	row string
-	err error
-	z   int
-	end chan error
+type pgQuery struct {
+	up            chan struct{}
+	in            pgwire.Reader
+	row           string
+	err           error
+	readyMessages int
+	end           chan error
 }
 
-func (q *query) Up() { close(q.up) }
+func (q *pgQuery) Up() { close(q.up) }
 
-func (q *query) Closed(err error) { q.end <- fmt.Errorf("connection closed: %w", err) }
+func (q *pgQuery) Closed(err error) { q.end <- fmt.Errorf("connection closed: %w", err) }
 
-func (q *query) Data(b []byte) {
+func (q *pgQuery) Data(b []byte) {
 	if err := q.in.Feed(b, q.message); err != nil {
 		q.end <- err
 	}
 }
 
-func (q *query) message(m pgwire.Message) error {
+func (q *pgQuery) message(m pgwire.Message) error {
 	switch m.Type {
 	case 'D':
 		q.row, _ = pgwire.OneColumn(m.Body)
@@ -284,7 +284,7 @@
 		e, _ := pgwire.ParseError(m.Body)
 		q.err = fmt.Errorf("%s: %s", e.Code, e.Message)
 	case 'Z':
-		if q.z++; q.z == 2 { // the first ends the greeting
+		if q.readyMessages++; q.readyMessages == 2 { // the first ends the greeting
 			q.end <- q.err
 		}
 	}
@@ -304,7 +304,7 @@
 		return err
 	}
 	for i, x := range d.Instances {
-		logrus.WithFields(logrus.Fields{"instance": instance(i), "postgres": x.Front(WirePostgres).Net.Addr(), "mysql": x.Front(WireMySQL).Net.Addr(),
+		logrus.WithFields(logrus.Fields{"instance": instanceName(i), "postgres": x.Front(WirePostgres).Net.Addr(), "mysql": x.Front(WireMySQL).Net.Addr(),
 			"admin": d.Deploys[i].Admin.Socket}).Info("demonstration instance: connect here")
 	}
 	row, err := QueryUntilServed(d.Instances[0].Front(WirePostgres).Net.Addr(), "sample", 5*time.Second)
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -27,12 +27,12 @@
 )
 
 const (
-	// maxQueuedAnswers bounds what waits for a front's clients to read, bytes: as much as unanswered commands may take.
-	maxQueuedAnswers = 64 << 20
+	// maxQueuedResponseBytes bounds what waits for a front's clients to read, bytes: as much as unanswered commands may take.
+	maxQueuedResponseBytes = 64 << 20
 
-	loginLimit = aspenshed.Nanos(10e9) // MySQL's connect_timeout: to log in and send a first command
-	startLimit = aspenshed.Nanos(2e9)  // the same for PostgreSQL's wire, which asks for no password
-	mostHeld   = 8192
+	loginTimeout   = aspenshed.Nanos(10e9) // MySQL's connect_timeout: to log in and send a first command
+	startupTimeout = aspenshed.Nanos(2e9)  // the same for PostgreSQL's wire, which asks for no password
+	maxHeld        = 8192
 )
 
 // The wires, as an inventory's members name them in the catalog.
@@ -64,7 +64,7 @@
 	f.Accounts, f.Database = c.AccountPasswords, c.Database
 	f.Defaults = mysql.Defaults{ReadClass: c.Defaults.ReadClass, WriteClass: c.Defaults.WriteClass, Tenant: c.Defaults.Tenant,
 		Group: c.Defaults.Group, WaitMs: c.Defaults.Wait.Milliseconds()}
-	err := x.start(loop, seed, loginLimit, f.Accept, func(n *netio.Net) request.Backend { backend.Net = n; return backend })
+	err := x.start(loop, seed, loginTimeout, f.Accept, func(n *netio.Net) request.Backend { backend.Net = n; return backend })
 	return x, err
 }
 
@@ -73,7 +73,7 @@
 	var f postgres.Front
 	x := &Front{Wire: WirePostgres, cfg: &c.Front, Manager: &f.Manager, control: control}
 	backend := &postgres.Backend{Loop: loop}
-	err := x.start(loop, seed, startLimit, f.Accept, func(n *netio.Net) request.Backend { backend.Net = n; return backend })
+	err := x.start(loop, seed, startupTimeout, f.Accept, func(n *netio.Net) request.Backend { backend.Net = n; return backend })
 	return x, err
 }
 
@@ -81,7 +81,7 @@
 	backend func(*netio.Net) request.Backend) (err error) {
 	c := f.cfg
 	f.log = logrus.WithField("front", f.Wire)
-	own, err := f.read()
+	own, err := f.readInventory()
 	if err != nil && (f.control == nil || !errors.Is(err, os.ErrNotExist)) {
 		return err
 	}
@@ -89,7 +89,7 @@
 		ReclaimAbove: c.Clients * 3 / 4, ReclaimMinIdle: silent}}
 	ready := make(chan struct{})
 	f.Net, err = netio.New(netio.Config{Name: f.Wire, Listen: c.Listen, Clients: c.Clients, Dials: c.BackendConnections, Reserved: c.BackendConnections / 10,
-		Queued: maxQueuedAnswers,
+		Queued: maxQueuedResponseBytes,
 		Accept: func(x *netio.Conn) netio.Handler {
 			<-ready
 			return accept(x)
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	f.Pipeline = pipeline.New(pipeline.Config{Loop: loop, Log: f.log, Settings: c.Settings, Seed: seed, MostHeld: mostHeld,
+	f.Pipeline = pipeline.New(pipeline.Config{Loop: loop, Log: f.log, Settings: c.Settings, Seed: seed, MostHeld: maxHeld,
 		Backend: backend(f.Net), Watch: func() {}})
 	f.Manager.Submit, f.Manager.Cancel, f.Manager.CountRejected = f.Pipeline.Accept.Take, f.Pipeline.Leave, f.Pipeline.Accounting.Rejected
 	list, addresses := aspenshed.MemberList{Whole: true}, map[string]string{}
@@ -123,21 +123,21 @@
 	if f.control.InForce != nil {
 		c.InForce = func(rev uint64) { f.control.InForce(f.Wire, rev) }
 	}
-	f.agent = agent.Start(c, f.told(own))
+	f.agent = agent.Start(c, f.rosterMembers(own))
 	if len(own) > 0 && !f.control.Subscriber {
-		go f.first(own)
+		go f.publishFirst(own)
 	}
 }
 
-func (f *Front) read() ([]inventory.Member, error) {
+func (f *Front) readInventory() ([]inventory.Member, error) {
 	if f.cfg.Inventory == "" {
 		return nil, nil
 	}
 	return inventory.Read(f.cfg.Inventory)
 }
 
-// told is an inventory as the agent takes it.
-func (f *Front) told(ms []inventory.Member) (out []roster.Told) {
+// rosterMembers is an inventory as the agent takes it.
+func (f *Front) rosterMembers(ms []inventory.Member) (out []roster.Told) {
 	l, addresses := inventory.MemberList(ms)
 	for i, m := range l.Members {
 		out = append(out, roster.Told{Member: m, Address: addresses[m.ID], Site: ms[i].Site})
@@ -145,14 +145,14 @@
 	return out
 }
 
-// first makes this instance's file the inventory of all, if there is none yet.
-func (f *Front) first(own []inventory.Member) {
-	if err := f.agent.First(entries(f.Wire, own)); err != nil {
+// publishFirst makes this instance's file the inventory of all, if there is none yet.
+func (f *Front) publishFirst(own []inventory.Member) {
+	if err := f.agent.First(catalogEntries(f.Wire, own)); err != nil {
 		f.log.WithError(err).Warn("inventory not stored")
 	}
 }
 
-func entries(wire string, ms []inventory.Member) (out []*pb.Entry) {
+func catalogEntries(wire string, ms []inventory.Member) (out []*pb.Entry) {
 	for _, m := range ms {
 		if m.State == "terminated" {
 			continue
@@ -164,7 +164,7 @@
 
 // Reload reads the inventory again, on the loop. A bad file changes nothing.
 func (f *Front) Reload() {
-	members, err := f.read()
+	members, err := f.readInventory()
 	if err != nil {
 		f.log.WithError(err).Error("inventory refused: the running one stays")
 		return
@@ -174,12 +174,12 @@
 		f.log.WithField("members", len(members)).Info("inventory in use")
 		return
 	}
-	f.agent.Own(f.told(members))
+	f.agent.Own(f.rosterMembers(members))
 	if f.control.Subscriber { // the voters alone publish lists
 		return
 	}
 	go func() { // the loop must not wait for a majority
-		if err := f.agent.Publish(entries(f.Wire, members)); err != nil {
+		if err := f.agent.Publish(catalogEntries(f.Wire, members)); err != nil {
 			f.log.WithError(err).Warn("inventory not stored")
 		}
 	}()
--- a/internal/daemon/fronts_test.go
+++ b/internal/daemon/fronts_test.go
@@ -68,7 +68,7 @@
 			var row string
 			return x.db.QueryRow(fmt.Sprintf("SELECT place() /* id=m%d,c=order */", x.orders)).Scan(&row) == nil
 		}
-		_, err := Query(f.Net.Addr(), fmt.Sprintf("SELECT place() /* id=p%d,c=order,d=900,cluster=1 */", x.orders), patient)
+		_, err := QueryPostgres(f.Net.Addr(), fmt.Sprintf("SELECT place() /* id=p%d,c=order,d=900,cluster=1 */", x.orders), patient)
 		return err == nil
 	})
 }
--- a/internal/daemon/subscriber_test.go
+++ b/internal/daemon/subscriber_test.go
@@ -152,7 +152,7 @@
 		if d == nil {
 			continue
 		}
-		if out, err = Call(f.Deploys[i].Admin.Socket, q); err == nil {
+		if out, err = CallAdmin(f.Deploys[i].Admin.Socket, q); err == nil {
 			return out, nil
 		}
 	}
@@ -253,7 +253,7 @@
 		t.Error(err)
 	}
 	eventually(t, "what was written after the kill", func() bool {
-		b, err := Call(f.socket, AdminRequest{Command: "get", Key: "after"})
+		b, err := CallAdmin(f.socket, AdminRequest{Command: "get", Key: "after"})
 		return err == nil && strings.Contains(string(b), "the kill")
 	})
 	if got := f.gateway.Status().Client; got.Server == connected || !got.Subscribed {
@@ -264,7 +264,7 @@
 // waitPut writes a pair through the gateway once a leader is there again.
 func (f *fleet) waitPut(key, value string) (out json.RawMessage, err error) {
 	eventually(f.t, "a write through the gateway", func() bool {
-		out, err = Call(f.socket, AdminRequest{Command: "put", Key: key, Value: value})
+		out, err = CallAdmin(f.socket, AdminRequest{Command: "put", Key: key, Value: value})
 		return err == nil
 	})
 	return out, err
@@ -274,33 +274,33 @@
 func TestAdministrationOfASubscriber(t *testing.T) {
 	f := newFleet(t)
 	eventually(t, "members", func() bool {
-		b, err := Call(f.socket, AdminRequest{Command: "members"})
+		b, err := CallAdmin(f.socket, AdminRequest{Command: "members"})
 		return err == nil && strings.Count(string(b), `"in_service"`) == 6
 	})
 	if _, err := f.waitPut("k", "v"); err != nil {
 		t.Error(err)
 	}
 	eventually(t, "the pair", func() bool {
-		b, err := Call(f.socket, AdminRequest{Command: "get", Key: "k"})
+		b, err := CallAdmin(f.socket, AdminRequest{Command: "get", Key: "k"})
 		return err == nil && strings.Contains(string(b), `"value":"v"`)
 	})
-	if _, err := Call(f.socket, AdminRequest{Command: "drain", Key: "my-b"}); err != nil {
+	if _, err := CallAdmin(f.socket, AdminRequest{Command: "drain", Key: "my-b"}); err != nil {
 		t.Errorf("drain: %v", err)
 	}
 	eventually(t, "the drain at a voter", func() bool {
 		b, err := f.voter(AdminRequest{Command: "members"})
 		return err == nil && strings.Contains(string(b), `"draining"`)
 	})
-	for _, do := range needVote {
-		if _, err := Call(f.socket, AdminRequest{Command: do, Key: "/tmp/x"}); err == nil || !strings.Contains(err.Error(), "has no vote") {
+	for _, do := range voterOnly {
+		if _, err := CallAdmin(f.socket, AdminRequest{Command: do, Key: "/tmp/x"}); err == nil || !strings.Contains(err.Error(), "has no vote") {
 			t.Errorf("%s: %v", do, err)
 		}
 	}
-	if _, err := Call(f.socket, AdminRequest{Command: "get", Key: "k", Latest: true}); err == nil || !strings.Contains(err.Error(), "has no vote") {
+	if _, err := CallAdmin(f.socket, AdminRequest{Command: "get", Key: "k", Latest: true}); err == nil || !strings.Contains(err.Error(), "has no vote") {
 		t.Errorf("the latest: %v", err)
 	}
 	var s Status
-	b, err := Call(f.socket, AdminRequest{Command: "status"})
+	b, err := CallAdmin(f.socket, AdminRequest{Command: "status"})
 	if err != nil || json.Unmarshal(b, &s) != nil || s.Mode != modeSubscribed || s.Client == nil || s.Client.BytesIn == 0 || s.Applied == 0 {
 		t.Errorf("status: %s %v", b, err)
 	}
@@ -320,7 +320,7 @@
 	f.serves("whole")
 	f.network.set(true)
 	eventually(t, "the gateway's knowing of the cut", func() bool { return f.gateway.Status().Mode == modeCutOff })
-	if _, err := Call(f.socket, AdminRequest{Command: "drain", Key: "po-c"}); err == nil || !strings.Contains(err.Error(), "held here") {
+	if _, err := CallAdmin(f.socket, AdminRequest{Command: "drain", Key: "po-c"}); err == nil || !strings.Contains(err.Error(), "held here") {
 		t.Errorf("a drain while it is cut off: %v", err)
 	}
 	if got := f.serves("cut"); got["po-c"] != 0 {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -161,7 +161,7 @@
 	Net      *netio.Net
 	Address  string
 	Zones    []string
-	Index    int64 // the version that the gateway has
+	Version    int64 // the version that the gateway has
 	OnUpdate func(Update)
 	OnBreak  func(aspenshed.DiscoveryBroke)
 	// Pushed: lists are pushed. An agent on this machine has them at no cost, and what it has counts as told: the watch
@@ -225,7 +225,7 @@
 		return
 	}
 	x.conn, w.current, x.startedAt = conn, x, w.Loop.Now()
-	w.Log.WithFields(logrus.Fields{"discovery": w.Address, "version": w.Index}).Debug("discovery asked")
+	w.Log.WithFields(logrus.Fields{"discovery": w.Address, "version": w.Version}).Debug("discovery asked")
 	x.resetTimer()
 }
 
@@ -284,7 +284,7 @@
 func (x *watch) Up() {
 	x.watcher.Loop.Post(func() {
 		x.connected = true
-		_ = x.conn.Write([]byte("GET /v1/servers?stream=1&index=" + strconv.FormatInt(x.watcher.Index, 10) +
+		_ = x.conn.Write([]byte("GET /v1/servers?stream=1&index=" + strconv.FormatInt(x.watcher.Version, 10) +
 			" HTTP/1.1\r\nHost: " + x.watcher.Address + "\r\nAccept: application/json\r\n\r\n"))
 	})
 }
@@ -324,10 +324,10 @@
 	}
 	if !empty { // an empty line first: nothing has changed since
 		w.logList(version, u, faults)
-		if !u.List.Whole && version < w.Index && version >= x.version {
+		if !u.List.Whole && version < w.Version && version >= x.version {
 			return // known already, from the other of two watches
 		}
-		w.Index, x.version = version, version
+		w.Version, x.version = version, version
 		w.applyDepartures(version, &u)
 	}
 	u.List.Remnant = x == w.previous // it may be behind, and the call that is planned to the new address stands
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -130,7 +130,7 @@
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
 	n := g.service()
-	g.Watcher = &Watcher{Loop: eventloop.NewLoop(g.clock), Log: logrus.NewEntry(log), Net: n, Address: n.Addr(), Index: 41, OnBreak: func(b aspenshed.DiscoveryBroke) { g.broke, g.last = g.broke+1, b },
+	g.Watcher = &Watcher{Loop: eventloop.NewLoop(g.clock), Log: logrus.NewEntry(log), Net: n, Address: n.Addr(), Version: 41, OnBreak: func(b aspenshed.DiscoveryBroke) { g.broke, g.last = g.broke+1, b },
 		OnUpdate: func(u Update) {
 			g.versions = append(g.versions, fmt.Sprint(u.List.Whole, len(u.List.Members)))
 			for _, m := range u.List.Members {
@@ -243,7 +243,7 @@
 	next.tell(43) // not news: it must not undo what 44 has told
 	g.until("the end of the old watch", func() bool { return g.previous == nil })
 	next.tell(45)
-	g.until("an update from the new address", func() bool { return g.Index == 45 })
+	g.until("an update from the new address", func() bool { return g.Version == 45 })
 	if len(g.versions) != 3 || g.broke != 0 {
 		t.Errorf("updates %v, broke %d times", g.versions, g.broke)
 	}
@@ -308,7 +308,7 @@
 		}
 		_ = next.conn.Write([]byte(head))
 		next.member(44, false, false, "s-2", "in_service")
-		g.until("the new watch's word", func() bool { return g.Index == 44 })
+		g.until("the new watch's word", func() bool { return g.Version == 44 })
 		if want := map[bool]aspenshed.MemberState{true: aspenshed.Draining, false: aspenshed.Up}[whole]; g.states["s-1"] != want || g.broke != 0 || g.previous != nil {
 			t.Errorf("whole %t: s-1 is %d, broke %d times", whole, g.states["s-1"], g.broke)
 		}
@@ -351,7 +351,7 @@
 	_ = s.conn.Write([]byte(head))
 	for i, word := range []string{"resting", "resting", "asleep", "resting"} {
 		s.member(42+i, false, false, "s-1", word)
-		g.until("the list", func() bool { return g.Index == int64(42+i) })
+		g.until("the list", func() bool { return g.Version == int64(42+i) })
 	}
 	if len(lines) != 2 || !strings.Contains(lines[0], `"resting"`) || !strings.Contains(lines[1], `"asleep"`) || g.states["s-1"] != aspenshed.Draining {
 		t.Errorf("%q, %v", lines, g.states)
@@ -382,7 +382,7 @@
 	s.member(42, true, true, `a "{\`, "in_service")
 	_ = s.conn.Write([]byte(chunk("\n")))
 	s.member(43, false, true, `a "{\`, "terminating")
-	g.until("both lists", func() bool { return g.Index == 43 })
+	g.until("both lists", func() bool { return g.Version == 43 })
 	if g.broke != 0 || g.states[`a "{\`] != aspenshed.Draining {
 		t.Errorf("broke %d times; %v", g.broke, g.states)
 	}
@@ -395,11 +395,11 @@
 	line := `{"generation":43,"instances":[{"instanceId":"s-1","hostPort":"h:1","lifecycle":"terminating"}]}` + "\n"
 	for i, answer := range []string{"\r\n" + line + `{"generation":99,"instances":[`, "Content-Length: " + fmt.Sprint(len(line)) + "\r\n\r\n" + line,
 		"Content-Length: 999\r\n\r\n" + line} {
-		g.Index, g.states = 42, map[string]aspenshed.MemberState{}
+		g.Version, g.states = 42, map[string]aspenshed.MemberState{}
 		g.Watch()
 		s, began := g.asked(), g.clock.now
 		_ = s.conn.Write([]byte("HTTP/1.1 200 OK\r\n" + answer))
-		g.until("the list", func() bool { return g.Index == 43 })
+		g.until("the list", func() bool { return g.Version == 43 })
 		s.conn.Close()
 		g.until("the end", func() bool { return g.current == nil })
 		if g.states["s-1"] != aspenshed.Draining || g.broke != i {
@@ -420,7 +420,7 @@
 		s := g.asked()
 		_ = s.conn.Write([]byte(head))
 		s.member(42+i, false, false, "s-1", "terminating")
-		g.until("the good list", func() bool { return g.Index == int64(42+i) })
+		g.until("the good list", func() bool { return g.Version == int64(42+i) })
 		_ = s.conn.Write([]byte(bad))
 		began := g.clock.now
 		g.until("the break", func() bool {
@@ -431,8 +431,8 @@
 			}
 			return g.broke == i+1
 		})
-		if g.states["s-1"] != aspenshed.Draining || g.Index != int64(42+i) {
-			t.Errorf("%q: %v at %d", bad, g.states, g.Index)
+		if g.states["s-1"] != aspenshed.Draining || g.Version != int64(42+i) {
+			t.Errorf("%q: %v at %d", bad, g.states, g.Version)
 		}
 	}
 }
@@ -467,7 +467,7 @@
 	for range 3 {
 		s := g.asked()
 		_ = s.conn.Write([]byte(head))
-		s.tell(int(g.Index) + 1)
+		s.tell(int(g.Version) + 1)
 		n := len(g.versions)
 		g.until("the update", func() bool { return len(g.versions) > n })
 		s.conn.Close()
--- a/internal/discovery/dribble_test.go
+++ b/internal/discovery/dribble_test.go
@@ -40,7 +40,7 @@
 			g.until("the drain", func() bool { return g.states["s-1"] == aspenshed.Draining })
 			_ = next.conn.Write([]byte(head))
 			next.member(44, false, false, "s-2", "in_service")
-			g.until("the new watch's list", func() bool { return g.Index == 44 && g.previous == nil })
+			g.until("the new watch's list", func() bool { return g.Version == 44 && g.previous == nil })
 			g.unbroken(t)
 		},
 		"at the old watch, cut off by the new one": func(t *testing.T, g *rig) {
@@ -50,10 +50,10 @@
 			next := g.move(t, 42)
 			_ = next.conn.Write([]byte(head))
 			next.member(44, false, false, "s-2", "in_service")
-			g.until("the new watch's list", func() bool { return g.Index == 44 && g.previous == nil })
+			g.until("the new watch's list", func() bool { return g.Version == 44 && g.previous == nil })
 			g.dribble(old, list[half:], slowly)
 			next.member(45, false, false, "s-3", "in_service")
-			g.until("the next list", func() bool { return g.Index == 45 })
+			g.until("the next list", func() bool { return g.Version == 45 })
 			if g.states["s-1"] != aspenshed.Up {
 				t.Error("a watch that had ended was heard")
 			}
@@ -66,8 +66,8 @@
 			g.move(t, 42)
 			moved := g.clock.now
 			g.dribble(old, list[half:len(list)-lastBrace], tooSlowly)
-			if g.previous != nil || g.Index != 42 || g.states["s-1"] != aspenshed.Up {
-				t.Errorf("the old watch is %v, s-1 %d at %d", g.previous, g.states["s-1"], g.Index)
+			if g.previous != nil || g.Version != 42 || g.states["s-1"] != aspenshed.Up {
+				t.Errorf("the old watch is %v, s-1 %d at %d", g.previous, g.states["s-1"], g.Version)
 			}
 			g.brokenOnce(t, moved)
 		},
@@ -80,11 +80,11 @@
 				t.Fatal("half a list of the new watch ended the old one")
 			}
 			old.member(44, false, false, "s-2", "in_service")
-			g.until("the old watch's list", func() bool { return g.Index == 44 })
+			g.until("the old watch's list", func() bool { return g.Version == 44 })
 			g.dribble(next, list[len(list)-lastBrace:], 0)
 			g.until("the old watch's end", func() bool { return g.previous == nil })
 			next.member(45, false, false, "s-1", "terminating")
-			g.until("the new watch's list", func() bool { return g.Index == 45 })
+			g.until("the new watch's list", func() bool { return g.Version == 45 })
 			if g.states["s-1"] != aspenshed.Draining || g.states["s-2"] != aspenshed.Up {
 				t.Errorf("states %v", g.states)
 			}
@@ -96,8 +96,8 @@
 			moved := g.clock.now
 			_ = next.conn.Write([]byte(head))
 			g.dribble(next, list[:len(list)-lastBrace], tooSlowly)
-			if g.Index != 42 || g.states["s-1"] != aspenshed.Up {
-				t.Errorf("half a list counted: %v at %d", g.states, g.Index)
+			if g.Version != 42 || g.states["s-1"] != aspenshed.Up {
+				t.Errorf("half a list counted: %v at %d", g.states, g.Version)
 			}
 			g.brokenOnce(t, moved)
 			old.conn.Close()
@@ -115,7 +115,7 @@
 			g.dribble(first, list[half:], slowly)
 			_ = next.conn.Write([]byte(head))
 			next.member(43, true, false, "s-2", "in_service")
-			g.until("the new watch's list", func() bool { return g.Index == 43 })
+			g.until("the new watch's list", func() bool { return g.Version == 43 })
 			if _, heard := g.states["s-1"]; heard {
 				t.Error("a watch that had ended was heard")
 			}
--- a/internal/experiment/scale/voter.go
+++ b/internal/experiment/scale/voter.go
@@ -94,7 +94,7 @@
 
 // Status asks the daemon how its store stands.
 func (n *Node) Status() (s store.Status, err error) {
-	answer, err := daemon.Call(n.socket(), daemon.AdminRequest{Command: "status"})
+	answer, err := daemon.CallAdmin(n.socket(), daemon.AdminRequest{Command: "status"})
 	if err != nil {
 		return s, err
 	}
@@ -103,7 +103,7 @@
 
 // Rollout asks a voter how far a revision has come at the subscribers of all voters.
 func (n *Node) Rollout(rev uint64) (r store.RolloutReport, err error) {
-	answer, err := daemon.Call(n.socket(), daemon.AdminRequest{Command: "rollout", Revision: rev})
+	answer, err := daemon.CallAdmin(n.socket(), daemon.AdminRequest{Command: "rollout", Revision: rev})
 	if err != nil {
 		return r, err
 	}
--- a/internal/experiment/trial/trial.go
+++ b/internal/experiment/trial/trial.go
@@ -171,7 +171,7 @@
 	net.set(cut, true)
 	// The drain is agreed on while the old leader is cut off; that one hears it from its own list only, and the others'
 	// lists still say in_service. It counts as told once it is agreed on: the leader has just been lost.
-	if _, err := daemon.Call(admin, daemon.AdminRequest{Command: "drain", Key: dbs[drained].ID}); err != nil {
+	if _, err := daemon.CallAdmin(admin, daemon.AdminRequest{Command: "drain", Key: dbs[drained].ID}); err != nil {
 		return r, fmt.Errorf("drain: %w", err)
 	}
 	dbs[drained].Drain()
@@ -182,7 +182,7 @@
 	// A database starts cold just then. Both sides hear of it; only one side can agree on anything.
 	dbs[cold].Restart()
 	start := time.Now()
-	if _, err := daemon.Call(admin, daemon.AdminRequest{Command: "restart", Key: dbs[cold].ID}); err != nil {
+	if _, err := daemon.CallAdmin(admin, daemon.AdminRequest{Command: "restart", Key: dbs[cold].ID}); err != nil {
 		return r, fmt.Errorf("restart: %w", err)
 	}
 	d.Instances[cut].RunOnLoop(func() { d.Instances[cut].Front(daemon.WirePostgres).NotifyStarted(dbs[cold].ID, start) })
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -51,10 +51,10 @@
 	return fmt.Sprintf("line %d: field %s: %s", e.Line, e.Field, e.Problem)
 }
 
-// values are a member's fields as text, with the line they stand on.
-type values struct {
-	line int
-	of   map[string]string
+// fieldValues are a member's fields as text, with the line they stand on.
+type fieldValues struct {
+	line    int
+	byField map[string]string
 }
 
 // Read reads a file by its ending.
@@ -81,7 +81,7 @@
 	return nil, errors.New("the name must end in .csv, .yaml or .yml")
 }
 
-func readCSV(data []byte) (out []values, err error) {
+func readCSV(data []byte) (out []fieldValues, err error) {
 	r := csv.NewReader(bytes.NewReader(data))
 	head, err := r.Read()
 	if errors.Is(err, io.EOF) {
@@ -106,9 +106,9 @@
 			return nil, csvError(err)
 		}
 		line, _ := r.FieldPos(0)
-		v := values{line, map[string]string{}}
+		v := fieldValues{line, map[string]string{}}
 		for i, f := range head {
-			v.of[f] = row[i]
+			v.byField[f] = row[i]
 		}
 		out = append(out, v)
 	}
@@ -122,7 +122,7 @@
 	return err
 }
 
-func readYAML(data []byte) (out []values, err error) {
+func readYAML(data []byte) (out []fieldValues, err error) {
 	var doc yaml.Node
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	if err := dec.Decode(&doc); err != nil {
@@ -140,16 +140,16 @@
 		if n.Kind != yaml.MappingNode {
 			return nil, &FieldError{n.Line, "", "a member is expected"}
 		}
-		v := values{n.Line, map[string]string{}}
+		v := fieldValues{n.Line, map[string]string{}}
 		for i := 0; i < len(n.Content); i += 2 {
 			k, x := n.Content[i], n.Content[i+1]
-			if _, twice := v.of[k.Value]; twice || !isField(k.Value) {
+			if _, twice := v.byField[k.Value]; twice || !isField(k.Value) {
 				return nil, &FieldError{k.Line, k.Value, "unknown or named twice"}
 			}
 			if x.Kind != yaml.ScalarNode {
 				return nil, &FieldError{x.Line, k.Value, "one value is expected"}
 			}
-			v.of[k.Value] = x.Value
+			v.byField[k.Value] = x.Value
 		}
 		out = append(out, v)
 	}
@@ -166,20 +166,20 @@
 }
 
 // parse checks all values: what is accepted is written again just as it was read.
-func parse(rows []values, err error) ([]Member, error) {
+func parse(rows []fieldValues, err error) ([]Member, error) {
 	if err != nil {
 		return nil, err
 	}
 	ids := map[string]int{}
 	out := make([]Member, 0, len(rows))
 	for _, v := range rows {
-		m := Member{ID: v.of["id"], Address: v.of["address"], Site: v.of["site"], Kind: v.of["kind"], State: v.of["state"]}
+		m := Member{ID: v.byField["id"], Address: v.byField["address"], Site: v.byField["site"], Kind: v.byField["kind"], State: v.byField["state"]}
 		for _, f := range Fields {
-			if problem := check(f, v.of[f]); problem != "" {
+			if problem := check(f, v.byField[f]); problem != "" {
 				return nil, &FieldError{v.line, f, problem}
 			}
 		}
-		m.Group, _ = strconv.Atoi(v.of["group"])
+		m.Group, _ = strconv.Atoi(v.byField["group"])
 		if first, twice := ids[m.ID]; twice {
 			return nil, &FieldError{v.line, "id", fmt.Sprintf("%q stands on line %d too", m.ID, first)}
 		}
