--- a/cmd/aspenshed/main_test.go
+++ b/cmd/aspenshed/main_test.go
@@ -108,12 +108,12 @@
 	}
 	clock.at.Add(1)
 	for end, left := time.Now().Add(patient), -1; left != 0; turn() { // until what is sent comes behind the shutdown: before, it is answered
-		if g.loop.Post(func() { left = g.front.Sessions() }); time.Now().After(end) {
+		if g.loop.Post(func() { left = g.front.SessionCount() }); time.Now().After(end) {
 			t.Fatalf("%d sessions were never shut", left)
 		}
 		turn()
 		if left != 0 {
-			clock.at.Add(int64(drainTick))
+			clock.at.Add(int64(drainInterval))
 		}
 	}
 	for _, c := range []net.Conn{old, late} {
@@ -131,7 +131,7 @@
 		_ = c.Close()
 	}
 	for end := time.Now().Add(patient); ; {
-		clock.at.Add(int64(drainTick))
+		clock.at.Add(int64(drainInterval))
 		turn()
 		select {
 		case <-ended:
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -27,12 +27,12 @@
 )
 
 const (
-	// maxQueuedAnswers bounds what waits for a front's clients to read, bytes: as much as unanswered commands may take.
-	maxQueuedAnswers = 64 << 20
+	// maxQueuedResponseBytes bounds what waits for a front's clients to read, bytes: as much as unanswered commands may take.
+	maxQueuedResponseBytes = 64 << 20
 
-	loginLimit = aspenshed.Nanos(10e9) // MySQL's connect_timeout: to log in and send a first command
-	startLimit = aspenshed.Nanos(2e9)  // the same for PostgreSQL's wire, which asks for no password
-	mostHeld   = 8192
+	loginTimeout   = aspenshed.Nanos(10e9) // MySQL's connect_timeout: to log in and send a first command
+	startupTimeout = aspenshed.Nanos(2e9)  // the same for PostgreSQL's wire, which asks for no password
+	maxHeld        = 8192
 )
 
 // The wires, as an inventory's members name them in the catalog.
@@ -49,7 +49,7 @@
 	Manager  *session.Manager
 	Pipeline *pipeline.Pipeline
 
-	cfg     *config.Service
+	cfg     *config.Front
 	log     *logrus.Entry
 	control *Control     // nil: there is no control plane
 	agent   *agent.Agent // nil: the same
@@ -58,22 +58,22 @@
 // NewMySQL makes the MySQL front. Without a control plane its members are those of the inventory alone.
 func NewMySQL(c *config.MySQL, loop *eventloop.Loop, seed uint64, control *Control) (*Front, error) {
 	var f mysql.Front
-	x := &Front{Wire: WireMySQL, cfg: &c.Service, Manager: &f.Manager, control: control}
-	backend := &mysql.Backend{Loop: loop, User: c.Server.User, Password: c.Password, Database: c.Database,
+	x := &Front{Wire: WireMySQL, cfg: &c.Front, Manager: &f.Manager, control: control}
+	backend := &mysql.Backend{Loop: loop, User: c.Server.User, Password: c.ServerPassword, Database: c.Database,
 		Probes: mysql.Probes{Role: c.Probe.Role, Position: c.Probe.Position}}
-	f.Accounts, f.Database = c.Passwords, c.Database
+	f.Accounts, f.Database = c.AccountPasswords, c.Database
 	f.Defaults = mysql.Defaults{ReadClass: c.Defaults.ReadClass, WriteClass: c.Defaults.WriteClass, Tenant: c.Defaults.Tenant,
 		Group: c.Defaults.Group, WaitMs: c.Defaults.Wait.Milliseconds()}
-	err := x.start(loop, seed, loginLimit, f.Accept, func(n *netio.Net) request.Backend { backend.Net = n; return backend })
+	err := x.start(loop, seed, loginTimeout, f.Accept, func(n *netio.Net) request.Backend { backend.Net = n; return backend })
 	return x, err
 }
 
 // NewPostgres makes a front that speaks the platform's protocol.
 func NewPostgres(c *config.Postgres, loop *eventloop.Loop, seed uint64, control *Control) (*Front, error) {
 	var f postgres.Front
-	x := &Front{Wire: WirePostgres, cfg: &c.Service, Manager: &f.Manager, control: control}
+	x := &Front{Wire: WirePostgres, cfg: &c.Front, Manager: &f.Manager, control: control}
 	backend := &postgres.Backend{Loop: loop}
-	err := x.start(loop, seed, startLimit, f.Accept, func(n *netio.Net) request.Backend { backend.Net = n; return backend })
+	err := x.start(loop, seed, startupTimeout, f.Accept, func(n *netio.Net) request.Backend { backend.Net = n; return backend })
 	return x, err
 }
 
@@ -81,15 +81,15 @@
 	backend func(*netio.Net) request.Backend) (err error) {
 	c := f.cfg
 	f.log = logrus.WithField("front", f.Wire)
-	own, err := f.read()
+	own, err := f.readInventory()
 	if err != nil && (f.control == nil || !errors.Is(err, os.ErrNotExist)) {
 		return err
 	}
-	*f.Manager = session.Manager{Loop: loop, Settings: &c.Settings, Limits: session.Limits{Silent: silent, Idle: aspenshed.Nanos(c.ClientIdle),
-		Roomy: c.Clients * 3 / 4, Spare: silent}}
+	*f.Manager = session.Manager{Loop: loop, Settings: &c.Settings, Limits: session.Limits{CommandTimeout: silent, IdleTimeout: aspenshed.Nanos(c.ClientIdleTimeout),
+		ReclaimAbove: c.Clients * 3 / 4, ReclaimMinIdle: silent}}
 	ready := make(chan struct{})
-	f.Net, err = netio.New(netio.Config{Name: f.Wire, Listen: c.Listen, Clients: c.Clients, Dials: c.Links, Reserved: c.Links / 10,
-		Queued: maxQueuedAnswers,
+	f.Net, err = netio.New(netio.Config{Name: f.Wire, Listen: c.Listen, Clients: c.Clients, Dials: c.BackendConnections, Reserved: c.BackendConnections / 10,
+		Queued: maxQueuedResponseBytes,
 		Accept: func(x *netio.Conn) netio.Handler {
 			<-ready
 			return accept(x)
@@ -97,12 +97,12 @@
 	if err != nil {
 		return err
 	}
-	f.Pipeline = pipeline.New(pipeline.Config{Loop: loop, Log: f.log, Settings: c.Settings, Seed: seed, MostHeld: mostHeld,
+	f.Pipeline = pipeline.New(pipeline.Config{Loop: loop, Log: f.log, Settings: c.Settings, Seed: seed, MostHeld: maxHeld,
 		Backend: backend(f.Net), Watch: func() {}})
-	f.Manager.Take, f.Manager.Leave, f.Manager.Rejected = f.Pipeline.Accept.Take, f.Pipeline.Leave, f.Pipeline.Accounting.Rejected
+	f.Manager.Submit, f.Manager.Cancel, f.Manager.CountRejected = f.Pipeline.Accept.Take, f.Pipeline.Leave, f.Pipeline.Accounting.Rejected
 	list, addresses := aspenshed.MemberList{Whole: true}, map[string]string{}
 	if f.control == nil {
-		list, addresses = inventory.List(own)
+		list, addresses = inventory.MemberList(own)
 	}
 	if err := f.Pipeline.Start(list, addresses); err != nil {
 		f.Net.Stop()
@@ -123,36 +123,36 @@
 	if f.control.InForce != nil {
 		c.InForce = func(rev uint64) { f.control.InForce(f.Wire, rev) }
 	}
-	f.agent = agent.Start(c, f.told(own))
+	f.agent = agent.Start(c, f.rosterMembers(own))
 	if len(own) > 0 && !f.control.Subscriber {
-		go f.first(own)
+		go f.publishFirst(own)
 	}
 }
 
-func (f *Front) read() ([]inventory.Member, error) {
+func (f *Front) readInventory() ([]inventory.Member, error) {
 	if f.cfg.Inventory == "" {
 		return nil, nil
 	}
 	return inventory.Read(f.cfg.Inventory)
 }
 
-// told is an inventory as the agent takes it.
-func (f *Front) told(ms []inventory.Member) (out []roster.Told) {
-	l, addresses := inventory.List(ms)
+// rosterMembers is an inventory as the agent takes it.
+func (f *Front) rosterMembers(ms []inventory.Member) (out []roster.Told) {
+	l, addresses := inventory.MemberList(ms)
 	for i, m := range l.Members {
 		out = append(out, roster.Told{Member: m, Address: addresses[m.ID], Site: ms[i].Site})
 	}
 	return out
 }
 
-// first makes this instance's file the inventory of all, if there is none yet.
-func (f *Front) first(own []inventory.Member) {
-	if err := f.agent.First(entries(f.Wire, own)); err != nil {
+// publishFirst makes this instance's file the inventory of all, if there is none yet.
+func (f *Front) publishFirst(own []inventory.Member) {
+	if err := f.agent.First(catalogEntries(f.Wire, own)); err != nil {
 		f.log.WithError(err).Warn("inventory not stored")
 	}
 }
 
-func entries(wire string, ms []inventory.Member) (out []*pb.Entry) {
+func catalogEntries(wire string, ms []inventory.Member) (out []*pb.Entry) {
 	for _, m := range ms {
 		if m.State == "terminated" {
 			continue
@@ -164,35 +164,35 @@
 
 // Reload reads the inventory again, on the loop. A bad file changes nothing.
 func (f *Front) Reload() {
-	members, err := f.read()
+	members, err := f.readInventory()
 	if err != nil {
 		f.log.WithError(err).Error("inventory refused: the running one stays")
 		return
 	}
 	if f.agent == nil {
-		f.Pipeline.Members(inventory.List(members))
+		f.Pipeline.Members(inventory.MemberList(members))
 		f.log.WithField("members", len(members)).Info("inventory in use")
 		return
 	}
-	f.agent.Own(f.told(members))
+	f.agent.Own(f.rosterMembers(members))
 	if f.control.Subscriber { // the voters alone publish lists
 		return
 	}
 	go func() { // the loop must not wait for a majority
-		if err := f.agent.Publish(entries(f.Wire, members)); err != nil {
+		if err := f.agent.Publish(catalogEntries(f.Wire, members)); err != nil {
 			f.log.WithError(err).Warn("inventory not stored")
 		}
 	}()
 }
 
-// Hear tells the front alone that a member has started, as its own list would: for trials of what an instance does
+// NotifyStarted tells the front alone that a member has started, as its own list would: for trials of what an instance does
 // that cannot hear the store.
-func (f *Front) Hear(id string, start time.Time) {
+func (f *Front) NotifyStarted(id string, start time.Time) {
 	f.agent.Started(id, aspenshed.Nanos(start.UnixNano()))
 }
 
-// Left is how many clients' connections and requests are still there; closing: those between requests are closed first.
-func (f *Front) Left(closing bool) int {
+// Remaining is how many clients' connections and requests are still there; closing: those between requests are closed first.
+func (f *Front) Remaining(closing bool) int {
 	if closing {
 		f.Manager.CloseIdle()
 	}
--- a/internal/frontend/session/session_test.go
+++ b/internal/frontend/session/session_test.go
@@ -31,16 +31,16 @@
 	for _, fatal := range []bool{false, true} {
 		for _, reads := range []bool{true, false} {
 			c := &clock{1000 * ms}
-			d := &Manager{Loop: eventloop.NewLoop(c), Limits: Limits{Silent: 2000 * ms, Idle: 2000 * ms}, Rejected: func(string) {}}
+			d := &Manager{Loop: eventloop.NewLoop(c), Limits: Limits{CommandTimeout: 2000 * ms, IdleTimeout: 2000 * ms}, CountRejected: func(string) {}}
 			conn := &slow{unsent: true}
 			s := d.Open(conn)
-			s.Post(1, func(x *Slot) { x.Fill([]byte("a long answer")) })
+			s.Enqueue(1, func(x *Slot) { x.Respond([]byte("a long answer")) })
 			if fatal {
 				s.Fatal([]byte("an error"), "noise")
 			}
 			pass := func(span aspenshed.Nanos) {
-				for ; span > 0; span -= sweepEvery {
-					c.now += sweepEvery
+				for ; span > 0; span -= sweepInterval {
+					c.now += sweepInterval
 					d.Loop.Turn()
 				}
 			}
@@ -48,9 +48,9 @@
 				t.Fatalf("fatal %t: closed with bytes unsent", fatal)
 			}
 			if conn.unsent = !reads; reads {
-				pass(2 * sweepEvery)
+				pass(2 * sweepInterval)
 			} else {
-				pass(unreadLimit)
+				pass(unreadTimeout)
 			}
 			if !conn.closed {
 				t.Errorf("fatal %t, reads %t: still open", fatal, reads)
