--- a/cmd/aspenshed/rollout.go
+++ b/cmd/aspenshed/rollout.go
@@ -36,13 +36,13 @@
 // showRollout prints the counts, then the gateways that lag and what was refused, where there are any.
 func showRollout(c *cobra.Command, o *options, r store.RolloutReport) error {
 	out := c.OutOrStdout()
-	fmt.Fprintf(out, "revision %d: in force at %d of %d subscribers, by the voters %s\n", r.Revision, r.InForce, r.Subscribers, strings.Join(r.Answered, ", "))
-	if len(r.Silent) > 0 {
-		fmt.Fprintf(out, "no answer from %s: their subscribers are not counted\n", strings.Join(r.Silent, ", "))
+	fmt.Fprintf(out, "revision %d: in force at %d of %d subscribers, by the voters %s\n", r.Revision, r.Applied, r.Subscribers, strings.Join(r.Answered, ", "))
+	if len(r.Unreachable) > 0 {
+		fmt.Fprintf(out, "no answer from %s: their subscribers are not counted\n", strings.Join(r.Unreachable, ", "))
 	}
 	if len(r.Lagging) > 0 {
 		fmt.Fprintln(out)
-		err := show(c, o, r.Lagging, table{"lagging", "in force"}, func(x store.LaggingSubscriber) []any { return []any{x.Subscriber, x.InForce} })
+		err := show(c, o, r.Lagging, table{"lagging", "in force"}, func(x store.LaggingSubscriber) []any { return []any{x.Subscriber, x.Applied} })
 		if err != nil {
 			return err
 		}
--- a/cmd/aspenshed/store.go
+++ b/cmd/aspenshed/store.go
@@ -111,9 +111,9 @@
 			return asJSON(c, s)
 		}
 		fmt.Fprintf(c.OutOrStdout(), "%s of %s: %s, leader %s, term %d, %d of %d applied, configuration %d, inventory %d, digest %s, %d waiting\n\n",
-			s.ID, s.Cluster, s.Mode, s.Leader, s.Term, s.Applied, s.Commit, s.Config, s.Inventory, s.Digest, s.Waiting)
+			s.ID, s.Cluster, s.Mode, s.Leader, s.Term, s.Applied, s.Commit, s.Config, s.Inventory, s.Digest, s.Queued)
 		return show(c, o, s.Servers, table{"instance", "address", "service", "votes", "mode", "release", "last beat"}, func(x store.StatusInstance) []any {
-			return []any{x.ID, x.Address, x.Service, x.Voter, x.Mode, x.Release, ago(x.Beat)}
+			return []any{x.ID, x.Address, x.Service, x.Voter, x.Mode, x.Release, ago(x.LastHeartbeat)}
 		})
 	}}
 }
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -72,7 +72,7 @@
 		s.checkSubscriber(c)
 		return
 	}
-	for _, f := range s.Faults() {
+	for _, f := range s.Validate() {
 		c.bad("store."+f.Field, "%s", f.Problem)
 	}
 	for _, f := range []struct {
@@ -124,7 +124,7 @@
 			c.bad("store."+f.name, "%d bytes, %d at most", len(f.value), maxNameBytes)
 		}
 	}
-	if s.Rules() == nil {
+	if s.InitialRules() == nil {
 		c.bad("store.pool", "pool, clock_bound or most_instances out of range")
 	}
 	s.checkServers(c)
--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	tickEvery      = 100 * time.Millisecond
-	learnEvery     = aspenshed.Nanos(1e9)
-	repeatInterval = aspenshed.Nanos(1e9) // between two tellings of the store of a drain that it does not show yet
+	tickInterval        = 100 * time.Millisecond
+	learnInterval       = aspenshed.Nanos(1e9)
+	drainReportInterval = aspenshed.Nanos(1e9) // between two tellings of the store of a drain that it does not show yet
 )
 
 // Pipeline is what an agent tells; its methods are called on the loop.
@@ -45,17 +45,17 @@
 
 // Config is what an agent is made of.
 type Config struct {
-	Store    Store
-	Loop     *eventloop.Loop
-	Log      *logrus.Entry
-	Pipeline Pipeline
-	Wire     string // of the catalog's members only these are the pipeline's
-	Classes  []aspenshed.Class
-	Lease    aspenshed.Nanos // 0: no leases are asked for
-	// KeepLearned keeps learned rates and times to this instance: a subscriber's are of no use to the others one by one.
-	KeepLearned bool
-	// InForce hears, on the loop, of each revision that the pipeline has come to go by; nil: nobody does.
-	InForce func(rev uint64)
+	Store         Store
+	Loop          *eventloop.Loop
+	Log           *logrus.Entry
+	Pipeline      Pipeline
+	Wire          string // of the catalog's members only these are the pipeline's
+	Classes       []aspenshed.Class
+	LeaseDuration aspenshed.Nanos // 0: no leases are asked for
+	// KeepLearnedLocal keeps learned rates and times to this instance: a subscriber's are of no use to the others one by one.
+	KeepLearnedLocal bool
+	// OnApplied hears, on the loop, of each revision that the pipeline has come to go by; nil: nobody does.
+	OnApplied func(rev uint64)
 }
 
 // Agent is one pipeline's.
@@ -63,87 +63,87 @@
 	cfg  Config
 	wake chan struct{}
 	done chan struct{}
-	end  chan struct{}
-
-	mu         sync.Mutex
-	merger     *roster.Merger
-	holder     *lease.Holder
-	learned    aspenshed.Learned
-	ownNew     bool
-	had        bool                           // the catalog has named members of this wire
-	seen       [3]uint64                      // versions of the catalog that the four below were taken at
-	cold       []*pb.Member                   // copies
-	starts     map[string]aspenshed.ColdShare // of all members that have told a start: whether it is warm
-	groups     map[catalog.Group]catalog.GroupSummary
-	primary    map[string]bool                // as told
-	shares     map[string]aspenshed.ColdShare // as told
-	reportedAt map[string]aspenshed.Nanos
-	learntAt   aspenshed.Nanos
-	revision   uint64 // of the catalog, when it was last looked at
-	posted     uint64 // the revision that the loop has last been told of
+	stop chan struct{}
+
+	mu              sync.Mutex
+	merger          *roster.Merger
+	holder          *lease.Holder
+	learned         aspenshed.Learned
+	localChanged    bool
+	hasWireMembers  bool                           // the catalog has named members of this wire
+	seenVersions    [3]uint64                      // versions of the catalog that the four below were taken at
+	warmingMembers  []*pb.Member                   // copies
+	starts          map[string]aspenshed.ColdShare // of all members that have told a start: whether it is warm
+	groupSummaries  map[catalog.Group]catalog.GroupSummary
+	postedPrimaries map[string]bool                // as told
+	postedShares    map[string]aspenshed.ColdShare // as told
+	drainReportedAt map[string]aspenshed.Nanos
+	lastLearnAt     aspenshed.Nanos
+	revision        uint64 // of the catalog, when it was last looked at
+	postedRevision  uint64 // the revision that the loop has last been told of
 }
 
 // Start begins; own is the instance's own list, as far as it has one.
-func Start(c Config, own []roster.Told) *Agent {
-	a := &Agent{cfg: c, wake: make(chan struct{}, 1), done: make(chan struct{}), end: make(chan struct{}), merger: roster.New(),
-		shares: map[string]aspenshed.ColdShare{}, primary: map[string]bool{}, starts: map[string]aspenshed.ColdShare{}, reportedAt: map[string]aspenshed.Nanos{},
-		holder: lease.NewHolder(c.Store.ID(), c.Store.Boot(), c.Lease)}
+func Start(c Config, own []roster.Entry) *Agent {
+	a := &Agent{cfg: c, wake: make(chan struct{}, 1), done: make(chan struct{}), stop: make(chan struct{}), merger: roster.New(),
+		postedShares: map[string]aspenshed.ColdShare{}, postedPrimaries: map[string]bool{}, starts: map[string]aspenshed.ColdShare{}, drainReportedAt: map[string]aspenshed.Nanos{},
+		holder: lease.NewHolder(c.Store.ID(), c.Store.Boot(), c.LeaseDuration)}
 	if own != nil {
-		a.Own(own)
+		a.SetLocalMembers(own)
 	}
 	go a.run()
 	return a
 }
 
-// Poke has the agent look again soon. It does not block.
-func (a *Agent) Poke() {
+// Wake has the agent look again soon. It does not block.
+func (a *Agent) Wake() {
 	select {
 	case a.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Own takes the instance's own list.
-func (a *Agent) Own(list []roster.Told) {
+// SetLocalMembers takes the instance's own list.
+func (a *Agent) SetLocalMembers(list []roster.Entry) {
 	a.mu.Lock()
-	a.merger.Own(list)
-	a.ownNew = true
+	a.merger.SetLocal(list)
+	a.localChanged = true
 	a.mu.Unlock()
-	a.Poke()
+	a.Wake()
 }
 
-// Started takes word of a member's start that came with no list.
-func (a *Agent) Started(id string, at aspenshed.Nanos) {
+// ObserveStart takes word of a member's start that came with no list.
+func (a *Agent) ObserveStart(id string, at aspenshed.Nanos) {
 	a.mu.Lock()
-	a.merger.Started(id, at)
-	a.ownNew = true
+	a.merger.ObserveStart(id, at)
+	a.localChanged = true
 	a.mu.Unlock()
-	a.Poke()
+	a.Wake()
 }
 
 // Drain takes the administrator's word. It holds here whether or not there is a majority to agree on it.
 func (a *Agent) Drain(id string) {
 	a.mu.Lock()
 	a.merger.Drain(id)
-	a.ownNew = true
+	a.localChanged = true
 	a.mu.Unlock()
-	a.Poke()
+	a.Wake()
 }
 
 // Stop ends the agent.
 func (a *Agent) Stop() {
-	close(a.end)
+	close(a.stop)
 	<-a.done
 }
 
 func (a *Agent) run() {
 	defer close(a.done)
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		a.Tick(a.cfg.Loop.Now())
 		select {
-		case <-a.end:
+		case <-a.stop:
 			return
 		case <-a.wake:
 		case <-t.C:
@@ -155,38 +155,38 @@
 func (a *Agent) Tick(now aspenshed.Nanos) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	n := a.look()
+	n := a.readCatalog()
 	if len(n.differs) > 0 {
-		a.tellChanged(n.differs)
+		a.postChangedMembers(n.differs)
 	}
 	if n.whole {
-		a.tellMembers()
+		a.postMembers()
 	}
-	if a.cfg.Lease > 0 {
-		for _, x := range a.holder.Step(now, a.cold, a.want) {
+	if a.cfg.LeaseDuration > 0 {
+		for _, x := range a.holder.Step(now, a.warmingMembers, a.demand) {
 			a.cfg.Store.Offer("ask "+x.Member, &pb.Command{Body: &pb.Command_Ask{Ask: x}})
 		}
 	}
-	a.tellShares(now, n)
-	a.tellInForce(a.revision)
+	a.postShares(now, n)
+	a.postApplied(a.revision)
 	a.reportDrains(now)
-	if now >= a.learntAt+learnEvery {
-		a.learntAt = now
-		a.learn()
+	if now >= a.lastLearnAt+learnInterval {
+		a.lastLearnAt = now
+		a.collectLearned()
 	}
 }
 
-// tellInForce follows what was posted to the loop for a revision.
-func (a *Agent) tellInForce(rev uint64) {
-	if a.cfg.InForce == nil || rev == a.posted {
+// postApplied follows what was posted to the loop for a revision.
+func (a *Agent) postApplied(rev uint64) {
+	if a.cfg.OnApplied == nil || rev == a.postedRevision {
 		return
 	}
-	a.posted = rev
-	a.cfg.Loop.Post(func() { a.cfg.InForce(rev) })
+	a.postedRevision = rev
+	a.cfg.Loop.Post(func() { a.cfg.OnApplied(rev) })
 }
 
-// want is the work a second that this instance sees in a group.
-func (a *Agent) want(group int32) float64 {
+// demand is the work a second that this instance sees in a group.
+func (a *Agent) demand(group int32) float64 {
 	for _, g := range a.learned.Groups {
 		if g.Group == int(group) {
 			return g.Warm
@@ -195,27 +195,27 @@
 	return 0
 }
 
-// alike tells whether two shares differ in nothing but a rate that has changed by less than a tenth.
-func alike(a, b aspenshed.ColdShare) bool {
+// nearlyEqual tells whether two shares differ in nothing but a rate that has changed by less than a tenth.
+func nearlyEqual(a, b aspenshed.ColdShare) bool {
 	d := a.Rate - b.Rate
 	a.Rate = b.Rate
 	return a == b && max(d, -d) < b.Rate/10
 }
 
 func (a *Agent) reportDrains(now aspenshed.Nanos) {
-	unsaid := a.merger.Unsaid()
+	unsaid := a.merger.UnreportedDrains()
 	for _, id := range slices.Sorted(maps.Keys(unsaid)) {
-		if at, said := a.reportedAt[id]; said && now < at+repeatInterval {
+		if at, said := a.drainReportedAt[id]; said && now < at+drainReportInterval {
 			continue
 		}
-		a.reportedAt[id] = now
+		a.drainReportedAt[id] = now
 		a.cfg.Store.Offer("drain "+id, &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: id, Start: int64(unsaid[id]),
 			Reason: "told to " + a.cfg.Store.ID()}}})
 	}
-	maps.DeleteFunc(a.reportedAt, func(id string, _ aspenshed.Nanos) bool { _, still := unsaid[id]; return !still })
+	maps.DeleteFunc(a.drainReportedAt, func(id string, _ aspenshed.Nanos) bool { _, still := unsaid[id]; return !still })
 }
 
-// mine are the members that speak the pipeline's wire.
-func (a *Agent) mine(all []*pb.Member) []*pb.Member {
+// filterWire are the members that speak the pipeline's wire.
+func (a *Agent) filterWire(all []*pb.Member) []*pb.Member {
 	return slices.DeleteFunc(all, func(m *pb.Member) bool { return m.Entry.Wire != a.cfg.Wire })
 }
--- a/internal/controlplane/agent/learn.go
+++ b/internal/controlplane/agent/learn.go
@@ -7,25 +7,25 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// learn has the loop tell what the Router knows, and passes on what the store has not heard.
-func (a *Agent) learn() {
+// collectLearned has the loop tell what the Router knows, and passes on what the store has not heard.
+func (a *Agent) collectLearned() {
 	a.cfg.Loop.Post(func() {
 		l, ok := a.cfg.Pipeline.Learned()
 		if !ok {
 			return
 		}
-		go a.Learn(l) // the loop must not wait for the store's lock
+		go a.ReportLearned(l) // the loop must not wait for the store's lock
 	})
 }
 
-// Learn takes what the Router knows. Starts and changes of primary go to the store at once, rates and times as a
+// ReportLearned takes what the Router knows. Starts and changes of primary go to the store at once, rates and times as a
 // summary.
-func (a *Agent) Learn(l aspenshed.Learned) {
+func (a *Agent) ReportLearned(l aspenshed.Learned) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.learned = l
-	if !a.cfg.KeepLearned {
-		a.cfg.Store.Offer("learn "+a.cfg.Wire, &pb.Command{Body: &pb.Command_Learn{Learn: a.summary(l)}})
+	if !a.cfg.KeepLearnedLocal {
+		a.cfg.Store.Offer("learn "+a.cfg.Wire, &pb.Command{Body: &pb.Command_Learn{Learn: a.learnedSummary(l)}})
 	}
 	a.cfg.Store.Read(func(c *catalog.Catalog) {
 		a.reportStarts(c, l.Back)
@@ -33,8 +33,8 @@
 	})
 }
 
-// summary is what the others hear of rates and times.
-func (a *Agent) summary(l aspenshed.Learned) *pb.Learn {
+// learnedSummary is what the others hear of rates and times.
+func (a *Agent) learnedSummary(l aspenshed.Learned) *pb.Learn {
 	x := &pb.Learn{Instance: a.cfg.Store.ID(), Wire: a.cfg.Wire}
 	for _, g := range l.Groups {
 		x.Groups = append(x.Groups, &pb.GroupWord{Group: int32(g.Group), Primary: g.Primary, PrimaryAt: int64(g.PrimaryAt), WarmRate: g.Warm})
--- a/internal/controlplane/agent/members.go
+++ b/internal/controlplane/agent/members.go
@@ -19,73 +19,73 @@
 	ChangedMembers(rev uint64) (ids []string, known bool)
 }
 
-// news is what a look at the catalog has found.
-type news struct {
-	whole   bool          // everything may differ
-	changed []string      // else: these members may
-	differs []roster.Told // of them, what the merged list has otherwise than before
+// catalogChanges is what a look at the catalog has found.
+type catalogChanges struct {
+	whole   bool           // everything may differ
+	changed []string       // else: these members may
+	differs []roster.Entry // of them, what the merged list has otherwise than before
 }
 
-// look takes what is new in the catalog.
-func (a *Agent) look() (n news) {
+// readCatalog takes what is new in the catalog.
+func (a *Agent) readCatalog() (n catalogChanges) {
 	a.cfg.Store.Read(func(c *catalog.Catalog) {
 		members, learned, leases := c.Versions()
-		was, since := a.seen, a.revision
-		a.seen, a.revision = [3]uint64{members, learned, leases}, c.Index()
-		if a.ownNew || members != was[0] {
-			n = a.lookAtMembers(c, since)
+		was, since := a.seenVersions, a.revision
+		a.seenVersions, a.revision = [3]uint64{members, learned, leases}, c.Index()
+		if a.localChanged || members != was[0] {
+			n = a.readMembers(c, since)
 		}
 		if n.whole || leases != was[2] {
-			a.cold = a.mine(c.ColdMembers())
+			a.warmingMembers = a.filterWire(c.WarmingMembers())
 		}
 		if n.whole || learned != was[1] {
-			a.groups, n.whole = c.GroupSummaries(), true
+			a.groupSummaries, n.whole = c.GroupSummaries(), true
 		}
 	})
-	a.ownNew = false
+	a.localChanged = false
 	return n
 }
 
-// lookAtMembers takes the members that have changed after a revision, or all of them.
-func (a *Agent) lookAtMembers(c *catalog.Catalog, since uint64) (n news) {
+// readMembers takes the members that have changed after a revision, or all of them.
+func (a *Agent) readMembers(c *catalog.Catalog, since uint64) (n catalogChanges) {
 	feed, has := a.cfg.Store.(changeFeed)
-	if has && !a.ownNew && a.merger.FollowsChanges() {
+	if has && !a.localChanged && a.merger.CanApplyChanges() {
 		ids, known := feed.ChangedMembers(since)
 		if known {
-			n.changed, n.differs = ids, a.takeChanges(c, ids)
-			n.whole = a.namesNewPrimary(c, ids)
+			n.changed, n.differs = ids, a.applyMemberChanges(c, ids)
+			n.whole = a.hasNewPrimary(c, ids)
 			return n
 		}
 	}
-	a.takeMembers(c)
-	return news{whole: true}
+	a.loadMembers(c)
+	return catalogChanges{whole: true}
 }
 
-// namesNewPrimary reports whether one of the members is known for a primary, and has not been told as one.
-func (a *Agent) namesNewPrimary(c *catalog.Catalog, ids []string) bool {
+// hasNewPrimary reports whether one of the members is known for a primary, and has not been told as one.
+func (a *Agent) hasNewPrimary(c *catalog.Catalog, ids []string) bool {
 	return slices.ContainsFunc(ids, func(id string) bool {
 		m := c.Member(id)
-		return m != nil && c.Primary(catalog.GroupOf(m.Entry)).GetMember() == id && !a.primary[id]
+		return m != nil && c.Primary(catalog.GroupOf(m.Entry)).GetMember() == id && !a.postedPrimaries[id]
 	})
 }
 
-// takeMembers takes all that the catalog holds of this wire.
-func (a *Agent) takeMembers(c *catalog.Catalog) {
-	members := a.mine(c.Members())
-	version := c.Inventory()
-	if a.had = a.had || len(members) > 0; !a.had { // an inventory of another wire says nothing of this one
+// loadMembers takes all that the catalog holds of this wire.
+func (a *Agent) loadMembers(c *catalog.Catalog) {
+	members := a.filterWire(c.Members())
+	version := c.InventoryVersion()
+	if a.hasWireMembers = a.hasWireMembers || len(members) > 0; !a.hasWireMembers { // an inventory of another wire says nothing of this one
 		version = 0
 	}
-	a.merger.Catalog(version, members)
+	a.merger.SetCatalog(version, members)
 	a.starts = map[string]aspenshed.ColdShare{}
 	for _, m := range members {
-		a.noteStart(m)
+		a.recordStart(m)
 	}
-	maps.DeleteFunc(a.shares, func(id string, _ aspenshed.ColdShare) bool { _, here := a.starts[id]; return !here })
+	maps.DeleteFunc(a.postedShares, func(id string, _ aspenshed.ColdShare) bool { _, here := a.starts[id]; return !here })
 }
 
-// takeChanges brings what follows from single members up to date.
-func (a *Agent) takeChanges(c *catalog.Catalog, ids []string) (differs []roster.Told) {
+// applyMemberChanges brings what follows from single members up to date.
+func (a *Agent) applyMemberChanges(c *catalog.Catalog, ids []string) (differs []roster.Entry) {
 	changes := make([]roster.Change, 0, len(ids))
 	changed := make(map[string]bool, len(ids))
 	for _, id := range ids {
@@ -96,86 +96,86 @@
 		changes = append(changes, roster.Change{ID: id, Member: m})
 		changed[id] = true
 	}
-	a.cold = slices.DeleteFunc(a.cold, func(m *pb.Member) bool { return changed[m.Entry.Id] })
+	a.warmingMembers = slices.DeleteFunc(a.warmingMembers, func(m *pb.Member) bool { return changed[m.Entry.Id] })
 	for _, x := range changes {
-		a.takeChange(x)
+		a.applyMemberChange(x)
 	}
-	return a.merger.Changes(c.Inventory(), changes)
+	return a.merger.ApplyChanges(c.InventoryVersion(), changes)
 }
 
-func (a *Agent) takeChange(x roster.Change) {
+func (a *Agent) applyMemberChange(x roster.Change) {
 	delete(a.starts, x.ID)
 	if x.Member != nil {
-		a.noteStart(x.Member)
-		if catalog.Cold(x.Member) {
-			a.cold = append(a.cold, proto.Clone(x.Member).(*pb.Member))
+		a.recordStart(x.Member)
+		if catalog.IsWarming(x.Member) {
+			a.warmingMembers = append(a.warmingMembers, proto.Clone(x.Member).(*pb.Member))
 		}
 	}
 	if _, here := a.starts[x.ID]; !here {
-		delete(a.shares, x.ID)
+		delete(a.postedShares, x.ID)
 	}
 }
 
-// noteStart remembers whether a member's start is warm.
-func (a *Agent) noteStart(m *pb.Member) {
+// recordStart remembers whether a member's start is warm.
+func (a *Agent) recordStart(m *pb.Member) {
 	if m.Start > 0 {
-		a.starts[m.Entry.Id] = aspenshed.ColdShare{Member: m.Entry.Id, StartedAt: aspenshed.Nanos(m.Start), Warm: !catalog.Cold(m)}
+		a.starts[m.Entry.Id] = aspenshed.ColdShare{Member: m.Entry.Id, StartedAt: aspenshed.Nanos(m.Start), Warm: !catalog.IsWarming(m)}
 	}
 }
 
-// tellMembers tells the list if it, or whom the instances take for primaries, has changed.
-func (a *Agent) tellMembers() {
-	list, changed := a.merger.Merged()
+// postMembers tells the list if it, or whom the instances take for primaries, has changed.
+func (a *Agent) postMembers() {
+	list, changed := a.merger.Merge()
 	primary := map[string]bool{}
-	for _, w := range a.groups {
+	for _, w := range a.groupSummaries {
 		if w.Primary != "" {
 			primary[w.Primary] = true
 		}
 	}
-	if !changed && maps.Equal(primary, a.primary) {
+	if !changed && maps.Equal(primary, a.postedPrimaries) {
 		return
 	}
-	a.primary = primary
+	a.postedPrimaries = primary
 	if changed {
 		a.cfg.Log.WithField("members", len(list)).Info("inventory in use")
 	}
-	a.post(true, list)
+	a.postMemberList(true, list)
 }
 
-// tellChanged tells members that have changed, or are gone, out of a list that stays.
-func (a *Agent) tellChanged(differs []roster.Told) {
+// postChangedMembers tells members that have changed, or are gone, out of a list that stays.
+func (a *Agent) postChangedMembers(differs []roster.Entry) {
 	a.cfg.Log.WithField("changed", len(differs)).Debug("inventory in use")
-	a.post(false, differs)
+	a.postMemberList(false, differs)
 }
 
-// post has the loop take a list, or a part of it.
-func (a *Agent) post(whole bool, list []roster.Told) {
+// postMemberList has the loop take a list, or a part of it.
+func (a *Agent) postMemberList(whole bool, list []roster.Entry) {
 	l, addresses := aspenshed.MemberList{Whole: whole}, map[string]string{}
 	for _, t := range list {
-		t.Primary = t.Primary || a.primary[t.ID]
+		t.Primary = t.Primary || a.postedPrimaries[t.ID]
 		l.Members = append(l.Members, t.Member)
 		addresses[t.ID] = t.Address
 	}
 	a.cfg.Loop.Post(func() { a.cfg.Pipeline.Members(l, addresses) })
 }
 
-// tellShares tells what is new of each start: that it is warm, or what may be sent to it while it is cold. It comes
+// postShares tells what is new of each start: that it is warm, or what may be sent to it while it is cold. It comes
 // after the list that names the start.
-func (a *Agent) tellShares(now aspenshed.Nanos, n news) {
+func (a *Agent) postShares(now aspenshed.Nanos, n catalogChanges) {
 	var updates []aspenshed.ColdShare
 	tell := func(x aspenshed.ColdShare) {
-		if old, told := a.shares[x.Member]; !told || old != x && !alike(old, x) {
-			a.shares[x.Member] = x
+		if old, told := a.postedShares[x.Member]; !told || old != x && !nearlyEqual(old, x) {
+			a.postedShares[x.Member] = x
 			updates = append(updates, x)
 		}
 	}
-	for _, m := range a.cold {
+	for _, m := range a.warmingMembers {
 		x := a.starts[m.Entry.Id]
 		x.Part, x.Until = a.holder.Share(now, x.Member, m.Start)
-		x.Rate = a.groups[catalog.GroupOf(m.Entry)].WarmRate
+		x.Rate = a.groupSummaries[catalog.GroupOf(m.Entry)].WarmRate
 		tell(x)
 	}
-	a.eachWarm(n, tell)
+	a.eachWarmedUp(n, tell)
 	if len(updates) > 0 {
 		a.cfg.Loop.Post(func() {
 			for _, x := range updates {
@@ -185,8 +185,8 @@
 	}
 }
 
-// eachWarm calls f for warm starts that may be new: thousands are not looked at at each tick.
-func (a *Agent) eachWarm(n news, f func(aspenshed.ColdShare)) {
+// eachWarmedUp calls f for warm starts that may be new: thousands are not looked at at each tick.
+func (a *Agent) eachWarmedUp(n catalogChanges, f func(aspenshed.ColdShare)) {
 	if n.whole {
 		for _, x := range a.starts {
 			if x.Warm {
--- a/internal/controlplane/agent/members_test.go
+++ b/internal/controlplane/agent/members_test.go
@@ -46,7 +46,7 @@
 func (h *heldCatalog) apply(commands ...*pb.Command) {
 	rev := h.catalog.Index() + 1
 	for i, c := range commands {
-		c.Origin, c.Seq, c.Kind, c.At = "test", 1000*rev+uint64(i), catalog.Kind(c), int64(rev)*1e9
+		c.Origin, c.Seq, c.Kind, c.At = "test", 1000*rev+uint64(i), catalog.CommandKind(c), int64(rev)*1e9
 	}
 	h.catalog.Apply(rev, &pb.Batch{Commands: commands})
 	for _, x := range h.catalog.TakeChanges() {
@@ -131,9 +131,9 @@
 func newAgent(s Store, p Pipeline) *Agent {
 	log, _ := logtest.NewNullLogger()
 	return &Agent{cfg: Config{Store: s, Loop: eventloop.NewLoop(eventloop.NewClock()), Log: logrus.NewEntry(log), Pipeline: p, Wire: "mysql",
-		KeepLearned: true, InForce: func(uint64) {}},
-		wake: make(chan struct{}, 1), merger: roster.New(), shares: map[string]aspenshed.ColdShare{}, primary: map[string]bool{},
-		starts: map[string]aspenshed.ColdShare{}, reportedAt: map[string]aspenshed.Nanos{}, holder: lease.NewHolder("gw1", "1", 0)}
+		KeepLearnedLocal: true, OnApplied: func(uint64) {}},
+		wake: make(chan struct{}, 1), merger: roster.New(), postedShares: map[string]aspenshed.ColdShare{}, postedPrimaries: map[string]bool{},
+		starts: map[string]aspenshed.ColdShare{}, drainReportedAt: map[string]aspenshed.Nanos{}, holder: lease.NewHolder("gw1", "1", 0)}
 }
 
 func (a *Agent) tickOnce() {
@@ -196,7 +196,7 @@
 				id := fmt.Sprint("m", rng.IntN(8))
 				taker.merger.Drain(id)
 				follower.merger.Drain(id)
-				taker.ownNew, follower.ownNew = true, true
+				taker.localChanged, follower.localChanged = true, true
 			}
 			taker.tickOnce()
 			follower.tickOnce()
--- a/internal/controlplane/agent/publish.go
+++ b/internal/controlplane/agent/publish.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	publishWait = 10 * time.Second
+	publishTimeout = 10 * time.Second
 	// maxPublishBytes bounds one command of a published list: far below a frame's 4 MiB, so that a large list does not
 	// hold up what else goes to the leader.
 	maxPublishBytes = 256 << 10
-	// maxFirstBytes bounds a first list, which goes in one command: below a frame's 4 MiB, with room for the rest of it.
+	// maxInitialListBytes bounds a first list, which goes in one command: below a frame's 4 MiB, with room for the rest of it.
 	// 42,000 members, twice the planned fleet, take 2.6 MB.
-	maxFirstBytes = 4<<20 - 64<<10
-	entryOverhead = 6 // bytes of an entry or id in a command, beside its own: tag and length
+	maxInitialListBytes = 4<<20 - 64<<10
+	entryOverhead       = 6 // bytes of an entry or id in a command, beside its own: tag and length
 )
 
 // RefusedError is a list, or a part of it, that the store did not take.
@@ -39,7 +39,7 @@
 func (a *Agent) Publish(own []*pb.Entry) error {
 	var changed []*pb.Entry
 	var removed []string
-	err := a.cfg.Store.ReadLatest(publishWait, func(c *catalog.Catalog) {
+	err := a.cfg.Store.ReadLatest(publishTimeout, func(c *catalog.Catalog) {
 		changed, removed = c.Difference(a.cfg.Wire, own)
 	})
 	if err != nil {
@@ -47,50 +47,50 @@
 	}
 	// What is new comes first: no group is without members on the way.
 	for _, c := range a.publishCommands(changed, removed) {
-		if err := a.submitList(c); err != nil {
+		if err := a.submitCommand(c); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// First makes the own list that of all where the catalog knows no member of this wire: at the first start of an
+// PublishInitial makes the own list that of all where the catalog knows no member of this wire: at the first start of an
 // installation. It retries until it is settled, the list proves too long, or
 // the agent stops.
-func (a *Agent) First(own []*pb.Entry) (err error) {
-	for wait := tickEvery; ; wait = min(2*wait, publishWait) {
-		err = a.publishFirst(own)
+func (a *Agent) PublishInitial(own []*pb.Entry) (err error) {
+	for wait := tickInterval; ; wait = min(2*wait, publishTimeout) {
+		err = a.tryPublishInitial(own)
 		if tooLong := (*ListSizeError)(nil); err == nil || errors.As(err, &tooLong) {
 			return err
 		}
 		select {
-		case <-a.end:
+		case <-a.stop:
 			return err
 		case <-time.After(wait):
 		}
 	}
 }
 
-// publishFirst sends the whole list as one command, so that nobody goes by a part of it, and on top of the version
+// tryPublishInitial sends the whole list as one command, so that nobody goes by a part of it, and on top of the version
 // that it has seen, as another instance may do the same.
-func (a *Agent) publishFirst(own []*pb.Entry) error {
+func (a *Agent) tryPublishInitial(own []*pb.Entry) error {
 	list := &pb.UpsertMembers{Members: own, Author: a.cfg.Store.ID(), Checked: true}
 	known := false
-	err := a.cfg.Store.ReadLatest(publishWait, func(c *catalog.Catalog) {
+	err := a.cfg.Store.ReadLatest(publishTimeout, func(c *catalog.Catalog) {
 		known = c.HasWire(a.cfg.Wire)
-		list.Base = c.Inventory()
+		list.Base = c.InventoryVersion()
 	})
 	if err != nil || known || len(own) == 0 {
 		return err
 	}
-	if n := proto.Size(list); n > maxFirstBytes {
-		return &ListSizeError{n, maxFirstBytes}
+	if n := proto.Size(list); n > maxInitialListBytes {
+		return &ListSizeError{n, maxInitialListBytes}
 	}
-	return a.submitList(&pb.Command{Body: &pb.Command_UpsertMembers{UpsertMembers: list}})
+	return a.submitCommand(&pb.Command{Body: &pb.Command_UpsertMembers{UpsertMembers: list}})
 }
 
-func (a *Agent) submitList(c *pb.Command) error {
-	r, err := a.cfg.Store.Submit(c, publishWait)
+func (a *Agent) submitCommand(c *pb.Command) error {
+	r, err := a.cfg.Store.Submit(c, publishTimeout)
 	if err == nil && r.Refused != "" {
 		err = &RefusedError{r.Refused}
 	}
@@ -101,18 +101,18 @@
 func (a *Agent) publishCommands(changed []*pb.Entry, removed []string) (out []*pb.Command) {
 	author := a.cfg.Store.ID()
 	entryBytes := func(e *pb.Entry) int { return proto.Size(e) + entryOverhead }
-	for _, part := range split(changed, entryBytes) {
+	for _, part := range splitBySize(changed, entryBytes) {
 		out = append(out, &pb.Command{Body: &pb.Command_UpsertMembers{UpsertMembers: &pb.UpsertMembers{Members: part, Author: author}}})
 	}
 	idBytes := func(id string) int { return len(id) + entryOverhead }
-	for _, part := range split(removed, idBytes) {
+	for _, part := range splitBySize(removed, idBytes) {
 		out = append(out, &pb.Command{Body: &pb.Command_RemoveMembers{RemoveMembers: &pb.RemoveMembers{Members: part, Author: author}}})
 	}
 	return out
 }
 
-// split cuts a list into parts of at most maxPublishBytes.
-func split[T any](list []T, size func(T) int) (parts [][]T) {
+// splitBySize cuts a list into parts of at most maxPublishBytes.
+func splitBySize[T any](list []T, size func(T) int) (parts [][]T) {
 	begin, bytes := 0, 0
 	for i, x := range list {
 		n := size(x)
--- a/internal/controlplane/agent/publish_test.go
+++ b/internal/controlplane/agent/publish_test.go
@@ -74,8 +74,8 @@
 	_, transport := raft.NewInmemTransport("r-a")
 	self := store.Peer{ID: "a", Address: "r-a", Service: "s-a"}
 	s, err := store.Open(store.Config{Cluster: "t", ID: self.ID, Address: self.Address, Service: self.Service, Peers: []store.Peer{self},
-		DataDir: t.TempDir(), Quick: true, Transport: transport, Caller: noCaller{},
-		Logs: func(l raft.LogStore) raft.LogStore { log.LogStore = l; return log }})
+		DataDir: t.TempDir(), ShortTimeouts: true, Transport: transport, Caller: noCaller{},
+		WrapLogStore: func(l raft.LogStore) raft.LogStore { log.LogStore = l; return log }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 			t.Error(err)
 		}
 	})
-	return &Agent{cfg: Config{Store: s, Wire: "mysql"}, end: make(chan struct{})}, log
+	return &Agent{cfg: Config{Store: s, Wire: "mysql"}, stop: make(chan struct{})}, log
 }
 
 // fleet is a list of so many members, as a front makes it of its file.
@@ -118,7 +118,7 @@
 	for _, members := range []int{2100, 10500, 21000} {
 		a, log := single(t)
 		list := fleet(members)
-		if err := a.First(list); err != nil {
+		if err := a.PublishInitial(list); err != nil {
 			t.Fatal(err)
 		}
 		first, entries := log.take()
@@ -152,12 +152,12 @@
 // A list of which half is new goes in commands of bounded size, additions before removals, and touches no other wire.
 func TestALargeDifferenceGoesInParts(t *testing.T) {
 	a, log := single(t)
-	if err := a.First(fleet(12000)); err != nil {
+	if err := a.PublishInitial(fleet(12000)); err != nil {
 		t.Fatal(err)
 	}
-	other := &Agent{cfg: Config{Store: a.cfg.Store, Wire: "postgres"}, end: make(chan struct{})}
+	other := &Agent{cfg: Config{Store: a.cfg.Store, Wire: "postgres"}, stop: make(chan struct{})}
 	foreign := []*pb.Entry{{Id: "po-a", Address: "10.1.1.1:5432", Wire: "postgres", State: "in_service"}}
-	if err := other.First(foreign); err != nil {
+	if err := other.PublishInitial(foreign); err != nil {
 		t.Fatal(err)
 	}
 	log.take()
@@ -177,24 +177,24 @@
 // A first list makes nobody cold, is not put over another's, and one that is too long is named at once.
 func TestAFirstListIsPutOnce(t *testing.T) {
 	a, _ := single(t)
-	if err := a.First(fleet(3)); err != nil {
+	if err := a.PublishInitial(fleet(3)); err != nil {
 		t.Fatal(err)
 	}
 	a.cfg.Store.Read(func(c *catalog.Catalog) {
-		if n := len(c.ColdMembers()); n != 0 {
+		if n := len(c.WarmingMembers()); n != 0 {
 			t.Errorf("%d members are cold", n)
 		}
 	})
-	if err := a.First(fleet(5)); err != nil || len(a.held()) != 3 {
+	if err := a.PublishInitial(fleet(5)); err != nil || len(a.held()) != 3 {
 		t.Errorf("a second first list: %v, %d members", err, len(a.held()))
 	}
-	long := &Agent{cfg: Config{Store: a.cfg.Store, Wire: "postgres"}, end: make(chan struct{})}
+	long := &Agent{cfg: Config{Store: a.cfg.Store, Wire: "postgres"}, stop: make(chan struct{})}
 	list := fleet(1000)
 	for _, e := range list {
 		e.Id, e.Wire = e.Id+strings.Repeat("x", 5000), "postgres"
 	}
 	var tooLong *ListSizeError
-	if err := long.First(list); !errors.As(err, &tooLong) || len(a.held()) != 3 {
+	if err := long.PublishInitial(list); !errors.As(err, &tooLong) || len(a.held()) != 3 {
 		t.Errorf("a list that is too long: %v", err)
 	}
 }
@@ -209,7 +209,7 @@
 		{[]int{half, half, half}, fmt.Sprint([][]int{{half, half}, {half}})},
 		{[]int{1, 3 * half, 1}, fmt.Sprint([][]int{{1}, {3 * half}, {1}})}, // one that is longer than a part goes alone
 	} {
-		if got := fmt.Sprint(split(x.sizes, func(n int) int { return n })); got != x.want {
+		if got := fmt.Sprint(splitBySize(x.sizes, func(n int) int { return n })); got != x.want {
 			t.Errorf("%v: %s, want %s", x.sizes, got, x.want)
 		}
 	}
--- a/internal/controlplane/catalog/catalog_test.go
+++ b/internal/controlplane/catalog/catalog_test.go
@@ -71,7 +71,7 @@
 		t.Error("a drain of an earlier start was taken")
 	}
 	r.do(started("a", s+1))
-	if m := r.Member("a"); m.DrainedAt != 0 || !Cold(m) {
+	if m := r.Member("a"); m.DrainedAt != 0 || !IsWarming(m) {
 		t.Errorf("after a new start: %v", m)
 	}
 }
@@ -86,7 +86,7 @@
 		if x := r.do(c); x.Refused == "" {
 			t.Errorf("command %d was carried out", i)
 		}
-		if r.Inventory() != 0 || r.Config() != nil || before == 0 {
+		if r.InventoryVersion() != 0 || r.Config() != nil || before == 0 {
 			t.Errorf("command %d changed something", i)
 		}
 	}
@@ -112,7 +112,7 @@
 	// as an earlier release would have kept the set: with its body among the unknown fields
 	old := &pb.Command{Kind: 20}
 	old.ProtoReflect().SetUnknown(known)
-	r.s.Later = append(r.s.Later, old)
+	r.state.Later = append(r.state.Later, old)
 	snap, err := r.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -121,16 +121,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if kept, _ := c.Later(); len(kept) != 1 || kept[0].Kind != 99 || len(kept[0].ProtoReflect().GetUnknown()) == 0 {
+	if kept, _ := c.UnknownCommands(); len(kept) != 1 || kept[0].Kind != 99 || len(kept[0].ProtoReflect().GetUnknown()) == 0 {
 		t.Errorf("kept: %v", kept)
 	}
 	if p := c.Pair("k"); p == nil || string(p.Value) != "v" {
 		t.Errorf("what is known by now was not carried out: %v", p)
 	}
-	for range maxLater + 5 {
+	for range maxUnknownCommands + 5 {
 		r.do(proto.Clone(later).(*pb.Command))
 	}
-	if kept, lost := r.Later(); len(kept) != maxLater || lost == 0 {
+	if kept, lost := r.UnknownCommands(); len(kept) != maxUnknownCommands || lost == 0 {
 		t.Errorf("%d kept, %d lost", len(kept), lost)
 	}
 }
@@ -160,7 +160,7 @@
 	for i := range 3 * maxOrigins {
 		r.Apply(0, &pb.Batch{Commands: []*pb.Command{{Origin: fmt.Sprint("o", i), Seq: 1, At: r.at + int64(i), Body: &pb.Command_Beat{Beat: &pb.Beat{}}}}})
 	}
-	if n := r.Counts()["origins"]; n > maxOrigins || n <= maxOrigins-forgottenOrigins {
+	if n := r.Counts()["origins"]; n > maxOrigins || n <= maxOrigins-originEvictionBatch {
 		t.Errorf("%d origins are held", n)
 	}
 	for name, o := range r.origins { // the newest stay
@@ -211,7 +211,7 @@
 // follow applies changes as a subscriber does, and checks that they continue what it holds.
 func follow(t *rapid.T, subscriber *Catalog, changes []revision.Change) {
 	for _, x := range changes {
-		if held := subscriber.record(x.Key); !reflect.DeepEqual(held, x.Before) {
+		if held := subscriber.currentRecord(x.Key); !reflect.DeepEqual(held, x.Before) {
 			t.Fatalf("%q was %v before, not %v", x.Key, held, x.Before)
 		}
 		err := error(nil)
@@ -272,8 +272,8 @@
 					drained[m.Entry.Id] = m.Start
 				}
 				sum := 0.0
-				for _, id := range holders(m) {
-					sum += Outstanding(m, id)
+				for _, id := range leaseHolders(m) {
+					sum += OutstandingShare(m, id)
 				}
 				if sum > a.Rules().Pool+1e-9 {
 					t.Fatalf("%v of the pool is out at %v", sum, m)
@@ -307,11 +307,11 @@
 			f.Errorf("damage at byte %d passed", i)
 		}
 	}
-	if _, err := Decode(good[:len(good)-1]); !errors.Is(err, ErrDamaged) {
+	if _, err := Decode(good[:len(good)-1]); !errors.Is(err, ErrCorrupt) {
 		f.Errorf("cut short: %v", err)
 	}
 	f.Add(good)
-	f.Add(good[:headSize])
+	f.Add(good[:headerSize])
 	f.Fuzz(func(t *testing.T, b []byte) {
 		c, err := Decode(b)
 		if err != nil {
@@ -387,7 +387,7 @@
 	if my.WarmRate != 10 || my.Primary != "a" || pg.WarmRate != 4 || pg.Primary != "" {
 		t.Errorf("mysql's group %+v, postgres's %+v", my, pg)
 	}
-	if a, b := r.Typical("mysql", "booking"), r.Typical("postgres", "booking"); a != 7e6 || b != 800e6 {
+	if a, b := r.TypicalResponseTime("mysql", "booking"), r.TypicalResponseTime("postgres", "booking"); a != 7e6 || b != 800e6 {
 		t.Errorf("booking takes %d and %d", a, b)
 	}
 }
--- a/internal/controlplane/catalog/changes.go
+++ b/internal/controlplane/catalog/changes.go
@@ -13,16 +13,16 @@
 // recorder collects which records the entry that is being applied changes. A record that an entry changes several times
 // is one change: nobody sees the states between.
 type recorder struct {
-	at      int64 // of the command that is being applied, Unix ns
-	touched map[string]touch
-	changes []revision.Change // of entries applied since the last TakeChanges
+	committedAt int64 // of the command that is being applied, Unix ns
+	touched     map[string]touchedRecord
+	changes     []revision.Change // of entries applied since the last TakeChanges
 }
 
-// touch is a record as it was before the entry, and when the newest command touched it.
-type touch struct {
+// touchedRecord is a record as it was before the entry, and when the newest command touched it.
+type touchedRecord struct {
 	before           *revision.Record // nil: there was none
 	start, drainedAt int64            // of a member
-	at               int64
+	committedAt      int64
 }
 
 // TakeChanges returns what the entries applied since the last call have changed, in order; within one entry by key.
@@ -37,14 +37,14 @@
 func (c *Catalog) touch(key string) {
 	t, known := c.recorder.touched[key]
 	if !known {
-		t.before = c.record(key)
+		t.before = c.currentRecord(key)
 		if id, isMember := strings.CutPrefix(key, revision.MemberPrefix); isMember && c.members[id] != nil {
 			t.start, t.drainedAt = c.members[id].Start, c.members[id].DrainedAt
 		}
 	}
-	t.at = c.recorder.at
+	t.committedAt = c.recorder.committedAt
 	if c.recorder.touched == nil {
-		c.recorder.touched = map[string]touch{}
+		c.recorder.touched = map[string]touchedRecord{}
 	}
 	c.recorder.touched[key] = t
 }
@@ -53,10 +53,10 @@
 
 // recordChanges turns what one entry has touched into changes.
 func (c *Catalog) recordChanges(index uint64) {
-	for _, key := range sorted(c.recorder.touched) {
+	for _, key := range sortedKeys(c.recorder.touched) {
 		t := c.recorder.touched[key]
-		after := c.record(key)
-		change := revision.Change{Revision: index, Before: t.before, CommittedAt: t.at}
+		after := c.currentRecord(key)
+		change := revision.Change{Revision: index, Before: t.before, CommittedAt: t.committedAt}
 		switch {
 		case after == nil && t.before == nil:
 			continue
@@ -76,7 +76,7 @@
 
 // isBinding reports whether a change must reach every subscriber: a new drain, a new start, the removal of a member, or
 // whatever concerns a primary.
-func (c *Catalog) isBinding(key string, before touch, removed bool) bool {
+func (c *Catalog) isBinding(key string, before touchedRecord, removed bool) bool {
 	if strings.HasPrefix(key, revision.PrimaryPrefix) {
 		return true
 	}
@@ -90,8 +90,8 @@
 	return newDrain || newStart
 }
 
-// record is the record under a key as it stands, nil if there is none.
-func (c *Catalog) record(key string) *revision.Record {
+// currentRecord is the currentRecord under a key as it stands, nil if there is none.
+func (c *Catalog) currentRecord(key string) *revision.Record {
 	if id, ok := strings.CutPrefix(key, revision.MemberPrefix); ok {
 		if m := c.members[id]; m != nil {
 			return memberRecord(m)
@@ -100,35 +100,35 @@
 	}
 	if name, ok := strings.CutPrefix(key, revision.PairPrefix); ok {
 		if p := c.pairs[name]; p != nil {
-			return plainRecord(key, p)
+			return encodeRecord(key, p)
 		}
 		return nil
 	}
 	if name, ok := strings.CutPrefix(key, revision.PrimaryPrefix); ok {
 		if p := c.primaries[name]; p != nil {
-			return plainRecord(key, p)
+			return encodeRecord(key, p)
 		}
 		return nil
 	}
 	switch {
 	case key == revision.ConfigKey && c.Config() != nil:
-		return plainRecord(key, c.Config())
-	case key == revision.RulesKey && c.s.RulesSet:
-		return plainRecord(key, c.s.Rules)
+		return encodeRecord(key, c.Config())
+	case key == revision.RulesKey && c.state.RulesSet:
+		return encodeRecord(key, c.state.Rules)
 	}
 	return nil
 }
 
 // memberRecord is a member's record. Leases are no part of it: they concern their holders alone.
 func memberRecord(m *pb.Member) *revision.Record {
-	r := plainRecord(revision.MemberPrefix+m.Entry.Id, &pb.Member{Entry: m.Entry, Start: m.Start, ColdSince: m.ColdSince,
+	r := encodeRecord(revision.MemberPrefix+m.Entry.Id, &pb.Member{Entry: m.Entry, Start: m.Start, ColdSince: m.ColdSince,
 		WarmAt: m.WarmAt, DrainedAt: m.DrainedAt, DrainReason: m.DrainReason})
 	r.Placement = revision.Placement{Group: GroupOf(m.Entry), Site: m.Entry.Site}
 	return r
 }
 
-// plainRecord encodes a value. Equal values give equal bytes.
-func plainRecord(key string, value proto.Message) *revision.Record {
+// encodeRecord encodes a value. Equal values give equal bytes.
+func encodeRecord(key string, value proto.Message) *revision.Record {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(value)
 	if err != nil { // a string that is not UTF-8, which no command that was read from the log can hold
 		b = nil
--- a/internal/controlplane/catalog/instances.go
+++ b/internal/controlplane/catalog/instances.go
@@ -7,25 +7,25 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-func (c *Catalog) beat(b *pb.Beat) *pb.Result {
+func (c *Catalog) recordHeartbeat(b *pb.Beat) *pb.Result {
 	if b.Instance == "" {
 		return refused("an instance needs an id")
 	}
 	x := c.instances[b.Instance]
 	if x == nil {
 		// Guards the safe shares: they are split by the number of instances that may exist at once.
-		if len(c.instances) >= int(c.s.Rules.MostInstances) {
+		if len(c.instances) >= int(c.state.Rules.MostInstances) {
 			return refused("%d instances are known already, most_instances allows no more", len(c.instances))
 		}
 		x = &pb.Instance{Id: b.Instance}
 		c.instances[b.Instance] = x
 	}
-	x.Boot, x.Service, x.Release, x.Mode, x.Beat = b.Boot, b.Service, b.Release, b.Mode, c.s.Now
+	x.Boot, x.Service, x.Release, x.Mode, x.Beat = b.Boot, b.Service, b.Release, b.Mode, c.state.Now
 	return &pb.Result{}
 }
 
-// leave forgets an instance: its place among most_instances is free again. It is the operator's word that it is off.
-func (c *Catalog) leave(id string) *pb.Result {
+// removeInstance forgets an instance: its place among most_instances is free again. It is the operator's word that it is off.
+func (c *Catalog) removeInstance(id string) *pb.Result {
 	if c.instances[id] == nil {
 		return refused("no instance %q is known", id)
 	}
@@ -34,7 +34,7 @@
 	return &pb.Result{}
 }
 
-func (c *Catalog) learn(l *pb.Learn) *pb.Result {
+func (c *Catalog) recordLearned(l *pb.Learn) *pb.Result {
 	x := c.instances[l.Instance]
 	if x == nil {
 		return refused("no instance %q is known", l.Instance)
@@ -42,7 +42,7 @@
 	// What the instance's other front has said stands: its groups and classes may have the same numbers and names.
 	x.Groups = slices.DeleteFunc(x.Groups, func(g *pb.GroupWord) bool { return g.Wire == l.Wire })
 	x.Classes = slices.DeleteFunc(x.Classes, func(k *pb.ClassWord) bool { return k.Wire == l.Wire })
-	x.Learned = c.s.Now
+	x.Learned = c.state.Now
 	for _, g := range l.Groups {
 		g.Wire = l.Wire
 		at := Group{Wire: g.Wire, ID: g.Group}
@@ -86,11 +86,11 @@
 			out[Group{Wire: p.Wire, ID: p.Group}] = GroupSummary{Primary: p.Member, PrimaryAt: p.At}
 		}
 	}
-	for _, x := range values(c.instances) {
+	for _, x := range sortedValues(c.instances) {
 		for _, g := range x.Groups {
 			at := Group{Wire: g.Wire, ID: g.Group}
 			w := out[at]
-			if c.s.Now <= x.Learned+maxRateAge {
+			if c.state.Now <= x.Learned+maxRateAge {
 				w.WarmRate += g.WarmRate
 			}
 			if g.Primary != "" && g.PrimaryAt > w.PrimaryAt && c.members[g.Primary] != nil {
@@ -102,8 +102,8 @@
 	return out
 }
 
-// Typical is the median of the instances' typical answer times of a wire's class, in ns; 0: unknown.
-func (c *Catalog) Typical(wire, class string) int64 {
+// TypicalResponseTime is the median of the instances' typical answer times of a wire's class, in ns; 0: unknown.
+func (c *Catalog) TypicalResponseTime(wire, class string) int64 {
 	var all []int64
 	for _, x := range c.instances {
 		for _, k := range x.Classes {
--- a/internal/controlplane/catalog/leases.go
+++ b/internal/controlplane/catalog/leases.go
@@ -6,9 +6,9 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// Outstanding is the part of a cold member's pool that an instance may be using: the largest of its leases that have
+// OutstandingShare is the part of a cold member's pool that an instance may be using: the largest of its leases that have
 // not been released. One that has been replaced counts until it has surely run out.
-func Outstanding(m *pb.Member, instance string) (share float64) {
+func OutstandingShare(m *pb.Member, instance string) (share float64) {
 	for _, l := range m.Leases {
 		if l.Instance == instance {
 			share = max(share, l.Share)
@@ -17,22 +17,22 @@
 	return share
 }
 
-// ask grants a share of a cold member's pool: in proportion to what the instances want, as far as it is free. The
+// grantLease grants a share of a cold member's pool: in proportion to what the instances want, as far as it is free. The
 // sum of all that is outstanding never passes the pool, whoever is cut off.
-func (c *Catalog) ask(a *pb.Ask) *pb.Result {
+func (c *Catalog) grantLease(a *pb.Ask) *pb.Result {
 	m := c.members[a.Member]
 	switch {
-	case m == nil || m.Start != a.Start || !Cold(m):
+	case m == nil || m.Start != a.Start || !IsWarming(m):
 		return refused("%s is not cold since that start", a.Member)
 	case c.instances[a.Instance] == nil:
 		return refused("no instance %q is known", a.Instance)
-	case a.Duration <= 0 || a.Duration > c.s.Rules.ColdFor || a.Nonce == "" || !(a.Want >= 0 && a.Want < 1e9):
+	case a.Duration <= 0 || a.Duration > c.state.Rules.ColdFor || a.Nonce == "" || !(a.Want >= 0 && a.Want < 1e9):
 		return refused("a lease needs a nonce, a want and a duration of at most the cold time")
 	}
 	held, taken := 0, 0.0
-	for _, id := range holders(m) {
+	for _, id := range leaseHolders(m) {
 		if id != a.Instance {
-			taken += Outstanding(m, id)
+			taken += OutstandingShare(m, id)
 		}
 	}
 	for _, l := range m.Leases {
@@ -40,17 +40,17 @@
 			held++
 		}
 	}
-	share := min(c.fair(m, a), c.s.Rules.Pool-taken)
-	if held >= maxLeases || share < minShare {
+	share := min(c.fairShare(m, a), c.state.Rules.Pool-taken)
+	if held >= maxLeasesPerHolder || share < minLeaseShare {
 		return refused("no share of %s is free", a.Member)
 	}
-	c.s.Serial++
-	m.Leases = append(m.Leases, &pb.Lease{Instance: a.Instance, Serial: c.s.Serial, Share: share, Duration: a.Duration, Nonce: a.Nonce})
+	c.state.Serial++
+	m.Leases = append(m.Leases, &pb.Lease{Instance: a.Instance, Serial: c.state.Serial, Share: share, Duration: a.Duration, Nonce: a.Nonce})
 	c.leasesVersion++
-	return &pb.Result{Version: c.s.Serial}
+	return &pb.Result{Version: c.state.Serial}
 }
 
-func holders(m *pb.Member) (ids []string) {
+func leaseHolders(m *pb.Member) (ids []string) {
 	for _, l := range m.Leases {
 		if !slices.Contains(ids, l.Instance) {
 			ids = append(ids, l.Instance)
@@ -60,11 +60,11 @@
 	return ids
 }
 
-// fair is the part of the pool that is due to who asks, by what all instances want of that group.
-func (c *Catalog) fair(m *pb.Member, a *pb.Ask) float64 {
+// fairShare is the part of the pool that is due to who asks, by what all instances want of that group.
+func (c *Catalog) fairShare(m *pb.Member, a *pb.Ask) float64 {
 	var wants []float64
 	own, sum := a.Want, 0.0
-	for _, id := range sorted(c.instances) {
+	for _, id := range sortedKeys(c.instances) {
 		w := 0.0
 		if id == a.Instance {
 			w = own
@@ -77,7 +77,7 @@
 		}
 		wants, sum = append(wants, w), sum+w
 	}
-	least := minWeight * sum / float64(len(wants))
+	least := minDemandWeight * sum / float64(len(wants))
 	if sum == 0 {
 		least, own = 1, 1
 	}
@@ -85,11 +85,11 @@
 	for _, w := range wants {
 		total += max(w, least)
 	}
-	return c.s.Rules.Pool * max(own, least) / total
+	return c.state.Rules.Pool * max(own, least) / total
 }
 
-// release takes a lease back whose time has surely passed at its holder, as the leader's own clock showed.
-func (c *Catalog) release(r *pb.Release) *pb.Result {
+// releaseLease takes a lease back whose time has surely passed at its holder, as the leader's own clock showed.
+func (c *Catalog) releaseLease(r *pb.Release) *pb.Result {
 	m := c.members[r.Member]
 	if m == nil || m.Start != r.Start {
 		return refused("%s holds no such lease", r.Member)
--- a/internal/controlplane/catalog/members.go
+++ b/internal/controlplane/catalog/members.go
@@ -16,8 +16,8 @@
 
 // putInventory replaces the whole list.
 func (c *Catalog) putInventory(p *pb.PutInventory) *pb.Result {
-	if p.Base != c.s.Inventory {
-		return refused("the inventory is at version %d, not %d", c.s.Inventory, p.Base)
+	if p.Base != c.state.Inventory {
+		return refused("the inventory is at version %d, not %d", c.state.Inventory, p.Base)
 	}
 	listed, problem := checkEntries(p.Members)
 	if problem == "" && len(p.Members) > maxMembers {
@@ -26,15 +26,15 @@
 	if problem != "" {
 		return refused("%s", problem)
 	}
-	c.upsert(p.Members)
-	for _, id := range sorted(c.members) {
+	c.upsertEntries(p.Members)
+	for _, id := range sortedKeys(c.members) {
 		if !listed[id] {
-			c.remove(id)
+			c.removeMember(id)
 		}
 	}
-	c.trimTombs()
+	c.trimTombstones()
 	c.inventoryChanged(p.Author)
-	return &pb.Result{Version: c.s.Inventory}
+	return &pb.Result{Version: c.state.Inventory}
 }
 
 // upsertMembers changes or adds the members that it names.
@@ -43,8 +43,8 @@
 	if problem != "" {
 		return refused("%s", problem)
 	}
-	if p.Checked && p.Base != c.s.Inventory {
-		return refused("the inventory is at version %d, not %d", c.s.Inventory, p.Base)
+	if p.Checked && p.Base != c.state.Inventory {
+		return refused("the inventory is at version %d, not %d", c.state.Inventory, p.Base)
 	}
 	total := len(c.members)
 	for id := range listed {
@@ -55,10 +55,10 @@
 	if total > maxMembers {
 		return refused("%d members, %d at most", total, maxMembers)
 	}
-	if c.upsert(p.Members) {
+	if c.upsertEntries(p.Members) {
 		c.inventoryChanged(p.Author)
 	}
-	return &pb.Result{Version: c.s.Inventory}
+	return &pb.Result{Version: c.state.Inventory}
 }
 
 // removeMembers takes members off the list. Those that are not on it stay away.
@@ -68,18 +68,18 @@
 	}
 	removed := false
 	for _, id := range p.Members {
-		removed = c.remove(id) || removed
+		removed = c.removeMember(id) || removed
 	}
 	if removed {
-		c.trimTombs()
+		c.trimTombstones()
 		c.inventoryChanged(p.Author)
 	}
-	return &pb.Result{Version: c.s.Inventory}
+	return &pb.Result{Version: c.state.Inventory}
 }
 
 func (c *Catalog) inventoryChanged(author string) {
-	c.s.Inventory++
-	c.s.InventoryAuthor, c.s.InventoryAt = author, c.s.Now
+	c.state.Inventory++
+	c.state.InventoryAuthor, c.state.InventoryAt = author, c.state.Now
 	c.membersVersion++
 }
 
@@ -98,8 +98,8 @@
 	return ids, ""
 }
 
-// upsert takes in checked entries and reports whether they changed anything.
-func (c *Catalog) upsert(list []*pb.Entry) (changed bool) {
+// upsertEntries takes in checked entries and reports whether they changed anything.
+func (c *Catalog) upsertEntries(list []*pb.Entry) (changed bool) {
 	known := map[string]bool{} // wires that the installation has had members of
 	for group := range c.groups {
 		known[group.Wire] = true
@@ -109,7 +109,7 @@
 		switch {
 		case m == nil:
 			c.touchMember(e.Id)
-			m = c.appear(e, !known[e.Wire])
+			m = c.addMember(e, !known[e.Wire])
 			changed = true
 		case !proto.Equal(m.Entry, e):
 			c.touchMember(e.Id)
@@ -117,7 +117,7 @@
 			changed = true
 		}
 		if m.DrainedAt == 0 && isDraining(e) {
-			c.markDrain(m, "the inventory says "+e.State)
+			c.markDraining(m, "the inventory says "+e.State)
 			changed = true
 		}
 	}
@@ -133,10 +133,10 @@
 	if from != to {
 		c.countMember(from, -1)
 		c.countMember(to, 1)
-		c.forgetPrimary(from, e.Id)
+		c.dropPrimary(from, e.Id)
 	}
 	if e.Started > m.Start {
-		c.begin(m, e.Started)
+		c.applyStart(m, e.Started)
 	}
 }
 
@@ -148,8 +148,8 @@
 	}
 }
 
-// remove takes a member off the list and keeps its start and drain, in case that it comes back.
-func (c *Catalog) remove(id string) bool {
+// removeMember takes a member off the list and keeps its start and drain, in case that it comes back.
+func (c *Catalog) removeMember(id string) bool {
 	m := c.members[id]
 	if m == nil {
 		return false
@@ -157,46 +157,46 @@
 	c.touchMember(id)
 	delete(c.members, id)
 	c.countMember(GroupOf(m.Entry), -1)
-	c.forgetPrimary(GroupOf(m.Entry), id)
-	c.tombs[id] = &pb.Tombstone{Member: id, Start: m.Start, At: c.s.Now, Drained: m.DrainedAt != 0}
+	c.dropPrimary(GroupOf(m.Entry), id)
+	c.tombstones[id] = &pb.Tombstone{Member: id, Start: m.Start, At: c.state.Now, Drained: m.DrainedAt != 0}
 	return true
 }
 
-// appear takes in a member that was not present. What is new to a running installation is cold; at the first
+// addMember takes in a member that was not present. What is new to a running installation is cold; at the first
 // inventory of a wire, what does not tell its start has been there for long.
-func (c *Catalog) appear(e *pb.Entry, first bool) *pb.Member {
+func (c *Catalog) addMember(e *pb.Entry, first bool) *pb.Member {
 	m := &pb.Member{Entry: e}
 	c.members[e.Id] = m
 	c.countMember(GroupOf(e), 1)
-	t := c.tombs[e.Id]
-	delete(c.tombs, e.Id)
+	t := c.tombstones[e.Id]
+	delete(c.tombstones, e.Id)
 	switch {
 	case t != nil && e.Started > 0 && e.Started <= t.Start: // it never went: its drain still holds
 		m.Start = t.Start
-		if m.ColdSince = c.s.Now; t.Drained {
-			c.markDrain(m, "it was draining when it left the list")
+		if m.ColdSince = c.state.Now; t.Drained {
+			c.markDraining(m, "it was draining when it left the list")
 		}
 	case e.Started > 0:
-		c.begin(m, e.Started)
+		c.applyStart(m, e.Started)
 	case first && t == nil:
 	default:
-		start := c.s.Now
+		start := c.state.Now
 		if t != nil {
 			start = max(start, t.Start+1)
 		}
-		c.begin(m, start)
+		c.applyStart(m, start)
 	}
 	return m
 }
 
-func (c *Catalog) trimTombs() {
-	most := 2*len(c.members) + spareTombs
-	if len(c.tombs) <= most+spareTombs/4 { // in steps: sorting at each change would cost more than the space
+func (c *Catalog) trimTombstones() {
+	most := 2*len(c.members) + tombstoneSlack
+	if len(c.tombstones) <= most+tombstoneSlack/4 { // in steps: sorting at each change would cost more than the space
 		return
 	}
-	all := values(c.tombs)
+	all := sortedValues(c.tombstones)
 	slices.SortFunc(all, byAge)
 	for _, t := range all[:len(all)-most] {
-		delete(c.tombs, t.Member)
+		delete(c.tombstones, t.Member)
 	}
 }
--- a/internal/controlplane/catalog/origins.go
+++ b/internal/controlplane/catalog/origins.go
@@ -7,10 +7,10 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// once applies a command unless its origin's number shows that it, or a later one, has been applied. An origin has
+// applyOnce applies a command unless its origin's number shows that it, or a later one, has been applied. An origin has
 // one batch out at a time, so an earlier number that comes late was given up by its sender.
-func (c *Catalog) once(x *pb.Command) *pb.Result {
-	c.s.Now = max(c.s.Now, x.At)
+func (c *Catalog) applyOnce(x *pb.Command) *pb.Result {
+	c.state.Now = max(c.state.Now, x.At)
 	if x.Origin == "" || x.Seq == 0 {
 		return c.apply(x)
 	}
@@ -25,25 +25,25 @@
 	}
 	if o == nil {
 		if len(c.origins) >= maxOrigins {
-			c.forgetOrigins()
+			c.evictOrigins()
 		}
 		o = &pb.Origin{Name: x.Origin}
 		c.origins[x.Origin] = o
 	}
 	r := c.apply(x)
 	r.Seq = x.Seq
-	if o.Seq, o.At = x.Seq, c.s.Now; len(o.Recent) >= maxRecent {
+	if o.Seq, o.At = x.Seq, c.state.Now; len(o.Recent) >= maxRecentResults {
 		o.Recent = slices.Delete(o.Recent, 0, 1)
 	}
 	o.Recent = append(o.Recent, r)
 	return r
 }
 
-// forgetOrigins drops the origins that have been silent for longest: some at once, as finding them takes a sort.
-func (c *Catalog) forgetOrigins() {
-	all := values(c.origins)
+// evictOrigins drops the origins that have been silent for longest: some at once, as finding them takes a sort.
+func (c *Catalog) evictOrigins() {
+	all := sortedValues(c.origins)
 	slices.SortStableFunc(all, func(a, b *pb.Origin) int { return cmp.Compare(a.At, b.At) })
-	for _, o := range all[:forgottenOrigins] {
+	for _, o := range all[:originEvictionBatch] {
 		delete(c.origins, o.Name)
 	}
 }
--- a/internal/controlplane/catalog/primaries.go
+++ b/internal/controlplane/catalog/primaries.go
@@ -6,9 +6,9 @@
 )
 
 const (
-	// primaryRefresh (ns) is how much newer a report of the known primary must be to count: every gateway that sees a
+	// primaryRefreshInterval (ns) is how much newer a report of the known primary must be to count: every gateway that sees a
 	// change of primary reports it, and only the first of them must reach all the others.
-	primaryRefresh = 10e9
+	primaryRefreshInterval = 10e9
 	// maxClockAhead (ns) is how far a report's time may lie ahead of the leader's clock. One from a clock that runs
 	// further ahead would hide all later reports.
 	maxClockAhead = 60e9
@@ -24,7 +24,7 @@
 	switch {
 	case m == nil || GroupOf(m.Entry) != group:
 		return refused("no member %q is in group %s", r.Member, group)
-	case r.At <= 0 || r.At > c.s.Now+maxClockAhead:
+	case r.At <= 0 || r.At > c.state.Now+maxClockAhead:
 		return refused("the report's time is not one of the last moments")
 	case known != nil && r.At <= known.At:
 		return refused("a newer report of %s is known", group)
@@ -44,11 +44,11 @@
 
 // isRefresh reports whether a report says what is known and is hardly newer.
 func isRefresh(known *pb.Primary, r *pb.ReportPrimary) bool {
-	return known != nil && known.Member == r.Member && r.At <= known.At+primaryRefresh
+	return known != nil && known.Member == r.Member && r.At <= known.At+primaryRefreshInterval
 }
 
-// forgetPrimary drops a group's primary if it is that member, which has left the group.
-func (c *Catalog) forgetPrimary(group Group, member string) {
+// dropPrimary drops a group's primary if it is that member, which has left the group.
+func (c *Catalog) dropPrimary(group Group, member string) {
 	key := group.String()
 	if p := c.primaries[key]; p != nil && p.Member == member {
 		c.touch(revision.PrimaryPrefix + key)
--- a/internal/controlplane/catalog/records.go
+++ b/internal/controlplane/catalog/records.go
@@ -23,7 +23,7 @@
 func (c *Catalog) Records() []revision.Record {
 	out := make([]revision.Record, 0, len(c.members)+len(c.primaries)+len(c.pairs)+2)
 	add := func(key string) {
-		if r := c.record(key); r != nil {
+		if r := c.currentRecord(key); r != nil {
 			out = append(out, *r)
 		}
 	}
@@ -43,18 +43,18 @@
 }
 
 // SetIndex notes the revision that the catalog stands at.
-func (c *Catalog) SetIndex(revision uint64) { c.s.Index = revision }
+func (c *Catalog) SetIndex(revision uint64) { c.state.Index = revision }
 
 // ResetRecords replaces all that the catalog holds. With an error, a *RecordError, nothing has changed.
 func (c *Catalog) ResetRecords(rev uint64, records []revision.Record) error {
-	fresh := New(c.s.Cluster)
+	fresh := New(c.state.Cluster)
 	for _, r := range records {
 		if err := fresh.SetRecord(r); err != nil {
 			return err
 		}
 	}
-	fresh.s.Index, fresh.s.Inventory = rev, c.s.Inventory+1
-	c.Adopt(fresh)
+	fresh.state.Index, fresh.state.Inventory = rev, c.state.Inventory+1
+	c.ReplaceWith(fresh)
 	return nil
 }
 
@@ -84,7 +84,7 @@
 		if m := c.members[id]; m != nil {
 			delete(c.members, id)
 			c.countMember(GroupOf(m.Entry), -1)
-			c.s.Inventory++
+			c.state.Inventory++
 			c.membersVersion++
 		}
 		return nil
@@ -100,10 +100,10 @@
 	}
 	switch key {
 	case revision.ConfigKey:
-		c.s.Configs = nil
+		c.state.Configs = nil
 		return nil
 	case revision.RulesKey:
-		c.s.Rules, c.s.RulesSet = DefaultRules(), false
+		c.state.Rules, c.state.RulesSet = DefaultRules(), false
 		c.membersVersion++
 		return nil
 	}
@@ -140,7 +140,7 @@
 		c.countMember(GroupOf(old.Entry), -1)
 	}
 	if old == nil || !proto.Equal(old.Entry, m.Entry) {
-		c.s.Inventory++
+		c.state.Inventory++
 	}
 	c.members[id] = m
 	c.countMember(GroupOf(m.Entry), 1)
@@ -156,8 +156,8 @@
 	switch {
 	case name == "" || p.Key != name:
 		return &RecordError{r.Key, fmt.Sprintf("it is of key %q", p.Key)}
-	case len(p.Value) > maxValue:
-		return &RecordError{r.Key, fmt.Sprintf("the value has %d bytes, %d at most", len(p.Value), maxValue)}
+	case len(p.Value) > maxValueBytes:
+		return &RecordError{r.Key, fmt.Sprintf("the value has %d bytes, %d at most", len(p.Value), maxValueBytes)}
 	case c.pairs[name] == nil && len(c.pairs) >= maxPairs:
 		return &RecordError{r.Key, fmt.Sprintf("%d keys are held already", maxPairs)}
 	}
@@ -191,10 +191,10 @@
 	switch {
 	case v.Version == 0:
 		return &RecordError{r.Key, "version missing"}
-	case len(v.Text) > maxValue:
-		return &RecordError{r.Key, fmt.Sprintf("the configuration has %d bytes, %d at most", len(v.Text), maxValue)}
+	case len(v.Text) > maxValueBytes:
+		return &RecordError{r.Key, fmt.Sprintf("the configuration has %d bytes, %d at most", len(v.Text), maxValueBytes)}
 	}
-	c.s.Configs = []*pb.ConfigVersion{v}
+	c.state.Configs = []*pb.ConfigVersion{v}
 	return nil
 }
 
@@ -203,10 +203,10 @@
 	if err := decode(r, rules); err != nil {
 		return err
 	}
-	if problem := CheckRules(rules); problem != "" {
+	if problem := ValidateRules(rules); problem != "" {
 		return &RecordError{r.Key, problem}
 	}
-	c.s.Rules, c.s.RulesSet = rules, true
+	c.state.Rules, c.state.RulesSet = rules, true
 	c.membersVersion++
 	return nil
 }
--- a/internal/controlplane/catalog/records_test.go
+++ b/internal/controlplane/catalog/records_test.go
@@ -121,7 +121,7 @@
 	before := r.Records()
 	for _, c := range []*pb.Command{checked, upsertOf(entry("b", "", 0), &pb.Entry{Id: "c"}), upsertOf(entry("b", "", 0), entry("b", "", 0)),
 		upsertOf(&pb.Entry{Address: "x"}), removal("a", ""), reported("mysql", 1, "a", 0), reported("postgres", 1, "a", 1e18)} {
-		if x := r.do(c); x.Refused == "" || !reflect.DeepEqual(r.Records(), before) || r.Inventory() != 1 {
+		if x := r.do(c); x.Refused == "" || !reflect.DeepEqual(r.Records(), before) || r.InventoryVersion() != 1 {
 			t.Errorf("%v: %v", c, x)
 		}
 	}
@@ -187,7 +187,7 @@
 		encodedRecord("member/a", &pb.Member{Entry: entry("a", "mysql", 1), Leases: []*pb.Lease{{Instance: "x"}}}),
 		encodedRecord("pair/", &pb.Pair{}),
 		encodedRecord("pair/k", &pb.Pair{Key: "l"}),
-		encodedRecord("pair/k", &pb.Pair{Key: "k", Value: make([]byte, maxValue+1)}),
+		encodedRecord("pair/k", &pb.Pair{Key: "k", Value: make([]byte, maxValueBytes+1)}),
 		encodedRecord("primary/mysql/1", &pb.Primary{Wire: "mysql", Group: 2, Member: "a", At: 1}),
 		encodedRecord("primary/mysql/1", &pb.Primary{Wire: "mysql", Group: 1, At: 1}),
 		encodedRecord("primary/mysql/1", &pb.Primary{Wire: "mysql", Group: 1, Member: "a"}),
@@ -220,14 +220,14 @@
 	if err := s.ResetRecords(1, []revision.Record{encodedRecord("member/a", &pb.Member{Entry: entry("a", "mysql", 1)})}); err != nil {
 		t.Fatal(err)
 	}
-	inventory, members := s.Inventory(), func() uint64 { m, _, _ := s.Versions(); return m }
+	inventory, members := s.InventoryVersion(), func() uint64 { m, _, _ := s.Versions(); return m }
 	was := members()
 	draining := encodedRecord("member/a", &pb.Member{Entry: entry("a", "mysql", 1), DrainedAt: 3})
-	if err := s.SetRecord(draining); err != nil || s.Inventory() != inventory || members() == was {
-		t.Errorf("a drain: %v, inventory %d after %d, members %d", err, s.Inventory(), inventory, members())
+	if err := s.SetRecord(draining); err != nil || s.InventoryVersion() != inventory || members() == was {
+		t.Errorf("a drain: %v, inventory %d after %d, members %d", err, s.InventoryVersion(), inventory, members())
 	}
-	if err := s.RemoveRecord("member/a"); err != nil || s.Inventory() == inventory {
-		t.Errorf("a removal: %v, inventory %d after %d", err, s.Inventory(), inventory)
+	if err := s.RemoveRecord("member/a"); err != nil || s.InventoryVersion() == inventory {
+		t.Errorf("a removal: %v, inventory %d after %d", err, s.InventoryVersion(), inventory)
 	}
 	s.SetIndex(9)
 	if s.Index() != 9 {
--- a/internal/controlplane/catalog/rules.go
+++ b/internal/controlplane/catalog/rules.go
@@ -12,8 +12,8 @@
 	return &pb.Rules{ColdFor: 16e9, ColdLongest: 20e9, ClockBound: 0.05, MostInstances: 8, Pool: 0.5}
 }
 
-// CheckRules says what is wrong with rules, or nothing.
-func CheckRules(r *pb.Rules) string {
+// ValidateRules says what is wrong with rules, or nothing.
+func ValidateRules(r *pb.Rules) string {
 	switch {
 	case r == nil:
 		return "rules are missing"
@@ -33,7 +33,7 @@
 func SafeShare(r *pb.Rules) float64 { return (1 - r.Pool) / float64(r.MostInstances) }
 
 func (c *Catalog) setRules(r *pb.Rules) *pb.Result {
-	if problem := CheckRules(r); problem != "" {
+	if problem := ValidateRules(r); problem != "" {
 		return refused("%s", problem)
 	}
 	// Guards the proof of the leases: the safe shares are split by the number of instances, and one that is cut off
@@ -42,12 +42,12 @@
 		return refused("there are %d instances already", len(c.instances))
 	}
 	for _, m := range c.members {
-		if Cold(m) {
+		if IsWarming(m) {
 			return refused("%s is cold: rules change only while no member is", m.Entry.Id)
 		}
 	}
 	c.touch(revision.RulesKey)
-	c.s.Rules, c.s.RulesSet = r, true
+	c.state.Rules, c.state.RulesSet = r, true
 	c.membersVersion++
 	return &pb.Result{}
 }
--- a/internal/controlplane/catalog/settings.go
+++ b/internal/controlplane/catalog/settings.go
@@ -9,31 +9,31 @@
 
 func (c *Catalog) putConfig(p *pb.PutConfig) *pb.Result {
 	have := uint64(0)
-	if n := len(c.s.Configs); n > 0 {
-		have = c.s.Configs[n-1].Version
+	if n := len(c.state.Configs); n > 0 {
+		have = c.state.Configs[n-1].Version
 	}
 	switch {
 	case p.Base != have:
 		return refused("the configuration is at version %d, not %d", have, p.Base)
-	case len(p.Text) > maxValue:
-		return refused("the configuration has %d bytes, %d at most", len(p.Text), maxValue)
+	case len(p.Text) > maxValueBytes:
+		return refused("the configuration has %d bytes, %d at most", len(p.Text), maxValueBytes)
 	}
 	c.touch(revision.ConfigKey)
-	if len(c.s.Configs) >= maxConfigs {
-		c.s.Configs = slices.Delete(c.s.Configs, 0, 1)
+	if len(c.state.Configs) >= maxConfigs {
+		c.state.Configs = slices.Delete(c.state.Configs, 0, 1)
 	}
-	c.s.Configs = append(c.s.Configs, &pb.ConfigVersion{Version: have + 1, Text: p.Text, Author: p.Author, At: c.s.Now})
+	c.state.Configs = append(c.state.Configs, &pb.ConfigVersion{Version: have + 1, Text: p.Text, Author: p.Author, At: c.state.Now})
 	return &pb.Result{Version: have + 1}
 }
 
-func (c *Catalog) set(p *pb.Set) *pb.Result {
+func (c *Catalog) setPair(p *pb.Set) *pb.Result {
 	x := c.pairs[p.Key]
 	c.touch(revision.PairPrefix + p.Key)
 	switch {
 	case p.Key == "" || len(p.Key) > 256:
 		return refused("a key has 1 to 256 bytes")
-	case len(p.Value) > maxValue:
-		return refused("the value has %d bytes, %d at most", len(p.Value), maxValue)
+	case len(p.Value) > maxValueBytes:
+		return refused("the value has %d bytes, %d at most", len(p.Value), maxValueBytes)
 	case p.Checked && x.GetVersion() != p.Base:
 		return refused("%s is at version %d, not %d", p.Key, x.GetVersion(), p.Base)
 	case x == nil && len(c.pairs) >= maxPairs:
--- a/internal/controlplane/catalog/snapshot.go
+++ b/internal/controlplane/catalog/snapshot.go
@@ -14,16 +14,16 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// A snapshot is a head of 24 bytes and the state: magic, format, length of the state, its CRC32C.
+// A snapshot is a head of 24 bytes and the state: magic, formatVersion, length of the state, its CRC32C.
 const (
-	magic       = "ASPCATLG"
-	format      = 1
-	headSize    = 8 + 4 + 8 + 4
-	maxSnapshot = 1 << 30
+	magic            = "ASPCATLG"
+	formatVersion    = 1
+	headerSize       = 8 + 4 + 8 + 4
+	maxSnapshotBytes = 1 << 30
 )
 
-// ErrDamaged says that a snapshot is not what was written.
-var ErrDamaged = errors.New("snapshot is damaged")
+// ErrCorrupt says that a snapshot is not what was written.
+var ErrCorrupt = errors.New("snapshot is damaged")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
@@ -32,18 +32,18 @@
 
 // Encode writes the whole catalog. Equal catalogs give equal bytes.
 func (c *Catalog) Encode() ([]byte, error) {
-	s := proto.Clone(c.s).(*pb.State)
-	s.Members, s.Tombstones, s.Instances = values(c.members), values(c.tombs), values(c.instances)
-	s.Origins, s.Pairs, s.Primaries = values(c.origins), values(c.pairs), values(c.primaries)
-	out := make([]byte, headSize, headSize+proto.Size(s))
+	s := proto.Clone(c.state).(*pb.State)
+	s.Members, s.Tombstones, s.Instances = sortedValues(c.members), sortedValues(c.tombstones), sortedValues(c.instances)
+	s.Origins, s.Pairs, s.Primaries = sortedValues(c.origins), sortedValues(c.pairs), sortedValues(c.primaries)
+	out := make([]byte, headerSize, headerSize+proto.Size(s))
 	out, err := proto.MarshalOptions{Deterministic: true}.MarshalAppend(out, s)
 	if err != nil {
 		return nil, err
 	}
 	copy(out, magic)
-	binary.BigEndian.PutUint32(out[8:], format)
-	binary.BigEndian.PutUint64(out[12:], uint64(len(out)-headSize))
-	binary.BigEndian.PutUint32(out[20:], Checksum(out[headSize:]))
+	binary.BigEndian.PutUint32(out[8:], formatVersion)
+	binary.BigEndian.PutUint64(out[12:], uint64(len(out)-headerSize))
+	binary.BigEndian.PutUint32(out[20:], Checksum(out[headerSize:]))
 	return out, nil
 }
 
@@ -55,40 +55,40 @@
 
 // Decode reads what Encode wrote. A damaged snapshot or one of a newer format is an error; then nothing is made.
 func Decode(b []byte) (*Catalog, error) {
-	if len(b) < headSize || string(b[:8]) != magic {
-		return nil, fmt.Errorf("%w: it does not begin as one", ErrDamaged)
+	if len(b) < headerSize || string(b[:8]) != magic {
+		return nil, fmt.Errorf("%w: it does not begin as one", ErrCorrupt)
 	}
-	if f := binary.BigEndian.Uint32(b[8:]); f == 0 || f > format {
-		return nil, fmt.Errorf("snapshot has format %d, this release reads %d at most", f, format)
+	if f := binary.BigEndian.Uint32(b[8:]); f == 0 || f > formatVersion {
+		return nil, fmt.Errorf("snapshot has format %d, this release reads %d at most", f, formatVersion)
 	}
-	body := b[headSize:]
-	if n := binary.BigEndian.Uint64(b[12:]); n != uint64(len(body)) || n > maxSnapshot {
-		return nil, fmt.Errorf("%w: %d bytes follow the head, not %d", ErrDamaged, len(body), n)
+	body := b[headerSize:]
+	if n := binary.BigEndian.Uint64(b[12:]); n != uint64(len(body)) || n > maxSnapshotBytes {
+		return nil, fmt.Errorf("%w: %d bytes follow the head, not %d", ErrCorrupt, len(body), n)
 	}
 	if Checksum(body) != binary.BigEndian.Uint32(b[20:]) {
-		return nil, fmt.Errorf("%w: the checksum does not fit", ErrDamaged)
+		return nil, fmt.Errorf("%w: the checksum does not fit", ErrCorrupt)
 	}
 	s := &pb.State{}
 	if err := proto.Unmarshal(body, s); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrDamaged, err)
+		return nil, fmt.Errorf("%w: %v", ErrCorrupt, err)
 	}
-	if problem := CheckRules(s.Rules); problem != "" {
-		return nil, fmt.Errorf("%w: %s", ErrDamaged, problem)
+	if problem := ValidateRules(s.Rules); problem != "" {
+		return nil, fmt.Errorf("%w: %s", ErrCorrupt, problem)
 	}
 	for _, m := range s.Members {
 		if m.GetEntry() == nil {
-			return nil, fmt.Errorf("%w: a member without an entry", ErrDamaged)
+			return nil, fmt.Errorf("%w: a member without an entry", ErrCorrupt)
 		}
 	}
 	c := &Catalog{}
 	c.load(s)
-	c.adopt()
+	c.applyNowKnownCommands()
 	return c, nil
 }
 
 func (c *Catalog) load(s *pb.State) {
 	index := func(n int) int { return n + 16 }
-	c.members, c.tombs = make(map[string]*pb.Member, index(len(s.Members))), map[string]*pb.Tombstone{}
+	c.members, c.tombstones = make(map[string]*pb.Member, index(len(s.Members))), map[string]*pb.Tombstone{}
 	c.instances, c.origins, c.pairs = map[string]*pb.Instance{}, map[string]*pb.Origin{}, map[string]*pb.Pair{}
 	c.primaries, c.groups = map[string]*pb.Primary{}, map[Group]int{}
 	for _, m := range s.Members {
@@ -101,7 +101,7 @@
 		c.primaries[primaryGroup(p).String()] = p
 	}
 	for _, t := range s.Tombstones {
-		c.tombs[t.Member] = t
+		c.tombstones[t.Member] = t
 	}
 	for _, x := range s.Instances {
 		c.instances[x.Id] = x
@@ -113,17 +113,17 @@
 		c.pairs[p.Key] = p
 	}
 	s.Members, s.Tombstones, s.Instances, s.Origins, s.Pairs, s.Primaries = nil, nil, nil, nil, nil, nil
-	c.s = s
+	c.state = s
 	c.membersVersion, c.learnedVersion, c.leasesVersion = 1, 1, 1
 }
 
-// adopt carries out what an earlier release has kept and this one knows. Its results were told long ago.
-func (c *Catalog) adopt() {
+// applyNowKnownCommands carries out what an earlier release has kept and this one knows. Its results were told long ago.
+func (c *Catalog) applyNowKnownCommands() {
 	var known []*pb.Command
-	c.s.Later = slices.DeleteFunc(c.s.Later, func(x *pb.Command) bool {
+	c.state.Later = slices.DeleteFunc(c.state.Later, func(x *pb.Command) bool {
 		b, err := proto.Marshal(x)
 		y := &pb.Command{}
-		if err != nil || proto.Unmarshal(b, y) != nil || Kind(y) == 0 {
+		if err != nil || proto.Unmarshal(b, y) != nil || CommandKind(y) == 0 {
 			return false
 		}
 		known = append(known, y)
@@ -135,8 +135,8 @@
 	c.recorder = recorder{} // who reads a snapshot takes all records anew
 }
 
-// Adopt takes over all that another catalog holds, with versions above those told so far.
-func (c *Catalog) Adopt(o *Catalog) {
+// ReplaceWith takes over all that another catalog holds, with versions above those told so far.
+func (c *Catalog) ReplaceWith(o *Catalog) {
 	m, l, s := c.membersVersion, c.learnedVersion, c.leasesVersion
 	*c = *o
 	c.membersVersion, c.learnedVersion, c.leasesVersion = m+1, l+1, s+1
@@ -144,8 +144,8 @@
 
 // Counts are the sizes of what is held, for status and for tests of its bounds.
 func (c *Catalog) Counts() map[string]int {
-	out := map[string]int{"members": len(c.members), "tombstones": len(c.tombs), "instances": len(c.instances),
-		"origins": len(c.origins), "pairs": len(c.pairs), "configs": len(c.s.Configs), "later": len(c.s.Later)}
+	out := map[string]int{"members": len(c.members), "tombstones": len(c.tombstones), "instances": len(c.instances),
+		"origins": len(c.origins), "pairs": len(c.pairs), "configs": len(c.state.Configs), "later": len(c.state.Later)}
 	maps.DeleteFunc(out, func(_ string, n int) bool { return n == 0 })
 	return out
 }
--- a/internal/controlplane/catalog/starts.go
+++ b/internal/controlplane/catalog/starts.go
@@ -4,10 +4,10 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-func (c *Catalog) markDrain(m *pb.Member, reason string) {
+func (c *Catalog) markDraining(m *pb.Member, reason string) {
 	if m.DrainedAt == 0 {
 		c.touchMember(m.Entry.Id)
-		m.DrainedAt, m.DrainReason = max(c.s.Now, 1), reason
+		m.DrainedAt, m.DrainReason = max(c.state.Now, 1), reason
 	}
 }
 
@@ -15,7 +15,7 @@
 func (c *Catalog) drain(d *pb.Drain) *pb.Result {
 	m := c.members[d.Member]
 	if m == nil {
-		if t := c.tombs[d.Member]; t != nil && (d.Start == 0 || d.Start >= t.Start) {
+		if t := c.tombstones[d.Member]; t != nil && (d.Start == 0 || d.Start >= t.Start) {
 			t.Drained, t.Start = true, max(t.Start, d.Start)
 			return &pb.Result{}
 		}
@@ -25,14 +25,14 @@
 	case d.Start != 0 && d.Start < m.Start:
 		return refused("%s has started again since", d.Member)
 	case d.Start > m.Start: // its start is news as well
-		c.begin(m, d.Start)
+		c.applyStart(m, d.Start)
 	}
-	c.markDrain(m, d.Reason)
+	c.markDraining(m, d.Reason)
 	c.membersVersion++
 	return &pb.Result{}
 }
 
-func (c *Catalog) start(s *pb.Start) *pb.Result {
+func (c *Catalog) recordStart(s *pb.Start) *pb.Result {
 	m := c.members[s.Member]
 	switch {
 	case m == nil:
@@ -40,34 +40,34 @@
 	case s.Start <= m.Start:
 		return refused("%s is known to have started then or later", s.Member)
 	}
-	c.begin(m, s.Start)
+	c.applyStart(m, s.Start)
 	c.membersVersion++
 	return &pb.Result{}
 }
 
-// warm agrees that a start is warm. Who asks for it has seen the cold time pass on its own clock.
-func (c *Catalog) warm(w *pb.Warm) *pb.Result {
+// markWarmedUp agrees that a start is markWarmedUp. Who asks for it has seen the cold time pass on its own clock.
+func (c *Catalog) markWarmedUp(w *pb.Warm) *pb.Result {
 	m := c.members[w.Member]
-	if m == nil || m.Start != w.Start || !Cold(m) {
+	if m == nil || m.Start != w.Start || !IsWarming(m) {
 		return refused("%s is not cold since that start", w.Member)
 	}
 	c.touchMember(w.Member)
-	m.WarmAt, m.Leases = max(c.s.Now, 1), nil
+	m.WarmAt, m.Leases = max(c.state.Now, 1), nil
 	c.membersVersion++
 	c.leasesVersion++
 	return &pb.Result{}
 }
 
-// begin makes a new start of m: cold, not draining, without leases. How long it has run already is not believed, as
+// applyStart makes a new start of m: cold, not draining, without leases. How long it has run already is not believed, as
 // clocks may be apart, unless it is very long.
-func (c *Catalog) begin(m *pb.Member, start int64) {
+func (c *Catalog) applyStart(m *pb.Member, start int64) {
 	c.touchMember(m.Entry.Id)
 	m.Start, m.WarmAt, m.DrainedAt, m.DrainReason, m.Leases = start, 0, 0, "", nil
-	if m.ColdSince = max(c.s.Now, 1); c.s.Now-start > longAgo {
+	if m.ColdSince = max(c.state.Now, 1); c.state.Now-start > warmedUpStartAge {
 		m.ColdSince = 0
 	}
 	c.leasesVersion++
 }
 
-// Cold tells whether m is cold as far as this replica has heard.
-func Cold(m *pb.Member) bool { return m.ColdSince != 0 && m.WarmAt == 0 }
+// IsWarming tells whether m is cold as far as this replica has heard.
+func IsWarming(m *pb.Member) bool { return m.ColdSince != 0 && m.WarmAt == 0 }
--- a/internal/controlplane/commandqueue/queue.go
+++ b/internal/controlplane/commandqueue/queue.go
@@ -32,11 +32,11 @@
 	maxSubmitted  = 1024            // commands whose callers wait; further ones get ErrBusy
 	maxOffers     = 4096            // commands that nobody waits for, by key; further keys are dropped: they come again
 	maxBatchBytes = 512 << 10       // of one batch, from which on no more are added
-	batchLimit    = 5 * time.Second // a batch that found no leader by then is given up, and the next has its turn
+	batchTimeout  = 5 * time.Second // a batch that found no leader by then is given up, and the next has its turn
 )
 
-// Carry takes a batch to where it is agreed on. mayHaveRun: the batch may be agreed on in spite of the error.
-type Carry func(*pb.Batch) (results []*pb.Result, mayHaveRun bool, err error)
+// SubmitFunc takes a batch to where it is agreed on. mayHaveRun: the batch may be agreed on in spite of the error.
+type SubmitFunc func(*pb.Batch) (results []*pb.Result, mayHaveRun bool, err error)
 
 // entry is one command in the queue.
 type entry struct {
@@ -48,22 +48,22 @@
 
 // Queue holds commands until they are carried out. Its methods may be called from any goroutine.
 type Queue struct {
-	origin string
-	carry  Carry
-	end    <-chan struct{}
-	wake   chan struct{}
+	origin      string
+	submitBatch SubmitFunc
+	stop        <-chan struct{}
+	wake        chan struct{}
 
 	mu        sync.Mutex
 	sequence  uint64
 	submitted []*entry // of callers that wait
-	keys      []string // of offers, in order
+	offerKeys []string // of offers, in order
 	offers    map[string]*pb.Command
 	closed    bool
 }
 
 // New makes a queue that ends when end is closed. origin names the sender of its commands: no two queues share one.
-func New(origin string, carry Carry, end <-chan struct{}) *Queue {
-	return &Queue{origin: origin, carry: carry, end: end, wake: make(chan struct{}, 1), offers: map[string]*pb.Command{}}
+func New(origin string, carry SubmitFunc, end <-chan struct{}) *Queue {
+	return &Queue{origin: origin, submitBatch: carry, stop: end, wake: make(chan struct{}, 1), offers: map[string]*pb.Command{}}
 }
 
 // Offer has a command carried out some time; a later one with the same key takes the place of one that still waits.
@@ -71,7 +71,7 @@
 	q.mu.Lock()
 	_, waits := q.offers[key]
 	if !waits && len(q.offers) < maxOffers {
-		q.keys = append(q.keys, key)
+		q.offerKeys = append(q.offerKeys, key)
 		q.offers[key] = c
 	} else if waits {
 		q.offers[key] = c
@@ -83,7 +83,7 @@
 // Submit has a command carried out and waits for its result. A queue that is full returns ErrBusy at once.
 func (q *Queue) Submit(c *pb.Command, limit time.Duration) (*pb.Result, error) {
 	e := &entry{command: proto.Clone(c).(*pb.Command), done: make(chan struct{})}
-	if err := q.push(e); err != nil {
+	if err := q.enqueue(e); err != nil {
 		return nil, err
 	}
 	timer := time.NewTimer(limit)
@@ -92,16 +92,16 @@
 	case <-e.done:
 		return e.result, e.err
 	case <-timer.C:
-	case <-q.end:
+	case <-q.stop:
 	}
-	if q.takeBack(e) {
+	if q.withdraw(e) {
 		return nil, ErrUnavailable
 	}
 	return nil, ErrUnknown
 }
 
-// Waiting is the number of commands that no batch has taken up.
-func (q *Queue) Waiting() int {
+// Queued is the number of commands that no batch has taken up.
+func (q *Queue) Queued() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.submitted) + len(q.offers)
@@ -110,13 +110,13 @@
 // Run carries batches until the queue's end. Callers that wait then get ErrClosed.
 func (q *Queue) Run() {
 	for {
-		entries, b := q.take()
+		entries, b := q.nextBatch()
 		if len(entries) > 0 {
-			q.deliver(entries, b)
+			q.deliverBatch(entries, b)
 			continue
 		}
 		select {
-		case <-q.end:
+		case <-q.stop:
 			q.close()
 			return
 		case <-q.wake:
@@ -131,7 +131,7 @@
 	}
 }
 
-func (q *Queue) push(e *entry) error {
+func (q *Queue) enqueue(e *entry) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.closed {
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// takeBack removes a command that has not been taken up; then it cannot run.
-func (q *Queue) takeBack(e *entry) bool {
+// withdraw removes a command that has not been taken up; then it cannot run.
+func (q *Queue) withdraw(e *entry) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for i, other := range q.submitted {
@@ -158,8 +158,8 @@
 	return false
 }
 
-// take forms the next batch: commands that somebody waits for first.
-func (q *Queue) take() (entries []*entry, b *pb.Batch) {
+// nextBatch forms the next batch: commands that somebody waits for first.
+func (q *Queue) nextBatch() (entries []*entry, b *pb.Batch) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	b = &pb.Batch{}
@@ -168,7 +168,7 @@
 		q.sequence++
 		e.command.Origin, e.command.Seq = q.origin, q.sequence
 		if e.command.Kind == 0 {
-			e.command.Kind = catalog.Kind(e.command)
+			e.command.Kind = catalog.CommandKind(e.command)
 		}
 		size += proto.Size(e.command)
 		entries, b.Commands = append(entries, e), append(b.Commands, e.command)
@@ -177,18 +177,18 @@
 		add(q.submitted[0])
 		q.submitted = q.submitted[1:]
 	}
-	for len(q.keys) > 0 && len(entries) < MaxBatch && size < maxBatchBytes {
-		key := q.keys[0]
-		q.keys = q.keys[1:]
+	for len(q.offerKeys) > 0 && len(entries) < MaxBatch && size < maxBatchBytes {
+		key := q.offerKeys[0]
+		q.offerKeys = q.offerKeys[1:]
 		add(&entry{command: q.offers[key]})
 		delete(q.offers, key)
 	}
 	return entries, b
 }
 
-// deliver carries a batch and hands out its results.
-func (q *Queue) deliver(entries []*entry, b *pb.Batch) {
-	results, err := q.retry(b)
+// deliverBatch carries a batch and hands out its results.
+func (q *Queue) deliverBatch(entries []*entry, b *pb.Batch) {
+	results, err := q.submitWithRetry(b)
 	for i, e := range entries {
 		if e.err = err; err == nil {
 			e.result = results[i]
@@ -199,11 +199,11 @@
 	}
 }
 
-// retry repeats a batch until it is answered, for a while. What may have run once stays in doubt.
-func (q *Queue) retry(b *pb.Batch) ([]*pb.Result, error) {
+// submitWithRetry repeats a batch until it is answered, for a while. What may have run once stays in doubt.
+func (q *Queue) submitWithRetry(b *pb.Batch) ([]*pb.Result, error) {
 	doubt := ErrUnavailable
-	for end, delay := time.Now().Add(batchLimit), MinRetryDelay; ; delay = min(2*delay, MaxRetryDelay) {
-		results, mayHaveRun, err := q.carry(b)
+	for end, delay := time.Now().Add(batchTimeout), MinRetryDelay; ; delay = min(2*delay, MaxRetryDelay) {
+		results, mayHaveRun, err := q.submitBatch(b)
 		if err == nil && len(results) == len(b.Commands) {
 			return results, nil
 		}
@@ -214,7 +214,7 @@
 			return nil, doubt
 		}
 		select {
-		case <-q.end:
+		case <-q.stop:
 			return nil, doubt
 		case <-time.After(delay/2 + rand.N(delay)): // instances must not come back all at once
 		}
--- a/internal/controlplane/commandqueue/queue_test.go
+++ b/internal/controlplane/commandqueue/queue_test.go
@@ -39,15 +39,15 @@
 			t.Errorf("nobody took it up: %v", err)
 		}
 	}
-	if q.Waiting() != 0 {
-		t.Errorf("%d are still held", q.Waiting())
+	if q.Queued() != 0 {
+		t.Errorf("%d are still held", q.Queued())
 	}
 	for i := range 100 {
 		q.Offer("same", set("k", fmt.Sprint(i)))
 	}
 	go func() { q.Run(); close(done) }()
 	close(block)
-	for q.Waiting() > 0 {
+	for q.Queued() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	close(end)
--- a/internal/controlplane/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	mostAsked = 4   // asks without an answer that are remembered of one member; the oldest goes
-	askAgain  = 0.2 // of the duration: between two asks without an answer
-	renewAt   = 0.4 // of the duration, from the ask: a new one is asked for then, so that one lost answer does no harm
+	maxPendingRequests = 4   // asks without an answer that are remembered of one member; the oldest goes
+	retryFraction      = 0.2 // of the duration: between two asks without an answer
+	renewFraction      = 0.4 // of the duration, from the ask: a new one is asked for then, so that one lost answer does no harm
 )
 
-// key names a member's start.
-type key struct {
+// memberStart names a member's start.
+type memberStart struct {
 	member string
 	start  int64
 }
@@ -29,85 +29,85 @@
 type Holder struct {
 	instance, boot string
 	duration       aspenshed.Nanos
-	asked          uint64
-	of             map[key]*held
+	requestCount   uint64
+	leases         map[memberStart]*heldLease
 }
 
-type held struct {
-	asks   []ask // without an answer, the newest last
-	last   aspenshed.Nanos
-	serial uint64 // of the lease in force
-	share  float64
-	from   aspenshed.Nanos // when it was asked for
-	until  aspenshed.Nanos
+type heldLease struct {
+	pending       []pendingRequest // without an answer, the newest last
+	lastRequestAt aspenshed.Nanos
+	serial        uint64 // of the lease in force
+	share         float64
+	requestedAt   aspenshed.Nanos // when it was asked for
+	expiresAt     aspenshed.Nanos
 }
 
-type ask struct {
-	nonce string
-	at    aspenshed.Nanos
+type pendingRequest struct {
+	nonce  string
+	sentAt aspenshed.Nanos
 }
 
 // NewHolder makes an instance's. Its boot tells its nonces from those before a restart: what was granted to those
 // is not used, as nobody knows when they were asked for.
 func NewHolder(instance, boot string, duration aspenshed.Nanos) *Holder {
-	return &Holder{instance: instance, boot: boot, duration: duration, of: map[key]*held{}}
+	return &Holder{instance: instance, boot: boot, duration: duration, leases: map[memberStart]*heldLease{}}
 }
 
 // Step takes what the local replica says of members and returns what to ask for. want is the work a second that
 // this instance has for members of a group.
 func (h *Holder) Step(now aspenshed.Nanos, members []*pb.Member, want func(group int32) float64) (asks []*pb.Ask) {
-	cold := map[key]bool{}
+	cold := map[memberStart]bool{}
 	for _, m := range members {
-		if !catalog.Cold(m) {
+		if !catalog.IsWarming(m) {
 			continue
 		}
-		k := key{m.Entry.Id, m.Start}
+		k := memberStart{m.Entry.Id, m.Start}
 		cold[k] = true
-		x := h.of[k]
+		x := h.leases[k]
 		if x == nil {
-			x = &held{}
-			h.of[k] = x
+			x = &heldLease{}
+			h.leases[k] = x
 		}
 		for _, l := range m.Leases {
-			h.granted(x, l)
+			h.applyGrant(x, l)
 		}
-		due := x.last == 0 || now >= x.last+aspenshed.Nanos(askAgain*float64(h.duration))
-		if renew := now >= x.from+aspenshed.Nanos(renewAt*float64(h.duration)); due && (x.serial == 0 || renew) {
-			h.asked++
-			a := ask{fmt.Sprintf("%s/%s/%d", h.instance, h.boot, h.asked), now}
-			if x.last = now; len(x.asks) >= mostAsked {
-				x.asks = slices.Delete(x.asks, 0, 1)
+		due := x.lastRequestAt == 0 || now >= x.lastRequestAt+aspenshed.Nanos(retryFraction*float64(h.duration))
+		if renew := now >= x.requestedAt+aspenshed.Nanos(renewFraction*float64(h.duration)); due && (x.serial == 0 || renew) {
+			h.requestCount++
+			a := pendingRequest{fmt.Sprintf("%s/%s/%d", h.instance, h.boot, h.requestCount), now}
+			if x.lastRequestAt = now; len(x.pending) >= maxPendingRequests {
+				x.pending = slices.Delete(x.pending, 0, 1)
 			}
-			x.asks = append(x.asks, a)
+			x.pending = append(x.pending, a)
 			asks = append(asks, &pb.Ask{Member: m.Entry.Id, Start: m.Start, Instance: h.instance, Nonce: a.nonce,
 				Want: want(m.Entry.Group), Duration: int64(h.duration)})
 		}
 	}
-	for k := range h.of { // warm, gone or started again: nothing is held of that start
+	for k := range h.leases { // warm, gone or started again: nothing is held of that start
 		if !cold[k] {
-			delete(h.of, k)
+			delete(h.leases, k)
 		}
 	}
 	return asks
 }
 
-func (h *Holder) granted(x *held, l *pb.Lease) {
+func (h *Holder) applyGrant(x *heldLease, l *pb.Lease) {
 	if l.Instance != h.instance || l.Serial <= x.serial {
 		return
 	}
-	i := slices.IndexFunc(x.asks, func(a ask) bool { return a.nonce == l.Nonce })
+	i := slices.IndexFunc(x.pending, func(a pendingRequest) bool { return a.nonce == l.Nonce })
 	if i < 0 {
 		return
 	}
-	x.serial, x.share, x.from, x.until = l.Serial, l.Share, x.asks[i].at, x.asks[i].at+aspenshed.Nanos(l.Duration)
-	x.asks = slices.Delete(x.asks, 0, i+1)
+	x.serial, x.share, x.requestedAt, x.expiresAt = l.Serial, l.Share, x.pending[i].sentAt, x.pending[i].sentAt+aspenshed.Nanos(l.Duration)
+	x.pending = slices.Delete(x.pending, 0, i+1)
 }
 
 // Share is the part of a cold member's budget that the instance may use until then; 0: it holds no valid lease, and
 // the safe share is all it has. The safe share comes on top of a lease.
 func (h *Holder) Share(now aspenshed.Nanos, member string, start int64) (share float64, until aspenshed.Nanos) {
-	if x := h.of[key{member, start}]; x != nil && now < x.until {
-		return x.share, x.until
+	if x := h.leases[memberStart{member, start}]; x != nil && now < x.expiresAt {
+		return x.share, x.expiresAt
 	}
 	return 0, 0
 }
@@ -116,68 +116,68 @@
 // from when its own replica first showed them, which is never before the grant: so a new leader, or one that has
 // started again, waits longer, never shorter.
 type Grantor struct {
-	leases map[uint64]aspenshed.Nanos
-	cold   map[key]aspenshed.Nanos
-	told   map[any]aspenshed.Nanos // when a command was last proposed: it is not repeated at once
+	leaseSeenAt   map[uint64]aspenshed.Nanos
+	warmingSeenAt map[memberStart]aspenshed.Nanos
+	proposedAt    map[any]aspenshed.Nanos // when a command was last proposed: it is not repeated at once
 }
 
-const proposeAgain = aspenshed.Nanos(1e9)
+const proposalRetryInterval = aspenshed.Nanos(1e9)
 
 // NewGrantor makes one.
 func NewGrantor() *Grantor {
-	return &Grantor{leases: map[uint64]aspenshed.Nanos{}, cold: map[key]aspenshed.Nanos{}, told: map[any]aspenshed.Nanos{}}
+	return &Grantor{leaseSeenAt: map[uint64]aspenshed.Nanos{}, warmingSeenAt: map[memberStart]aspenshed.Nanos{}, proposedAt: map[any]aspenshed.Nanos{}}
 }
 
-// RunsOut is how long a lease of that duration may last at its holder, by this instance's own clock: its holder's
+// MaxLifetime is how long a lease of that duration may last at its holder, by this instance's own clock: its holder's
 // may run slow by the bound while this one runs fast.
-func RunsOut(duration int64, bound float64) aspenshed.Nanos {
+func MaxLifetime(duration int64, bound float64) aspenshed.Nanos {
 	return aspenshed.Nanos(float64(duration) * (1 + bound) / (1 - bound))
 }
 
 // Step returns what to propose. Without the lead it only watches.
 func (g *Grantor) Step(now aspenshed.Nanos, leads bool, members []*pb.Member, rules *pb.Rules) (out []*pb.Command) {
-	seenLease, seenCold := map[uint64]bool{}, map[key]bool{}
+	seenLease, seenCold := map[uint64]bool{}, map[memberStart]bool{}
 	propose := func(what any, c *pb.Command) {
-		if at, ok := g.told[what]; leads && (!ok || now >= at+proposeAgain) {
-			g.told[what] = now
+		if at, ok := g.proposedAt[what]; leads && (!ok || now >= at+proposalRetryInterval) {
+			g.proposedAt[what] = now
 			out = append(out, c)
 		}
 	}
 	for _, m := range members {
 		for _, l := range m.Leases {
 			seenLease[l.Serial] = true
-			at, known := g.leases[l.Serial]
+			at, known := g.leaseSeenAt[l.Serial]
 			if !known {
-				g.leases[l.Serial], at = now, now
+				g.leaseSeenAt[l.Serial], at = now, now
 			}
-			if now >= at+RunsOut(l.Duration, rules.ClockBound) {
+			if now >= at+MaxLifetime(l.Duration, rules.ClockBound) {
 				propose(l.Serial, &pb.Command{Body: &pb.Command_Release{Release: &pb.Release{Member: m.Entry.Id, Start: m.Start,
 					Instance: l.Instance, Serial: l.Serial}}})
 			}
 		}
-		if !catalog.Cold(m) {
+		if !catalog.IsWarming(m) {
 			continue
 		}
-		k := key{m.Entry.Id, m.Start}
+		k := memberStart{m.Entry.Id, m.Start}
 		seenCold[k] = true
-		at, known := g.cold[k]
+		at, known := g.warmingSeenAt[k]
 		if !known {
-			g.cold[k], at = now, now
+			g.warmingSeenAt[k], at = now, now
 		}
 		if now >= at+aspenshed.Nanos(float64(rules.ColdFor)*(1+rules.ClockBound)) { // this clock may run fast
 			propose(k, &pb.Command{Body: &pb.Command_Warm{Warm: &pb.Warm{Member: m.Entry.Id, Start: m.Start}}})
 		}
 	}
-	for s := range g.leases {
+	for s := range g.leaseSeenAt {
 		if !seenLease[s] {
-			delete(g.leases, s)
-			delete(g.told, s)
+			delete(g.leaseSeenAt, s)
+			delete(g.proposedAt, s)
 		}
 	}
-	for k := range g.cold {
+	for k := range g.warmingSeenAt {
 		if !seenCold[k] {
-			delete(g.cold, k)
-			delete(g.told, k)
+			delete(g.warmingSeenAt, k)
+			delete(g.proposedAt, k)
 		}
 	}
 	return out
--- a/internal/controlplane/lease/sim_test.go
+++ b/internal/controlplane/lease/sim_test.go
@@ -156,7 +156,7 @@
 		if !n.up || m == nil || m.Start != start {
 			continue
 		}
-		if !catalog.Cold(m) || int64(now) >= n.heard[fmt.Sprint(member, start)]+rules.ColdLongest {
+		if !catalog.IsWarming(m) || int64(now) >= n.heard[fmt.Sprint(member, start)]+rules.ColdLongest {
 			warm++
 			continue
 		}
--- a/internal/controlplane/membership/membership_test.go
+++ b/internal/controlplane/membership/membership_test.go
@@ -8,7 +8,7 @@
 )
 
 func view(ids ...string) (v View) {
-	v.Commit = 100
+	v.CommitIndex = 100
 	for _, id := range ids {
 		name, non := strings.CutSuffix(id, "*")
 		v.Servers = append(v.Servers, Server{name, name + ":1", !non})
@@ -18,43 +18,43 @@
 
 // A join goes through its steps, one change at a time, and a dead joiner blocks the others for a while only.
 func TestJoinsGoOneAtATime(t *testing.T) {
-	var m Machine
+	var m StateMachine
 	pending := view("a", "b")
-	pending.Pending = true
+	pending.ChangePending = true
 	for i, x := range []struct {
 		at    int64
 		v     View
 		id    string
 		app   uint64
 		empty bool
-		want  Do
+		want  Action
 		done  bool
 	}{
 		{1, view("a", "b"), "c", 0, true, AddNonvoter, false},
-		{2, pending, "c", 0, true, Nothing, false},
-		{3, view("a", "b", "c*"), "d", 0, true, Nothing, false},   // c joins
-		{4, view("a", "b", "c*"), "c", 50, false, Nothing, false}, // far behind
+		{2, pending, "c", 0, true, NoAction, false},
+		{3, view("a", "b", "c*"), "d", 0, true, NoAction, false},   // c joins
+		{4, view("a", "b", "c*"), "c", 50, false, NoAction, false}, // far behind
 		{5, view("a", "b", "c*"), "c", 95, false, Promote, false},
-		{6, view("a", "b", "c"), "c", 100, false, Nothing, true},
+		{6, view("a", "b", "c"), "c", 100, false, NoAction, true},
 		{7, view("a", "b", "c"), "d", 0, true, AddNonvoter, false},
-		{8, view("a", "b", "c", "d*"), "e", 0, true, Nothing, false},
-		{8 + int64(joinLimit), view("a", "b", "c", "d*"), "e", 0, true, AddNonvoter, false}, // d has died
-		{9 + int64(joinLimit), view("a", "b", "c"), "b", 0, true, Remove, false},            // its disk is empty: its votes are forgotten
+		{8, view("a", "b", "c", "d*"), "e", 0, true, NoAction, false},
+		{8 + int64(joinTimeout), view("a", "b", "c", "d*"), "e", 0, true, AddNonvoter, false}, // d has died
+		{9 + int64(joinTimeout), view("a", "b", "c"), "b", 0, true, Remove, false},            // its disk is empty: its votes are forgotten
 	} {
 		m.now(t, i, x.at, x.v, x.id, x.app, x.empty, x.want, x.done)
 	}
-	if v := m.Leave(1e12, view("a"), "a"); v.Refused == "" || v.Do != Nothing {
+	if v := m.Leave(1e12, view("a"), "a"); v.Refused == "" || v.Action != NoAction {
 		t.Errorf("the last voter may leave: %+v", v)
 	}
-	if v := m.Join(1e12, view("a", "b"), "x", "a:1", 0, true); v.Refused == "" || v.Later {
+	if v := m.Join(1e12, view("a", "b"), "x", "a:1", 0, true); v.Refused == "" || v.Retry {
 		t.Errorf("the address of another: %+v", v)
 	}
 }
 
-func (m *Machine) now(t *testing.T, i int, at int64, v View, id string, applied uint64, empty bool, want Do, done bool) {
+func (m *StateMachine) now(t *testing.T, i int, at int64, v View, id string, applied uint64, empty bool, want Action, done bool) {
 	t.Helper()
 	got := m.Join(aspenshed.Nanos(at), v, id, id+":1", applied, empty)
-	if got.Do != want || got.Done != done {
+	if got.Action != want || got.Done != done {
 		t.Errorf("step %d: %+v, want %v", i, got, want)
 	}
 }
--- a/internal/controlplane/mode/mode.go
+++ b/internal/controlplane/mode/mode.go
@@ -11,8 +11,8 @@
 	CatchingUp Mode = iota // it has not yet all that was agreed; its leases and drains may lag
 	Following
 	Leading
-	CutOff // no word from a leader for too long: it serves from what it last held
-	Alone  // it has no others
+	Disconnected // no word from a leader for too long: it serves from what it last held
+	Standalone   // it has no others
 )
 
 func (m Mode) String() string {
@@ -21,71 +21,71 @@
 
 // The limits, on the instance's own clock.
 const (
-	CutAfter  = aspenshed.Nanos(1500e6) // without contact: three heartbeats of a leader that is well
-	BackAfter = aspenshed.Nanos(500e6)  // of unbroken contact before a cut-off instance counts as back
-	mostLag   = 64                      // log entries that a follower may be behind and still follow
+	ContactTimeout = aspenshed.Nanos(1500e6) // without contact: three heartbeats of a leader that is well
+	ReconnectAfter = aspenshed.Nanos(500e6)  // of unbroken contact before a cut-off instance counts as back
+	maxFollowerLag = 64                      // log entries that a follower may be behind and still follow
 )
 
-// Seen is what the instance sees of the store just now.
-type Seen struct {
-	Alone, Leads, Voter bool
-	Contact             bool // a leader was heard of since the last Step, or is this instance with a majority behind it
-	Applied, Commit     uint64
+// Observation is what the instance sees of the store just now.
+type Observation struct {
+	Standalone, IsLeader, IsVoter bool
+	LeaderContact                 bool // a leader was heard of since the last Step, or is this instance with a majority behind it
+	AppliedIndex, CommitIndex     uint64
 }
 
-// Machine holds the mode.
-type Machine struct {
-	mode                 Mode
-	lastContact, firstOf aspenshed.Nanos // of the present stretch of contact
-	born                 bool
-	must                 uint64 // what it has to have applied to be back
+// StateMachine holds the mode.
+type StateMachine struct {
+	mode                        Mode
+	lastContactAt, contactSince aspenshed.Nanos // of the present stretch of contact
+	initialized                 bool
+	catchUpTarget               uint64 // what it has to have applied to be back
 }
 
 // Step takes what is seen and tells the mode, and whether it has changed.
-func (m *Machine) Step(now aspenshed.Nanos, s Seen) (Mode, bool) {
-	was, born := m.mode, m.born
+func (m *StateMachine) Step(now aspenshed.Nanos, s Observation) (Mode, bool) {
+	was, born := m.mode, m.initialized
 	if !born {
-		m.born, m.lastContact = true, now
+		m.initialized, m.lastContactAt = true, now
 	}
-	if s.Contact {
-		if m.firstOf == 0 {
-			m.firstOf = now
+	if s.LeaderContact {
+		if m.contactSince == 0 {
+			m.contactSince = now
 		}
-		m.lastContact = now
+		m.lastContactAt = now
 	}
-	cut := now-m.lastContact >= CutAfter
+	cut := now-m.lastContactAt >= ContactTimeout
 	if cut {
-		m.firstOf = 0
+		m.contactSince = 0
 	}
 	switch {
-	case s.Alone:
-		m.mode = Alone
+	case s.Standalone:
+		m.mode = Standalone
 	case cut:
-		m.mode = CutOff
-	case m.mode == CutOff:
-		if m.must = max(m.must, s.Commit); m.firstOf > 0 && now >= m.firstOf+BackAfter {
+		m.mode = Disconnected
+	case m.mode == Disconnected:
+		if m.catchUpTarget = max(m.catchUpTarget, s.CommitIndex); m.contactSince > 0 && now >= m.contactSince+ReconnectAfter {
 			m.mode = CatchingUp
-			m.catchUp(s)
+			m.endCatchUp(s)
 		}
 	case m.mode == CatchingUp:
-		m.must = max(m.must, s.Commit)
-		m.catchUp(s)
-	case s.Leads:
+		m.catchUpTarget = max(m.catchUpTarget, s.CommitIndex)
+		m.endCatchUp(s)
+	case s.IsLeader:
 		m.mode = Leading
-	case s.Applied+mostLag < s.Commit:
-		m.mode, m.must = CatchingUp, s.Commit
+	case s.AppliedIndex+maxFollowerLag < s.CommitIndex:
+		m.mode, m.catchUpTarget = CatchingUp, s.CommitIndex
 	default:
 		m.mode = Following
 	}
 	return m.mode, m.mode != was || !born
 }
 
-// catchUp ends the mode once all that was agreed when it began has been applied.
-func (m *Machine) catchUp(s Seen) {
+// endCatchUp ends the mode once all that was agreed when it began has been applied.
+func (m *StateMachine) endCatchUp(s Observation) {
 	switch {
-	case s.Leads:
-		m.mode, m.must = Leading, 0
-	case s.Voter && s.Commit > 0 && s.Applied >= min(m.must, s.Commit) && s.Applied+mostLag >= s.Commit:
-		m.mode, m.must = Following, 0
+	case s.IsLeader:
+		m.mode, m.catchUpTarget = Leading, 0
+	case s.IsVoter && s.CommitIndex > 0 && s.AppliedIndex >= min(m.catchUpTarget, s.CommitIndex) && s.AppliedIndex+maxFollowerLag >= s.CommitIndex:
+		m.mode, m.catchUpTarget = Following, 0
 	}
 }
--- a/internal/controlplane/roster/changes.go
+++ b/internal/controlplane/roster/changes.go
@@ -12,40 +12,42 @@
 	Member *pb.Member // nil: the catalog has it no more
 }
 
-// FollowsChanges reports whether Changes may be used: the catalog's list leads, and has been told whole.
-func (m *Merger) FollowsChanges() bool { return m.version != 0 && !m.ownLeads && m.last != nil }
+// CanApplyChanges reports whether Changes may be used: the catalog's list leads, and has been told whole.
+func (m *Merger) CanApplyChanges() bool {
+	return m.inventoryVersion != 0 && !m.localIsNewer && m.lastMerged != nil
+}
 
-// Changes takes what has changed of the catalog and returns what differs in the merged list; members that have left it
+// ApplyChanges takes what has changed of the catalog and returns what differs in the merged list; members that have left it
 // are there as gone. It costs as much as there are changes, whatever the length of the list.
-func (m *Merger) Changes(version uint64, changes []Change) (differs []Told) {
-	m.version = version
+func (m *Merger) ApplyChanges(version uint64, changes []Change) (differs []Entry) {
+	m.inventoryVersion = version
 	for _, c := range changes {
 		if c.Member == nil {
 			delete(m.catalog, c.ID)
 		} else {
-			m.setCatalog(c.Member)
+			m.setCatalogMember(c.Member)
 		}
-		if own, both := m.own[c.ID]; both {
-			m.ownDrain(c.ID, own)
+		if own, both := m.local[c.ID]; both {
+			m.applyLocalDrain(c.ID, own)
 		}
-		if t, changed := m.mergeChange(c.ID); changed {
+		if t, changed := m.updateMerged(c.ID); changed {
 			differs = append(differs, t)
 		}
 	}
-	m.forget(m.last)
+	m.pruneDrains(m.lastMerged)
 	return differs
 }
 
-// mergeChange brings one member of the merged list up to date.
-func (m *Merger) mergeChange(id string) (t Told, changed bool) {
-	was, known := m.last[id]
+// updateMerged brings one member of the merged list up to date.
+func (m *Merger) updateMerged(id string) (t Entry, changed bool) {
+	was, known := m.lastMerged[id]
 	held, there := m.catalog[id]
 	if !there {
-		delete(m.last, id)
+		delete(m.lastMerged, id)
 		was.State = aspenshed.Gone
 		return was, known
 	}
-	t = m.merge(held, m.own)
-	m.last[id] = t
+	t = m.mergeEntry(held, m.local)
+	m.lastMerged[id] = t
 	return t, !known || t != was
 }
--- a/internal/controlplane/roster/roster.go
+++ b/internal/controlplane/roster/roster.go
@@ -12,11 +12,11 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// mostGone bounds what is remembered of members that are on no list; the oldest go.
-const mostGone = 4096
+// maxUnlistedDrains bounds what is remembered of members that are on no list; the oldest go.
+const maxUnlistedDrains = 4096
 
-// Told is one member as a list has it.
-type Told struct {
+// Entry is one member as a list has it.
+type Entry struct {
 	aspenshed.Member
 	Address string
 	Site    string // numbered here, so that both sides number alike; empty: Zone stands as it is
@@ -24,24 +24,24 @@
 
 // Merger holds both sides.
 type Merger struct {
-	Zones    []string // sites, in the order in which they are numbered
-	own      map[string]Told
-	ownLeads bool // the own list came after the catalog's inventory, which does not have it yet
-	version  uint64
-	catalog  map[string]Told
-	drains   map[string]aspenshed.Nanos // member: the newest start for which a drain was heard
-	last     map[string]Told            // as last told
-	// unsaid are drains that were heard here and that the store has yet to be told.
-	unsaid map[string]aspenshed.Nanos
+	Zones            []string // sites, in the order in which they are numbered
+	local            map[string]Entry
+	localIsNewer     bool // the own list came after the catalog's inventory, which does not have it yet
+	inventoryVersion uint64
+	catalog          map[string]Entry
+	drains           map[string]aspenshed.Nanos // member: the newest start for which a drain was heard
+	lastMerged       map[string]Entry           // as last told
+	// unreportedDrains are drains that were heard here and that the store has yet to be told.
+	unreportedDrains map[string]aspenshed.Nanos
 }
 
 // New makes a merger.
 func New() *Merger {
-	return &Merger{own: map[string]Told{}, catalog: map[string]Told{}, drains: map[string]aspenshed.Nanos{}, unsaid: map[string]aspenshed.Nanos{}}
+	return &Merger{local: map[string]Entry{}, catalog: map[string]Entry{}, drains: map[string]aspenshed.Nanos{}, unreportedDrains: map[string]aspenshed.Nanos{}}
 }
 
-// Zone numbers a site.
-func (m *Merger) Zone(site string) int {
+// ZoneIndex numbers a site.
+func (m *Merger) ZoneIndex(site string) int {
 	i := slices.Index(m.Zones, site)
 	if i < 0 {
 		i, m.Zones = len(m.Zones), append(m.Zones, site)
@@ -49,43 +49,43 @@
 	return i
 }
 
-// Own takes the instance's own list, whole. It counts until the catalog has another inventory than now.
-func (m *Merger) Own(list []Told) {
-	m.own, m.ownLeads = byID(list), true
+// SetLocal takes the instance's own list, whole. It counts until the catalog has another inventory than now.
+func (m *Merger) SetLocal(list []Entry) {
+	m.local, m.localIsNewer = byID(list), true
 	for _, t := range list {
 		if t.Site != "" {
-			t.Zone = m.Zone(t.Site)
-			m.own[t.ID] = t
+			t.Zone = m.ZoneIndex(t.Site)
+			m.local[t.ID] = t
 		}
 	}
-	m.ownDrains()
+	m.applyLocalDrains()
 }
 
-// Started takes word of one member's start.
-func (m *Merger) Started(id string, at aspenshed.Nanos) {
-	if t, ok := m.own[id]; ok {
+// ObserveStart takes word of one member's start.
+func (m *Merger) ObserveStart(id string, at aspenshed.Nanos) {
+	if t, ok := m.local[id]; ok {
 		t.StartedAt = max(t.StartedAt, at)
-		m.own[id] = t
+		m.local[id] = t
 	}
 }
 
 // Drain takes the word of a drain that came with no list: it holds here at once, and the store is to be told.
 func (m *Merger) Drain(id string) {
-	start := max(m.catalog[id].StartedAt, m.own[id].StartedAt)
+	start := max(m.catalog[id].StartedAt, m.local[id].StartedAt)
 	if was, known := m.drains[id]; !known || start > was {
-		m.unsaid[id] = start
+		m.unreportedDrains[id] = start
 	}
-	m.heard(id, start)
+	m.recordDrain(id, start)
 }
 
-// ownDrains hears the drains of the own list. One that tells no start means whichever start is known.
-func (m *Merger) ownDrains() {
-	for id, t := range m.own {
-		m.ownDrain(id, t)
+// applyLocalDrains hears the drains of the own list. One that tells no start means whichever start is known.
+func (m *Merger) applyLocalDrains() {
+	for id, t := range m.local {
+		m.applyLocalDrain(id, t)
 	}
 }
 
-func (m *Merger) ownDrain(id string, t Told) {
+func (m *Merger) applyLocalDrain(id string, t Entry) {
 	if t.State == aspenshed.Up {
 		return
 	}
@@ -94,82 +94,82 @@
 		start = m.catalog[id].StartedAt
 	}
 	if was, known := m.drains[id]; !known || start > was {
-		m.unsaid[id] = start
+		m.unreportedDrains[id] = start
 	}
-	m.heard(id, start)
+	m.recordDrain(id, start)
 }
 
-// Catalog takes all that the catalog holds, whole, with the version of its inventory.
-func (m *Merger) Catalog(version uint64, members []*pb.Member) {
-	if version != m.version {
-		m.version, m.ownLeads = version, false
+// SetCatalog takes all that the catalog holds, whole, with the version of its inventory.
+func (m *Merger) SetCatalog(version uint64, members []*pb.Member) {
+	if version != m.inventoryVersion {
+		m.inventoryVersion, m.localIsNewer = version, false
 	}
-	m.catalog = make(map[string]Told, len(members))
+	m.catalog = make(map[string]Entry, len(members))
 	for _, x := range members {
-		m.setCatalog(x)
+		m.setCatalogMember(x)
 	}
-	m.ownDrains()
+	m.applyLocalDrains()
 }
 
-// setCatalog takes one member of the catalog.
-func (m *Merger) setCatalog(x *pb.Member) {
-	t := Told{Member: aspenshed.Member{ID: x.Entry.Id, Group: int(x.Entry.Group), Zone: m.Zone(x.Entry.Site), Size: 1,
+// setCatalogMember takes one member of the catalog.
+func (m *Merger) setCatalogMember(x *pb.Member) {
+	t := Entry{Member: aspenshed.Member{ID: x.Entry.Id, Group: int(x.Entry.Group), Zone: m.ZoneIndex(x.Entry.Site), Size: 1,
 		StartedAt: aspenshed.Nanos(x.Start), State: aspenshed.Up}, Address: x.Entry.Address, Site: x.Entry.Site}
 	if x.DrainedAt != 0 {
 		t.State = aspenshed.Draining
-		m.heard(t.ID, t.StartedAt)
+		m.recordDrain(t.ID, t.StartedAt)
 	}
 	m.catalog[t.ID] = t
 }
 
-func byID(list []Told) map[string]Told {
-	out := make(map[string]Told, len(list))
+func byID(list []Entry) map[string]Entry {
+	out := make(map[string]Entry, len(list))
 	for _, t := range list {
 		out[t.ID] = t
 	}
 	return out
 }
 
-// heard binds a drain to a start. Older or repeated news changes nothing.
-func (m *Merger) heard(id string, start aspenshed.Nanos) {
+// recordDrain binds a drain to a start. Older or repeated news changes nothing.
+func (m *Merger) recordDrain(id string, start aspenshed.Nanos) {
 	if was, known := m.drains[id]; !known || start > was {
 		m.drains[id] = start
 	}
 }
 
-// Unsaid are drains heard from the own list that the catalog does not have: the store is to be told. They are
+// UnreportedDrains are drains heard from the own list that the catalog does not have: the store is to be told. They are
 // named again until the catalog has them.
-func (m *Merger) Unsaid() map[string]aspenshed.Nanos {
-	for id, start := range m.unsaid {
+func (m *Merger) UnreportedDrains() map[string]aspenshed.Nanos {
+	for id, start := range m.unreportedDrains {
 		if c, ok := m.catalog[id]; ok && (c.StartedAt > start || c.State != aspenshed.Up) {
-			delete(m.unsaid, id)
+			delete(m.unreportedDrains, id)
 		}
 	}
-	return m.unsaid
+	return m.unreportedDrains
 }
 
-// Merged is the list as it stands, by id, and whether it differs from the one before. The catalog's inventory is the
+// Merge is the list as it stands, by id, and whether it differs from the one before. The catalog's inventory is the
 // list, unless there is none or the own one is newer; of a member that both name the newer start counts.
-func (m *Merger) Merged() (list []Told, changed bool) {
-	from, other := m.catalog, m.own
-	if m.version == 0 || m.ownLeads {
-		from, other = m.own, m.catalog
+func (m *Merger) Merge() (list []Entry, changed bool) {
+	from, other := m.catalog, m.local
+	if m.inventoryVersion == 0 || m.localIsNewer {
+		from, other = m.local, m.catalog
 	}
-	all := make(map[string]Told, len(from))
+	all := make(map[string]Entry, len(from))
 	for id, t := range from {
-		all[id] = m.merge(t, other)
+		all[id] = m.mergeEntry(t, other)
 	}
 	for _, id := range slices.Sorted(maps.Keys(all)) {
 		list = append(list, all[id])
 	}
-	m.forget(all)
-	changed = m.last == nil || !maps.Equal(all, m.last)
-	m.last = all
+	m.pruneDrains(all)
+	changed = m.lastMerged == nil || !maps.Equal(all, m.lastMerged)
+	m.lastMerged = all
 	return list, changed
 }
 
-// merge is one member of the list that leads, with what the other list says of it, and its drain.
-func (m *Merger) merge(t Told, other map[string]Told) Told {
+// mergeEntry is one member of the list that leads, with what the other list says of it, and its drain.
+func (m *Merger) mergeEntry(t Entry, other map[string]Entry) Entry {
 	if o, both := other[t.ID]; both {
 		t.StartedAt, t.Primary = max(t.StartedAt, o.StartedAt), t.Primary || o.Primary
 	}
@@ -180,9 +180,9 @@
 	return t
 }
 
-// forget bounds the drains of members that are on no list: a list may name them again, so they are not dropped at once.
-func (m *Merger) forget(present map[string]Told) {
-	if len(m.drains) <= len(present)+mostGone+mostGone/4 { // in steps: to look at all of them takes time
+// pruneDrains bounds the drains of members that are on no list: a list may name them again, so they are not dropped at once.
+func (m *Merger) pruneDrains(present map[string]Entry) {
+	if len(m.drains) <= len(present)+maxUnlistedDrains+maxUnlistedDrains/4 { // in steps: to look at all of them takes time
 		return
 	}
 	var gone []string
@@ -194,8 +194,8 @@
 	slices.SortFunc(gone, func(a, b string) int {
 		return cmp.Or(cmp.Compare(m.drains[a], m.drains[b]), cmp.Compare(a, b))
 	})
-	for _, id := range gone[:max(len(gone)-mostGone, 0)] {
+	for _, id := range gone[:max(len(gone)-maxUnlistedDrains, 0)] {
 		delete(m.drains, id)
-		delete(m.unsaid, id)
+		delete(m.unreportedDrains, id)
 	}
 }
--- a/internal/controlplane/roster/roster_test.go
+++ b/internal/controlplane/roster/roster_test.go
@@ -9,8 +9,8 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-func own(id string, start aspenshed.Nanos, s aspenshed.MemberState) Told {
-	return Told{Member: aspenshed.Member{ID: id, StartedAt: start, State: s}, Address: id + ":1"}
+func own(id string, start aspenshed.Nanos, s aspenshed.MemberState) Entry {
+	return Entry{Member: aspenshed.Member{ID: id, StartedAt: start, State: s}, Address: id + ":1"}
 }
 
 func kept(id string, start, drained int64) *pb.Member {
@@ -18,7 +18,7 @@
 }
 
 func states(m *Merger) (out string) {
-	list, _ := m.Merged()
+	list, _ := m.Merge()
 	for _, t := range list {
 		out += fmt.Sprint(t.ID, t.StartedAt, map[aspenshed.MemberState]string{aspenshed.Up: "up", aspenshed.Draining: "drain"}[t.State], " ")
 	}
@@ -29,8 +29,8 @@
 // store that has not heard, each until a new start.
 func TestADrainHoldsFromWhicheverSide(t *testing.T) {
 	m := New()
-	m.Own([]Told{own("a", 5, aspenshed.Up), own("b", 5, aspenshed.Up)})
-	m.Catalog(1, []*pb.Member{kept("a", 5, 0), kept("b", 5, 0)})
+	m.SetLocal([]Entry{own("a", 5, aspenshed.Up), own("b", 5, aspenshed.Up)})
+	m.SetCatalog(1, []*pb.Member{kept("a", 5, 0), kept("b", 5, 0)})
 	step := func(what, want string) {
 		t.Helper()
 		if got := states(m); got != want {
@@ -38,22 +38,22 @@
 		}
 	}
 	step("calm", "a5up b5up ")
-	m.Catalog(1, []*pb.Member{kept("a", 5, 9), kept("b", 5, 0)})
+	m.SetCatalog(1, []*pb.Member{kept("a", 5, 9), kept("b", 5, 0)})
 	step("the store drains a", "a5drain b5up ")
-	m.Own([]Told{own("a", 5, aspenshed.Up), own("b", 5, aspenshed.Draining)})
+	m.SetLocal([]Entry{own("a", 5, aspenshed.Up), own("b", 5, aspenshed.Draining)})
 	step("the own list is old on a and drains b", "a5drain b5drain ")
-	if u := m.Unsaid(); len(u) != 1 || u["b"] != 5 {
+	if u := m.UnreportedDrains(); len(u) != 1 || u["b"] != 5 {
 		t.Errorf("the store is to be told %v", u)
 	}
-	m.Own([]Told{own("a", 5, aspenshed.Up), own("b", 5, aspenshed.Up)})
-	m.Catalog(2, []*pb.Member{kept("a", 5, 0), kept("b", 5, 0)})
+	m.SetLocal([]Entry{own("a", 5, aspenshed.Up), own("b", 5, aspenshed.Up)})
+	m.SetCatalog(2, []*pb.Member{kept("a", 5, 0), kept("b", 5, 0)})
 	step("older news from both sides", "a5drain b5drain ")
-	m.Catalog(2, []*pb.Member{kept("a", 6, 0), kept("b", 5, 9)})
+	m.SetCatalog(2, []*pb.Member{kept("a", 6, 0), kept("b", 5, 9)})
 	step("a has started again", "a6up b5drain ")
-	if len(m.Unsaid()) != 0 {
+	if len(m.UnreportedDrains()) != 0 {
 		t.Error("the store is told what it has")
 	}
-	if _, changed := m.Merged(); changed {
+	if _, changed := m.Merge(); changed {
 		t.Error("a change without news")
 	}
 }
@@ -61,16 +61,16 @@
 // An own list that tells no start drains whichever start is known by then.
 func TestADrainWithoutAStart(t *testing.T) {
 	m := New()
-	m.Own([]Told{own("a", 0, aspenshed.Draining)})
-	m.Catalog(3, []*pb.Member{kept("a", 7, 0), kept("c", 7, 0)})
+	m.SetLocal([]Entry{own("a", 0, aspenshed.Draining)})
+	m.SetCatalog(3, []*pb.Member{kept("a", 7, 0), kept("c", 7, 0)})
 	if got := states(m); got != "a7drain c7up " {
 		t.Error(got)
 	}
-	m.Own([]Told{own("a", 0, aspenshed.Up), own("d", 0, aspenshed.Up)}) // newer than the catalog's inventory: it is the list
+	m.SetLocal([]Entry{own("a", 0, aspenshed.Up), own("d", 0, aspenshed.Up)}) // newer than the catalog's inventory: it is the list
 	if got := states(m); got != "a7drain d0up " {
 		t.Error(got)
 	}
-	m.Catalog(4, []*pb.Member{kept("d", 8, 0)})
+	m.SetCatalog(4, []*pb.Member{kept("d", 8, 0)})
 	if got := states(m); got != "d8up " {
 		t.Error(got)
 	}
@@ -81,12 +81,12 @@
 	m := New()
 	a, b := own("a", 0, aspenshed.Up), own("b", 0, aspenshed.Up)
 	a.Site, b.Site = "launceston", "hobart"
-	m.Own([]Told{a, b})
-	before, _ := m.Merged()
+	m.SetLocal([]Entry{a, b})
+	before, _ := m.Merge()
 	ka, kb := kept("a", 0, 0), kept("b", 0, 0)
 	ka.Entry.Site, kb.Entry.Site = "launceston", "hobart"
-	m.Catalog(1, []*pb.Member{kb, ka})
-	after, _ := m.Merged()
+	m.SetCatalog(1, []*pb.Member{kb, ka})
+	after, _ := m.Merge()
 	if before[0].Zone == before[1].Zone || before[0].Zone != after[0].Zone || before[1].Zone != after[1].Zone {
 		t.Errorf("%+v, then %+v", before, after)
 	}
@@ -94,11 +94,11 @@
 
 func TestGoneMembersAreForgotten(t *testing.T) {
 	m := New()
-	for i := range 2 * mostGone {
-		m.Own([]Told{own(fmt.Sprint("x", i), 1, aspenshed.Draining)})
-		m.Merged()
+	for i := range 2 * maxUnlistedDrains {
+		m.SetLocal([]Entry{own(fmt.Sprint("x", i), 1, aspenshed.Draining)})
+		m.Merge()
 	}
-	if len(m.drains) > 2*mostGone-9 || len(m.unsaid) > 2*mostGone-9 {
-		t.Errorf("%d drains, %d unsaid are held", len(m.drains), len(m.unsaid))
+	if len(m.drains) > 2*maxUnlistedDrains-9 || len(m.unreportedDrains) > 2*maxUnlistedDrains-9 {
+		t.Errorf("%d drains, %d unsaid are held", len(m.drains), len(m.unreportedDrains))
 	}
 }
--- a/internal/controlplane/store/alone_test.go
+++ b/internal/controlplane/store/alone_test.go
@@ -16,7 +16,7 @@
 	if r, err := s.Submit(set("k", "v"), patient); err != nil || r.Version != 1 {
 		t.Errorf("%v %v", r, err)
 	}
-	if s.Mode() != mode.Alone || get(s, "k") != "v" {
+	if s.Mode() != mode.Standalone || get(s, "k") != "v" {
 		t.Errorf("mode %v", s.Mode())
 	}
 	if err := s.Close(); err != nil {
--- a/internal/controlplane/store/carry.go
+++ b/internal/controlplane/store/carry.go
@@ -10,17 +10,17 @@
 	"aspenshed/internal/controlplane/commandqueue"
 )
 
-// Carry brings a subscriber's batch to the leader, under the origin and the numbers that the subscriber gave. What
+// ForwardBatch brings a subscriber's batch to the leader, under the origin and the numbers that the subscriber gave. What
 // changes nothing any more is answered as done and goes no further: each gateway that sees a drain, a start or a change
 // of primary reports it, and only the first report needs an entry of the log.
-func (s *Store) Carry(b *pb.Batch) *pb.Reply {
+func (s *Store) ForwardBatch(b *pb.Batch) *pb.Reply {
 	if n := len(b.GetCommands()); n == 0 || n > commandqueue.MaxBatch {
 		return &pb.Reply{Refused: fmt.Sprintf("a batch has 1 to %d commands", commandqueue.MaxBatch)}
 	}
 	results := make([]*pb.Result, len(b.Commands))
 	s.Read(func(c *catalog.Catalog) {
 		for i, x := range b.Commands {
-			results[i] = answerHere(c, x)
+			results[i] = answerLocally(c, x)
 		}
 	})
 	needed := &pb.Batch{}
@@ -32,7 +32,7 @@
 	if len(needed.Commands) == 0 {
 		return &pb.Reply{Results: results}
 	}
-	reply := s.carryNeeded(needed)
+	reply := s.forwardNeeded(needed)
 	if reply.Refused != "" {
 		return reply
 	}
@@ -46,8 +46,8 @@
 	return &pb.Reply{Results: results}
 }
 
-// answerHere is the answer to a subscriber's command that needs no entry of the log; nil: it needs one.
-func answerHere(c *catalog.Catalog, x *pb.Command) *pb.Result {
+// answerLocally is the answer to a subscriber's command that needs no entry of the log; nil: it needs one.
+func answerLocally(c *catalog.Catalog, x *pb.Command) *pb.Result {
 	if x.Origin == "" || x.Seq == 0 {
 		return &pb.Result{Seq: x.Seq, Refused: "a subscriber's command needs an origin and a number"}
 	}
@@ -61,9 +61,9 @@
 	return nil
 }
 
-// carryNeeded has the leader carry a batch out. Without Refused, the reply has a result for each command.
-func (s *Store) carryNeeded(b *pb.Batch) *pb.Reply {
-	results, mayHaveRun, err := s.carry(b)
+// forwardNeeded has the leader carry a batch out. Without Refused, the reply has a result for each command.
+func (s *Store) forwardNeeded(b *pb.Batch) *pb.Reply {
+	results, mayHaveRun, err := s.submitToLeader(b)
 	if err == nil && len(results) != len(b.Commands) {
 		err = fmt.Errorf("%d results of %d commands", len(results), len(b.Commands))
 	}
@@ -73,12 +73,12 @@
 	return &pb.Reply{Results: results}
 }
 
-// carry brings a batch to the leader, wherever that is. mayHaveRun: the batch may be agreed on in spite of the error.
-func (s *Store) carry(b *pb.Batch) (results []*pb.Result, mayHaveRun bool, err error) {
+// submitToLeader brings a batch to the leader, wherever that is. mayHaveRun: the batch may be agreed on in spite of the error.
+func (s *Store) submitToLeader(b *pb.Batch) (results []*pb.Result, mayHaveRun bool, err error) {
 	if s.cfg.Address == "" {
-		return s.applyAlone(b), false, nil
+		return s.applyStandalone(b), false, nil
 	}
-	r, err := s.askLeader(&pb.Call{Body: &pb.Call_Submit{Submit: b}}, leaderLimit+time.Second)
+	r, err := s.callLeader(&pb.Call{Body: &pb.Call_Submit{Submit: b}}, leaderTimeout+time.Second)
 	switch {
 	case err != nil:
 		return nil, !errors.Is(err, ErrUnavailable), err
@@ -88,7 +88,7 @@
 	return r.Results, true, nil
 }
 
-func (s *Store) applyAlone(b *pb.Batch) []*pb.Result {
-	s.stamp(b)
-	return s.machine.applyNext(b)
+func (s *Store) applyStandalone(b *pb.Batch) []*pb.Result {
+	s.stampTime(b)
+	return s.fsm.applyNext(b)
 }
--- a/internal/controlplane/store/carry_test.go
+++ b/internal/controlplane/store/carry_test.go
@@ -54,7 +54,7 @@
 	now := time.Now().UnixNano()
 	carry := func(b *pb.Batch) []*pb.Result {
 		t.Helper()
-		r := s.Carry(b)
+		r := s.ForwardBatch(b)
 		if r.Refused != "" || len(r.Results) != len(b.Commands) {
 			t.Fatalf("%v: %v", b, r)
 		}
@@ -109,14 +109,14 @@
 	}
 	defer s.Close()
 	for _, b := range []*pb.Batch{nil, {}, {Commands: make([]*pb.Command, commandqueue.MaxBatch+1)}} {
-		if r := s.Carry(b); r.Refused == "" {
+		if r := s.ForwardBatch(b); r.Refused == "" {
 			t.Errorf("a batch of %d commands: %v", len(b.GetCommands()), r)
 		}
 	}
 	beat := &pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: "g"}}}
 	learn := &pb.Command{Body: &pb.Command_Learn{Learn: &pb.Learn{Instance: "g"}}}
 	for _, b := range []*pb.Batch{{Commands: []*pb.Command{set("k", "v")}}, numbered("g/1", 1, beat), numbered("g/1", 2, learn)} {
-		if r := s.Carry(b); r.Refused != "" || len(r.Results) != 1 || r.Results[0].Refused == "" {
+		if r := s.ForwardBatch(b); r.Refused != "" || len(r.Results) != 1 || r.Results[0].Refused == "" {
 			t.Errorf("%v: %v", b, r)
 		}
 	}
@@ -135,7 +135,7 @@
 	id := c.follower()
 	submits := &atomic.Int64{}
 	c.kill(id)
-	c.nodes[id].cfg.Calls = func(x Caller) Caller { return countSubmits{x, submits} }
+	c.nodes[id].cfg.WrapCaller = func(x Caller) Caller { return countSubmits{x, submits} }
 	c.open(id)
 	s := c.nodes[id].store
 	var start int64
@@ -148,7 +148,7 @@
 		return there
 	})
 	drain := &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: "m1", Start: start}}}
-	c.until("the drain", func() bool { return s.Carry(numbered("g1/1", 1, drain)).Refused == "" })
+	c.until("the drain", func() bool { return s.ForwardBatch(numbered("g1/1", 1, drain)).Refused == "" })
 	c.until("the drain here", func() (there bool) {
 		s.Read(func(x *catalog.Catalog) { there = x.Member("m1").DrainedAt != 0 })
 		return there
@@ -156,15 +156,15 @@
 	others := []string{"a", "b", "c"}
 	c.split(true, []string{id}, others)
 	c.split(true, others, []string{id})
-	if r := s.Carry(numbered("g2/1", 1, drain)); r.Refused != "" {
+	if r := s.ForwardBatch(numbered("g2/1", 1, drain)); r.Refused != "" {
 		t.Errorf("what is known here: %v", r)
 	}
 	before := submits.Load()
-	if r := s.Carry(numbered("g2/1", 2, set("k", "v"))); r.Refused == "" || !r.Retry {
+	if r := s.ForwardBatch(numbered("g2/1", 2, set("k", "v"))); r.Refused == "" || !r.Retry {
 		t.Errorf("cut off: %v", r)
 	}
 	c.split(false, others, others)
-	c.until("the healed way", func() bool { return s.Carry(numbered("g2/1", 2, set("k", "v"))).Refused == "" })
+	c.until("the healed way", func() bool { return s.ForwardBatch(numbered("g2/1", 2, set("k", "v"))).Refused == "" })
 	if submits.Load() == before {
 		t.Error("no batch was counted")
 	}
--- a/internal/controlplane/store/cluster_test.go
+++ b/internal/controlplane/store/cluster_test.go
@@ -50,7 +50,7 @@
 }
 
 func (c *cluster) add(id string) *node {
-	n := &node{cfg: Config{Cluster: "t", ID: id, Address: "r-" + id, Service: "s-" + id, Peers: c.peers, DataDir: c.t.TempDir(), Quick: true}}
+	n := &node{cfg: Config{Cluster: "t", ID: id, Address: "r-" + id, Service: "s-" + id, Peers: c.peers, DataDir: c.t.TempDir(), ShortTimeouts: true}}
 	n.cfg.Caller = caller{c, id}
 	c.mu.Lock()
 	c.nodes[id] = n
@@ -146,7 +146,7 @@
 	if s == nil {
 		return nil, ErrUnavailable
 	}
-	r := s.answer(call)
+	r := s.handleCall(call)
 	if find(to, x.from) == nil { // the answer is lost
 		return nil, ErrUnknown
 	}
@@ -170,7 +170,7 @@
 func (c *cluster) votes(id string) bool {
 	s := c.nodes[id].store
 	r := s.raft.Load()
-	return r != nil && s.votes(r)
+	return r != nil && s.isVoter(r)
 }
 
 func (c *cluster) up() (out []*Store) {
--- a/internal/controlplane/store/config.go
+++ b/internal/controlplane/store/config.go
@@ -24,19 +24,19 @@
 	ErrUnavailable = commandqueue.ErrUnavailable
 	ErrUnknown     = commandqueue.ErrUnknown
 	ErrClosed      = commandqueue.ErrClosed
-	ErrAlone       = errors.New("store: this instance is the only one, in memory")
+	ErrStandalone  = errors.New("store: this instance is the only one, in memory")
 )
 
-// DamageError says which file is not what was written.
-type DamageError struct {
-	File   string
-	Reason error
+// CorruptionError says which file is not what was written.
+type CorruptionError struct {
+	File string
+	Err  error
 }
 
-func (e *DamageError) Error() string {
-	return fmt.Sprintf("store: %s is damaged: %v", e.File, e.Reason)
+func (e *CorruptionError) Error() string {
+	return fmt.Sprintf("store: %s is damaged: %v", e.File, e.Err)
 }
-func (e *DamageError) Unwrap() error { return e.Reason }
+func (e *CorruptionError) Unwrap() error { return e.Err }
 
 // Peer is one instance: Address takes the replication, Service the commands of the others.
 type Peer struct {
@@ -56,30 +56,30 @@
 	DataDir string `yaml:"data_dir"`
 
 	// What a lease of cold capacity lasts, and what cold members are held by, at the first start of a cluster.
-	Lease         time.Duration `yaml:"lease"`
+	LeaseDuration time.Duration `yaml:"lease"`
 	NoLeases      bool          `yaml:"no_leases"` // each instance holds cold members by what it alone has measured
 	ClockBound    float64       `yaml:"clock_bound"`
-	MostInstances uint32        `yaml:"most_instances"`
-	Pool          float64       `yaml:"pool"`
+	MaxInstances  uint32        `yaml:"most_instances"`
+	LeasePool     float64       `yaml:"pool"`
 
 	Release string          `yaml:"-"`
 	Log     *logrus.Entry   `yaml:"-"` // nil: nowhere
 	Clock   eventloop.Clock `yaml:"-"` // nil: the wall's
-	// Changed hears that the catalog has changed. It must not block.
-	Changed func() `yaml:"-"`
+	// OnChange hears that the catalog has changed. It must not block.
+	OnChange func() `yaml:"-"`
 	// Publisher hears what each entry of the log changes; nil: nobody does.
 	Publisher Publisher `yaml:"-"`
-	// Rollout counts the subscribers of this instance alone by a revision; nil: it has none.
-	Rollout func(rev uint64) *pb.RolloutStatus `yaml:"-"`
-	// Damaged hears of damage found while the store runs; at the start it is Open's error.
-	Damaged func(error) `yaml:"-"`
-	// Quick shortens the time-outs of elections, for tests on loopback.
-	Quick bool `yaml:"-"`
+	// RolloutStatus counts the subscribers of this instance alone by a revision; nil: it has none.
+	RolloutStatus func(rev uint64) *pb.RolloutStatus `yaml:"-"`
+	// OnCorruption hears of damage found while the store runs; at the start it is Open's error.
+	OnCorruption func(error) `yaml:"-"`
+	// ShortTimeouts shortens the time-outs of elections, for tests on loopback.
+	ShortTimeouts bool `yaml:"-"`
 	// Seams for faults: nil means TCP, netio and the disk.
-	Transport raft.Transport                    `yaml:"-"`
-	Caller    Caller                            `yaml:"-"`
-	Calls     func(Caller) Caller               `yaml:"-"` // stands before whichever Caller there is
-	Logs      func(raft.LogStore) raft.LogStore `yaml:"-"`
+	Transport    raft.Transport                    `yaml:"-"`
+	Caller       Caller                            `yaml:"-"`
+	WrapCaller   func(Caller) Caller               `yaml:"-"` // stands before whichever Caller there is
+	WrapLogStore func(raft.LogStore) raft.LogStore `yaml:"-"`
 }
 
 // FieldError says what is wrong with one field.
@@ -87,8 +87,8 @@
 
 func (e FieldError) Error() string { return fmt.Sprintf("field store.%s: %s", e.Field, e.Problem) }
 
-// Faults names every field that is wrong.
-func (c Config) Faults() (out []FieldError) {
+// Validate names every field that is wrong.
+func (c Config) Validate() (out []FieldError) {
 	bad := func(field, format string, a ...any) {
 		out = append(out, FieldError{field, fmt.Sprintf(format, a...)})
 	}
@@ -119,17 +119,17 @@
 		}
 		ids[p.ID], addresses[p.Address], addresses[p.Service] = true, true, true
 	}
-	if c.Lease < 0 || c.Lease > 15*time.Second {
-		bad("lease", "%v does not lie within 0 and 15s", c.Lease)
+	if c.LeaseDuration < 0 || c.LeaseDuration > 15*time.Second {
+		bad("lease", "%v does not lie within 0 and 15s", c.LeaseDuration)
 	}
-	if c.rules() == nil {
+	if c.initialRules() == nil {
 		bad("pool", "pool, clock_bound or most_instances out of range")
 	}
 	return out
 }
 
-// named tells whether the peers name this instance: then it may begin a cluster with them.
-func (c Config) named() bool {
+// listsSelf tells whether the peers name this instance: then it may begin a cluster with them.
+func (c Config) listsSelf() bool {
 	for _, p := range c.Peers {
 		if p.ID == c.ID {
 			return true
@@ -138,29 +138,29 @@
 	return false
 }
 
-func discard() *logrus.Entry {
+func discardLogger() *logrus.Entry {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return logrus.NewEntry(l)
 }
 
-// rules are those that a new cluster begins with; nil: they are none.
-func (c Config) rules() *pb.Rules {
+// initialRules are those that a new cluster begins with; nil: they are none.
+func (c Config) initialRules() *pb.Rules {
 	r := catalog.DefaultRules()
 	if c.ClockBound != 0 {
 		r.ClockBound = c.ClockBound
 	}
-	if c.MostInstances != 0 {
-		r.MostInstances = c.MostInstances
+	if c.MaxInstances != 0 {
+		r.MostInstances = c.MaxInstances
 	}
-	if c.Pool != 0 {
-		r.Pool = c.Pool
+	if c.LeasePool != 0 {
+		r.Pool = c.LeasePool
 	}
-	if catalog.CheckRules(r) != "" {
+	if catalog.ValidateRules(r) != "" {
 		return nil
 	}
 	return r
 }
 
-// Rules are those that a new cluster begins with, by this configuration.
-func (c Config) Rules() *pb.Rules { return c.rules() }
+// InitialRules are those that a new cluster begins with, by this configuration.
+func (c Config) InitialRules() *pb.Rules { return c.initialRules() }
--- a/internal/controlplane/store/damage_test.go
+++ b/internal/controlplane/store/damage_test.go
@@ -19,7 +19,7 @@
 		c.put("a", fmt.Sprint("k", i), "value")
 	}
 	c.until("a snapshot", func() bool {
-		l, err := c.nodes["a"].store.snaps.List()
+		l, err := c.nodes["a"].store.snapshots.List()
 		return err == nil && len(l) > 0
 	})
 	c.kill("a")
@@ -86,7 +86,7 @@
 			t.Fatalf("%s: %v, %d files", x.name, err, hit)
 		}
 		s, err := Open(bad)
-		var de *DamageError
+		var de *CorruptionError
 		if !errors.As(err, &de) || !strings.Contains(de.File, bad.DataDir) {
 			t.Errorf("%s: %v", x.name, err)
 		}
--- a/internal/controlplane/store/files.go
+++ b/internal/controlplane/store/files.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	logFile      = "raft.db"
-	identityFile = "identity.json"
-	diskFormat   = 1
-	keepSnaps    = 2
+	logFile           = "raft.db"
+	identityFile      = "identity.json"
+	diskFormat        = 1
+	retainedSnapshots = 2
 )
 
 var errChecksum = errors.New("the checksum does not fit")
@@ -40,14 +40,14 @@
 	data, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		data, _ = json.Marshal(want)
-		return writeWhole(path, data)
+		return writeFileAtomic(path, data)
 	}
 	if err != nil {
 		return err
 	}
 	var have identity
 	if err := json.Unmarshal(data, &have); err != nil {
-		return &DamageError{path, err}
+		return &CorruptionError{path, err}
 	}
 	if have.Format > diskFormat {
 		return fmt.Errorf("store: %s has format %d, this release reads %d at most", path, have.Format, diskFormat)
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// writeWhole replaces a file whole or not at all, also across a crash.
-func writeWhole(path string, data []byte) error {
+// writeFileAtomic replaces a file whole or not at all, also across a crash.
+func writeFileAtomic(path string, data []byte) error {
 	dir := filepath.Dir(path)
 	f, err := os.CreateTemp(dir, ".new-*")
 	if err != nil {
@@ -80,17 +80,17 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// disk is log and stable store with a checksum on all that is kept: bolt checks its own pages' heads only.
-type disk struct {
+// checksumStore is log and stable store with a checksum on all that is kept: bolt checks its own pages' heads only.
+type checksumStore struct {
 	raft.LogStore
-	stable  raft.StableStore
-	file    string
-	log     *logrus.Entry
-	damaged func(error)
-	failing atomic.Bool
+	stable       raft.StableStore
+	file         string
+	log          *logrus.Entry
+	onCorruption func(error)
+	writeFailing atomic.Bool
 }
 
-func sum(l *raft.Log) []byte {
+func logChecksum(l *raft.Log) []byte {
 	b := make([]byte, 0, 17+len(l.Data))
 	b = binary.BigEndian.AppendUint64(b, l.Index)
 	b = binary.BigEndian.AppendUint64(b, l.Term)
@@ -99,13 +99,13 @@
 }
 
 // GetLog turns away an entry that is not what was stored: it must neither be applied nor sent to others.
-func (d *disk) GetLog(index uint64, l *raft.Log) error {
+func (d *checksumStore) GetLog(index uint64, l *raft.Log) error {
 	if err := d.LogStore.GetLog(index, l); err != nil {
 		return err
 	}
-	if string(l.Extensions) != string(sum(l)) || l.Index != index {
-		err := &DamageError{d.file, fmt.Errorf("entry %d: %w", index, errChecksum)}
-		d.damaged(err)
+	if string(l.Extensions) != string(logChecksum(l)) || l.Index != index {
+		err := &CorruptionError{d.file, fmt.Errorf("entry %d: %w", index, errChecksum)}
+		d.onCorruption(err)
 		return err
 	}
 	l.Extensions = nil
@@ -113,59 +113,59 @@
 }
 
 // StoreLog stores one entry.
-func (d *disk) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
+func (d *checksumStore) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
 
 // StoreLogs stores entries with their checksums. A full disk is said once, and once more when it is well again.
-func (d *disk) StoreLogs(logs []*raft.Log) error {
+func (d *checksumStore) StoreLogs(logs []*raft.Log) error {
 	with := make([]*raft.Log, len(logs))
 	for i, l := range logs {
 		x := *l
-		x.Extensions = sum(l)
+		x.Extensions = logChecksum(l)
 		with[i] = &x
 	}
 	err := d.LogStore.StoreLogs(with)
-	d.noteWrite(err)
+	d.recordWriteResult(err)
 	return err
 }
 
-func (d *disk) noteWrite(err error) {
+func (d *checksumStore) recordWriteResult(err error) {
 	switch {
-	case err != nil && !d.failing.Swap(true):
+	case err != nil && !d.writeFailing.Swap(true):
 		d.log.WithField("file", d.file).WithError(err).Error("store cannot write: its instance does not vote until it can")
-	case err == nil && d.failing.Swap(false):
+	case err == nil && d.writeFailing.Swap(false):
 		d.log.WithField("file", d.file).Info("store can write again")
 	}
 }
 
 // Set keeps a value with its checksum: a vote that was forgotten or changed could be given twice.
-func (d *disk) Set(k, v []byte) error {
+func (d *checksumStore) Set(k, v []byte) error {
 	err := d.stable.Set(k, binary.BigEndian.AppendUint32(append([]byte(nil), v...), catalog.Checksum(v)))
-	d.noteWrite(err)
+	d.recordWriteResult(err)
 	return err
 }
 
 // Get reads what Set kept.
-func (d *disk) Get(k []byte) ([]byte, error) {
+func (d *checksumStore) Get(k []byte) ([]byte, error) {
 	b, err := d.stable.Get(k)
 	if err != nil || len(b) == 0 {
 		return b, err
 	}
 	n := len(b) - 4
 	if n < 0 || binary.BigEndian.Uint32(b[n:]) != catalog.Checksum(b[:n]) {
-		err := &DamageError{d.file, fmt.Errorf("%s: %w", k, errChecksum)}
-		d.damaged(err)
+		err := &CorruptionError{d.file, fmt.Errorf("%s: %w", k, errChecksum)}
+		d.onCorruption(err)
 		return nil, err
 	}
 	return b[:n], nil
 }
 
 // SetUint64 and GetUint64 are Set and Get of a number.
-func (d *disk) SetUint64(k []byte, v uint64) error {
+func (d *checksumStore) SetUint64(k []byte, v uint64) error {
 	return d.Set(k, binary.BigEndian.AppendUint64(nil, v))
 }
 
 // GetUint64 reads a number.
-func (d *disk) GetUint64(k []byte) (uint64, error) {
+func (d *checksumStore) GetUint64(k []byte) (uint64, error) {
 	b, err := d.Get(k)
 	if err != nil || len(b) != 8 {
 		return 0, err
@@ -173,49 +173,49 @@
 	return binary.BigEndian.Uint64(b), nil
 }
 
-// openDisk opens the log and reads all of it: damage stops the instance now rather than when it leads.
-func openDisk(c Config, damaged func(error)) (d *disk, close func() error, err error) {
+// openChecksumStore opens the log and reads all of it: damage stops the instance now rather than when it leads.
+func openChecksumStore(c Config, damaged func(error)) (d *checksumStore, close func() error, err error) {
 	path := filepath.Join(c.DataDir, logFile)
 	// A file cut short makes bolt read beyond its end, which the system answers with a fault.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
-			d, err = nil, &DamageError{path, fmt.Errorf("%v", p)}
+			d, err = nil, &CorruptionError{path, fmt.Errorf("%v", p)}
 		}
 	}()
 	bolt, err := raftboltdb.NewBoltStore(path)
 	if err != nil {
-		return nil, nil, &DamageError{path, err}
+		return nil, nil, &CorruptionError{path, err}
 	}
 	var logs raft.LogStore = bolt
-	if c.Logs != nil {
-		logs = c.Logs(bolt)
+	if c.WrapLogStore != nil {
+		logs = c.WrapLogStore(bolt)
 	}
-	d = &disk{LogStore: logs, stable: bolt, file: path, log: c.Log, damaged: func(error) {}}
+	d = &checksumStore{LogStore: logs, stable: bolt, file: path, log: c.Log, onCorruption: func(error) {}}
 	if err := d.verify(); err != nil {
 		return nil, nil, errors.Join(err, bolt.Close())
 	}
-	d.damaged = damaged
+	d.onCorruption = damaged
 	return d, bolt.Close, nil
 }
 
-func (d *disk) verify() error {
+func (d *checksumStore) verify() error {
 	first, err := d.FirstIndex()
 	if err != nil {
-		return &DamageError{d.file, err}
+		return &CorruptionError{d.file, err}
 	}
 	last, err := d.LastIndex()
 	if err != nil {
-		return &DamageError{d.file, err}
+		return &CorruptionError{d.file, err}
 	}
 	for i := first; i <= last && i > 0; i++ {
 		var l raft.Log
 		if err := d.GetLog(i, &l); err != nil {
-			var de *DamageError
+			var de *CorruptionError
 			if errors.As(err, &de) {
 				return err
 			}
-			return &DamageError{d.file, fmt.Errorf("entry %d: %w", i, err)}
+			return &CorruptionError{d.file, fmt.Errorf("entry %d: %w", i, err)}
 		}
 	}
 	for _, k := range []string{"CurrentTerm", "LastVoteTerm", "LastVoteCand"} {
@@ -226,11 +226,11 @@
 	return nil
 }
 
-// checkSnapshots reads every snapshot: raft would pass over a damaged one for an older, and lose what lies between.
-func checkSnapshots(c Config, snaps raft.SnapshotStore) error {
+// verifySnapshots reads every snapshot: raft would pass over a damaged one for an older, and lose what lies between.
+func verifySnapshots(c Config, snaps raft.SnapshotStore) error {
 	list, err := snaps.List()
 	if err != nil {
-		return &DamageError{filepath.Join(c.DataDir, "snapshots"), err}
+		return &CorruptionError{filepath.Join(c.DataDir, "snapshots"), err}
 	}
 	entries, err := os.ReadDir(filepath.Join(c.DataDir, "snapshots"))
 	if err != nil {
@@ -242,21 +242,21 @@
 		path := filepath.Join(c.DataDir, "snapshots", m.ID)
 		_, r, err := snaps.Open(m.ID)
 		if err != nil {
-			return &DamageError{path, err}
+			return &CorruptionError{path, err}
 		}
 		b, err := io.ReadAll(r)
 		if err = errors.Join(err, r.Close()); err != nil {
-			return &DamageError{path, err}
+			return &CorruptionError{path, err}
 		}
-		if _, err := read(b, c.Cluster); errors.Is(err, catalog.ErrDamaged) {
-			return &DamageError{path, err}
+		if _, err := decodeSnapshot(b, c.Cluster); errors.Is(err, catalog.ErrCorrupt) {
+			return &CorruptionError{path, err}
 		} else if err != nil {
 			return fmt.Errorf("store: %s: %w", path, err)
 		}
 	}
 	for _, e := range entries { // one whose description cannot be read is not listed; those being written end in .tmp
-		if e.IsDir() && !known[e.Name()] && filepath.Ext(e.Name()) != ".tmp" && len(list) < keepSnaps {
-			return &DamageError{filepath.Join(c.DataDir, "snapshots", e.Name()), errors.New("its description cannot be read")}
+		if e.IsDir() && !known[e.Name()] && filepath.Ext(e.Name()) != ".tmp" && len(list) < retainedSnapshots {
+			return &CorruptionError{filepath.Join(c.DataDir, "snapshots", e.Name()), errors.New("its description cannot be read")}
 		}
 	}
 	return nil
--- a/internal/controlplane/store/fsm.go
+++ b/internal/controlplane/store/fsm.go
@@ -29,19 +29,19 @@
 func (noPublisher) Publish(uint64, []revision.Change) {}
 func (noPublisher) Reset(uint64, []revision.Record)   {}
 
-// machine lets raft drive the catalog.
-type machine struct {
-	order     sync.Mutex // held while an entry or a snapshot is applied and published: one after the other
-	mu        sync.RWMutex
-	cat       *catalog.Catalog
-	cluster   string
-	changed   func()
-	later     func(string) // hears of commands of a later release
-	publisher Publisher
+// catalogFSM lets raft drive the catalog.
+type catalogFSM struct {
+	applyMu          sync.Mutex // held while an entry or a snapshot is applied and published: one after the other
+	mu               sync.RWMutex
+	catalog          *catalog.Catalog
+	cluster          string
+	onChange         func()
+	onUnknownCommand func(string) // hears of commands of a later release
+	publisher        Publisher
 }
 
 // Apply carries out one agreed entry. What cannot be read as a batch changes nothing on any replica.
-func (m *machine) Apply(l *raft.Log) any {
+func (m *catalogFSM) Apply(l *raft.Log) any {
 	b := &pb.Batch{}
 	if err := proto.Unmarshal(l.Data, b); err != nil {
 		return fmt.Errorf("entry %d is no batch: %w", l.Index, err)
@@ -50,69 +50,69 @@
 }
 
 // applyNext carries out a batch as the entry after the last: for an instance without a log.
-func (m *machine) applyNext(b *pb.Batch) []*pb.Result {
-	return m.apply(b, func() uint64 { return m.cat.Index() + 1 })
+func (m *catalogFSM) applyNext(b *pb.Batch) []*pb.Result {
+	return m.apply(b, func() uint64 { return m.catalog.Index() + 1 })
 }
 
-func (m *machine) apply(b *pb.Batch, index func() uint64) []*pb.Result {
-	m.order.Lock()
-	defer m.order.Unlock()
+func (m *catalogFSM) apply(b *pb.Batch, index func() uint64) []*pb.Result {
+	m.applyMu.Lock()
+	defer m.applyMu.Unlock()
 	m.mu.Lock()
 	at := index()
-	was, _ := m.cat.Later()
+	was, _ := m.catalog.UnknownCommands()
 	n := len(was)
-	results := m.cat.Apply(at, b)
-	kept, _ := m.cat.Later()
-	changes := m.cat.TakeChanges()
+	results := m.catalog.Apply(at, b)
+	kept, _ := m.catalog.UnknownCommands()
+	changes := m.catalog.TakeChanges()
 	m.mu.Unlock()
 	if len(kept) > n {
-		m.later(results[len(results)-1].Refused)
+		m.onUnknownCommand(results[len(results)-1].Refused)
 	}
 	m.publisher.Publish(at, changes)
-	m.changed()
+	m.onChange()
 	return results
 }
 
 // replace takes over all that another catalog holds.
-func (m *machine) replace(c *catalog.Catalog) {
-	m.order.Lock()
-	defer m.order.Unlock()
-	m.adopt(c)
+func (m *catalogFSM) replace(c *catalog.Catalog) {
+	m.applyMu.Lock()
+	defer m.applyMu.Unlock()
+	m.install(c)
 }
 
 // replaceNext does so as the entry after the last: for an instance without a log.
-func (m *machine) replaceNext(c *catalog.Catalog) {
-	m.order.Lock()
-	defer m.order.Unlock()
-	c.SetIndex(max(c.Index(), m.cat.Index()) + 1)
-	m.adopt(c)
+func (m *catalogFSM) replaceNext(c *catalog.Catalog) {
+	m.applyMu.Lock()
+	defer m.applyMu.Unlock()
+	c.SetIndex(max(c.Index(), m.catalog.Index()) + 1)
+	m.install(c)
 }
 
-func (m *machine) adopt(c *catalog.Catalog) {
+func (m *catalogFSM) install(c *catalog.Catalog) {
 	rev, records := c.Index(), c.Records()
 	m.mu.Lock()
-	m.cat.Adopt(c)
+	m.catalog.ReplaceWith(c)
 	m.mu.Unlock()
 	m.publisher.Reset(rev, records)
-	m.changed()
+	m.onChange()
 }
 
 // Snapshot freezes the catalog.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
+func (m *catalogFSM) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	b, err := m.cat.Encode()
-	return frozen(b), err
+	b, err := m.catalog.Encode()
+	return fsmSnapshot(b), err
 }
 
 // Restore replaces the catalog, or leaves it as it is where the snapshot is damaged or another cluster's.
-func (m *machine) Restore(r io.ReadCloser) error {
+func (m *catalogFSM) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	b, err := io.ReadAll(r)
 	if err != nil {
 		return err
 	}
-	c, err := read(b, m.cluster)
+	c, err := decodeSnapshot(b, m.cluster)
 	if err != nil {
 		return err
 	}
@@ -120,8 +120,8 @@
 	return nil
 }
 
-// read decodes a snapshot of this cluster.
-func read(b []byte, cluster string) (*catalog.Catalog, error) {
+// decodeSnapshot decodes a snapshot of this cluster.
+func decodeSnapshot(b []byte, cluster string) (*catalog.Catalog, error) {
 	c, err := catalog.Decode(b)
 	if err == nil && c.Cluster() != cluster {
 		err = fmt.Errorf("snapshot is of cluster %q, this is %q", c.Cluster(), cluster)
@@ -129,13 +129,13 @@
 	return c, err
 }
 
-type frozen []byte
+type fsmSnapshot []byte
 
-func (f frozen) Persist(sink raft.SnapshotSink) error {
+func (f fsmSnapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := io.Copy(sink, bytes.NewReader(f)); err != nil {
 		return errors.Join(err, sink.Cancel())
 	}
 	return sink.Close()
 }
 
-func (frozen) Release() {}
+func (fsmSnapshot) Release() {}
--- a/internal/controlplane/store/killed_test.go
+++ b/internal/controlplane/store/killed_test.go
@@ -33,7 +33,7 @@
 
 func lone(dir string) Config {
 	_, t := raft.NewInmemTransport("r-a")
-	return Config{Cluster: "t", ID: "a", Address: "r-a", Service: "s-a", Peers: []Peer{{"a", "r-a", "s-a"}}, DataDir: dir, Quick: true,
+	return Config{Cluster: "t", ID: "a", Address: "r-a", Service: "s-a", Peers: []Peer{{"a", "r-a", "s-a"}}, DataDir: dir, ShortTimeouts: true,
 		Transport: t, Caller: caller{&cluster{}, "a"}}
 }
 
--- a/internal/controlplane/store/membership_test.go
+++ b/internal/controlplane/store/membership_test.go
@@ -42,7 +42,7 @@
 	c.open("d")
 	c.until("its vote", func() bool { return c.votes("d") })
 	c.kill("c")
-	if err := c.nodes[c.leader()].store.Leave("c", patient); err != nil {
+	if err := c.nodes[c.leader()].store.RemoveInstance("c", patient); err != nil {
 		t.Fatal(err)
 	}
 	s := c.nodes["d"].store
@@ -65,7 +65,7 @@
 func TestAnInstanceLeavesThatNeverSentAHeartbeat(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.put(c.leader(), "k", "v")
-	c.add("d").cfg.Calls = func(all Caller) Caller { return withoutCommands{all} }
+	c.add("d").cfg.WrapCaller = func(all Caller) Caller { return withoutCommands{all} }
 	c.open("d")
 	c.until("its vote", func() bool { return c.votes("d") })
 	c.kill("d")
@@ -75,10 +75,10 @@
 			t.Fatal("its heartbeat came through")
 		}
 	})
-	if err := lead.Leave("d", patient); err != nil {
+	if err := lead.RemoveInstance("d", patient); err != nil {
 		t.Error(err)
 	}
-	if err := lead.Leave("never-there", patient); err == nil {
+	if err := lead.RemoveInstance("never-there", patient); err == nil {
 		t.Error("an id that nobody knows left")
 	}
 }
@@ -104,7 +104,7 @@
 				c.split(true, []string{lead}, rest)
 			}
 			if way == "both" {
-				c.until("the cut-off one's knowing", func() bool { return c.nodes[lead].store.Mode() == mode.CutOff })
+				c.until("the cut-off one's knowing", func() bool { return c.nodes[lead].store.Mode() == mode.Disconnected })
 				if err := c.nodes[lead].store.ReadLatest(300*time.Millisecond, func(*catalog.Catalog) {}); err == nil {
 					t.Error("a cut-off instance answers a read of the latest")
 				}
@@ -137,7 +137,7 @@
 	for _, id := range []string{c.leader(), c.follower()} {
 		full := &fullDisk{}
 		c.kill(id)
-		c.nodes[id].cfg.Logs = func(l raft.LogStore) raft.LogStore { full.LogStore = l; return full }
+		c.nodes[id].cfg.WrapLogStore = func(l raft.LogStore) raft.LogStore { full.LogStore = l; return full }
 		c.open(id)
 		c.until("its being in", func() bool { return c.votes(id) && c.nodes[id].store.Mode() != mode.CatchingUp })
 		full.set(true)
--- a/internal/controlplane/store/publish_test.go
+++ b/internal/controlplane/store/publish_test.go
@@ -124,7 +124,7 @@
 	saved := encoded(t, c.nodes[lead].store)
 	c.put(lead, "k", "later")
 	before := followers[lead].count()
-	if err := c.nodes[lead].store.Load(saved); err != nil {
+	if err := c.nodes[lead].store.Restore(saved); err != nil {
 		t.Fatal(err)
 	}
 	if followers[lead].count() == before {
@@ -172,7 +172,7 @@
 	if !f.holds(s) {
 		t.Error("it does not publish what it holds")
 	}
-	if err := s.Load(saved); err != nil {
+	if err := s.Restore(saved); err != nil {
 		t.Fatal(err)
 	}
 	if !f.holds(s) || f.count() != 1 || get(s, "k") != "v" {
--- a/internal/controlplane/store/read.go
+++ b/internal/controlplane/store/read.go
@@ -10,9 +10,9 @@
 
 // Read looks at what this instance has applied. f must not keep what it sees nor change it.
 func (s *Store) Read(f func(*catalog.Catalog)) {
-	s.machine.mu.RLock()
-	defer s.machine.mu.RUnlock()
-	f(s.machine.cat)
+	s.fsm.mu.RLock()
+	defer s.fsm.mu.RUnlock()
+	f(s.fsm.catalog)
 }
 
 // ReadLatest looks at a state that holds all that had been agreed when it was called.
@@ -24,12 +24,12 @@
 	end := time.Now().Add(limit)
 	index := uint64(0)
 	for wait := commandqueue.MinRetryDelay; ; wait = min(2*wait, commandqueue.MaxRetryDelay) {
-		r, err := s.askLeader(&pb.Call{Body: &pb.Call_ReadIndex{ReadIndex: &pb.ReadIndex{}}}, time.Until(end))
+		r, err := s.callLeader(&pb.Call{Body: &pb.Call_ReadIndex{ReadIndex: &pb.ReadIndex{}}}, time.Until(end))
 		if err == nil && r.Refused == "" {
 			index = r.Index
 			break
 		}
-		if !s.pause(wait) {
+		if !s.sleep(wait) {
 			return ErrClosed
 		}
 		if time.Now().After(end) {
@@ -49,13 +49,13 @@
 		if time.Now().After(end) {
 			return ErrUnavailable
 		}
-		if !s.pause(time.Millisecond) {
+		if !s.sleep(time.Millisecond) {
 			return ErrClosed
 		}
 	}
 }
 
-func (s *Store) pause(d time.Duration) bool {
+func (s *Store) sleep(d time.Duration) bool {
 	select {
 	case <-s.done:
 		return false
--- a/internal/controlplane/store/replica.go
+++ b/internal/controlplane/store/replica.go
@@ -17,30 +17,30 @@
 	if err := checkIdentity(s.cfg); err != nil {
 		return err
 	}
-	disk, closeDisk, err := openDisk(s.cfg, func(err error) {
+	disk, closeDisk, err := openChecksumStore(s.cfg, func(err error) {
 		s.log.WithError(err).Error("store stops: what it holds is damaged")
-		s.cfg.Damaged(err)
+		s.cfg.OnCorruption(err)
 	})
 	if err != nil {
 		return err
 	}
-	s.disk = disk
-	s.close = append(s.close, closeDisk)
-	files, err := raft.NewFileSnapshotStoreWithLogger(s.cfg.DataDir, keepSnaps, s.hclog())
+	s.logStore = disk
+	s.closers = append(s.closers, closeDisk)
+	files, err := raft.NewFileSnapshotStoreWithLogger(s.cfg.DataDir, retainedSnapshots, s.raftLogger())
 	if err != nil {
 		return err
 	}
-	s.snaps = files
-	if err := checkSnapshots(s.cfg, files); err != nil {
+	s.snapshots = files
+	if err := verifySnapshots(s.cfg, files); err != nil {
 		return err
 	}
-	if s.trans = s.cfg.Transport; s.trans == nil {
-		t, err := newTransport(s.cfg, s.hclog())
+	if s.transport = s.cfg.Transport; s.transport == nil {
+		t, err := newTransport(s.cfg, s.raftLogger())
 		if err != nil {
 			return err
 		}
-		s.trans = t
-		s.close = append(s.close, t.Close)
+		s.transport = t
+		s.closers = append(s.closers, t.Close)
 	}
 	if s.caller = s.cfg.Caller; s.caller == nil {
 		v, err := newService(s)
@@ -48,12 +48,12 @@
 			return err
 		}
 		s.caller = v
-		s.close = append(s.close, v.stop)
+		s.closers = append(s.closers, v.stop)
 	}
-	if s.cfg.Calls != nil {
-		s.caller = s.cfg.Calls(s.caller)
+	if s.cfg.WrapCaller != nil {
+		s.caller = s.cfg.WrapCaller(s.caller)
 	}
-	has, err := raft.HasExistingState(disk, disk, s.snaps)
+	has, err := raft.HasExistingState(disk, disk, s.snapshots)
 	if err != nil {
 		return err
 	}
@@ -62,28 +62,28 @@
 			return err
 		}
 	}
-	s.spawn(func() { s.enter(!has) })
+	s.spawn(func() { s.joinCluster(!has) })
 	return nil
 }
 
-func (s *Store) hclog() hclog.Logger {
-	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: lines{s.log}, DisableTime: true})
+func (s *Store) raftLogger() hclog.Logger {
+	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: raftLogWriter{s.log}, DisableTime: true})
 }
 
-// lines hands the library's lines to our log; what it calls an error is nothing that staff can act on by itself.
-type lines struct{ log *logrus.Entry }
+// raftLogWriter hands the library's raftLogWriter to our log; what it calls an error is nothing that staff can act on by itself.
+type raftLogWriter struct{ log *logrus.Entry }
 
-func (l lines) Write(b []byte) (int, error) {
+func (l raftLogWriter) Write(b []byte) (int, error) {
 	l.log.WithField("raft", string(b[:max(len(b)-1, 0)])).Debug("store library")
 	return len(b), nil
 }
 
 func (s *Store) raftConfig() *raft.Config {
 	rc := raft.DefaultConfig()
-	rc.LocalID, rc.Logger, rc.ShutdownOnRemove = raft.ServerID(s.cfg.ID), s.hclog(), false
+	rc.LocalID, rc.Logger, rc.ShutdownOnRemove = raft.ServerID(s.cfg.ID), s.raftLogger(), false
 	// Heartbeats and beats write all day: snapshots keep log and restart short.
 	rc.SnapshotThreshold, rc.TrailingLogs, rc.SnapshotInterval = 1024, 1024, 10*time.Second
-	if s.cfg.Quick {
+	if s.cfg.ShortTimeouts {
 		rc.SnapshotThreshold, rc.TrailingLogs, rc.SnapshotInterval = 64, 64, 50*time.Millisecond
 		rc.HeartbeatTimeout, rc.ElectionTimeout = 150*time.Millisecond, 150*time.Millisecond
 		rc.LeaderLeaseTimeout, rc.CommitTimeout = 100*time.Millisecond, 5*time.Millisecond
@@ -92,15 +92,15 @@
 }
 
 func (s *Store) startRaft() error {
-	r, err := raft.NewRaft(s.raftConfig(), s.machine, s.disk, s.disk, s.snaps, s.trans)
+	r, err := raft.NewRaft(s.raftConfig(), s.fsm, s.logStore, s.logStore, s.snapshots, s.transport)
 	if err == nil {
 		s.raft.Store(r)
 	}
 	return err
 }
 
-// votes tells whether this instance is a voter, as far as it knows.
-func (s *Store) votes(r *raft.Raft) bool {
+// isVoter tells whether this instance is a voter, as far as it knows.
+func (s *Store) isVoter(r *raft.Raft) bool {
 	f := r.GetConfiguration()
 	return f.Error() == nil && slices.ContainsFunc(f.Configuration().Servers, func(v raft.Server) bool {
 		return string(v.ID) == s.cfg.ID && v.Suffrage == raft.Voter
--- a/internal/controlplane/store/restore.go
+++ b/internal/controlplane/store/restore.go
@@ -10,9 +10,9 @@
 	"aspenshed/internal/controlplane/catalog"
 )
 
-// restoreGap is how far beyond the log's end (entries) a restored state is put: entries that are appended meanwhile must
+// restoreIndexGap is how far beyond the log's end (entries) a restored state is put: entries that are appended meanwhile must
 // not reach it, as a revision belongs to one state only.
-const restoreGap = 1 << 10
+const restoreIndexGap = 1 << 10
 
 // Save writes the catalog as it is here; atomically.
 func (s *Store) Save(path string) error {
@@ -22,18 +22,18 @@
 	if err != nil {
 		return err
 	}
-	return writeWhole(path, b)
+	return writeFileAtomic(path, b)
 }
 
-// Load has all instances hold what a file says. Only the leader takes it, and only a whole file of this cluster. What
+// Restore has all instances hold what a file says. Only the leader takes it, and only a whole file of this cluster. What
 // they hold then has a revision above all earlier ones.
-func (s *Store) Load(data []byte) error {
-	c, err := read(data, s.cfg.Cluster)
+func (s *Store) Restore(data []byte) error {
+	c, err := decodeSnapshot(data, s.cfg.Cluster)
 	if err != nil {
 		return err
 	}
 	if s.cfg.Address == "" {
-		s.machine.replaceNext(c)
+		s.fsm.replaceNext(c)
 		return nil
 	}
 	r := s.raft.Load()
@@ -44,7 +44,7 @@
 		_, id := r.LeaderWithID()
 		return fmt.Errorf("store: %q leads: restore there", id)
 	}
-	before := max(c.Index(), r.LastIndex()) + restoreGap
+	before := max(c.Index(), r.LastIndex()) + restoreIndexGap
 	c.SetIndex(before + 1) // raft puts the restored state one entry after the index that it is told
 	if data, err = c.Encode(); err != nil {
 		return err
--- a/internal/controlplane/store/rollout.go
+++ b/internal/controlplane/store/rollout.go
@@ -19,17 +19,17 @@
 type RolloutReport struct {
 	Revision    uint64              `json:"revision"`
 	Subscribers uint64              `json:"subscribers"`
-	InForce     uint64              `json:"in_force"`
+	Applied     uint64              `json:"in_force"`
 	Lagging     []LaggingSubscriber `json:"lagging"`  // those furthest behind
 	Refusals    []RolloutRefusal    `json:"refusals"` // changes of the revision that a subscriber could not take
 	Answered    []string            `json:"answered"`
-	Silent      []string            `json:"silent"` // voters that did not answer: their subscribers are not counted
+	Unreachable []string            `json:"silent"` // voters that did not answer: their subscribers are not counted
 }
 
 // LaggingSubscriber has not got the revision in force.
 type LaggingSubscriber struct {
 	Subscriber string `json:"subscriber"`
-	InForce    uint64 `json:"in_force"` // the newest revision that it has
+	Applied    uint64 `json:"in_force"` // the newest revision that it has
 }
 
 // RolloutRefusal is one change that a subscriber could not take.
@@ -46,34 +46,34 @@
 	if rev == 0 {
 		s.Read(func(c *catalog.Catalog) { rev = c.Index() })
 	}
-	report := RolloutReport{Revision: rev, Lagging: []LaggingSubscriber{}, Refusals: []RolloutRefusal{}, Answered: []string{}, Silent: []string{}}
+	report := RolloutReport{Revision: rev, Lagging: []LaggingSubscriber{}, Refusals: []RolloutRefusal{}, Answered: []string{}, Unreachable: []string{}}
 	others, err := s.otherVoters()
 	if err != nil {
 		return report, err
 	}
-	report.add(s.cfg.ID, s.ownRollout(rev))
-	for id, status := range s.askRollout(others, rev, limit) {
+	report.add(s.cfg.ID, s.localRollout(rev))
+	for id, status := range s.queryRollout(others, rev, limit) {
 		report.add(id, status)
 	}
-	report.order()
+	report.sortAndTruncate()
 	return report, nil
 }
 
-// ownRollout counts the subscribers of this instance.
-func (s *Store) ownRollout(rev uint64) *pb.RolloutStatus {
-	if s.cfg.Rollout == nil {
+// localRollout counts the subscribers of this instance.
+func (s *Store) localRollout(rev uint64) *pb.RolloutStatus {
+	if s.cfg.RolloutStatus == nil {
 		return &pb.RolloutStatus{Revision: rev}
 	}
-	return s.cfg.Rollout(rev)
+	return s.cfg.RolloutStatus(rev)
 }
 
-// answerRollout serves another voter's query.
-func (s *Store) answerRollout(q *pb.RolloutQuery) *pb.Reply {
+// handleRollout serves another voter's query.
+func (s *Store) handleRollout(q *pb.RolloutQuery) *pb.Reply {
 	rev := q.GetRevision()
 	if rev == 0 {
 		s.Read(func(c *catalog.Catalog) { rev = c.Index() })
 	}
-	return &pb.Reply{Rollout: s.ownRollout(rev)}
+	return &pb.Reply{Rollout: s.localRollout(rev)}
 }
 
 // otherVoters are the ids of the voters besides this instance.
@@ -97,8 +97,8 @@
 	return ids, nil
 }
 
-// askRollout asks all of them at once. One that does not answer has a nil status.
-func (s *Store) askRollout(ids []string, rev uint64, limit time.Duration) map[string]*pb.RolloutStatus {
+// queryRollout asks all of them at once. One that does not answer has a nil status.
+func (s *Store) queryRollout(ids []string, rev uint64, limit time.Duration) map[string]*pb.RolloutStatus {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	statuses := make(map[string]*pb.RolloutStatus, len(ids))
@@ -108,7 +108,7 @@
 			defer wg.Done()
 			var status *pb.RolloutStatus
 			call := &pb.Call{Body: &pb.Call_Rollout{Rollout: &pb.RolloutQuery{Revision: rev}}}
-			if reply, err := s.call(s.serviceOf(id), call, limit); err == nil {
+			if reply, err := s.call(s.serviceAddress(id), call, limit); err == nil {
 				status = reply.Rollout
 			}
 			mu.Lock()
@@ -123,12 +123,12 @@
 // add counts one voter's answer; nil: there was none.
 func (r *RolloutReport) add(voter string, status *pb.RolloutStatus) {
 	if status == nil {
-		r.Silent = append(r.Silent, voter)
+		r.Unreachable = append(r.Unreachable, voter)
 		return
 	}
 	r.Answered = append(r.Answered, voter)
 	r.Subscribers += status.Subscribers
-	r.InForce += status.InForce
+	r.Applied += status.InForce
 	for _, x := range status.Lagging {
 		r.Lagging = append(r.Lagging, LaggingSubscriber{x.Subscriber, x.InForce})
 	}
@@ -137,12 +137,12 @@
 	}
 }
 
-// order puts the furthest behind first, and bounds the lists.
-func (r *RolloutReport) order() {
+// sortAndTruncate puts the furthest behind first, and bounds the lists.
+func (r *RolloutReport) sortAndTruncate() {
 	slices.Sort(r.Answered)
-	slices.Sort(r.Silent)
+	slices.Sort(r.Unreachable)
 	slices.SortFunc(r.Lagging, func(a, b LaggingSubscriber) int {
-		return cmp.Or(cmp.Compare(a.InForce, b.InForce), cmp.Compare(a.Subscriber, b.Subscriber))
+		return cmp.Or(cmp.Compare(a.Applied, b.Applied), cmp.Compare(a.Subscriber, b.Subscriber))
 	})
 	slices.SortFunc(r.Refusals, func(a, b RolloutRefusal) int {
 		return cmp.Or(cmp.Compare(b.Revision, a.Revision), cmp.Compare(a.Subscriber, b.Subscriber), cmp.Compare(a.Key, b.Key))
--- a/internal/controlplane/store/rollout_test.go
+++ b/internal/controlplane/store/rollout_test.go
@@ -23,7 +23,7 @@
 	c := newCluster(t, "a", "b", "c")
 	for _, id := range []string{"a", "b", "c"} {
 		c.kill(id)
-		c.nodes[id].cfg.Rollout = subscribersOf(id)
+		c.nodes[id].cfg.RolloutStatus = subscribersOf(id)
 		c.open(id)
 	}
 	c.put(c.leader(), "k", "v")
@@ -31,7 +31,7 @@
 	for id, n := range c.nodes {
 		c.until("its configuration", func() bool { return c.votes(id) })
 		r, err := n.store.Rollout(7, patient)
-		if err != nil || r.Revision != 7 || r.Subscribers != 30 || r.InForce != 27 || len(r.Silent) != 0 ||
+		if err != nil || r.Revision != 7 || r.Subscribers != 30 || r.Applied != 27 || len(r.Unreachable) != 0 ||
 			!reflect.DeepEqual(r.Answered, []string{"a", "b", "c"}) || r.Lagging[0] != (LaggingSubscriber{"late-a", 6}) ||
 			r.Refusals[2] != (RolloutRefusal{"late-c", 7, "config", "unreadable"}) {
 			t.Errorf("%s tells %+v, %v", id, r, err)
@@ -41,7 +41,7 @@
 	c.kill(down)
 	up := c.follower()
 	r, err := c.nodes[up].store.Rollout(0, time.Second)
-	if err != nil || r.Subscribers != 20 || !reflect.DeepEqual(r.Silent, []string{down}) || r.Revision == 0 {
+	if err != nil || r.Subscribers != 20 || !reflect.DeepEqual(r.Unreachable, []string{down}) || r.Revision == 0 {
 		t.Errorf("with %s down: %+v, %v", down, r, err)
 	}
 }
@@ -57,14 +57,14 @@
 		}
 		r.add(fmt.Sprint(voter), status)
 	}
-	r.order()
-	if len(r.Lagging) != maxRolloutRows || len(r.Refusals) != maxRolloutRows || r.Lagging[0].InForce != 0 || r.Subscribers != 500 {
+	r.sortAndTruncate()
+	if len(r.Lagging) != maxRolloutRows || len(r.Refusals) != maxRolloutRows || r.Lagging[0].Applied != 0 || r.Subscribers != 500 {
 		t.Errorf("%+v", r)
 	}
 }
 
 func TestRolloutAlone(t *testing.T) {
-	s, err := Open(Config{ID: "only", Rollout: subscribersOf("only")})
+	s, err := Open(Config{ID: "only", RolloutStatus: subscribersOf("only")})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/store/serve.go
+++ b/internal/controlplane/store/serve.go
@@ -14,24 +14,24 @@
 	"aspenshed/internal/controlplane/membership"
 )
 
-func (s *Store) stamp(b *pb.Batch) {
+func (s *Store) stampTime(b *pb.Batch) {
 	now := int64(s.cfg.Clock.Now())
 	for _, c := range b.Commands {
 		c.At = now
 	}
 }
 
-// askLeader asks this instance if it leads, else the one that does. ErrUnavailable: nothing was sent.
-func (s *Store) askLeader(c *pb.Call, limit time.Duration) (*pb.Reply, error) {
+// callLeader asks this instance if it leads, else the one that does. ErrUnavailable: nothing was sent.
+func (s *Store) callLeader(c *pb.Call, limit time.Duration) (*pb.Reply, error) {
 	r := s.raft.Load()
 	if r == nil {
 		return nil, ErrUnavailable
 	}
 	if c.Cluster = s.cfg.Cluster; r.State() == raft.Leader {
-		return s.answer(c), nil
+		return s.handleCall(c), nil
 	}
 	_, id := r.LeaderWithID()
-	service := s.serviceOf(string(id))
+	service := s.serviceAddress(string(id))
 	if id == "" || service == "" {
 		return nil, ErrUnavailable
 	}
@@ -43,8 +43,8 @@
 	return s.caller.Call(service, c, limit)
 }
 
-// serviceOf is where an instance takes commands: as it says itself, else as the configuration names it.
-func (s *Store) serviceOf(id string) (service string) {
+// serviceAddress is where an instance takes commands: as it says itself, else as the configuration names it.
+func (s *Store) serviceAddress(id string) (service string) {
 	s.Read(func(c *catalog.Catalog) {
 		for _, x := range c.Instances() {
 			if x.Id == id {
@@ -60,8 +60,8 @@
 	return service
 }
 
-// answer serves one call, on the instance that it reached.
-func (s *Store) answer(c *pb.Call) *pb.Reply {
+// handleCall serves one call, on the instance that it reached.
+func (s *Store) handleCall(c *pb.Call) *pb.Reply {
 	if c.Cluster != s.cfg.Cluster {
 		return &pb.Reply{Refused: fmt.Sprintf("this is cluster %q, not %q", s.cfg.Cluster, c.Cluster)}
 	}
@@ -71,40 +71,42 @@
 		return &pb.Reply{Exists: r != nil && r.LastIndex() > 1}
 	}
 	if query, ok := c.Body.(*pb.Call_Rollout); ok {
-		return s.answerRollout(query.Rollout)
+		return s.handleRollout(query.Rollout)
 	}
 	if r == nil || r.State() != raft.Leader {
 		x := &pb.Reply{Refused: "another instance leads", Retry: true}
 		if r != nil {
 			_, id := r.LeaderWithID()
-			x.Leader, x.LeaderService = string(id), s.serviceOf(string(id))
+			x.Leader, x.LeaderService = string(id), s.serviceAddress(string(id))
 		}
 		return x
 	}
 	switch b := c.Body.(type) {
 	case *pb.Call_Submit:
-		return s.submitHere(r, b.Submit)
+		return s.applyAsLeader(r, b.Submit)
 	case *pb.Call_ReadIndex:
 		return s.readIndex(r)
 	case *pb.Call_Join:
-		return s.joinHere(r, b.Join)
+		return s.handleJoin(r, b.Join)
 	case *pb.Call_Remove:
-		v := s.decide(r, func(v membership.View) membership.Verdict { return s.changes.Leave(s.cfg.Clock.Now(), v, b.Remove.Id) })
-		return s.change(r, v, b.Remove.Id, "")
+		v := s.decideChange(r, func(v membership.View) membership.Decision {
+			return s.membershipMachine.Leave(s.cfg.Clock.Now(), v, b.Remove.Id)
+		})
+		return s.applyDecision(r, v, b.Remove.Id, "")
 	}
 	return &pb.Reply{Refused: "a call that this release does not know"}
 }
 
-func (s *Store) submitHere(r *raft.Raft, b *pb.Batch) *pb.Reply {
+func (s *Store) applyAsLeader(r *raft.Raft, b *pb.Batch) *pb.Reply {
 	if len(b.GetCommands()) == 0 || len(b.Commands) > commandqueue.MaxBatch {
 		return &pb.Reply{Refused: fmt.Sprintf("a batch has 1 to %d commands", commandqueue.MaxBatch)}
 	}
-	s.stamp(b)
+	s.stampTime(b)
 	data, err := proto.Marshal(b)
 	if err != nil {
 		return &pb.Reply{Refused: err.Error(), Retry: true}
 	}
-	f := r.Apply(data, leaderLimit)
+	f := r.Apply(data, leaderTimeout)
 	if err := f.Error(); err != nil { // what is in the log may be agreed on later
 		return &pb.Reply{Refused: err.Error(), Retry: errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrEnqueueTimeout)}
 	}
@@ -118,7 +120,7 @@
 // readIndex is an entry after all that was agreed when it was asked for: a leader that has been replaced unknowingly
 // cannot agree on one. Its own catalog stands there by then; raft's applied index tells only what is on its way to it.
 func (s *Store) readIndex(r *raft.Raft) *pb.Reply {
-	if err := r.Barrier(leaderLimit).Error(); err != nil {
+	if err := r.Barrier(leaderTimeout).Error(); err != nil {
 		return &pb.Reply{Refused: err.Error(), Retry: true}
 	}
 	var index uint64
--- a/internal/controlplane/store/service.go
+++ b/internal/controlplane/store/service.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// maxServed calls are served at once; further ones are told to come again. Each waits for a majority, and a burst
+	// maxConcurrentCalls calls are served at once; further ones are told to come again. Each waits for a majority, and a burst
 	// of reports of 2,400 gateways comes through a few voters.
-	maxServed = 1024
+	maxConcurrentCalls = 1024
 	// maxConnections in, and out: twice as many as instances in the planned fleet of 2,400, with room for commands.
 	maxConnections = 5000
-	dialLimit      = time.Second
+	dialTimeout    = time.Second
 )
 
 // Caller carries a call to another instance's service. An error other than ErrUnavailable means that it may have
@@ -30,21 +30,21 @@
 
 // service takes calls of other instances and makes ours, in frames of length and protobuf.
 type service struct {
-	s     *Store
-	net   *netio.Net
-	slots chan struct{} // one for each call that is served
+	store     *Store
+	net       *netio.Net
+	callSlots chan struct{} // one for each call that is served
 
-	mu   sync.Mutex
-	next uint64
-	out  map[string]*outgoing
+	mu          sync.Mutex
+	nextID      uint64
+	connections map[string]*outboundConn
 }
 
 func newService(s *Store) (*service, error) {
-	v := &service{s: s, slots: make(chan struct{}, maxServed), out: map[string]*outgoing{}}
+	v := &service{store: s, callSlots: make(chan struct{}, maxConcurrentCalls), connections: map[string]*outboundConn{}}
 	var err error
 	v.net, err = netio.New(netio.Config{Name: "store", Listen: s.cfg.Service, Clients: maxConnections, Dials: maxConnections,
 		WriteBuffer: 2 * (frame.MaxSize + 4), // the longest message, and another behind it
-		Accept:      func(c *netio.Conn) netio.Handler { return &incoming{v: v, c: c} }})
+		Accept:      func(c *netio.Conn) netio.Handler { return &inboundConn{v: v, c: c} }})
 	if err != nil {
 		return nil, err
 	}
@@ -56,72 +56,72 @@
 	return nil
 }
 
-// incoming is a connection of another instance.
-type incoming struct {
+// inboundConn is a connection of another instance.
+type inboundConn struct {
 	v  *service
 	c  *netio.Conn
 	in frame.Reader
 }
 
-func (i *incoming) Up() {}
+func (i *inboundConn) Up() {}
 
-func (i *incoming) Closed(error) {}
+func (i *inboundConn) Closed(error) {}
 
-func (i *incoming) Data(b []byte) {
+func (i *inboundConn) Data(b []byte) {
 	err := i.in.Feed(b, func(m []byte) error {
 		c := &pb.Call{}
 		if err := proto.Unmarshal(m, c); err != nil {
 			return err
 		}
 		select {
-		case i.v.slots <- struct{}{}:
+		case i.v.callSlots <- struct{}{}:
 		default:
 			i.reply(c.Id, &pb.Reply{Refused: "too many calls at once", Retry: true})
 			return nil
 		}
 		go func() { // it waits for a majority; the poller must not
-			defer func() { <-i.v.slots }()
-			i.reply(c.Id, i.v.s.answer(c))
+			defer func() { <-i.v.callSlots }()
+			i.reply(c.Id, i.v.store.handleCall(c))
 		}()
 		return nil
 	})
 	if err != nil {
-		i.v.s.log.WithError(err).Warn("store closes a connection that it cannot read")
+		i.v.store.log.WithError(err).Warn("store closes a connection that it cannot read")
 		i.c.Close()
 	}
 }
 
-func (i *incoming) reply(id uint64, r *pb.Reply) {
+func (i *inboundConn) reply(id uint64, r *pb.Reply) {
 	r.Id = id
 	if b, err := frame.Append(nil, r); err == nil {
 		_ = i.c.Write(b) // a connection that broke: its caller asks again
 	}
 }
 
-// outgoing is our connection to another instance.
-type outgoing struct {
-	v    *service
-	addr string
-	c    *netio.Conn
-	in   frame.Reader
-	up   chan struct{}
-
-	mu    sync.Mutex
-	waits map[uint64]chan *pb.Reply
-	dead  bool
+// outboundConn is our connection to another instance.
+type outboundConn struct {
+	v           *service
+	addr        string
+	c           *netio.Conn
+	in          frame.Reader
+	established chan struct{}
+
+	mu      sync.Mutex
+	pending map[uint64]chan *pb.Reply
+	closed  bool
 }
 
-func (o *outgoing) Up() { close(o.up) }
+func (o *outboundConn) Up() { close(o.established) }
 
-func (o *outgoing) Data(b []byte) {
+func (o *outboundConn) Data(b []byte) {
 	err := o.in.Feed(b, func(m []byte) error {
 		r := &pb.Reply{}
 		if err := proto.Unmarshal(m, r); err != nil {
 			return err
 		}
 		o.mu.Lock()
-		ch := o.waits[r.Id]
-		delete(o.waits, r.Id)
+		ch := o.pending[r.Id]
+		delete(o.pending, r.Id)
 		o.mu.Unlock()
 		if ch != nil {
 			ch <- r
@@ -138,69 +138,69 @@
 }
 
 // Closed ends all that waits on the connection, in doubt.
-func (o *outgoing) Closed(error) {
+func (o *outboundConn) Closed(error) {
 	o.v.mu.Lock()
-	if o.v.out[o.addr] == o {
-		delete(o.v.out, o.addr)
+	if o.v.connections[o.addr] == o {
+		delete(o.v.connections, o.addr)
 	}
 	o.v.mu.Unlock()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.dead = true
-	for id, ch := range o.waits {
+	o.closed = true
+	for id, ch := range o.pending {
 		close(ch)
-		delete(o.waits, id)
+		delete(o.pending, id)
 	}
 }
 
-func (v *service) to(addr string) (*outgoing, error) {
+func (v *service) connect(addr string) (*outboundConn, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if o := v.out[addr]; o != nil {
+	if o := v.connections[addr]; o != nil {
 		return o, nil
 	}
-	o := &outgoing{v: v, addr: addr, up: make(chan struct{}), waits: map[uint64]chan *pb.Reply{}}
-	c, err := v.net.Dial(addr, dialLimit, false, o)
+	o := &outboundConn{v: v, addr: addr, established: make(chan struct{}), pending: map[uint64]chan *pb.Reply{}}
+	c, err := v.net.Dial(addr, dialTimeout, false, o)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %v", ErrUnavailable, err)
 	}
 	o.c = c
-	v.out[addr] = o
+	v.connections[addr] = o
 	return o, nil
 }
 
 // Call sends one call and waits for its reply.
 func (v *service) Call(addr string, c *pb.Call, limit time.Duration) (*pb.Reply, error) {
-	o, err := v.to(addr)
+	o, err := v.connect(addr)
 	if err != nil {
 		return nil, err
 	}
 	ch := make(chan *pb.Reply, 1)
 	v.mu.Lock()
-	v.next++
-	id := v.next
+	v.nextID++
+	id := v.nextID
 	v.mu.Unlock()
 	o.mu.Lock()
-	if o.dead {
+	if o.closed {
 		o.mu.Unlock()
 		return nil, ErrUnavailable
 	}
-	o.waits[id] = ch
+	o.pending[id] = ch
 	o.mu.Unlock()
 	defer func() {
 		o.mu.Lock()
-		delete(o.waits, id)
+		delete(o.pending, id)
 		o.mu.Unlock()
 	}()
 	t := time.NewTimer(limit)
 	defer t.Stop()
 	select {
-	case <-o.up:
+	case <-o.established:
 	case <-ch: // closed: it never came up
 		return nil, ErrUnavailable
 	case <-t.C:
 		return nil, ErrUnavailable
-	case <-v.s.done:
+	case <-v.store.done:
 		return nil, ErrUnavailable
 	}
 	c.Id = id
@@ -221,7 +221,7 @@
 		o.c.Close() // a peer that says nothing: the next call begins anew
 		o.Closed(ErrUnknown)
 		return nil, ErrUnknown
-	case <-v.s.done:
+	case <-v.store.done:
 		return nil, ErrUnknown
 	}
 }
--- a/internal/controlplane/store/sockets_test.go
+++ b/internal/controlplane/store/sockets_test.go
@@ -24,7 +24,7 @@
 		c.peers = append(c.peers, Peer{id, freeAddress(t), freeAddress(t)})
 	}
 	start = func(cluster string, p Peer) *Store {
-		s, err := Open(Config{Cluster: cluster, ID: p.ID, Address: p.Address, Service: p.Service, Peers: c.peers, DataDir: t.TempDir(), Quick: true})
+		s, err := Open(Config{Cluster: cluster, ID: p.ID, Address: p.Address, Service: p.Service, Peers: c.peers, DataDir: t.TempDir(), ShortTimeouts: true})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -82,7 +82,7 @@
 	if r, err := stranger.call(peers[0].Service, &pb.Call{Body: &pb.Call_Join{Join: &pb.Join{Id: "x", Address: "y"}}}, patient); err != nil || !strings.Contains(r.Refused, `cluster "t"`) {
 		t.Errorf("the stranger's call: %v %v", r, err)
 	}
-	l := &layer{cluster: "other"}
+	l := &streamLayer{cluster: "other"}
 	if conn, err := l.Dial(raft.ServerAddress(peers[0].Address), patient); err == nil {
 		t.Error("the stranger may replicate")
 		conn.Close()
@@ -99,13 +99,13 @@
 	}
 	bad := bytes.Clone(good)
 	bad[len(bad)-1] ^= 1
-	if err := lead.Load(bad); !errors.Is(err, catalog.ErrDamaged) {
+	if err := lead.Restore(bad); !errors.Is(err, catalog.ErrCorrupt) {
 		t.Errorf("a damaged snapshot: %v", err)
 	}
 	if get(lead, "ka") != "later" {
 		t.Error("a damaged snapshot changed something")
 	}
-	if err := lead.Load(good); err != nil {
+	if err := lead.Restore(good); err != nil {
 		t.Fatal(err)
 	}
 	c.equal(map[string]string{"ka": "v"})
--- a/internal/controlplane/store/tick.go
+++ b/internal/controlplane/store/tick.go
@@ -13,9 +13,9 @@
 	"aspenshed/internal/controlplane/mode"
 )
 
-// ticks drive the deciders until the end.
-func (s *Store) ticks() {
-	t := time.NewTicker(tickEvery)
+// runTicks drive the deciders until the end.
+func (s *Store) runTicks() {
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -32,47 +32,47 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	seen := s.observe()
-	m, changed := s.modes.Step(now, seen)
+	m, changed := s.modeMachine.Step(now, seen)
 	s.mode = m
 	if changed {
 		s.log.WithField("mode", m.String()).Info("store mode")
-		s.cfg.Changed()
+		s.cfg.OnChange()
 	}
 	var fresh bool
 	var rules *pb.Rules
 	s.Read(func(c *catalog.Catalog) {
 		members, _, leases := c.Versions()
-		if v := [2]uint64{members, leases}; v != s.coldAt { // thousands of members are not looked at at each tick
-			s.coldAt, s.cold = v, c.ColdMembers()
+		if v := [2]uint64{members, leases}; v != s.warmingVersions { // thousands of members are not looked at at each tick
+			s.warmingVersions, s.warmingMembers = v, c.WarmingMembers()
 		}
 		fresh, rules = c.Index() > 0 && !c.RulesSet(), c.Rules()
 	})
-	for _, c := range s.grants.Step(now, seen.Leads || seen.Alone, s.cold, rules) {
+	for _, c := range s.leaseGrantor.Step(now, seen.IsLeader || seen.Standalone, s.warmingMembers, rules) {
 		s.queue.Offer(fmt.Sprint("grant ", c), c)
 	}
-	if r := s.cfg.rules(); fresh && seen.Leads && r != nil {
+	if r := s.cfg.initialRules(); fresh && seen.IsLeader && r != nil {
 		s.queue.Offer("rules", &pb.Command{Body: &pb.Command_SetRules{SetRules: &pb.SetRules{Rules: r}}})
 	}
-	if m != mode.Alone && m != mode.CutOff && (now >= s.lastBeat+beatEvery || changed) {
-		s.lastBeat = now
+	if m != mode.Standalone && m != mode.Disconnected && (now >= s.lastHeartbeatAt+heartbeatInterval || changed) {
+		s.lastHeartbeatAt = now
 		s.queue.Offer("beat", &pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: s.cfg.ID, Boot: s.boot,
 			Service: s.cfg.Service, Release: s.cfg.Release, Mode: m.String()}}})
 	}
 }
 
 // observe is what there is to see of the others. Only tick calls it.
-func (s *Store) observe() (x mode.Seen) {
+func (s *Store) observe() (x mode.Observation) {
 	r := s.raft.Load()
 	if s.cfg.Address == "" {
-		return mode.Seen{Alone: true}
+		return mode.Observation{Standalone: true}
 	}
 	if r == nil {
 		return x
 	}
-	x.Leads, x.Applied, x.Commit = r.State() == raft.Leader, r.AppliedIndex(), r.CommitIndex()
+	x.IsLeader, x.AppliedIndex, x.CommitIndex = r.State() == raft.Leader, r.AppliedIndex(), r.CommitIndex()
 	last := r.LastContact()
-	x.Contact = x.Leads || last.After(s.contactAt) // raft stamps it at each message of a leader
-	s.contactAt = last
-	x.Voter = s.votes(r)
+	x.LeaderContact = x.IsLeader || last.After(s.lastContactAt) // raft stamps it at each message of a leader
+	s.lastContactAt = last
+	x.IsVoter = s.isVoter(r)
 	return x
 }
--- a/internal/controlplane/store/transport.go
+++ b/internal/controlplane/store/transport.go
@@ -21,7 +21,7 @@
 	maxHandshakes    = 32 // connections whose cluster is not known yet; further ones are closed
 )
 
-var errOtherCluster = errors.New("store: the other end is of another cluster, or no store at all")
+var errClusterMismatch = errors.New("store: the other end is of another cluster, or no store at all")
 
 // newTransport is the library's own transport on a layer that asks both ends for the cluster's id first: an instance
 // of another cluster must neither vote here nor replicate to us.
@@ -30,30 +30,30 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &layer{ln: ln, cluster: c.Cluster, ready: make(chan net.Conn), done: make(chan struct{}), rejected: func(remote net.Addr) {
+	l := &streamLayer{ln: ln, cluster: c.Cluster, ready: make(chan net.Conn), done: make(chan struct{}), onRejected: func(remote net.Addr) {
 		c.Log.WithField("from", remote.String()).Warn("store turned an instance of another cluster away")
 	}}
-	go l.accept()
+	go l.acceptLoop()
 	return raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: l, MaxPool: 3, Timeout: raftTimeout, Logger: log}), nil
 }
 
-type layer struct {
-	ln       net.Listener
-	cluster  string
-	ready    chan net.Conn
-	done     chan struct{}
-	once     sync.Once
-	rejected func(net.Addr)
+type streamLayer struct {
+	ln         net.Listener
+	cluster    string
+	ready      chan net.Conn
+	done       chan struct{}
+	once       sync.Once
+	onRejected func(net.Addr)
 }
 
-func (l *layer) hello() []byte {
+func (l *streamLayer) handshakeMessage() []byte {
 	b := make([]byte, handshakeSize)
 	copy(b, handshakeMagic)
 	copy(b[len(handshakeMagic):], l.cluster)
 	return b
 }
 
-func (l *layer) accept() {
+func (l *streamLayer) acceptLoop() {
 	running := make(chan struct{}, maxHandshakes)
 	for {
 		c, err := l.ln.Accept()
@@ -87,11 +87,11 @@
 }
 
 // handshake has both ends say which cluster they are of; who dials speaks first.
-func (l *layer) handshake(c net.Conn, dialled bool) error {
+func (l *streamLayer) handshake(c net.Conn, dialled bool) error {
 	_ = c.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer func() { _ = c.SetDeadline(time.Time{}) }()
 	if dialled {
-		if _, err := c.Write(l.hello()); err != nil {
+		if _, err := c.Write(l.handshakeMessage()); err != nil {
 			return err
 		}
 	}
@@ -99,21 +99,21 @@
 	if _, err := io.ReadFull(c, b); err != nil {
 		return err
 	}
-	if string(b) != string(l.hello()) {
+	if string(b) != string(l.handshakeMessage()) {
 		if !dialled {
-			l.rejected(c.RemoteAddr())
+			l.onRejected(c.RemoteAddr())
 		}
-		return errOtherCluster
+		return errClusterMismatch
 	}
 	if !dialled {
-		_, err := c.Write(l.hello())
+		_, err := c.Write(l.handshakeMessage())
 		return err
 	}
 	return nil
 }
 
 // Accept is the next connection of this cluster.
-func (l *layer) Accept() (net.Conn, error) {
+func (l *streamLayer) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.ready:
 		return c, nil
@@ -123,16 +123,16 @@
 }
 
 // Close ends the layer.
-func (l *layer) Close() error {
+func (l *streamLayer) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return l.ln.Close()
 }
 
 // Addr is where it listens.
-func (l *layer) Addr() net.Addr { return l.ln.Addr() }
+func (l *streamLayer) Addr() net.Addr { return l.ln.Addr() }
 
 // Dial connects to another instance of this cluster.
-func (l *layer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (l *streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	c, err := net.DialTimeout("tcp", string(address), timeout)
 	if err != nil {
 		return nil, err
--- a/internal/controlplane/subscriber/subscriber.go
+++ b/internal/controlplane/subscriber/subscriber.go
@@ -128,7 +128,7 @@
 }
 
 // Waiting is the number of commands that have not gone up.
-func (s *Subscriber) Waiting() int { return s.queue.Waiting() }
+func (s *Subscriber) Waiting() int { return s.queue.Queued() }
 
 // Stats counts what went over the stream, and tells where it stands.
 func (s *Subscriber) Stats() stream.ClientStats { return s.client.Stats() }
--- a/internal/controlplane/subscriber/subscriber_test.go
+++ b/internal/controlplane/subscriber/subscriber_test.go
@@ -49,7 +49,7 @@
 	v.t.Helper()
 	rev := v.catalog.Index() + 1
 	for i, c := range commands {
-		c.Origin, c.Seq, c.Kind, c.At = "voter", 100*rev+uint64(i), catalog.Kind(c), time.Now().UnixNano()
+		c.Origin, c.Seq, c.Kind, c.At = "voter", 100*rev+uint64(i), catalog.CommandKind(c), time.Now().UnixNano()
 	}
 	for _, r := range v.catalog.Apply(rev, &pb.Batch{Commands: commands}) {
 		if r.Refused != "" {
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -139,7 +139,7 @@
 	case "join":
 		return a.told(st.Join(q.Key, adminLimit))
 	case "leave":
-		return a.told(st.Leave(q.Key, adminLimit))
+		return a.told(st.RemoveInstance(q.Key, adminLimit))
 	case "save":
 		path, err := cleanPath(q.Key)
 		if err == nil {
@@ -153,7 +153,7 @@
 		}
 		data, err := os.ReadFile(path)
 		if err == nil {
-			if err = st.Load(data); err == nil {
+			if err = st.Restore(data); err == nil {
 				a.d.log.WithFields(logrus.Fields{"file": path}).Warn("store restored by hand")
 			}
 		}
@@ -242,14 +242,14 @@
 			if m.DrainedAt != 0 {
 				x.State = "draining"
 			}
-			if catalog.Cold(m) {
+			if catalog.IsWarming(m) {
 				x.Warmth = "cold"
 			}
 			seen := map[string]bool{}
 			for _, l := range m.Leases {
 				if !seen[l.Instance] {
 					seen[l.Instance] = true
-					x.Leased += catalog.Outstanding(m, l.Instance)
+					x.Leased += catalog.OutstandingShare(m, l.Instance)
 				}
 			}
 			out = append(out, x)
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -39,8 +39,8 @@
 
 func (d *Daemon) openStore() (err error) {
 	sc := d.cfg.Deploy.Store.Config
-	sc.Release, sc.Log, sc.Clock, sc.Changed = d.cfg.Release, d.log, d.cfg.Clock, d.changed
-	sc.Damaged = func(err error) {
+	sc.Release, sc.Log, sc.Clock, sc.OnChange = d.cfg.Release, d.log, d.cfg.Clock, d.changed
+	sc.OnCorruption = func(err error) {
 		select {
 		case d.broken <- err:
 		default:
@@ -53,7 +53,7 @@
 		if d.Server, err = d.newServer(listen, sc.Cluster); err != nil {
 			return fmt.Errorf("field store.subscribers: %w", err)
 		}
-		sc.Publisher, sc.Rollout = d.Server, d.Server.Rollout
+		sc.Publisher, sc.RolloutStatus = d.Server, d.Server.Rollout
 	}
 	d.Store, err = store.Open(sc)
 	close(d.opened)
@@ -69,10 +69,10 @@
 	switch {
 	case sc.Address == "" || sc.NoLeases:
 		return 0
-	case sc.Lease == 0:
+	case sc.LeaseDuration == 0:
 		return defaultLease
 	}
-	return sc.Lease
+	return sc.LeaseDuration
 }
 
 // newServer serves the control stream. The store is opened after it, as the store feeds it from then on.
@@ -83,7 +83,7 @@
 			if <-d.opened; d.Store == nil {
 				return &pb.Reply{Refused: "the store did not open", Retry: true}
 			}
-			return d.Store.Carry(b)
+			return d.Store.ForwardBatch(b)
 		},
 		Records: func() (rev uint64, records []revision.Record) {
 			if <-d.opened; d.Store == nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -98,7 +98,7 @@
 
 // openFronts starts the fronts that are on.
 func (d *Daemon) openFronts() error {
-	deploy, rules := d.cfg.Deploy, d.cfg.Deploy.Store.Rules()
+	deploy, rules := d.cfg.Deploy, d.cfg.Deploy.Store.InitialRules()
 	if deploy.MySQL.Listen != "" {
 		d.control.followRules(&deploy.MySQL.Settings, rules)
 		front, err := NewMySQL(&deploy.MySQL, d.loop, d.cfg.Seed, d.control)
@@ -122,7 +122,7 @@
 func (d *Daemon) changed() {
 	d.loop.Post(func() {
 		for _, f := range d.Fronts {
-			f.agent.Poke()
+			f.agent.Wake()
 		}
 	})
 }
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -119,9 +119,9 @@
 // startAgent connects the pipeline to the control plane.
 func (f *Front) startAgent(loop *eventloop.Loop, own []inventory.Member) {
 	c := agent.Config{Store: f.control.Store, Loop: loop, Log: f.log, Pipeline: f.Pipeline, Wire: f.Wire,
-		Classes: f.cfg.Settings.Classes, Lease: aspenshed.Nanos(f.control.Lease), KeepLearned: f.control.Subscriber}
+		Classes: f.cfg.Settings.Classes, LeaseDuration: aspenshed.Nanos(f.control.Lease), KeepLearnedLocal: f.control.Subscriber}
 	if f.control.InForce != nil {
-		c.InForce = func(rev uint64) { f.control.InForce(f.Wire, rev) }
+		c.OnApplied = func(rev uint64) { f.control.InForce(f.Wire, rev) }
 	}
 	f.agent = agent.Start(c, f.told(own))
 	if len(own) > 0 && !f.control.Subscriber {
@@ -137,17 +137,17 @@
 }
 
 // told is an inventory as the agent takes it.
-func (f *Front) told(ms []inventory.Member) (out []roster.Told) {
+func (f *Front) told(ms []inventory.Member) (out []roster.Entry) {
 	l, addresses := inventory.List(ms)
 	for i, m := range l.Members {
-		out = append(out, roster.Told{Member: m, Address: addresses[m.ID], Site: ms[i].Site})
+		out = append(out, roster.Entry{Member: m, Address: addresses[m.ID], Site: ms[i].Site})
 	}
 	return out
 }
 
 // first makes this instance's file the inventory of all, if there is none yet.
 func (f *Front) first(own []inventory.Member) {
-	if err := f.agent.First(entries(f.Wire, own)); err != nil {
+	if err := f.agent.PublishInitial(entries(f.Wire, own)); err != nil {
 		f.log.WithError(err).Warn("inventory not stored")
 	}
 }
@@ -174,7 +174,7 @@
 		f.log.WithField("members", len(members)).Info("inventory in use")
 		return
 	}
-	f.agent.Own(f.told(members))
+	f.agent.SetLocalMembers(f.told(members))
 	if f.control.Subscriber { // the voters alone publish lists
 		return
 	}
@@ -188,7 +188,7 @@
 // Hear tells the front alone that a member has started, as its own list would: for trials of what an instance does
 // that cannot hear the store.
 func (f *Front) Hear(id string, start time.Time) {
-	f.agent.Started(id, aspenshed.Nanos(start.UnixNano()))
+	f.agent.ObserveStart(id, aspenshed.Nanos(start.UnixNano()))
 }
 
 // Left is how many clients' connections and requests are still there; closing: those between requests are closed first.
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -37,13 +37,13 @@
 func (d *Daemon) subscriberStatus() Status {
 	stats := d.Subscriber.Stats()
 	out := Status{Client: &stats}
-	out.Cluster, out.ID, out.Waiting = d.cfg.Deploy.Store.Cluster, d.Subscriber.ID(), d.Subscriber.Waiting()
+	out.Cluster, out.ID, out.Queued = d.cfg.Deploy.Store.Cluster, d.Subscriber.ID(), d.Subscriber.Waiting()
 	out.Leader, out.Commit, out.Digest = stats.Server, stats.Revision, fmt.Sprintf("%016x", uint64(stats.Digest))
 	if out.Mode = modeCutOff; stats.Subscribed {
 		out.Mode = modeSubscribed
 	}
 	d.Subscriber.Read(func(c *catalog.Catalog) {
-		out.Applied, out.Config, out.Inventory, out.Counts = c.Index(), c.Config().GetVersion(), c.Inventory(), c.Counts()
+		out.Applied, out.Config, out.Inventory, out.Counts = c.Index(), c.Config().GetVersion(), c.InventoryVersion(), c.Counts()
 	})
 	return out
 }
--- a/internal/experiment/scale/baseline.go
+++ b/internal/experiment/scale/baseline.go
@@ -96,9 +96,9 @@
 		peers = append(peers, store.Peer{ID: fmt.Sprint("i", i), Address: addresses[2*i], Service: addresses[2*i+1]})
 	}
 	for i, p := range peers {
-		c := store.Config{Cluster: "baseline", ID: p.ID, Address: p.Address, Service: p.Service, Peers: peers, DataDir: filepath.Join(dir, p.ID), Quick: quick}
+		c := store.Config{Cluster: "baseline", ID: p.ID, Address: p.Address, Service: p.Service, Peers: peers, DataDir: filepath.Join(dir, p.ID), ShortTimeouts: quick}
 		if i == 0 {
-			c.Logs = func(next raft.LogStore) raft.LogStore { return logMeter{next, &v.entries, &v.bytes} }
+			c.WrapLogStore = func(next raft.LogStore) raft.LogStore { return logMeter{next, &v.entries, &v.bytes} }
 		}
 		s, err := store.Open(c)
 		if err != nil {
@@ -308,7 +308,7 @@
 
 // putInventory publishes an inventory on top of whatever there is, and waits until the first instance has it.
 func (v *votingInstances) putInventory(p *pb.PutInventory) error {
-	err := v.stores[0].ReadLatest(submitLimit, func(c *catalog.Catalog) { p.Base = c.Inventory() })
+	err := v.stores[0].ReadLatest(submitLimit, func(c *catalog.Catalog) { p.Base = c.InventoryVersion() })
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/scale/judge.go
+++ b/internal/experiment/scale/judge.go
@@ -67,16 +67,16 @@
 	var failure error
 	err = waitFor(ctx, "the rollout", func() bool {
 		report, failure = r.voters[0].Rollout(expected)
-		return failure == nil && int(report.InForce) == subscribers && report.Subscribers == report.InForce
+		return failure == nil && int(report.Applied) == subscribers && report.Subscribers == report.Applied
 	})
 	if err != nil {
 		return err
 	}
-	detail := fmt.Sprintf("%d subscribers, %d in force, silent voters %v, lagging %v", report.Subscribers, report.InForce, report.Silent, report.Lagging)
+	detail := fmt.Sprintf("%d subscribers, %d in force, silent voters %v, lagging %v", report.Subscribers, report.Applied, report.Unreachable, report.Lagging)
 	if failure != nil {
 		detail = failure.Error()
 	}
-	missing := max(subscribers-int(report.InForce), int(report.Subscribers)-int(report.InForce), int(report.InForce)-subscribers)
+	missing := max(subscribers-int(report.Applied), int(report.Subscribers)-int(report.Applied), int(report.Applied)-subscribers)
 	r.run.Checks = append(r.run.Checks, atMost("end: subscribers that the voters' rollout counts wrongly", float64(missing), 0, "1", detail))
 	return nil
 }
--- a/internal/experiment/scale/scale_test.go
+++ b/internal/experiment/scale/scale_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		return err
 	}
-	i.daemon, err = daemon.New(daemon.Config{Deploy: deploy, Path: deployPath, Seed: 1, Release: "scale", Store: func(c *store.Config) { c.Quick = true }})
+	i.daemon, err = daemon.New(daemon.Config{Deploy: deploy, Path: deployPath, Seed: 1, Release: "scale", Store: func(c *store.Config) { c.ShortTimeouts = true }})
 	return err
 }
 
--- a/internal/experiment/scale/submitter.go
+++ b/internal/experiment/scale/submitter.go
@@ -65,7 +65,7 @@
 func (s *Submitter) number(commands []*pb.Command) *pb.Batch {
 	for _, c := range commands {
 		s.sequence++
-		c.Origin, c.Seq, c.Kind = s.origin, s.sequence, catalog.Kind(c)
+		c.Origin, c.Seq, c.Kind = s.origin, s.sequence, catalog.CommandKind(c)
 	}
 	return &pb.Batch{Commands: commands}
 }
