--- a/internal/experiment/trial/store.go
+++ b/internal/experiment/trial/store.go
@@ -146,7 +146,7 @@
 	if lead, err = x.leader(); err != nil {
 		return out, err
 	}
-	x.s[lead].Read(func(c *catalog.Catalog) { big.Base = c.Inventory() })
+	x.s[lead].Read(func(c *catalog.Catalog) { big.Base = c.InventoryVersion() })
 	for i := range o.Members {
 		big.Members = append(big.Members, entry(i))
 	}
@@ -189,7 +189,7 @@
 		p.Members = append(p.Members, entry(i))
 	}
 	for n := range replaced {
-		p.Base = c.Inventory()
+		p.Base = c.InventoryVersion()
 		p.Members = append(p.Members[1:], entry(20+n))
 		c.Apply(uint64(n+1), &pb.Batch{Commands: []*pb.Command{{Origin: "w", Seq: uint64(n + 1), At: int64(1e18 + n*1e6), Body: &pb.Command_PutInventory{PutInventory: p}}}})
 		c.TakeChanges() // as the store does after each entry
--- a/internal/experiment/trial/trial.go
+++ b/internal/experiment/trial/trial.go
@@ -105,7 +105,7 @@
 	c.trans[i] = t
 	cfg.Transport = t
 	peers := cfg.Peers
-	cfg.Calls = func(next store.Caller) store.Caller {
+	cfg.WrapCaller = func(next store.Caller) store.Caller {
 		return caller(func(service string, x *pb.Call, limit time.Duration) (*pb.Reply, error) {
 			for j, p := range peers {
 				if p.Service == service && c.between(i, j) {
