--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -139,7 +139,7 @@
 	case "join":
 		return a.doneOrError(st.Join(q.Key, adminTimeout))
 	case "leave":
-		return a.doneOrError(st.Leave(q.Key, adminTimeout))
+		return a.doneOrError(st.RemoveInstance(q.Key, adminTimeout))
 	case "save":
 		path, err := absolutePath(q.Key)
 		if err == nil {
@@ -153,7 +153,7 @@
 		}
 		data, err := os.ReadFile(path)
 		if err == nil {
-			if err = st.Load(data); err == nil {
+			if err = st.Restore(data); err == nil {
 				a.d.log.WithFields(logrus.Fields{"file": path}).Warn("store restored by hand")
 			}
 		}
@@ -242,14 +242,14 @@
 			if m.DrainedAt != 0 {
 				x.State = "draining"
 			}
-			if catalog.Cold(m) {
+			if catalog.IsWarming(m) {
 				x.Warmth = "cold"
 			}
 			seen := map[string]bool{}
 			for _, l := range m.Leases {
 				if !seen[l.Instance] {
 					seen[l.Instance] = true
-					x.Leased += catalog.Outstanding(m, l.Instance)
+					x.Leased += catalog.OutstandingShare(m, l.Instance)
 				}
 			}
 			out = append(out, x)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -161,7 +161,7 @@
 	Net      *netio.Net
 	Address  string
 	Zones    []string
-	Version    int64 // the version that the gateway has
+	Version  int64 // the version that the gateway has
 	OnUpdate func(Update)
 	OnBreak  func(aspenshed.DiscoveryBroke)
 	// Pushed: lists are pushed. An agent on this machine has them at no cost, and what it has counts as told: the watch
