--- a/internal/frontend/mysql/front.go
+++ b/internal/frontend/mysql/front.go
@@ -191,7 +191,7 @@
 
 // reply answers a command without asking anybody, in its turn.
 func (s *clientConn) reply(b []byte) {
-	s.session.Enqueue(len(b), func(x *session.Slot) { x.Respond(b) })
+	s.session.Enqueue(len(b), func(x *session.Slot) { x.SetResponse(b) })
 }
 
 func (s *clientConn) replyError(code uint16, state, message string) {
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -66,7 +66,7 @@
 			return pgwire.ErrMalformed
 		}
 		if strings.TrimSpace(sql) == "" {
-			s.session.Enqueue(len(m.Body), func(x *session.Slot) { x.Respond(pgwire.Ready(pgwire.Append(nil, 'I'))) })
+			s.session.Enqueue(len(m.Body), func(x *session.Slot) { x.SetResponse(pgwire.Ready(pgwire.Append(nil, 'I'))) })
 			return nil
 		}
 		q, err := s.front.parseStatement(sql)
--- a/internal/frontend/session/memory_test.go
+++ b/internal/frontend/session/memory_test.go
@@ -57,7 +57,7 @@
 				t.Errorf("%d of %d floods were ended", rejected, flooders)
 			}
 			for _, x := range slots {
-				x.Respond([]byte("answer"))
+				x.SetResponse([]byte("answer"))
 			}
 			for range 3 {
 				clock.now += sweepInterval
@@ -92,7 +92,7 @@
 	filled := 0
 	for _, x := range slots[1:] {
 		if conn.closed == 0 {
-			x.Respond(make([]byte, 4<<20))
+			x.SetResponse(make([]byte, 4<<20))
 			filled++
 		}
 		if got := m.pendingBytes.Load(); got > limit/2+4<<20 {
--- a/internal/frontend/session/session.go
+++ b/internal/frontend/session/session.go
@@ -161,7 +161,7 @@
 	s.Enqueue(len(answer), func(x *Slot) {
 		s.manager.CountRejected(problem)
 		s.ending = true
-		x.Respond(answer)
+		x.SetResponse(answer)
 	})
 }
 
@@ -183,10 +183,10 @@
 }
 
 // Finish takes the one final answer.
-func (x *Slot) Finish(f request.Final) { x.Respond(x.encode(f)) }
+func (x *Slot) Finish(f request.Final) { x.SetResponse(x.encode(f)) }
 
-// Respond sets a command's answer and writes all answers that are next in order.
-func (x *Slot) Respond(b []byte) {
+// SetResponse sets a command's answer and writes all answers that are next in order.
+func (x *Slot) SetResponse(b []byte) {
 	s := x.session
 	x.response, x.done, x.request = b, true, nil
 	if s.closed {
--- a/internal/frontend/session/session_test.go
+++ b/internal/frontend/session/session_test.go
@@ -34,7 +34,7 @@
 			d := &Manager{Loop: eventloop.NewLoop(c), Limits: Limits{CommandTimeout: 2000 * ms, IdleTimeout: 2000 * ms}, CountRejected: func(string) {}}
 			conn := &slow{unsent: true}
 			s := d.Open(conn)
-			s.Enqueue(1, func(x *Slot) { x.Respond([]byte("a long answer")) })
+			s.Enqueue(1, func(x *Slot) { x.SetResponse([]byte("a long answer")) })
 			if fatal {
 				s.Fatal([]byte("an error"), "noise")
 			}
