--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -60,7 +60,7 @@
 
 // step gives each instance its events of the batch, in order. An instance
 // that stops and starts within the batch is stepped before and after.
-func (h *host) step(b simwire.Batch) (acts []simwire.Directed, faults []simwire.Fault, err error) {
+func (h *host) step(b simwire.Batch) (acts []simwire.InstanceAction, faults []simwire.Fault, err error) {
 	var order []int64
 	pending := map[int64][]aspenshed.Event{}
 	flush := func(id int64) {
@@ -71,33 +71,33 @@
 		delete(pending, id)
 		out, text := guarded(h.routers[id], b.Now, events)
 		for _, a := range out {
-			acts = append(acts, simwire.Directed{Driver: id, Action: a})
+			acts = append(acts, simwire.InstanceAction{Instance: id, Action: a})
 		}
 		if text != "" {
-			faults = append(faults, simwire.Fault{Driver: id, Text: text})
+			faults = append(faults, simwire.Fault{Instance: id, Text: text})
 		}
 	}
 	for i, it := range b.Items {
-		_, running := h.routers[it.Driver]
+		_, running := h.routers[it.Instance]
 		switch {
 		case it.Start == nil && !running:
-			return nil, nil, fmt.Errorf("field items[%d].driver: no instance %d is running", i, it.Driver)
+			return nil, nil, fmt.Errorf("field items[%d].driver: no instance %d is running", i, it.Instance)
 		case it.Start != nil:
-			delete(pending, it.Driver)
+			delete(pending, it.Instance)
 			r, newErr := aspenshed.New(it.Start.Settings, it.Start.Seed)
 			if newErr != nil {
-				faults = append(faults, simwire.Fault{Driver: it.Driver, Text: newErr.Error()})
+				faults = append(faults, simwire.Fault{Instance: it.Instance, Text: newErr.Error()})
 			}
-			h.routers[it.Driver] = r
-			order, pending[it.Driver] = append(order, it.Driver), []aspenshed.Event{}
+			h.routers[it.Instance] = r
+			order, pending[it.Instance] = append(order, it.Instance), []aspenshed.Event{}
 		case it.Stop:
-			delete(pending, it.Driver)
-			delete(h.routers, it.Driver)
+			delete(pending, it.Instance)
+			delete(h.routers, it.Instance)
 		default:
-			if _, ok := pending[it.Driver]; !ok {
-				order = append(order, it.Driver)
+			if _, ok := pending[it.Instance]; !ok {
+				order = append(order, it.Instance)
 			}
-			pending[it.Driver] = append(pending[it.Driver], it.Event)
+			pending[it.Instance] = append(pending[it.Instance], it.Event)
 		}
 	}
 	for _, id := range order {
--- a/cmd/aspenshed/gateway.go
+++ b/cmd/aspenshed/gateway.go
@@ -48,7 +48,7 @@
 	known, faults := discovery.Convert(node.Known, node.Zones) // those left are words of a newer release: nothing to stop for
 	var err error
 	g := &gateway{node: node, log: log, loop: eventloop.NewLoop(clock)}
-	g.loop.Panicked = func(p any) {
+	g.loop.OnPanic = func(p any) {
 		log.WithFields(logrus.Fields{"panic": p, "stack": string(debug.Stack())}).Error("panic on the loop: it goes on")
 	}
 	files := node.Limits.Sockets - otherFiles
@@ -58,7 +58,7 @@
 		Limits: session.Limits{Silent: clientLimit, Idle: clientLimit, Roomy: node.Limits.Sockets / 4, Spare: spareLimit,
 			Unanswered: buffered}}}
 	ready := make(chan struct{})
-	g.net, err = netio.New(netio.Config{Name: "platform", Listen: node.Listen, Clients: clients, Dials: files * 4 / 10, Reserved: files / 20, Queued: buffered,
+	g.net, err = netio.New(netio.Config{Name: "platform", Listen: node.Listen, MaxClients: clients, MaxDials: files * 4 / 10, ReservedDials: files / 20, MaxQueued: buffered,
 		Accept: func(c *netio.Conn) netio.Handler {
 			<-ready
 			return g.front.Accept(c)
@@ -74,10 +74,10 @@
 		held = min(held, node.MostHeld)
 	}
 	g.pipeline = pipeline.New(pipeline.Config{Loop: g.loop, Log: log, Settings: node.Settings, Seed: node.SeedNumber(),
-		MostHeld: held, Backend: &postgres.Backend{Net: g.net, Loop: g.loop}, Watch: g.watcher.Watch})
+		MaxPending: held, Backend: &postgres.Backend{Net: g.net, Loop: g.loop}, Watch: g.watcher.Watch})
 	g.watcher.Changed = func(u discovery.Update) { g.pipeline.Members(u.List, u.Addresses) }
-	g.watcher.Broke = g.pipeline.DiscoveryBroke
-	g.front.Take, g.front.Leave, g.front.Rejected = g.pipeline.Accept.Take, g.pipeline.Leave, g.pipeline.Accounting.Rejected
+	g.watcher.Broke = g.pipeline.DiscoveryFailed
+	g.front.Take, g.front.Leave, g.front.Rejected = g.pipeline.Accept.Accept, g.pipeline.Abandon, g.pipeline.Accounting.CountRejected
 	known.List.Whole, known.List.Remnant = true, true
 	if err := g.pipeline.Start(known.List, known.Addresses); err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 		return
 	}
 	g.draining = true
-	logrus.WithField("live", g.pipeline.Response.Live()).Info("draining")
+	logrus.WithField("live", g.pipeline.Response.Pending()).Info("draining")
 	start, kill := g.loop.Now(), g.killAfter()
 	closeFrom, answerAll := start+max(acceptAfterTerm, kill-lastServed), start+kill-lastAnswer
 	var tick func()
@@ -116,7 +116,7 @@
 		if now >= closeFrom {
 			g.front.CloseIdle()
 		}
-		left := g.net.Clients() + g.pipeline.Response.Live()
+		left := g.net.ClientCount() + g.pipeline.Response.Pending()
 		if g.mysql != nil {
 			left += g.mysql.Left(true)
 		}
@@ -165,7 +165,7 @@
 
 // stop writes the last counts.
 func (g *gateway) stop() {
-	g.pipeline.Accounting.Write(g.pipeline.Response.Live())
+	g.pipeline.Accounting.LogCounts(g.pipeline.Response.Pending())
 	if g.mysql != nil {
 		g.mysql.Stop()
 	}
--- a/cmd/aspenshed/main_test.go
+++ b/cmd/aspenshed/main_test.go
@@ -68,8 +68,8 @@
 		t.Fatal(err)
 	}
 	_ = c.SetDeadline(time.Now().Add(patient))
-	_, _ = c.Write(append(pgwire.Startup("web", "orders"), pgwire.Query("")...))
-	in, got, b := pgwire.Reader{Max: 1000}, "", make([]byte, 1000)
+	_, _ = c.Write(append(pgwire.StartupMessage("web", "orders"), pgwire.QueryMessage("")...))
+	in, got, b := pgwire.Reader{MaxSize: 1000}, "", make([]byte, 1000)
 	for strings.Count(got, "Z") < 2 {
 		n, err := c.Read(b)
 		if err != nil {
@@ -117,7 +117,7 @@
 		}
 	}
 	for _, c := range []net.Conn{old, late} {
-		if _, err := c.Write(pgwire.Query("")); err != nil { // it crosses the close, which must not become a reset by that
+		if _, err := c.Write(pgwire.QueryMessage("")); err != nil { // it crosses the close, which must not become a reset by that
 			t.Fatal(err)
 		}
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
@@ -145,9 +145,9 @@
 }
 
 // waiter takes a final answer.
-type waiter chan request.Final
+type waiter chan request.Response
 
-func (w waiter) Finish(f request.Final) { w <- f }
+func (w waiter) Respond(f request.Response) { w <- f }
 
 // Guards clients that have no other gateway yet, and requests against SIGKILL: open connections are served until
 // 1.7 s before it, and nothing is left without an answer 0.3 s before it.
@@ -165,10 +165,10 @@
 	held := make(waiter, 1)
 	g.loop.Post(func() {
 		g.drain()
-		g.pipeline.Response.Owe(&request.Request{ID: "held", Query: request.Query{Client: held}, Deadline: g.loop.Now() + 9e9})
+		g.pipeline.Response.Track(&request.Request{ID: "held", Query: request.Query{Client: held}, Deadline: g.loop.Now() + 9e9})
 	})
 	pass(1900e6)
-	if _, err := c.Write(pgwire.Query("")); err != nil {
+	if _, err := c.Write(pgwire.QueryMessage("")); err != nil {
 		t.Fatal(err)
 	}
 	if n, err := c.Read(make([]byte, 100)); err != nil {
@@ -259,7 +259,7 @@
 		done := make(chan bool)
 		g.loop.Post(func() {
 			g.reload(g.node, nil)
-			n = len(g.mysql.Pipeline.Routing.Last())
+			n = len(g.mysql.Pipeline.Routing.LastMembers())
 			close(done)
 		})
 		<-done
--- a/cmd/aspenshed/size_test.go
+++ b/cmd/aspenshed/size_test.go
@@ -91,7 +91,7 @@
 		done := make(chan bool)
 		g.loop.Post(func() {
 			seen := map[int]bool{}
-			for _, m := range g.pipeline.Routing.Last() {
+			for _, m := range g.pipeline.Routing.LastMembers() {
 				if m.State == aspenshed.Up {
 					up++
 				}
@@ -174,7 +174,7 @@
 	state := func() (s aspenshed.MemberState) {
 		done := make(chan bool)
 		g.loop.Post(func() {
-			for _, m := range g.pipeline.Routing.Last() {
+			for _, m := range g.pipeline.Routing.LastMembers() {
 				if m.ID == "drains" {
 					s = m.State
 				}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -94,7 +94,7 @@
 	if n.Limits.MemoryMB == 0 {
 		n.Limits.MemoryMB = 192
 	}
-	if n.Settings, err = simwire.Settings(n.Raw); err != nil {
+	if n.Settings, err = simwire.ParseSettings(n.Raw); err != nil {
 		return err
 	}
 	var more struct {
--- a/internal/controlplane/agent/bench_test.go
+++ b/internal/controlplane/agent/bench_test.go
@@ -24,20 +24,20 @@
 	a := newAgent(feedOf{h}, silentPipeline{})
 	loop := a.cfg.Loop
 	a.Tick(0)
-	loop.Turn()
+	loop.RunPending()
 	b.Run("change", func(b *testing.B) {
 		for i := range b.N {
 			e := entry(i % 21000)
 			e.Address = fmt.Sprint("10.9.9.9:", 1+(i+int(h.catalog.Index()))%60000)
 			h.apply(&pb.Command{Body: &pb.Command_UpsertMembers{UpsertMembers: &pb.UpsertMembers{Members: []*pb.Entry{e}, Author: "test"}}})
 			a.Tick(0)
-			loop.Turn()
+			loop.RunPending()
 		}
 	})
 	b.Run("idle", func(b *testing.B) {
 		for range b.N {
 			a.Tick(0)
-			loop.Turn()
+			loop.RunPending()
 		}
 	})
 }
--- a/internal/controlplane/agent/members_test.go
+++ b/internal/controlplane/agent/members_test.go
@@ -138,7 +138,7 @@
 
 func (a *Agent) tickOnce() {
 	a.Tick(0)
-	a.cfg.Loop.Turn()
+	a.cfg.Loop.RunPending()
 }
 
 // randomCommand is one that members are told of.
--- a/internal/controlplane/store/service.go
+++ b/internal/controlplane/store/service.go
@@ -42,9 +42,9 @@
 func newService(s *Store) (*service, error) {
 	v := &service{s: s, slots: make(chan struct{}, maxServed), out: map[string]*outgoing{}}
 	var err error
-	v.net, err = netio.New(netio.Config{Name: "store", Listen: s.cfg.Service, Clients: maxConnections, Dials: maxConnections,
-		WriteBuffer: 2 * (frame.MaxSize + 4), // the longest message, and another behind it
-		Accept:      func(c *netio.Conn) netio.Handler { return &incoming{v: v, c: c} }})
+	v.net, err = netio.New(netio.Config{Name: "store", Listen: s.cfg.Service, MaxClients: maxConnections, MaxDials: maxConnections,
+		MaxWriteBuffer: 2 * (frame.MaxSize + 4), // the longest message, and another behind it
+		Accept:         func(c *netio.Conn) netio.Handler { return &incoming{v: v, c: c} }})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/stream/client.go
+++ b/internal/controlplane/stream/client.go
@@ -78,7 +78,7 @@
 	x := &Client{config: c, log: orDiscard(c.Log), loop: eventloop.NewLoop(c.Clock), ended: make(chan struct{}),
 		machine: subscription.NewClient(c.Machine), answers: map[uint64]chan<- answer{}}
 	x.loop.AfterBatch = func() { x.step() }
-	x.loop.Panicked = x.fail
+	x.loop.OnPanic = x.fail
 	x.loop.Post(func() {})
 	go func() {
 		defer close(x.ended)
@@ -153,7 +153,7 @@
 	for _, a := range actions {
 		c.do(a)
 	}
-	c.loop.Stop(c.timer)
+	c.loop.StopTimer(c.timer)
 	c.timer = c.loop.At(next, func() {}) // a step follows every batch
 	c.note()
 }
--- a/internal/controlplane/stream/harness_test.go
+++ b/internal/controlplane/stream/harness_test.go
@@ -106,7 +106,7 @@
 	updates chan Update
 }
 
-var sharedNet = sync.OnceValues(func() (*netio.Net, error) { return netio.New(netio.Config{Name: "test", Dials: 1024}) })
+var sharedNet = sync.OnceValues(func() (*netio.Net, error) { return netio.New(netio.Config{Name: "test", MaxDials: 1024}) })
 
 func startClient(t *testing.T, clock *stepClock, name string, change func(*ClientConfig), servers ...string) *testClient {
 	t.Helper()
--- a/internal/controlplane/stream/server.go
+++ b/internal/controlplane/stream/server.go
@@ -97,9 +97,9 @@
 	s := &Server{config: c, log: orDiscard(c.Log), loop: eventloop.NewLoop(c.Clock), ended: make(chan struct{}),
 		machine: subscription.NewServer(c.Machine), connections: map[subscription.SessionID]*subscriberConn{}}
 	s.loop.AfterBatch = s.step
-	s.loop.Panicked = s.fail
+	s.loop.OnPanic = s.fail
 	var err error
-	s.net, err = netio.New(netio.Config{Name: "control", Listen: c.Listen, Clients: c.Machine.MaxSessions + maxRefused, Accept: s.accept})
+	s.net, err = netio.New(netio.Config{Name: "control", Listen: c.Listen, MaxClients: c.Machine.MaxSessions + maxRefused, Accept: s.accept})
 	if err != nil {
 		return nil, err
 	}
@@ -142,7 +142,7 @@
 
 // Stats counts what the server has done.
 func (s *Server) Stats() ServerStats {
-	return ServerStats{Traffic: s.counters.traffic(), Connections: s.net.Clients(), Opened: s.opened.Load(),
+	return ServerStats{Traffic: s.counters.traffic(), Connections: s.net.ClientCount(), Opened: s.opened.Load(),
 		Closed: s.closed.Load(), Submitted: s.carried.Load(), Overflows: s.feed.overflows()}
 }
 
@@ -223,7 +223,7 @@
 	for i := range outputs {
 		s.do(&outputs[i])
 	}
-	s.loop.Stop(s.timer)
+	s.loop.StopTimer(s.timer)
 	s.timer = s.loop.At(next, func() {}) // the step follows every batch
 }
 
--- a/internal/controlplane/subscriber/subscriber.go
+++ b/internal/controlplane/subscriber/subscriber.go
@@ -80,7 +80,7 @@
 	}
 	if s.config.Network == nil {
 		var err error
-		if s.net, err = netio.New(netio.Config{Name: "control", Dials: maxDials}); err != nil {
+		if s.net, err = netio.New(netio.Config{Name: "control", MaxDials: maxDials}); err != nil {
 			return nil, err
 		}
 		s.config.Network = stream.NewNetwork(s.net)
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -55,7 +55,7 @@
 func newAdmin(d *Daemon, path string) (*admin, error) {
 	a := &admin{d: d, at: path}
 	var err error
-	a.net, err = netio.New(netio.Config{Name: "admin", Listen: "unix:" + path, Clients: adminClients,
+	a.net, err = netio.New(netio.Config{Name: "admin", Listen: "unix:" + path, MaxClients: adminClients,
 		Accept: func(c *netio.Conn) netio.Handler { return &asking{a: a, c: c} }})
 	if err != nil {
 		return nil, fmt.Errorf("field admin.socket: %w", err)
@@ -260,7 +260,7 @@
 
 // asks is the engine of all that asks from this process. It is never stopped: nbio (v1.6.8) forgets a Stop that comes
 // before its poller runs, as it would where nobody answers.
-var asks = sync.OnceValues(func() (*netio.Net, error) { return netio.New(netio.Config{Name: "ask", Dials: 64}) })
+var asks = sync.OnceValues(func() (*netio.Net, error) { return netio.New(netio.Config{Name: "ask", MaxDials: 64}) })
 
 // Call asks a daemon through its socket.
 func Call(socket string, q Ask) (json.RawMessage, error) {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -67,7 +67,7 @@
 	}
 	d := &Daemon{cfg: c, loop: eventloop.NewLoop(c.Clock), opened: make(chan struct{}), ended: make(chan struct{}), broken: make(chan error, 1),
 		log: logrus.WithField("instance", c.Deploy.Store.ID)}
-	d.loop.Panicked = func(p any) {
+	d.loop.OnPanic = func(p any) {
 		d.log.WithFields(logrus.Fields{"panic": p, "stack": string(debug.Stack())}).Error("panic on the loop: it goes on")
 	}
 	if err := d.open(); err != nil {
@@ -183,7 +183,7 @@
 	start, grace := d.loop.Now(), minGrace
 	live := 0
 	for _, f := range d.Fronts {
-		live += f.Pipeline.Response.Live()
+		live += f.Pipeline.Response.Pending()
 		for _, c := range f.cfg.Settings.Classes {
 			grace = max(grace, c.GiveUp)
 		}
--- a/internal/daemon/demo.go
+++ b/internal/daemon/demo.go
@@ -235,7 +235,7 @@
 	if err != nil {
 		return "", err
 	}
-	q := &query{in: pgwire.Reader{Max: 1 << 20}, up: make(chan struct{}), end: make(chan error, 2)}
+	q := &query{in: pgwire.Reader{MaxSize: 1 << 20}, up: make(chan struct{}), end: make(chan error, 2)}
 	c, err := n.Dial(address, limit, false, q)
 	if err != nil {
 		return "", err
@@ -243,7 +243,7 @@
 	defer c.Close()
 	select {
 	case <-q.up:
-		if err := c.Write(append(pgwire.Startup("web", "orders"), pgwire.Query(sql)...)); err != nil {
+		if err := c.Write(append(pgwire.StartupMessage("web", "orders"), pgwire.QueryMessage(sql)...)); err != nil {
 			return "", err
 		}
 	case err := <-q.end:
@@ -279,7 +279,7 @@
 func (q *query) message(m pgwire.Message) error {
 	switch m.Type {
 	case 'D':
-		q.row, _ = pgwire.OneColumn(m.Body)
+		q.row, _ = pgwire.ParseSingleColumn(m.Body)
 	case 'E':
 		e, _ := pgwire.ParseError(m.Body)
 		q.err = fmt.Errorf("%s: %s", e.Code, e.Message)
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -88,8 +88,8 @@
 	*f.Manager = session.Manager{Loop: loop, Settings: &c.Settings, Limits: session.Limits{Silent: silent, Idle: aspenshed.Nanos(c.ClientIdle),
 		Roomy: c.Clients * 3 / 4, Spare: silent}}
 	ready := make(chan struct{})
-	f.Net, err = netio.New(netio.Config{Name: f.Wire, Listen: c.Listen, Clients: c.Clients, Dials: c.Links, Reserved: c.Links / 10,
-		Queued: maxQueuedAnswers,
+	f.Net, err = netio.New(netio.Config{Name: f.Wire, Listen: c.Listen, MaxClients: c.Clients, MaxDials: c.Links, ReservedDials: c.Links / 10,
+		MaxQueued: maxQueuedAnswers,
 		Accept: func(x *netio.Conn) netio.Handler {
 			<-ready
 			return accept(x)
@@ -97,9 +97,9 @@
 	if err != nil {
 		return err
 	}
-	f.Pipeline = pipeline.New(pipeline.Config{Loop: loop, Log: f.log, Settings: c.Settings, Seed: seed, MostHeld: mostHeld,
+	f.Pipeline = pipeline.New(pipeline.Config{Loop: loop, Log: f.log, Settings: c.Settings, Seed: seed, MaxPending: mostHeld,
 		Backend: backend(f.Net), Watch: func() {}})
-	f.Manager.Take, f.Manager.Leave, f.Manager.Rejected = f.Pipeline.Accept.Take, f.Pipeline.Leave, f.Pipeline.Accounting.Rejected
+	f.Manager.Take, f.Manager.Leave, f.Manager.Rejected = f.Pipeline.Accept.Accept, f.Pipeline.Abandon, f.Pipeline.Accounting.CountRejected
 	list, addresses := aspenshed.MemberList{Whole: true}, map[string]string{}
 	if f.control == nil {
 		list, addresses = inventory.List(own)
@@ -196,7 +196,7 @@
 	if closing {
 		f.Manager.CloseIdle()
 	}
-	return f.Net.Clients() + f.Pipeline.Response.Live()
+	return f.Net.ClientCount() + f.Pipeline.Response.Pending()
 }
 
 // Stop ends the agent and writes the last counts.
@@ -204,7 +204,7 @@
 	if f.agent != nil {
 		f.agent.Stop()
 	}
-	f.Pipeline.Accounting.Write(f.Pipeline.Response.Live())
+	f.Pipeline.Accounting.LogCounts(f.Pipeline.Response.Pending())
 }
 
 // String names the front.
--- a/internal/daemon/fronts_test.go
+++ b/internal/daemon/fronts_test.go
@@ -83,7 +83,7 @@
 func (x *twoFronts) state(f *Front) (s state) {
 	x.instance.On(func() {
 		s = state{f.Pipeline.Routing.Settings, map[string]aspenshed.MemberState{}, ""}
-		for _, m := range f.Pipeline.Routing.Last() {
+		for _, m := range f.Pipeline.Routing.LastMembers() {
 			s.members[m.ID] = m.State
 		}
 		if learned, _ := f.Pipeline.Learned(); len(learned.Groups) > 0 {
--- a/internal/daemon/subscriber_test.go
+++ b/internal/daemon/subscriber_test.go
@@ -36,7 +36,7 @@
 
 func newCutNetwork(t *testing.T) *cutNetwork {
 	t.Helper()
-	n, err := netio.New(netio.Config{Name: "test", Dials: 16})
+	n, err := netio.New(netio.Config{Name: "test", MaxDials: 16})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/dataplane/accept/accept.go
+++ b/internal/dataplane/accept/accept.go
@@ -21,31 +21,31 @@
 	Reject func(request.Query, string)
 	Next   func(*request.Request)
 
-	taken uint64
-	open  map[string]bool // names of requests that hold something here or at a member
+	accepted uint64
+	openIDs  map[string]bool // names of requests that hold something here or at a member
 }
 
-// Take runs on the loop. It returns nil for a query that it has rejected.
+// Accept runs on the loop. It returns nil for a query that it has rejected.
 // arrived is when the query's last byte was read.
-func (s *Stage) Take(q request.Query, arrived aspenshed.Nanos) *request.Request {
-	if problem := s.check(&q); problem != "" {
+func (s *Stage) Accept(q request.Query, arrived aspenshed.Nanos) *request.Request {
+	if problem := s.validate(&q); problem != "" {
 		s.Reject(q, problem)
 		return nil
 	}
-	s.taken++
+	s.accepted++
 	// Clients name requests as they like, maybe twice: the module gets a name of our own.
-	if q.Name != "" {
-		if s.open == nil {
-			s.open = map[string]bool{}
+	if q.ExternalID != "" {
+		if s.openIDs == nil {
+			s.openIDs = map[string]bool{}
 		}
-		s.open[q.Name] = true
+		s.openIDs[q.ExternalID] = true
 	}
-	req := &request.Request{Query: q, ID: strconv.FormatUint(s.taken, 36), Arrived: arrived, Deadline: arrived + q.Wait}
+	req := &request.Request{Query: q, ID: strconv.FormatUint(s.accepted, 36), ArrivedAt: arrived, Deadline: arrived + q.Timeout}
 	s.Next(req)
 	return req
 }
 
-func (s *Stage) check(q *request.Query) string {
+func (s *Stage) validate(q *request.Query) string {
 	switch {
 	case q.Class < 0 || q.Class >= len(s.Settings.Classes):
 		return "unknown class"
@@ -53,15 +53,15 @@
 		return "unknown tenant"
 	case !s.KnownGroup(q.Group):
 		return fmt.Sprintf("unknown group %d", q.Group)
-	case q.Wait <= 0:
+	case q.Timeout <= 0:
 		return "no time to wait"
-	case s.open[q.Name]:
+	case s.openIDs[q.ExternalID]:
 		// Guards "one attempt out per request": a member can't tell this one from a second copy of the first.
 		return "id of a request that is still open"
 	}
-	q.Wait = min(q.Wait, s.Settings.Classes[q.Class].GiveUp)
+	q.Timeout = min(q.Timeout, s.Settings.Classes[q.Class].GiveUp)
 	return ""
 }
 
-// Closed says that a request has its answer and no attempt of it is out: its name may come again.
-func (s *Stage) Closed(r *request.Request) { delete(s.open, r.Name) }
+// ReleaseID says that a request has its answer and no attempt of it is out: its name may come again.
+func (s *Stage) ReleaseID(r *request.Request) { delete(s.openIDs, r.ExternalID) }
--- a/internal/dataplane/accounting/accounting.go
+++ b/internal/dataplane/accounting/accounting.go
@@ -17,9 +17,9 @@
 
 // Counts are totals since the start.
 type Counts struct {
-	Taken, Served, Refused, Failed, Left, Rejected uint64
-	Auxiliary, Attempts, Probes                    uint64
-	Outcomes, ProbeOutcomes                        [aspenshed.Unknown + 1]uint64
+	Accepted, Served, Refused, Failed, ClientGone, Rejected uint64
+	PrepareOnly, Attempts, Probes                           uint64
+	Outcomes, ProbeOutcomes                                 [aspenshed.Unknown + 1]uint64
 }
 
 // Stage counts. All of it runs on the loop.
@@ -29,62 +29,62 @@
 	Counts Counts
 	last   Counts
 
-	logRejected rate.Sometimes // bad clients come by hundreds: they must not fill the log
-	unlogged    int
-	named       map[string]bool // what a request named that is not known here, as logged
+	rejectLogLimit rate.Sometimes // bad clients come by hundreds: they must not fill the log
+	unlogged       int
+	loggedNames    map[string]bool // what a request named that is not known here, as logged
 }
 
-// mostNamed is how many unknown names are logged: clients may send any number of them.
-const mostNamed = 64
+// maxLoggedNames is how many unknown names are logged: clients may send any number of them.
+const maxLoggedNames = 64
 
 // New makes a Stage.
 func New(loop *eventloop.Loop, log *logrus.Entry) Stage {
-	return Stage{Loop: loop, Log: log, logRejected: rate.Sometimes{First: 10, Interval: time.Second}}
+	return Stage{Loop: loop, Log: log, rejectLogLimit: rate.Sometimes{First: 10, Interval: time.Second}}
 }
 
 var outcomeNames = [...]string{aspenshed.Served: "served", aspenshed.Errored: "errored", aspenshed.Full: "full", aspenshed.TimedOut: "timed_out",
 	aspenshed.NoLink: "no_link", aspenshed.LinkBroke: "link_broke", aspenshed.Cancelled: "cancelled", aspenshed.NotSent: "not_sent",
 	aspenshed.Turned: "turned", aspenshed.Rejected: "rejected", aspenshed.Unknown: "unknown"}
 
-var verdictNames = [...]string{request.Served: "served", request.Refused: "refused", request.Failed: "failed", request.Left: "left"}
+var statusNames = [...]string{request.Served: "served", request.Refused: "refused", request.Failed: "failed", request.ClientGone: "left"}
 
-// Took counts a request.
-func (s *Stage) Took(r *request.Request) {
-	if r.Auxiliary {
-		s.Counts.Auxiliary++
+// CountRequest counts a request.
+func (s *Stage) CountRequest(r *request.Request) {
+	if r.PrepareOnly {
+		s.Counts.PrepareOnly++
 	} else {
-		s.Counts.Taken++
+		s.Counts.Accepted++
 	}
 }
 
-// Ended counts a final answer.
-func (s *Stage) Ended(r *request.Request, f request.Final) {
-	if r.Auxiliary {
+// CountResponse counts a final answer.
+func (s *Stage) CountResponse(r *request.Request, f request.Response) {
+	if r.PrepareOnly {
 		return
 	}
-	switch f.Verdict {
+	switch f.Status {
 	case request.Served:
 		s.Counts.Served++
 	case request.Refused:
 		s.Counts.Refused++
 	case request.Failed:
 		s.Counts.Failed++
-	case request.Left:
-		s.Counts.Left++
+	case request.ClientGone:
+		s.Counts.ClientGone++
 	}
-	if s.tracing() {
+	if s.debugEnabled() {
 		now := s.Loop.Now()
-		s.Log.WithFields(logrus.Fields{"id": r.Name, "class": r.Class, "group": r.Group, "verdict": verdictNames[f.Verdict],
-			"attempts": r.Attempts, "reason": f.Reason, "took_ms": (now - r.Arrived) / 1e6, "left_ms": (r.Deadline - now) / 1e6}).
+		s.Log.WithFields(logrus.Fields{"id": r.ExternalID, "class": r.Class, "group": r.Group, "verdict": statusNames[f.Status],
+			"attempts": r.Attempts, "reason": f.Reason, "took_ms": (now - r.ArrivedAt) / 1e6, "left_ms": (r.Deadline - now) / 1e6}).
 			Debug("request ended")
 	}
 }
 
-// tracing guards the ordinary path against the cost of lines that nobody reads.
-func (s *Stage) tracing() bool { return s.Log.Logger.IsLevelEnabled(logrus.DebugLevel) }
+// debugEnabled guards the ordinary path against the cost of lines that nobody reads.
+func (s *Stage) debugEnabled() bool { return s.Log.Logger.IsLevelEnabled(logrus.DebugLevel) }
 
-// Rejected counts bad input. What is not known here, a class or tenant say, is logged once by its name.
-func (s *Stage) Rejected(reason string) {
+// CountRejected counts bad input. What is not known here, a class or tenant say, is logged once by its name.
+func (s *Stage) CountRejected(reason string) {
 	s.Counts.Rejected++
 	s.unlogged++
 	line := func() {
@@ -93,41 +93,41 @@
 	}
 	switch {
 	case !strings.HasPrefix(reason, "unknown "):
-		s.logRejected.Do(line)
-	case !s.named[reason] && len(s.named) < mostNamed:
-		if s.named == nil {
-			s.named = map[string]bool{}
+		s.rejectLogLimit.Do(line)
+	case !s.loggedNames[reason] && len(s.loggedNames) < maxLoggedNames:
+		if s.loggedNames == nil {
+			s.loggedNames = map[string]bool{}
 		}
-		s.named[reason] = true
+		s.loggedNames[reason] = true
 		line()
 	}
 }
 
-// Attempt counts an attempt's end.
-func (s *Stage) Attempt(q *request.Request, member string, r request.Result) {
+// CountAttempt counts an attempt's end.
+func (s *Stage) CountAttempt(q *request.Request, member string, r request.Result) {
 	s.Counts.Attempts++
 	s.Counts.Outcomes[r.Outcome]++
-	if s.tracing() {
-		s.Log.WithFields(logrus.Fields{"id": q.Name, "class": q.Class, "member": member, "outcome": outcomeNames[r.Outcome],
-			"detail": r.Detail, "took_ms": r.Took / 1e6, "lay_ms": r.Lay / 1e6, "role": r.Role,
-			"begun_ms": (s.Loop.Now() - r.Took - q.Arrived) / 1e6}).Debug("attempt ended")
+	if s.debugEnabled() {
+		s.Log.WithFields(logrus.Fields{"id": q.ExternalID, "class": q.Class, "member": member, "outcome": outcomeNames[r.Outcome],
+			"detail": r.Detail, "took_ms": r.Elapsed / 1e6, "lay_ms": r.IdleTime / 1e6, "role": r.Role,
+			"begun_ms": (s.Loop.Now() - r.Elapsed - q.ArrivedAt) / 1e6}).Debug("attempt ended")
 	}
 }
 
-// Probe counts a probe's end.
-func (s *Stage) Probe(member string, r request.Result) {
+// CountProbe counts a probe's end.
+func (s *Stage) CountProbe(member string, r request.Result) {
 	s.Counts.Probes++
 	s.Counts.ProbeOutcomes[r.Outcome]++
 }
 
-// Write logs what has changed since the last time.
-func (s *Stage) Write(live int) {
+// LogCounts logs what has changed since the last time.
+func (s *Stage) LogCounts(live int) {
 	c := s.Counts
 	if c == s.last {
 		return
 	}
-	f := logrus.Fields{"live": live, "taken": c.Taken - s.last.Taken, "served": c.Served - s.last.Served,
-		"refused": c.Refused - s.last.Refused, "failed": c.Failed - s.last.Failed, "left": c.Left - s.last.Left,
+	f := logrus.Fields{"live": live, "taken": c.Accepted - s.last.Accepted, "served": c.Served - s.last.Served,
+		"refused": c.Refused - s.last.Refused, "failed": c.Failed - s.last.Failed, "left": c.ClientGone - s.last.ClientGone,
 		"rejected": c.Rejected - s.last.Rejected}
 	add := func(prefix string, now, old [aspenshed.Unknown + 1]uint64) {
 		for i, n := range now {
@@ -136,7 +136,7 @@
 			}
 		}
 	}
-	if n := c.Auxiliary - s.last.Auxiliary; n > 0 {
+	if n := c.PrepareOnly - s.last.PrepareOnly; n > 0 {
 		f["prepared"] = n
 	}
 	add("a_", c.Outcomes, s.last.Outcomes)
--- a/internal/dataplane/accounting/accounting_test.go
+++ b/internal/dataplane/accounting/accounting_test.go
@@ -17,19 +17,19 @@
 	log.SetOutput(&out)
 	s := New(eventloop.NewLoop(eventloop.NewClock()), logrus.NewEntry(log))
 	for range 20 {
-		s.Rejected("malformed message")
+		s.CountRejected("malformed message")
 	}
-	for i := range 2 * mostNamed {
-		s.Rejected(`unknown class "a"`)
-		s.Rejected(`unknown tenant "b"`)
-		s.Rejected(fmt.Sprintf("unknown class \"x%d\"", i))
+	for i := range 2 * maxLoggedNames {
+		s.CountRejected(`unknown class "a"`)
+		s.CountRejected(`unknown tenant "b"`)
+		s.CountRejected(fmt.Sprintf("unknown class \"x%d\"", i))
 	}
-	for word, want := range map[string]int{"class \\\"a\\\"": 1, "tenant \\\"b\\\"": 1, "unknown": mostNamed} {
+	for word, want := range map[string]int{"class \\\"a\\\"": 1, "tenant \\\"b\\\"": 1, "unknown": maxLoggedNames} {
 		if got := strings.Count(out.String(), word); got != want {
 			t.Errorf("%s is in %d lines, want %d", word, got, want)
 		}
 	}
-	if s.Counts.Rejected != 20+6*mostNamed {
+	if s.Counts.Rejected != 20+6*maxLoggedNames {
 		t.Errorf("%d counted", s.Counts.Rejected)
 	}
 }
--- a/internal/dataplane/dispatch/attempt.go
+++ b/internal/dataplane/dispatch/attempt.go
@@ -11,172 +11,172 @@
 
 // attempt is one of a request: at most one is out.
 type attempt struct {
-	r           *request.Request
-	n           int
-	p           *pool
-	l           *connection
-	at          aspenshed.Nanos
-	end         aspenshed.Nanos // when it is given up
-	leaveBy     aspenshed.Nanos // it must not leave later: what is known of the member's data is too old then; 0: no matter
-	idleFor     aspenshed.Nanos // how long its connection had lain idle; 0: a new one
-	connections int             // taken up so far
-	timer       *eventloop.Timer
-	silence     *eventloop.Timer // ends a connection that does not show that it is alive
-	ended       bool
+	request          *request.Request
+	number           int
+	pool             *pool
+	conn             *connection
+	startedAt        aspenshed.Nanos
+	giveUpAt         aspenshed.Nanos // when it is given up
+	sendBy           aspenshed.Nanos // it must not leave later: what is known of the member's data is too old then; 0: no matter
+	idleFor          aspenshed.Nanos // how long its connection had lain idle; 0: a new one
+	connectionsTried int             // taken up so far
+	giveUpTimer      *eventloop.Timer
+	livenessTimer    *eventloop.Timer // ends a connection that does not show that it is alive
+	ended            bool
 }
 
 // Send starts an attempt, the n-th of its request. leaveBy: when its statement must have left, if at all; 0: no matter.
 func (s *Stage) Send(id, member string, n int, giveUpAt, leaveBy aspenshed.Nanos) {
-	r, p := s.Get(id), s.pools[member]
+	r, p := s.FindRequest(id), s.pools[member]
 	if r == nil { // its client left while the module decided, in the same batch: what that counted is given back
 		s.Loop.Post(func() {
-			s.Tell(aspenshed.Answer{ID: id, Attempt: n, Member: member, Outcome: aspenshed.NotSent, Over: true})
+			s.Emit(aspenshed.Answer{ID: id, Attempt: n, Member: member, Outcome: aspenshed.NotSent, Over: true})
 		})
 		return
 	}
 	if p == nil || s.attempts[id] != nil {
 		// Guards the rules: never a second copy, never a send to a member that the list does not know.
 		s.Log.WithFields(logrus.Fields{"request": id, "member": member}).Error("send refused: unknown or out already")
-		s.endLater(&attempt{r: r, n: n, p: p, at: s.Loop.Now()}, request.Result{Outcome: aspenshed.NotSent})
+		s.finishLater(&attempt{request: r, number: n, pool: p, startedAt: s.Loop.Now()}, request.Result{Outcome: aspenshed.NotSent})
 		r.Attempts++
 		return
 	}
-	a := &attempt{r: r, n: n, p: p, at: s.Loop.Now(), end: r.Deadline, leaveBy: leaveBy}
+	a := &attempt{request: r, number: n, pool: p, startedAt: s.Loop.Now(), giveUpAt: r.Deadline, sendBy: leaveBy}
 	r.Attempts++
 	s.attempts[id] = a
 	if giveUpAt > 0 {
-		a.end = min(a.end, giveUpAt)
+		a.giveUpAt = min(a.giveUpAt, giveUpAt)
 	}
-	a.timer = s.Loop.At(a.end, func() { s.giveUp(a, aspenshed.TimedOut) })
-	s.carry(a)
+	a.giveUpTimer = s.Loop.At(a.giveUpAt, func() { s.abort(a, aspenshed.TimedOut) })
+	s.acquireConnection(a)
 }
 
-// carry takes up the newest idle connection for an attempt, or a new one.
-func (s *Stage) carry(a *attempt) {
-	a.connections++
-	l := s.takeIdle(a.p)
-	if l == nil || a.connections == maxConnections {
+// acquireConnection takes up the newest idle connection for an attempt, or a new one.
+func (s *Stage) acquireConnection(a *attempt) {
+	a.connectionsTried++
+	l := s.takeIdle(a.pool)
+	if l == nil || a.connectionsTried == maxConnectionsPerAttempt {
 		var err error
-		if l, err = s.open(a.p, false); err != nil && s.makeRoom() {
-			if l, err = s.open(a.p, false); err != nil && a.connections < maxConnections {
-				s.Loop.At(s.Loop.Now()+roomWait, func() {
+		if l, err = s.openConnection(a.pool, false); err != nil && s.closeOldestIdle() {
+			if l, err = s.openConnection(a.pool, false); err != nil && a.connectionsTried < maxConnectionsPerAttempt {
+				s.Loop.At(s.Loop.Now()+descriptorWait, func() {
 					if !a.ended {
-						s.carry(a)
+						s.acquireConnection(a)
 					}
 				})
 				return
 			}
 		}
 		if err != nil { // our own want of descriptors: nothing against the member, and no use to wait for it
-			s.endLater(a, request.Result{Outcome: aspenshed.NotSent, Detail: err.Error()})
+			s.finishLater(a, request.Result{Outcome: aspenshed.NotSent, Detail: err.Error()})
 			return
 		}
 	}
-	a.l, l.a, a.idleFor = l, a, 0
-	if l.idle > 0 {
-		a.idleFor = max(s.Loop.Now()-l.idle, 1)
+	a.conn, l.attempt, a.idleFor = l, a, 0
+	if l.idleSince > 0 {
+		a.idleFor = max(s.Loop.Now()-l.idleSince, 1)
 	}
-	if l.up {
-		l.start()
+	if l.ready {
+		l.send()
 	}
 }
 
-// cut ends a connection on which the attempt's statement did not leave. The attempt takes up another one, as members and
-// the network drop connections unseen; where the member can't be reached, or all are cut, it has not run.
-func (s *Stage) cut(a *attempt, how request.End, detail string) {
-	s.Loop.Stop(a.silence)
-	a.l.a = nil
-	a.l.close()
-	a.l, a.r.Out = nil, false // its last byte was let go, maybe, but could not be written
-	if how == request.CutBefore && a.connections < maxConnections && !a.p.draining {
-		s.carry(a)
+// retryConnection ends a connection on which the attempt's statement did not leave. The attempt takes up another one, as members and
+// the network drop connections unseen; where the member can't be reached, or all are retryConnection, it has not run.
+func (s *Stage) retryConnection(a *attempt, how request.ConnectionLoss, detail string) {
+	s.Loop.StopTimer(a.livenessTimer)
+	a.conn.attempt = nil
+	a.conn.close()
+	a.conn, a.request.InFlight = nil, false // its last byte was let go, maybe, but could not be written
+	if how == request.LostBeforeSend && a.connectionsTried < maxConnectionsPerAttempt && !a.pool.draining {
+		s.acquireConnection(a)
 		return
 	}
-	s.endLater(a, request.Result{Outcome: aspenshed.NoLink, Detail: detail})
+	s.finishLater(a, request.Result{Outcome: aspenshed.NoLink, Detail: detail})
 }
 
 // Cancel gives one attempt up.
 func (s *Stage) Cancel(id string, n int) {
-	if a := s.attempts[id]; a != nil && a.n == n {
-		s.giveUp(a, aspenshed.Cancelled)
+	if a := s.attempts[id]; a != nil && a.number == n {
+		s.abort(a, aspenshed.Cancelled)
 	}
 }
 
-// giveUp closes the attempt's connection before anything else may be sent for its request.
-func (s *Stage) giveUp(a *attempt, o aspenshed.Outcome) {
-	if o == aspenshed.TimedOut && (a.l == nil || !a.l.up || !a.l.c.Out()) {
+// abort closes the attempt's connection before anything else may be sent for its request.
+func (s *Stage) abort(a *attempt, o aspenshed.Outcome) {
+	if o == aspenshed.TimedOut && (a.conn == nil || !a.conn.ready || !a.conn.backendConn.MayHaveSent()) {
 		o = aspenshed.NoLink // the statement never left: no connection came up in time
 	}
-	if a.l != nil {
-		a.l.close()
+	if a.conn != nil {
+		a.conn.close()
 	}
-	s.end(a, request.Result{Outcome: o})
+	s.finish(a, request.Result{Outcome: o})
 }
 
 // Withdraw takes an attempt back whose request has its answer, or none to wait for it, before the statement has left:
 // nothing may leave for it any more. One that is out is for the module to cancel or to let run.
 func (s *Stage) Withdraw(r *request.Request) {
-	if a := s.attempts[r.ID]; a != nil && !r.Out {
-		if a.l != nil {
-			a.l.a = nil
-			a.l.close()
+	if a := s.attempts[r.ID]; a != nil && !r.InFlight {
+		if a.conn != nil {
+			a.conn.attempt = nil
+			a.conn.close()
 		}
-		s.end(a, request.Result{Outcome: aspenshed.NotSent})
+		s.finish(a, request.Result{Outcome: aspenshed.NotSent})
 		s.Loop.Post(func() {}) // the module hears of it though this be one of its own actions
 	}
 }
 
-// CloseAll gives up all attempts; nothing is told.
-func (s *Stage) CloseAll() {
+// AbortAll gives up all attempts; nothing is told.
+func (s *Stage) AbortAll() {
 	for id, a := range s.attempts {
-		s.Loop.Stop(a.timer)
-		s.Loop.Stop(a.silence)
-		if a.l != nil {
-			a.l.close()
+		s.Loop.StopTimer(a.giveUpTimer)
+		s.Loop.StopTimer(a.livenessTimer)
+		if a.conn != nil {
+			a.conn.close()
 		}
 		delete(s.attempts, id)
-		if a.r.Final {
-			s.Settled(a.r)
+		if a.request.Responded {
+			s.OnSettled(a.request)
 		}
 	}
 }
 
-// Holds tells whether an attempt of the request is out.
-func (s *Stage) Holds(r *request.Request) bool { return s.attempts[r.ID] != nil }
+// HasAttempt tells whether an attempt of the request is out.
+func (s *Stage) HasAttempt(r *request.Request) bool { return s.attempts[r.ID] != nil }
 
-// endLater ends an attempt in the next batch, so that no decision is taken inside another's actions.
-func (s *Stage) endLater(a *attempt, r request.Result) {
-	s.Loop.Post(func() { s.end(a, r) })
+// finishLater ends an attempt in the next batch, so that no decision is taken inside another's actions.
+func (s *Stage) finishLater(a *attempt, r request.Result) {
+	s.Loop.Post(func() { s.finish(a, r) })
 }
 
-func (s *Stage) end(a *attempt, res request.Result) {
+func (s *Stage) finish(a *attempt, res request.Result) {
 	if a.ended { // given up while its end was on the way
 		return
 	}
 	a.ended = true
-	s.Loop.Stop(a.timer)
-	s.Loop.Stop(a.silence)
-	if s.attempts[a.r.ID] == a {
-		delete(s.attempts, a.r.ID)
+	s.Loop.StopTimer(a.giveUpTimer)
+	s.Loop.StopTimer(a.livenessTimer)
+	if s.attempts[a.request.ID] == a {
+		delete(s.attempts, a.request.ID)
 	}
 	member := ""
-	if a.p != nil {
-		member = a.p.id
+	if a.pool != nil {
+		member = a.pool.memberID
 	}
 	neverRan := res.Outcome == aspenshed.Full || res.Outcome == aspenshed.NoLink || res.Outcome == aspenshed.NotSent || res.Outcome == aspenshed.Turned
-	a.r.Out = false
-	res.Took, res.Lay = s.Loop.Now()-a.at, a.idleFor
-	a.r.MayHaveRun = a.r.MayHaveRun || !neverRan
-	s.Attempted(a.r, member, res)
-	if a.r.Final {
-		s.Settled(a.r)
+	a.request.InFlight = false
+	res.Elapsed, res.IdleTime = s.Loop.Now()-a.startedAt, a.idleFor
+	a.request.MayHaveRun = a.request.MayHaveRun || !neverRan
+	s.OnAttemptEnd(a.request, member, res)
+	if a.request.Responded {
+		s.OnSettled(a.request)
 	}
 	answered := res.Outcome == aspenshed.Served || res.Outcome == aspenshed.Rejected
 	if answered {
-		s.Answered(a.r, res)
-	} else if a.r.LastError = nil; res.Outcome == aspenshed.Errored {
-		a.r.LastError = res.Value
+		s.OnAnswer(a.request, res)
+	} else if a.request.LastError = nil; res.Outcome == aspenshed.Errored {
+		a.request.LastError = res.Value
 	}
-	s.Tell(aspenshed.Answer{ID: a.r.ID, Attempt: a.n, Member: member, Outcome: res.Outcome, Over: answered || a.r.Final,
-		Took: s.Loop.Now() - a.at, Role: res.Role, Position: res.Position, Report: res.Report})
+	s.Emit(aspenshed.Answer{ID: a.request.ID, Attempt: a.number, Member: member, Outcome: res.Outcome, Over: answered || a.request.Responded,
+		Took: s.Loop.Now() - a.startedAt, Role: res.Role, Position: res.Position, Report: res.Report})
 }
--- a/internal/dataplane/dispatch/connection.go
+++ b/internal/dataplane/dispatch/connection.go
@@ -12,86 +12,86 @@
 
 // connection is one to a member, and what is out on it.
 type connection struct {
-	s       *Stage
-	p       *pool
-	c       request.Link
-	up      bool
-	closed  bool
-	a       *attempt
-	idle    aspenshed.Nanos // since when; 0: it has served nothing yet
-	probing bool            // a probe's connection, and one is out
-	began   aspenshed.Nanos // that probe
-	timer   *eventloop.Timer
+	stage          *Stage
+	pool           *pool
+	backendConn    request.Connection
+	ready          bool
+	closed         bool
+	attempt        *attempt
+	idleSince      aspenshed.Nanos // since when; 0: it has served nothing yet
+	probing        bool            // a probe's connection, and one is out
+	probeStartedAt aspenshed.Nanos // that probe
+	probeTimer     *eventloop.Timer
 }
 
-// start sends what the connection was opened or taken for.
-func (l *connection) start() {
-	s, a := l.s, l.a
+// send sends what the connection was opened or taken for.
+func (l *connection) send() {
+	s, a := l.stage, l.attempt
 	switch {
-	case l.p.draining: // the word came while the connection did: not a byte more
+	case l.pool.draining: // the word came while the connection did: not a byte more
 		if a != nil {
-			l.turn(deniedDraining)
+			l.deny(reasonDraining)
 			return
 		}
 		if l.close(); l.probing {
-			s.Loop.Post(func() { s.probed(l, request.Result{Outcome: aspenshed.NotSent}) })
+			s.Loop.Post(func() { s.finishProbe(l, request.Result{Outcome: aspenshed.NotSent}) })
 		}
 	case a != nil:
 		limit := cmp.Or(s.ConnectTimeout, probeTimeout)
-		a.silence = s.Loop.At(s.Loop.Now()+limit, func() {
+		a.livenessTimer = s.Loop.At(s.Loop.Now()+limit, func() {
 			how := request.Unreachable
 			if a.idleFor > 0 { // an old connection may have been dropped unseen: only a new one tells
-				how, a.connections = request.CutBefore, maxConnections-1
+				how, a.connectionsTried = request.LostBeforeSend, maxConnectionsPerAttempt-1
 			}
-			s.cut(a, how, "link does not show that it is alive")
+			s.retryConnection(a, how, "link does not show that it is alive")
 		})
-		if !l.c.Send(a.r.Statement, a.end-s.Loop.Now()) { // the attempt's own remaining wait
-			s.cut(a, request.CutBefore, "link closed before the statement left")
+		if !l.backendConn.Send(a.request.Statement, a.giveUpAt-s.Loop.Now()) { // the attempt's own remaining wait
+			s.retryConnection(a, request.LostBeforeSend, "link closed before the statement left")
 		}
 	case l.probing:
-		if !l.c.Probe() {
+		if !l.backendConn.Probe() {
 			l.close()
-			s.Loop.Post(func() { s.probed(l, request.Result{Outcome: aspenshed.NoLink}) })
+			s.Loop.Post(func() { s.finishProbe(l, request.Result{Outcome: aspenshed.NoLink}) })
 		}
 	}
 }
 
-// Leave is asked when the attempt's last byte is about to leave.
-func (l *connection) Leave() bool {
-	s, a := l.s, l.a
+// AllowSend is asked when the attempt's last byte is about to leave.
+func (l *connection) AllowSend() bool {
+	s, a := l.stage, l.attempt
 	if l.closed || a == nil {
 		return false
 	}
-	s.Loop.Stop(a.silence)
+	s.Loop.StopTimer(a.livenessTimer)
 	switch {
-	case l.p.draining: // guards drains: the word came after the statement's first bytes
-		l.turn(deniedDraining)
-	case a.leaveBy > 0 && s.Loop.Now() > a.leaveBy: // guards the age of data and the time for repeats
-		l.turn("it took too long to get here")
+	case l.pool.draining: // guards drains: the word came after the statement's first bytes
+		l.deny(reasonDraining)
+	case a.sendBy > 0 && s.Loop.Now() > a.sendBy: // guards the age of data and the time for repeats
+		l.deny("it took too long to get here")
 	default:
-		a.r.Out = true
+		a.request.InFlight = true
 		return true
 	}
 	return false
 }
 
-const deniedDraining = "the member was told to leave meanwhile"
+const reasonDraining = "the member was told to leave meanwhile"
 
-// turn ends the attempt before its statement has left: it must not.
-func (l *connection) turn(why string) {
-	a := l.a
-	l.a = nil
+// deny ends the attempt before its statement has left: it must not.
+func (l *connection) deny(why string) {
+	a := l.attempt
+	l.attempt = nil
 	l.close()
-	l.s.endLater(a, request.Result{Outcome: aspenshed.Turned, Detail: why})
+	l.stage.finishLater(a, request.Result{Outcome: aspenshed.Turned, Detail: why})
 }
 
-// Up is called when the member is ready for a statement.
-func (l *connection) Up() {
+// Ready is called when the member is ready for a statement.
+func (l *connection) Ready() {
 	if l.closed {
 		return
 	}
-	l.up = true
-	l.start()
+	l.ready = true
+	l.send()
 }
 
 // Done is called when what was out has ended.
@@ -99,36 +99,36 @@
 	if l.closed {
 		return
 	}
-	if r.Close {
+	if r.CloseConnection {
 		l.close()
 	}
-	l.idle = l.s.Loop.Now()
-	if a := l.a; a != nil {
-		l.a = nil
+	l.idleSince = l.stage.Loop.Now()
+	if a := l.attempt; a != nil {
+		l.attempt = nil
 		l.release()
-		l.s.end(a, r)
+		l.stage.finish(a, r)
 	} else if l.probing {
 		l.release()
-		l.s.probed(l, r)
+		l.stage.finishProbe(l, r)
 	}
 }
 
 // release leaves the connection to the next attempt or probe.
 func (l *connection) release() {
-	if l.p.probe == l {
-		l.p.probe = nil
+	if l.pool.probeConn == l {
+		l.pool.probeConn = nil
 	}
 	switch {
 	case l.closed:
-	case l.p.wanted:
-		l.p.idle = append(l.p.idle, l)
+	case l.pool.memberUp:
+		l.pool.idle = append(l.pool.idle, l)
 	default:
 		l.close()
 	}
 }
 
-// Down is called when the connection is no more.
-func (l *connection) Down(how request.End, err error) {
+// Lost is called when the connection is no more.
+func (l *connection) Lost(how request.ConnectionLoss, err error) {
 	if l.closed {
 		return
 	}
@@ -138,17 +138,17 @@
 		detail = err.Error()
 	}
 	r := request.Result{Outcome: aspenshed.NoLink, Detail: detail}
-	if how == request.CutAfter {
+	if how == request.LostAfterSend {
 		r.Outcome = aspenshed.LinkBroke
 	}
-	switch a := l.a; {
-	case a != nil && how == request.CutAfter:
-		l.a = nil
-		l.s.end(a, r)
+	switch a := l.attempt; {
+	case a != nil && how == request.LostAfterSend:
+		l.attempt = nil
+		l.stage.finish(a, r)
 	case a != nil:
-		l.s.cut(a, how, detail)
+		l.stage.retryConnection(a, how, detail)
 	case l.probing:
-		l.s.probed(l, r)
+		l.stage.finishProbe(l, r)
 	}
 }
 
@@ -157,9 +157,9 @@
 		return
 	}
 	l.closed = true
-	l.c.Close()
-	if l.p.probe == l {
-		l.p.probe = nil
+	l.backendConn.Close()
+	if l.pool.probeConn == l {
+		l.pool.probeConn = nil
 	}
-	l.p.idle = slices.DeleteFunc(l.p.idle, func(x *connection) bool { return x == l })
+	l.pool.idle = slices.DeleteFunc(l.pool.idle, func(x *connection) bool { return x == l })
 }
--- a/internal/dataplane/dispatch/dispatch_test.go
+++ b/internal/dataplane/dispatch/dispatch_test.go
@@ -22,7 +22,7 @@
 
 // fake is a link and the log of what was done to it.
 type fake struct {
-	ev     request.LinkEvents
+	ev     request.ConnectionEvents
 	asked  bool // a statement waits for the link to show that it is alive
 	sent   bool
 	closed bool
@@ -31,12 +31,12 @@
 
 func (f *fake) Send(any, aspenshed.Nanos) bool { f.asked = !f.broken; return f.asked }
 func (f *fake) Probe() bool                    { f.sent = !f.broken; return f.sent }
-func (f *fake) Out() bool                      { return f.sent }
+func (f *fake) MayHaveSent() bool              { return f.sent }
 func (f *fake) Close()                         { f.closed = true }
 
 // up brings the link up; alive shows that it is alive, so that the statement leaves.
-func (f *fake) up()    { f.ev.Up() }
-func (f *fake) alive() { f.sent = f.asked && f.ev.Leave() }
+func (f *fake) up()    { f.ev.Ready() }
+func (f *fake) alive() { f.sent = f.asked && f.ev.AllowSend() }
 
 func (f *fake) done() {
 	f.asked, f.sent = false, false
@@ -56,7 +56,7 @@
 	leaveBy aspenshed.Nanos
 }
 
-func (g *rig) Open(_ string, _ aspenshed.Nanos, _ bool, ev request.LinkEvents) (request.Link, error) {
+func (g *rig) Open(_ string, _ aspenshed.Nanos, _ bool, ev request.ConnectionEvents) (request.Connection, error) {
 	open := g.lag
 	for _, f := range g.links {
 		if !f.closed {
@@ -77,14 +77,14 @@
 	log.SetOutput(io.Discard)
 	none := func(string, request.Result) {}
 	g.Stage = &Stage{Loop: eventloop.NewLoop(g.clock), Log: logrus.NewEntry(log), Backend: g, ConnectTimeout: 250 * ms, IdleClose: 15000 * ms,
-		Get: func(id string) *request.Request { return g.live[id] }, Answered: func(*request.Request, request.Result) {}, Settled: func(*request.Request) {}, Attempted: func(*request.Request, string, request.Result) {}, Probed: none,
-		Tell: func(e aspenshed.Event) {
+		FindRequest: func(id string) *request.Request { return g.live[id] }, OnAnswer: func(*request.Request, request.Result) {}, OnSettled: func(*request.Request) {}, OnAttemptEnd: func(*request.Request, string, request.Result) {}, OnProbeEnd: none,
+		Emit: func(e aspenshed.Event) {
 			if a, ok := e.(aspenshed.Answer); ok {
 				g.ends = append(g.ends, a)
 			}
 		}}
 	g.Start()
-	g.Members(aspenshed.MemberList{Whole: true, Members: []aspenshed.Member{{ID: "a", State: aspenshed.Up}}}, map[string]string{"a": "h:1"})
+	g.UpdateMembers(aspenshed.MemberList{Whole: true, Members: []aspenshed.Member{{ID: "a", State: aspenshed.Up}}}, map[string]string{"a": "h:1"})
 	return g
 }
 
@@ -110,12 +110,12 @@
 
 func (g *rig) pass(d aspenshed.Nanos) {
 	g.clock.now += d
-	g.Loop.Turn()
+	g.Loop.RunPending()
 }
 
 func (g *rig) ended(want aspenshed.Outcome) {
 	g.t.Helper()
-	g.Loop.Turn()
+	g.Loop.RunPending()
 	if len(g.ends) != 1 || g.ends[0].Outcome != want {
 		g.t.Fatalf("ended as %+v, want outcome %d once", g.ends, want)
 	}
@@ -128,9 +128,9 @@
 		do   func(*rig, *fake)
 		want aspenshed.Outcome
 	}{
-		"the member refuses":               {func(_ *rig, f *fake) { f.ev.Down(request.Unreachable, io.EOF) }, aspenshed.NoLink},
+		"the member refuses":               {func(_ *rig, f *fake) { f.ev.Lost(request.Unreachable, io.EOF) }, aspenshed.NoLink},
 		"cut before the statement leaves":  {func(g *rig, f *fake) { g.cutAll(f) }, aspenshed.NoLink},
-		"cut after the statement has left": {func(_ *rig, f *fake) { f.up(); f.alive(); f.ev.Down(request.CutAfter, io.EOF) }, aspenshed.LinkBroke},
+		"cut after the statement has left": {func(_ *rig, f *fake) { f.up(); f.alive(); f.ev.Lost(request.LostAfterSend, io.EOF) }, aspenshed.LinkBroke},
 		"no sign of life":                  {func(g *rig, f *fake) { f.up(); g.pass(250 * ms) }, aspenshed.NoLink},
 		"no answer by the deadline":        {func(g *rig, f *fake) { f.up(); f.alive(); g.pass(900 * ms) }, aspenshed.TimedOut},
 		"no link by the deadline":          {func(g *rig, f *fake) { g.pass(900 * ms) }, aspenshed.NoLink},
@@ -148,7 +148,7 @@
 				t.Error("an answer after the end counted")
 			}
 			ran := c.want != aspenshed.NoLink
-			if g.live["q"].MayHaveRun != ran || g.live["q"].Out {
+			if g.live["q"].MayHaveRun != ran || g.live["q"].InFlight {
 				t.Errorf("may have run: %t, want %t", !ran, ran)
 			}
 		})
@@ -164,7 +164,7 @@
 	for n := 0; n != len(g.links); f = g.links[len(g.links)-1] {
 		n = len(g.links)
 		f.up()
-		f.ev.Down(request.CutBefore, io.EOF)
+		f.ev.Lost(request.LostBeforeSend, io.EOF)
 	}
 }
 
@@ -180,7 +180,7 @@
 	if g.attempt("r"); !old.asked || len(g.links) != 1 {
 		t.Fatal("the idle link was not taken")
 	}
-	old.ev.Down(request.CutBefore, io.EOF)
+	old.ev.Lost(request.LostBeforeSend, io.EOF)
 	next := g.links[len(g.links)-1]
 	next.up()
 	next.alive()
@@ -188,7 +188,7 @@
 	if g.ended(aspenshed.Served); len(g.links) != 2 || g.live["r"].Attempts != 1 {
 		t.Errorf("%d links, %d attempts", len(g.links), g.live["r"].Attempts)
 	}
-	next.ev.Down(request.CutBefore, io.EOF) // while it is idle: nobody's end
+	next.ev.Lost(request.LostBeforeSend, io.EOF) // while it is idle: nobody's end
 	if len(g.ends) != 0 {
 		t.Errorf("%+v", g.ends)
 	}
@@ -232,9 +232,9 @@
 		"another word": {aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Up}}}, false, 0},
 	} {
 		g := newRig(t)
-		g.SoftRemoval = c.soft
+		g.RemovalNotBinding = c.soft
 		f := g.attempt("q")
-		g.Members(c.list, nil)
+		g.UpdateMembers(c.list, nil)
 		f.up()
 		if f.alive(); f.sent != (c.want == 0) {
 			t.Errorf("%s: sent %t", name, f.sent)
@@ -248,7 +248,7 @@
 func TestIdleLinksMakeRoom(t *testing.T) {
 	g := newRig(t)
 	g.most = 2
-	g.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "b", State: aspenshed.Up}}}, map[string]string{"b": "h:2"})
+	g.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "b", State: aspenshed.Up}}}, map[string]string{"b": "h:2"})
 	idle := g.idle("q")
 	for _, id := range []string{"r", "s", "t"} {
 		g.live[id] = &request.Request{ID: id, Deadline: g.clock.now + 900*ms}
@@ -266,7 +266,7 @@
 	for _, back := range []bool{true, false} {
 		g := newRig(t)
 		g.most = 1
-		g.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "b", State: aspenshed.Up}}}, map[string]string{"b": "h:2"})
+		g.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "b", State: aspenshed.Up}}}, map[string]string{"b": "h:2"})
 		idle := g.idle("q")
 		g.lag = 1
 		g.live["r"] = &request.Request{ID: "r", Deadline: g.clock.now + 900*ms}
@@ -276,7 +276,7 @@
 		if back {
 			g.lag = 0
 		}
-		if g.pass(roomWait); !back {
+		if g.pass(descriptorWait); !back {
 			g.ended(aspenshed.NotSent)
 		} else if len(g.links) != 2 {
 			t.Errorf("%d links", len(g.links))
@@ -294,7 +294,7 @@
 	if len(g.links) != 1 {
 		t.Errorf("%d links opened", len(g.links))
 	}
-	g.Loop.Turn()
+	g.Loop.RunPending()
 	if len(g.ends) != 1 || g.ends[0] != (aspenshed.Answer{ID: "gone", Attempt: 3, Member: "a", Outcome: aspenshed.NotSent, Over: true}) {
 		t.Errorf("the module heard %+v of the request whose client had left: it would count the attempt for ever", g.ends)
 	}
@@ -306,33 +306,33 @@
 	for name, reach := range map[string]func(*rig, *fake){
 		"no link yet":           func(*rig, *fake) {},
 		"link just up":          func(_ *rig, f *fake) { f.up() },
-		"another link":          func(_ *rig, f *fake) { f.up(); f.ev.Down(request.CutBefore, io.EOF) },
-		"last byte not written": func(_ *rig, f *fake) { f.up(); f.ev.Leave(); f.ev.Down(request.CutBefore, io.EOF) },
-		"end on its way":        func(g *rig, f *fake) { g.most = 1; f.up(); f.ev.Down(request.CutBefore, io.EOF) },
+		"another link":          func(_ *rig, f *fake) { f.up(); f.ev.Lost(request.LostBeforeSend, io.EOF) },
+		"last byte not written": func(_ *rig, f *fake) { f.up(); f.ev.AllowSend(); f.ev.Lost(request.LostBeforeSend, io.EOF) },
+		"end on its way":        func(g *rig, f *fake) { g.most = 1; f.up(); f.ev.Lost(request.LostBeforeSend, io.EOF) },
 	} {
 		g := newRig(t)
 		f := g.attempt("q")
 		reach(g, f)
 		r := g.live["q"]
-		r.Final = true
+		r.Responded = true
 		g.Withdraw(r)
 		for _, l := range g.links { // a link comes up late, its sign of life later still
-			l.ev.Up()
-			if l.ev.Leave() {
+			l.ev.Ready()
+			if l.ev.AllowSend() {
 				t.Errorf("%s: the statement left", name)
 			}
 		}
 		g.ended(aspenshed.NotSent)
 		g.pass(1500 * ms)
-		if len(g.ends) != 0 || r.MayHaveRun || g.Holds(r) || g.Busy() != 0 {
-			t.Errorf("%s: ended again as %+v, may have run %t, busy %d", name, g.ends, r.MayHaveRun, g.Busy())
+		if len(g.ends) != 0 || r.MayHaveRun || g.HasAttempt(r) || g.PendingSends() != 0 {
+			t.Errorf("%s: ended again as %+v, may have run %t, busy %d", name, g.ends, r.MayHaveRun, g.PendingSends())
 		}
 	}
 	g := newRig(t)
 	f := g.attempt("q")
 	f.up()
 	f.alive()
-	g.live["q"].Final = true
+	g.live["q"].Responded = true
 	if g.Withdraw(g.live["q"]); f.closed || len(g.ends) != 0 {
 		t.Error("an attempt that is out was withdrawn: that is the module's to decide")
 	}
@@ -345,15 +345,15 @@
 		statement := g.attempt("q")
 		g.Probe("a")
 		probe := g.links[1]
-		g.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: state}}}, nil)
+		g.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: state}}}, nil)
 		statement.up()
 		probe.up()
 		if statement.asked || probe.sent || !statement.closed || !probe.closed {
 			t.Errorf("state %d: statement asked %t, probe sent %t", state, statement.asked, probe.sent)
 		}
 		g.ended(aspenshed.Turned)
-		if g.Busy() != 0 {
-			t.Errorf("%d are busy", g.Busy())
+		if g.PendingSends() != 0 {
+			t.Errorf("%d are busy", g.PendingSends())
 		}
 	}
 }
@@ -371,8 +371,8 @@
 	first.alive()
 	first.done()
 	g.ended(aspenshed.Served)
-	for past := aspenshed.Nanos(0); past < 14500*ms; past += sweepEvery { // the member closes after 15 s
-		g.pass(sweepEvery)
+	for past := aspenshed.Nanos(0); past < 14500*ms; past += sweepInterval { // the member closes after 15 s
+		g.pass(sweepInterval)
 	}
 	if !first.closed {
 		t.Error("the link lay idle until the member closed it")
@@ -382,7 +382,7 @@
 	next.alive()
 	next.done()
 	g.ended(aspenshed.Served)
-	g.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Draining}}}, nil)
+	g.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Draining}}}, nil)
 	if !next.closed {
 		t.Error("a draining member keeps an idle link")
 	}
@@ -391,20 +391,20 @@
 func TestSilentProbeEndsAndTheNextUsesANewLink(t *testing.T) {
 	g := newRig(t)
 	var got []aspenshed.Probed
-	tell := g.Tell
-	g.Tell = func(e aspenshed.Event) {
+	tell := g.Emit
+	g.Emit = func(e aspenshed.Event) {
 		if p, ok := e.(aspenshed.Probed); ok {
 			got = append(got, p)
 		}
 		tell(e)
 	}
 	g.Probe("a")
-	g.links[0].ev.Up()
-	if g.Busy() != 1 {
+	g.links[0].ev.Ready()
+	if g.PendingSends() != 1 {
 		t.Error("a probe that is out is not counted")
 	}
 	g.pass(probeTimeout)
-	if len(got) != 1 || got[0].Outcome != aspenshed.TimedOut || !g.links[0].closed || g.Busy() != 0 {
+	if len(got) != 1 || got[0].Outcome != aspenshed.TimedOut || !g.links[0].closed || g.PendingSends() != 0 {
 		t.Fatalf("silent probe: %+v", got)
 	}
 	g.Probe("a")
@@ -421,10 +421,10 @@
 	f.alive()
 	for i := range 100 {
 		id := fmt.Sprint("n", i)
-		g.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, State: aspenshed.Up}}}, map[string]string{id: "h:2"})
-		g.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, State: aspenshed.Gone}}}, nil)
+		g.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, State: aspenshed.Up}}}, map[string]string{id: "h:2"})
+		g.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, State: aspenshed.Gone}}}, nil)
 	}
-	g.Members(aspenshed.MemberList{Whole: true, Members: []aspenshed.Member{{ID: "b", State: aspenshed.Up}}}, map[string]string{"b": "h:3"})
+	g.UpdateMembers(aspenshed.MemberList{Whole: true, Members: []aspenshed.Member{{ID: "b", State: aspenshed.Up}}}, map[string]string{"b": "h:3"})
 	if len(g.pools) != 1 {
 		t.Errorf("%d pools, want that of the one member", len(g.pools))
 	}
--- a/internal/dataplane/dispatch/pool.go
+++ b/internal/dataplane/dispatch/pool.go
@@ -8,22 +8,22 @@
 
 // pool is a member's connections.
 type pool struct {
-	id, address string
-	wanted      bool          // the list has it up
-	draining    bool          // the list has said that it drains or is gone: nothing leaves for it from then on
-	idle        []*connection // the newest last
-	probe       *connection   // on which a probe is out
+	memberID, address string
+	memberUp          bool          // the list has it up
+	draining          bool          // the list has said that it drains or is gone: nothing leaves for it from then on
+	idle              []*connection // the newest last
+	probeConn         *connection   // on which a probe is out
 }
 
-// Members keeps addresses, and closes what is idle at members that are not up. Those that are gone are forgotten,
+// UpdateMembers keeps addresses, and closes what is idle at members that are not up. Those that are gone are forgotten,
 // as ids are always new; what is still out there holds its pool itself.
-func (s *Stage) Members(l aspenshed.MemberList, addresses map[string]string) {
+func (s *Stage) UpdateMembers(l aspenshed.MemberList, addresses map[string]string) {
 	listed := map[string]bool{}
 	for _, m := range l.Members {
 		listed[m.ID] = true
 		p := s.pools[m.ID]
 		if p == nil {
-			p = &pool{id: m.ID}
+			p = &pool{memberID: m.ID}
 			s.pools[m.ID] = p
 		}
 		if a := addresses[m.ID]; a != "" && a != p.address {
@@ -31,8 +31,8 @@
 			p.address = a
 		}
 		p.draining = m.State != aspenshed.Up
-		if p.wanted = !p.draining; p.draining {
-			s.ClosePool(p.id)
+		if p.memberUp = !p.draining; p.draining {
+			s.ClosePool(p.memberID)
 		}
 		if m.State == aspenshed.Gone {
 			delete(s.pools, m.ID)
@@ -42,12 +42,12 @@
 		return
 	}
 	for _, p := range s.pools {
-		if !listed[p.id] {
-			p.wanted = false
-			s.ClosePool(p.id)
-			if !s.SoftRemoval {
+		if !listed[p.memberID] {
+			p.memberUp = false
+			s.ClosePool(p.memberID)
+			if !s.RemovalNotBinding {
 				p.draining = true
-				delete(s.pools, p.id)
+				delete(s.pools, p.memberID)
 			}
 		}
 	}
@@ -57,7 +57,7 @@
 	for n := len(p.idle); n > 0; n = len(p.idle) {
 		l := p.idle[n-1]
 		p.idle = p.idle[:n-1]
-		if !s.stale(l) {
+		if !s.idleExpired(l) {
 			return l
 		}
 		l.close()
@@ -65,16 +65,16 @@
 	return nil
 }
 
-func (s *Stage) stale(l *connection) bool {
-	return s.IdleClose > 0 && s.Loop.Now() >= l.idle+max(s.IdleClose-idleMargin, s.IdleClose/2)
+func (s *Stage) idleExpired(l *connection) bool {
+	return s.IdleClose > 0 && s.Loop.Now() >= l.idleSince+max(s.IdleClose-idleCloseMargin, s.IdleClose/2)
 }
 
-// makeRoom closes the connection that has lain idle for longest, of whichever member.
-func (s *Stage) makeRoom() bool {
+// closeOldestIdle closes the connection that has lain idle for longest, of whichever member.
+func (s *Stage) closeOldestIdle() bool {
 	var oldest *connection
 	for _, p := range s.pools {
 		for _, l := range p.idle {
-			if oldest == nil || l.idle < oldest.idle {
+			if oldest == nil || l.idleSince < oldest.idleSince {
 				oldest = l
 			}
 		}
@@ -85,13 +85,13 @@
 	return oldest != nil
 }
 
-func (s *Stage) open(p *pool, probe bool) (*connection, error) {
-	l := &connection{s: s, p: p}
+func (s *Stage) openConnection(p *pool, probe bool) (*connection, error) {
+	l := &connection{stage: s, pool: p}
 	c, err := s.Backend.Open(p.address, s.ConnectTimeout, probe, l)
 	if err != nil {
 		return nil, err
 	}
-	l.c = c
+	l.backendConn = c
 	return l, nil
 }
 
@@ -104,14 +104,14 @@
 	}
 }
 
-// sweep closes connections before the member does: a statement that crosses the close would be lost.
-func (s *Stage) sweep() {
+// sweepIdle closes connections before the member does: a statement that crosses the close would be lost.
+func (s *Stage) sweepIdle() {
 	for _, p := range s.pools {
 		for _, l := range slices.Clone(p.idle) {
-			if s.stale(l) {
+			if s.idleExpired(l) {
 				l.close()
 			}
 		}
 	}
-	s.Loop.At(s.Loop.Now()+sweepEvery, s.sweep)
+	s.Loop.At(s.Loop.Now()+sweepInterval, s.sweepIdle)
 }
--- a/internal/dataplane/dispatch/probe.go
+++ b/internal/dataplane/dispatch/probe.go
@@ -12,34 +12,34 @@
 	if p == nil {
 		return
 	}
-	if l := p.probe; l != nil {
+	if l := p.probeConn; l != nil {
 		l.close()
-		s.probed(l, request.Result{Outcome: aspenshed.TimedOut})
+		s.finishProbe(l, request.Result{Outcome: aspenshed.TimedOut})
 	}
 	l := s.takeIdle(p)
 	if l == nil {
 		var err error
-		if l, err = s.open(p, true); err != nil {
+		if l, err = s.openConnection(p, true); err != nil {
 			s.Loop.Post(func() {
-				s.probed(&connection{s: s, p: p, began: s.Loop.Now()}, request.Result{Outcome: aspenshed.NoLink})
+				s.finishProbe(&connection{stage: s, pool: p, probeStartedAt: s.Loop.Now()}, request.Result{Outcome: aspenshed.NoLink})
 			})
 			return
 		}
 	}
-	p.probe = l
-	l.probing, l.began = true, s.Loop.Now()
-	l.timer = s.Loop.At(l.began+probeTimeout, func() {
+	p.probeConn = l
+	l.probing, l.probeStartedAt = true, s.Loop.Now()
+	l.probeTimer = s.Loop.At(l.probeStartedAt+probeTimeout, func() {
 		l.close()
-		s.probed(l, request.Result{Outcome: aspenshed.TimedOut})
+		s.finishProbe(l, request.Result{Outcome: aspenshed.TimedOut})
 	})
-	if l.up {
-		l.start()
+	if l.ready {
+		l.send()
 	}
 }
 
-func (s *Stage) probed(l *connection, r request.Result) {
+func (s *Stage) finishProbe(l *connection, r request.Result) {
 	l.probing = false
-	s.Loop.Stop(l.timer)
-	s.Probed(l.p.id, r)
-	s.Tell(aspenshed.Probed{Member: l.p.id, Outcome: r.Outcome, Took: s.Loop.Now() - l.began, Report: r.Report})
+	s.Loop.StopTimer(l.probeTimer)
+	s.OnProbeEnd(l.pool.memberID, r)
+	s.Emit(aspenshed.Probed{Member: l.pool.memberID, Outcome: r.Outcome, Took: s.Loop.Now() - l.probeStartedAt, Report: r.Report})
 }
--- a/internal/dataplane/eventloop/eventloop.go
+++ b/internal/dataplane/eventloop/eventloop.go
@@ -21,15 +21,15 @@
 	return aspenshed.Nanos(c.start.UnixNano() + int64(time.Since(c.start)))
 }
 
-// UnixMs is the instant of a Unix time in milliseconds.
-func UnixMs(ms int64) aspenshed.Nanos { return aspenshed.Nanos(ms * 1e6) }
+// FromUnixMillis is the instant of a Unix time in milliseconds.
+func FromUnixMillis(ms int64) aspenshed.Nanos { return aspenshed.Nanos(ms * 1e6) }
 
 // Timer is a pending call of a Loop.
 type Timer struct {
-	at    aspenshed.Nanos
-	order uint64
-	index int
-	f     func()
+	at       aspenshed.Nanos
+	seq      uint64
+	index    int
+	callback func()
 }
 
 // Loop is the one goroutine that owns a Router and all request state. Other
@@ -38,26 +38,26 @@
 	Clock
 	// AfterBatch runs once all that was at hand has been handled.
 	AfterBatch func()
-	// Panicked hears of a panic in what the loop calls; the loop goes on.
-	Panicked func(any)
-
-	mu     sync.Mutex
-	box    []func()
-	notify chan struct{}
-	timers timerHeap
-	order  uint64
-	quit   bool
+	// OnPanic hears of a panic in what the loop calls; the loop goes on.
+	OnPanic func(any)
+
+	mu      sync.Mutex
+	queue   []func()
+	notify  chan struct{}
+	timers  timerHeap
+	lastSeq uint64
+	quit    bool
 }
 
 // NewLoop makes a Loop; Run or Turn drives it.
 func NewLoop(c Clock) *Loop {
-	return &Loop{Clock: c, AfterBatch: func() {}, Panicked: func(p any) { panic(p) }, notify: make(chan struct{}, 1)}
+	return &Loop{Clock: c, AfterBatch: func() {}, OnPanic: func(p any) { panic(p) }, notify: make(chan struct{}, 1)}
 }
 
 // Post has the loop call f. Any goroutine may call it.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
-	l.box = append(l.box, f)
+	l.queue = append(l.queue, f)
 	l.mu.Unlock()
 	select {
 	case l.notify <- struct{}{}:
@@ -67,14 +67,14 @@
 
 // At calls f at that time. Only the loop's goroutine may call it.
 func (l *Loop) At(at aspenshed.Nanos, f func()) *Timer {
-	l.order++
-	t := &Timer{at: at, order: l.order, f: f}
+	l.lastSeq++
+	t := &Timer{at: at, seq: l.lastSeq, callback: f}
 	heap.Push(&l.timers, t)
 	return t
 }
 
-// Stop takes a timer back. A nil timer or one that has run is ignored.
-func (l *Loop) Stop(t *Timer) {
+// StopTimer takes a timer back. A nil timer or one that has run is ignored.
+func (l *Loop) StopTimer(t *Timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&l.timers, t.index)
 	}
@@ -83,12 +83,12 @@
 // Quit ends Run after the current batch.
 func (l *Loop) Quit() { l.quit = true }
 
-// Turn handles all that is at hand and reports when the next timer is due; 0: never.
-func (l *Loop) Turn() (next aspenshed.Nanos) {
+// RunPending handles all that is at hand and reports when the next timer is due; 0: never.
+func (l *Loop) RunPending() (next aspenshed.Nanos) {
 	for {
 		l.mu.Lock()
-		box := l.box
-		l.box = nil
+		box := l.queue
+		l.queue = nil
 		l.mu.Unlock()
 		for _, f := range box {
 			l.call(f)
@@ -96,7 +96,7 @@
 		now := l.Now()
 		ran := len(box) > 0
 		for len(l.timers) > 0 && l.timers[0].at <= now {
-			l.call(heap.Pop(&l.timers).(*Timer).f)
+			l.call(heap.Pop(&l.timers).(*Timer).callback)
 			ran = true
 		}
 		if !ran {
@@ -115,7 +115,7 @@
 func (l *Loop) call(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			l.Panicked(p)
+			l.OnPanic(p)
 		}
 	}()
 	f()
@@ -126,7 +126,7 @@
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for {
-		next := l.Turn()
+		next := l.RunPending()
 		if l.quit {
 			return
 		}
@@ -146,7 +146,7 @@
 
 func (h timerHeap) Len() int { return len(h) }
 func (h timerHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].seq < h[j].seq
 }
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
--- a/internal/dataplane/pipeline/pipeline.go
+++ b/internal/dataplane/pipeline/pipeline.go
@@ -17,17 +17,17 @@
 	"aspenshed/internal/dataplane/routing"
 )
 
-const countsEvery = aspenshed.Nanos(10e9)
+const countsInterval = aspenshed.Nanos(10e9)
 
 // Config is what an pipeline is made of.
 type Config struct {
-	Loop     *eventloop.Loop
-	Log      *logrus.Entry
-	Settings aspenshed.Settings
-	Seed     uint64
-	MostHeld int
-	Backend  request.Backend
-	Watch    func() // asks for the member list, where it must be asked for
+	Loop       *eventloop.Loop
+	Log        *logrus.Entry
+	Settings   aspenshed.Settings
+	Seed       uint64
+	MaxPending int
+	Backend    request.Backend
+	Watch      func() // asks for the member list, where it must be asked for
 }
 
 // Pipeline is the chain: take in, admit, route, send, relay, book.
@@ -47,38 +47,38 @@
 	c.Settings.MayCopy = false // send carries one attempt of a request at a time, wherever more are allowed
 	e := &Pipeline{Loop: c.Loop, cfg: c}
 	e.Accounting = accounting.New(c.Loop, c.Log)
-	e.Response = response.Stage{Loop: c.Loop, Grace: c.Settings.AnswerSlack / 2, Ended: func(r *request.Request, f request.Final) {
-		e.Accounting.Ended(r, f)
+	e.Response = response.Stage{Loop: c.Loop, Grace: c.Settings.AnswerSlack / 2, OnResponse: func(r *request.Request, f request.Response) {
+		e.Accounting.CountResponse(r, f)
 		e.Dispatch.Withdraw(r)
-		if !e.Dispatch.Holds(r) {
-			e.Accept.Closed(r)
+		if !e.Dispatch.HasAttempt(r) {
+			e.Accept.ReleaseID(r)
 		}
-	}, Overdue: func(r *request.Request) {
+	}, OnDeadline: func(r *request.Request) {
 		c.Log.WithFields(logrus.Fields{"request": r.ID, "class": r.Class}).Warn("request answered at its deadline without the decision module")
-		e.Routing.Tell(aspenshed.Left{ID: r.ID})
+		e.Routing.AddEvent(aspenshed.Left{ID: r.ID})
 	}}
 	e.Dispatch = dispatch.Stage{Loop: c.Loop, Log: c.Log, Backend: c.Backend, ConnectTimeout: c.Settings.ConnectTimeout,
-		IdleClose: c.Settings.IdleClose, SoftRemoval: c.Settings.RemovalIsSoft, Get: e.Response.Get, Tell: e.Routing.Tell,
-		Answered: func(r *request.Request, res request.Result) {
-			f := request.Final{Verdict: request.Served, Value: res.Value}
+		IdleClose: c.Settings.IdleClose, RemovalNotBinding: c.Settings.RemovalIsSoft, FindRequest: e.Response.Get, Emit: e.Routing.AddEvent,
+		OnAnswer: func(r *request.Request, res request.Result) {
+			f := request.Response{Status: request.Served, Value: res.Value}
 			if res.Outcome == aspenshed.Rejected {
-				f.Verdict, f.Reason = request.Failed, res.Detail
+				f.Status, f.Reason = request.Failed, res.Detail
 			}
-			e.Response.Finish(r, f)
+			e.Response.Respond(r, f)
 		},
-		Settled: e.Accept.Closed, Attempted: e.Accounting.Attempt, Probed: e.Accounting.Probe}
-	e.Routing = routing.Stage{Loop: c.Loop, Log: c.Log, Settings: c.Settings, Seed: c.Seed, Do: e, Broken: func() {
+		OnSettled: e.Accept.ReleaseID, OnAttemptEnd: e.Accounting.CountAttempt, OnProbeEnd: e.Accounting.CountProbe}
+	e.Routing = routing.Stage{Loop: c.Loop, Log: c.Log, Settings: c.Settings, Seed: c.Seed, Executor: e, OnPanic: func() {
 		e.FailAll("decision module panicked")
-		e.Dispatch.CloseAll()
+		e.Dispatch.AbortAll()
 	}}
-	e.Admission = admission.Stage{Most: c.MostHeld, Live: e.Response.Live, Owe: func(r *request.Request) {
-		e.Accounting.Took(r)
-		e.Response.Owe(r)
-	}, Turn: e.Response.Finish, Next: e.Routing.Request}
+	e.Admission = admission.Stage{MaxPending: c.MaxPending, Pending: e.Response.Pending, Track: func(r *request.Request) {
+		e.Accounting.CountRequest(r)
+		e.Response.Track(r)
+	}, Refuse: e.Response.Respond, Next: e.Routing.Submit}
 	e.Accept = accept.Stage{Loop: c.Loop, Settings: &e.cfg.Settings, KnownGroup: e.Routing.KnownGroup,
 		Next: e.Admission.Admit, Reject: func(q request.Query, problem string) {
-			e.Accounting.Rejected(problem)
-			q.Client.Finish(request.Final{Verdict: request.Failed, Reason: problem, Bad: true})
+			e.Accounting.CountRejected(problem)
+			q.Client.Respond(request.Response{Status: request.Failed, Reason: problem, Invalid: true})
 		}}
 	return e
 }
@@ -86,7 +86,7 @@
 // Start begins with the members as last known.
 func (e *Pipeline) Start(known aspenshed.MemberList, addresses map[string]string) error {
 	e.Dispatch.Start()
-	e.Dispatch.Members(known, addresses)
+	e.Dispatch.UpdateMembers(known, addresses)
 	if err := e.Routing.Start(known.Members); err != nil {
 		return err
 	}
@@ -95,43 +95,43 @@
 		after()
 		e.Routing.Step()
 	}
-	e.counts()
+	e.logCounts()
 	return nil
 }
 
-func (e *Pipeline) counts() {
-	e.Accounting.Write(e.Response.Live())
-	e.Loop.At(e.Loop.Now()+countsEvery, e.counts)
+func (e *Pipeline) logCounts() {
+	e.Accounting.LogCounts(e.Response.Pending())
+	e.Loop.At(e.Loop.Now()+countsInterval, e.logCounts)
 }
 
 // Members takes news of the member list.
 func (e *Pipeline) Members(l aspenshed.MemberList, addresses map[string]string) {
-	e.Dispatch.Members(l, addresses)
-	e.Routing.Members(l)
+	e.Dispatch.UpdateMembers(l, addresses)
+	e.Routing.UpdateMembers(l)
 }
 
 // Tell hands the module an event that comes from no wire.
-func (e *Pipeline) Tell(x aspenshed.Event) { e.Routing.Tell(x) }
+func (e *Pipeline) Tell(x aspenshed.Event) { e.Routing.AddEvent(x) }
 
 // Learned is what the module has learned, where it is one that tells.
 func (e *Pipeline) Learned() (aspenshed.Learned, bool) { return e.Routing.Learned() }
 
-// DiscoveryBroke says that the list cannot be had just now.
-func (e *Pipeline) DiscoveryBroke(b aspenshed.DiscoveryBroke) { e.Routing.Tell(b) }
+// DiscoveryFailed says that the list cannot be had just now.
+func (e *Pipeline) DiscoveryFailed(b aspenshed.DiscoveryBroke) { e.Routing.AddEvent(b) }
 
-// Leave says that a request's client has gone.
-func (e *Pipeline) Leave(r *request.Request) {
-	if !r.Final {
-		e.Response.Finish(r, request.Final{Verdict: request.Left})
-		e.Routing.Tell(aspenshed.Left{ID: r.ID})
+// Abandon says that a request's client has gone.
+func (e *Pipeline) Abandon(r *request.Request) {
+	if !r.Responded {
+		e.Response.Respond(r, request.Response{Status: request.ClientGone})
+		e.Routing.AddEvent(aspenshed.Left{ID: r.ID})
 	}
 }
 
 // FailAll ends every request at hand.
 func (e *Pipeline) FailAll(reason string) {
-	for _, r := range e.Response.All() {
-		e.Response.Finish(r, e.Response.Honest(r, reason))
-		e.Routing.Tell(aspenshed.Left{ID: r.ID})
+	for _, r := range e.Response.AllPending() {
+		e.Response.Respond(r, e.Response.FallbackResponse(r, reason))
+		e.Routing.AddEvent(aspenshed.Left{ID: r.ID})
 	}
 }
 
@@ -156,12 +156,12 @@
 
 // Refuse ends a request that has not run.
 func (e *Pipeline) Refuse(id string, retryIn aspenshed.Nanos) {
-	e.Response.Finish(e.Response.Get(id), request.Final{Verdict: request.Refused, RetryIn: retryIn, Reason: "try again"})
+	e.Response.Respond(e.Response.Get(id), request.Response{Status: request.Refused, RetryAfter: retryIn, Reason: "try again"})
 }
 
 // Fail ends a request that may have run.
 func (e *Pipeline) Fail(id string) {
 	if r := e.Response.Get(id); r != nil {
-		e.Response.Finish(r, request.Final{Verdict: request.Failed, Reason: "no answer that counts", Value: r.LastError})
+		e.Response.Respond(r, request.Response{Status: request.Failed, Reason: "no answer that counts", Value: r.LastError})
 	}
 }
--- a/internal/dataplane/pipeline/pipeline_test.go
+++ b/internal/dataplane/pipeline/pipeline_test.go
@@ -23,18 +23,18 @@
 // silent is a backend whose links never come up.
 type silent struct{}
 
-func (silent) Open(string, aspenshed.Nanos, bool, request.LinkEvents) (request.Link, error) {
+func (silent) Open(string, aspenshed.Nanos, bool, request.ConnectionEvents) (request.Connection, error) {
 	return silent{}, nil
 }
 func (silent) Send(any, aspenshed.Nanos) bool { return true }
 func (silent) Probe() bool                    { return true }
-func (silent) Out() bool                      { return false }
+func (silent) MayHaveSent() bool              { return false }
 func (silent) Close()                         {}
 
 // client counts its answers.
-type client struct{ got []request.Final }
+type client struct{ got []request.Response }
 
-func (c *client) Finish(f request.Final) { c.got = append(c.got, f) }
+func (c *client) Respond(f request.Response) { c.got = append(c.got, f) }
 
 // brittle panics when it is told so.
 type brittle struct {
@@ -54,11 +54,11 @@
 	c := &clock{1000 * ms}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	e := New(Config{Loop: eventloop.NewLoop(c), Log: logrus.NewEntry(log), MostHeld: most, Backend: silent{}, Watch: func() {}, Settings: aspenshed.Settings{
+	e := New(Config{Loop: eventloop.NewLoop(c), Log: logrus.NewEntry(log), MaxPending: most, Backend: silent{}, Watch: func() {}, Settings: aspenshed.Settings{
 		MayProbe: true, MaxAttempts: 3, AnswerSlack: 20 * ms, Classes: []aspenshed.Class{{Name: "booking", Need: aspenshed.WriteToIt, Aim: 400 * ms,
 			GiveUp: 2000 * ms, Worth: 1, LateWorth: 0.5, Effect: aspenshed.Unsafe}}}})
 	var fail bool
-	e.Routing.Make = func(s aspenshed.Settings, seed uint64) (routing.Decider, error) {
+	e.Routing.NewDecider = func(s aspenshed.Settings, seed uint64) (routing.Decider, error) {
 		r, err := aspenshed.New(s, seed)
 		return brittle{r, &fail}, err
 	}
@@ -69,7 +69,7 @@
 }
 
 func (c *client) ask(e *Pipeline) *request.Request {
-	return e.Accept.Take(request.Query{Group: 1, Wait: 900 * ms, Client: c}, e.Loop.Now())
+	return e.Accept.Accept(request.Query{Group: 1, Timeout: 900 * ms, Client: c}, e.Loop.Now())
 }
 
 // Guards rule 1 against a defect in the module: whoever waits gets an answer, and the next request is decided.
@@ -78,39 +78,39 @@
 	var c client
 	c.ask(e)
 	e.Loop.Post(func() {})
-	e.Loop.Turn()
+	e.Loop.RunPending()
 	if len(c.got) != 0 {
 		t.Fatalf("answered at once: %+v", c.got)
 	}
 	*fail = true
 	e.Loop.Post(func() {})
-	e.Loop.Turn()
-	if len(c.got) != 1 || c.got[0].Verdict != request.Refused || e.Response.Live() != 0 {
+	e.Loop.RunPending()
+	if len(c.got) != 1 || c.got[0].Status != request.Refused || e.Response.Pending() != 0 {
 		t.Fatalf("after the panic: %+v", c.got)
 	}
 	c.ask(e)
 	e.Loop.Post(func() {})
-	e.Loop.Turn()
-	if e.Response.Live() != 1 || len(c.got) != 1 {
+	e.Loop.RunPending()
+	if e.Response.Pending() != 1 || len(c.got) != 1 {
 		t.Errorf("the next request was not held: %+v", c.got)
 	}
 }
 
 // Guards rule 1 against a module that says nothing: the answer at the deadline promises only what is known.
 func TestDeadlineAnswersWithoutTheModule(t *testing.T) {
-	for out, want := range map[bool]request.Verdict{true: request.Failed, false: request.Refused} {
+	for out, want := range map[bool]request.Status{true: request.Failed, false: request.Refused} {
 		e, clock, _ := start(t, 10)
 		var c client
 		r := c.ask(e)
-		r.Out = out
+		r.InFlight = out
 		clock.now += 910 * ms
 		e.Loop.AfterBatch = func() {} // the module is not asked
-		e.Loop.Turn()
-		if len(c.got) != 1 || c.got[0].Verdict != want {
+		e.Loop.RunPending()
+		if len(c.got) != 1 || c.got[0].Status != want {
 			t.Errorf("out %t: %+v", out, c.got)
 		}
 		e.Fail(r.ID)
-		e.Leave(r)
+		e.Abandon(r)
 		if len(c.got) != 1 {
 			t.Errorf("%d answers", len(c.got))
 		}
@@ -122,7 +122,7 @@
 	var a, b client
 	a.ask(e)
 	b.ask(e)
-	if len(a.got) != 0 || len(b.got) != 1 || b.got[0].Verdict != request.Refused {
+	if len(a.got) != 0 || len(b.got) != 1 || b.got[0].Status != request.Refused {
 		t.Errorf("first %+v, second %+v", a.got, b.got)
 	}
 }
@@ -131,13 +131,13 @@
 func TestPanicOnTheLoopIsSurvived(t *testing.T) {
 	e, clock, _ := start(t, 10)
 	var said []any
-	e.Loop.Panicked = func(p any) { said = append(said, p) }
+	e.Loop.OnPanic = func(p any) { said = append(said, p) }
 	var c client
 	e.Loop.Post(func() { c.ask(e) })
 	e.Loop.Post(func() { panic("a defect") })
-	e.Loop.Turn()
+	e.Loop.RunPending()
 	clock.now += 910 * ms
-	if e.Loop.Turn(); len(said) != 1 || len(c.got) != 1 {
+	if e.Loop.RunPending(); len(said) != 1 || len(c.got) != 1 {
 		t.Errorf("heard of %v, answers %+v", said, c.got)
 	}
 }
@@ -150,7 +150,7 @@
 		e.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, Group: 1, State: aspenshed.Up}}}, map[string]string{id: "h:2"})
 		e.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, Group: 1, State: aspenshed.Gone}}}, nil)
 	}
-	if got := e.Routing.Last(); len(got) != 1 || got[0].ID != "a" {
+	if got := e.Routing.LastMembers(); len(got) != 1 || got[0].ID != "a" {
 		t.Errorf("kept %+v", got)
 	}
 }
@@ -161,7 +161,7 @@
 	var told []aspenshed.Settings
 	e := New(Config{Loop: eventloop.NewLoop(&clock{1000 * ms}), Log: logrus.NewEntry(logrus.New()), Backend: silent{}, Watch: func() {},
 		Settings: aspenshed.Settings{MayCopy: true, MayCancel: true, Classes: []aspenshed.Class{{Name: "x", Need: aspenshed.AnyData, Aim: ms, GiveUp: ms, Effect: aspenshed.Safe}}}})
-	e.Routing.Make = func(s aspenshed.Settings, seed uint64) (routing.Decider, error) {
+	e.Routing.NewDecider = func(s aspenshed.Settings, seed uint64) (routing.Decider, error) {
 		told = append(told, s)
 		return aspenshed.New(s, seed)
 	}
@@ -172,12 +172,12 @@
 
 // Guards clients that prepare a statement as the gateway ends: nothing has run, so they may come again elsewhere.
 func TestWhatIsOnlyPreparedIsRefused(t *testing.T) {
-	for auxiliary, want := range map[bool]request.Verdict{true: request.Refused, false: request.Failed} {
+	for auxiliary, want := range map[bool]request.Status{true: request.Refused, false: request.Failed} {
 		e, _, _ := start(t, 10)
 		var c client
 		r := c.ask(e)
-		r.Auxiliary, r.Out = auxiliary, true
-		if e.FailAll("the gateway ends"); len(c.got) != 1 || c.got[0].Verdict != want {
+		r.PrepareOnly, r.InFlight = auxiliary, true
+		if e.FailAll("the gateway ends"); len(c.got) != 1 || c.got[0].Status != want {
 			t.Errorf("only prepared %t: answered %+v, want %d", auxiliary, c.got, want)
 		}
 	}
--- a/internal/dataplane/request/request.go
+++ b/internal/dataplane/request/request.go
@@ -10,13 +10,13 @@
 
 // Query is a request as a front has parsed it.
 type Query struct {
-	Name                 string // as its client names it; empty: it has no name
+	ExternalID           string // as its client names it; empty: it has no name
 	Class, Group, Tenant int
 	Session              string
-	Wait                 aspenshed.Nanos // how long the client will wait
+	Timeout              aspenshed.Nanos // how long the client will wait
 	SinceCommit          aspenshed.Nanos // age of the session's last commit; 0: none
-	Repeat               bool
-	Auxiliary            bool // no request of its own: a statement that is only prepared
+	IsRetry              bool
+	PrepareOnly          bool // no request of its own: a statement that is only prepared
 	Statement            any  // what a member is sent; only a wire knows its form
 	Client               Client
 }
@@ -24,99 +24,99 @@
 // Request is a query from its taking to its final answer. The loop owns it.
 type Request struct {
 	Query
-	ID                string
-	Arrived, Deadline aspenshed.Nanos
-	Attempts          int  // given to Send so far
-	Out               bool // an attempt's last byte may have left, and it has not ended
-	MayHaveRun        bool // an ended attempt was not proved never to have run
-	LastError         any  // a member's, as its wire gives it
-	Final             bool
-	Guard             *eventloop.Timer
+	ID                  string
+	ArrivedAt, Deadline aspenshed.Nanos
+	Attempts            int  // given to Send so far
+	InFlight            bool // an attempt's last byte may have left, and it has not ended
+	MayHaveRun          bool // an ended attempt was not proved never to have run
+	LastError           any  // a member's, as its wire gives it
+	Responded           bool
+	DeadlineTimer       *eventloop.Timer
 }
 
-// Verdict says how a request ended.
-type Verdict int
+// Status says how a request ended.
+type Status int
 
-// The verdicts, and Left where the client went first.
+// The verdicts, and ClientGone where the client went first.
 const (
-	Served Verdict = iota + 1
+	Served Status = iota + 1
 	Refused
 	Failed
-	Left
+	ClientGone
 )
 
-// Final is the one final answer of a request.
-type Final struct {
-	Verdict Verdict
-	Value   any             // Served: what the member answered; Failed: its last error, if there is one
-	RetryIn aspenshed.Nanos // Refused: advice to the client; 0: none
-	Reason  string          // Refused and Failed
-	Bad     bool            // Failed: it was no request at all
+// Response is the one final answer of a request.
+type Response struct {
+	Status     Status
+	Value      any             // Served: what the member answered; Failed: its last error, if there is one
+	RetryAfter aspenshed.Nanos // Refused: advice to the client; 0: none
+	Reason     string          // Refused and Failed
+	Invalid    bool            // Failed: it was no request at all
 }
 
 // Client takes the final answer of its request, once, on the loop.
-type Client interface{ Finish(Final) }
+type Client interface{ Respond(Response) }
 
 // Result is how an attempt or a probe ended.
 type Result struct {
-	Outcome  aspenshed.Outcome
-	Role     aspenshed.Role
-	Position aspenshed.Nanos
-	Report   aspenshed.Report
-	Value    any
-	Close    bool   // the connection is of no more use
-	Detail   string // for the log
-	Took     aspenshed.Nanos
-	Lay      aspenshed.Nanos // how long the link had lain idle; 0: it was new
+	Outcome         aspenshed.Outcome
+	Role            aspenshed.Role
+	Position        aspenshed.Nanos
+	Report          aspenshed.Report
+	Value           any
+	CloseConnection bool   // the connection is of no more use
+	Detail          string // for the log
+	Elapsed         aspenshed.Nanos
+	IdleTime        aspenshed.Nanos // how long the link had lain idle; 0: it was new
 }
 
-// End says how a link came to its end.
-type End int
+// ConnectionLoss says how a link came to its end.
+type ConnectionLoss int
 
-// The ends. What was out on the link can have run only after CutAfter.
+// The ends. What was out on the link can have run only after LostAfterSend.
 const (
-	Unreachable End = iota // refused, or never up: the member's doing
-	CutBefore              // broken before the last byte of what was out could leave
-	CutAfter
+	Unreachable    ConnectionLoss = iota // refused, or never up: the member's doing
+	LostBeforeSend                       // broken before the last byte of what was out could leave
+	LostAfterSend
 )
 
-// HowEnded tells the ends apart: by whether the last byte of what was out may have left, and whether the member
+// ClassifyLoss tells the ends apart: by whether the last byte of what was out may have left, and whether the member
 // refused the connection.
-func HowEnded(sent, refused bool) End {
+func ClassifyLoss(sent, refused bool) ConnectionLoss {
 	switch {
 	case sent:
-		return CutAfter
+		return LostAfterSend
 	case refused:
 		return Unreachable
 	}
-	return CutBefore
+	return LostBeforeSend
 }
 
-// Link is a connection to a member. It carries one attempt at a time.
-type Link interface {
+// Connection is a connection to a member. It carries one attempt at a time.
+type Connection interface {
 	// Send has the member show that the link is alive and that nothing else waits on it. Then it asks Leave, and lets
 	// the statement's last byte go. False: the link is no more.
 	Send(statement any, wait aspenshed.Nanos) bool
 	// Probe asks for role, position and load.
 	Probe() bool
-	// Out tells whether the last byte of what is out may have left.
-	Out() bool
+	// MayHaveSent tells whether the last byte of what is out may have left.
+	MayHaveSent() bool
 	// Close gives up at once what is out; no event follows.
 	Close()
 }
 
-// LinkEvents hears of a link, on the loop.
-type LinkEvents interface {
-	Up()
-	// Leave is asked when the last byte of what is out is about to leave. False: it must not.
-	Leave() bool
+// ConnectionEvents hears of a link, on the loop.
+type ConnectionEvents interface {
+	Ready()
+	// AllowSend is asked when the last byte of what is out is about to leave. False: it must not.
+	AllowSend() bool
 	Done(Result)
-	// Down says that the link is no more.
-	Down(how End, err error)
+	// Lost says that the link is no more.
+	Lost(how ConnectionLoss, err error)
 }
 
 // Backend opens links. An error means that there is no descriptor for it or that it was refused at once.
 type Backend interface {
 	// probe: it may use the descriptors that are kept back for probes.
-	Open(address string, limit aspenshed.Nanos, probe bool, ev LinkEvents) (Link, error)
+	Open(address string, limit aspenshed.Nanos, probe bool, ev ConnectionEvents) (Connection, error)
 }
--- a/internal/dataplane/response/response.go
+++ b/internal/dataplane/response/response.go
@@ -17,54 +17,54 @@
 	Loop *eventloop.Loop
 	// Grace past the deadline after which a request is answered without the module.
 	Grace aspenshed.Nanos
-	// Ended hears of every final answer; Overdue of requests that the module has not answered.
-	Ended   func(*request.Request, request.Final)
-	Overdue func(*request.Request)
+	// OnResponse hears of every final answer; Overdue of requests that the module has not answered.
+	OnResponse func(*request.Request, request.Response)
+	OnDeadline func(*request.Request)
 
-	live map[string]*request.Request
+	pending map[string]*request.Request
 }
 
-// Owe begins a request's time.
-func (s *Stage) Owe(r *request.Request) {
-	if s.live == nil {
-		s.live = map[string]*request.Request{}
+// Track begins a request's time.
+func (s *Stage) Track(r *request.Request) {
+	if s.pending == nil {
+		s.pending = map[string]*request.Request{}
 	}
-	s.live[r.ID] = r
+	s.pending[r.ID] = r
 	// Guards rule 1: whatever goes wrong above, the client gets an answer before it gives up.
-	r.Guard = s.Loop.At(r.Deadline+s.Grace, func() {
-		r.Guard = nil
-		s.Finish(r, s.Honest(r, "deadline passed"))
-		s.Overdue(r)
+	r.DeadlineTimer = s.Loop.At(r.Deadline+s.Grace, func() {
+		r.DeadlineTimer = nil
+		s.Respond(r, s.FallbackResponse(r, "deadline passed"))
+		s.OnDeadline(r)
 	})
 }
 
-// Live is the number of requests owed an answer.
-func (s *Stage) Live() int { return len(s.live) }
+// Pending is the number of requests owed an answer.
+func (s *Stage) Pending() int { return len(s.pending) }
 
 // Get returns a live request or nil.
-func (s *Stage) Get(id string) *request.Request { return s.live[id] }
+func (s *Stage) Get(id string) *request.Request { return s.pending[id] }
 
-// Finish gives the final answer; later ones are dropped.
-func (s *Stage) Finish(r *request.Request, f request.Final) {
-	if r == nil || r.Final {
+// Respond gives the final answer; later ones are dropped.
+func (s *Stage) Respond(r *request.Request, f request.Response) {
+	if r == nil || r.Responded {
 		return
 	}
-	r.Final = true
-	delete(s.live, r.ID)
-	s.Loop.Stop(r.Guard)
-	if f.Verdict != request.Left {
-		r.Client.Finish(f)
+	r.Responded = true
+	delete(s.pending, r.ID)
+	s.Loop.StopTimer(r.DeadlineTimer)
+	if f.Status != request.ClientGone {
+		r.Client.Respond(f)
 	}
-	s.Ended(r, f)
+	s.OnResponse(r, f)
 }
 
-// Honest is the answer that may be given whatever the class: a refusal only where nothing has run, as by what is only prepared.
-func (s *Stage) Honest(r *request.Request, reason string) request.Final {
-	if !r.Auxiliary && (r.MayHaveRun || r.Out) {
-		return request.Final{Verdict: request.Failed, Reason: reason}
+// FallbackResponse is the answer that may be given whatever the class: a refusal only where nothing has run, as by what is only prepared.
+func (s *Stage) FallbackResponse(r *request.Request, reason string) request.Response {
+	if !r.PrepareOnly && (r.MayHaveRun || r.InFlight) {
+		return request.Response{Status: request.Failed, Reason: reason}
 	}
-	return request.Final{Verdict: request.Refused, Reason: reason}
+	return request.Response{Status: request.Refused, Reason: reason}
 }
 
-// All are the live requests.
-func (s *Stage) All() []*request.Request { return slices.Collect(maps.Values(s.live)) }
+// AllPending are the live requests.
+func (s *Stage) AllPending() []*request.Request { return slices.Collect(maps.Values(s.pending)) }
--- a/internal/dataplane/routing/routing.go
+++ b/internal/dataplane/routing/routing.go
@@ -15,8 +15,8 @@
 	"aspenshed/internal/dataplane/request"
 )
 
-// Actions carries out what the module decides.
-type Actions interface {
+// Executor carries out what the module decides.
+type Executor interface {
 	Send(id, member string, attempt int, giveUpAt, leaveBy aspenshed.Nanos)
 	Cancel(id string, attempt int)
 	Probe(member string)
@@ -37,143 +37,143 @@
 	Log      *logrus.Entry
 	Settings aspenshed.Settings
 	Seed     uint64
-	Do       Actions
-	// Make makes a Decider; nil: the Router.
-	Make func(aspenshed.Settings, uint64) (Decider, error)
-	// Broken ends all requests at hand after the module has panicked.
-	Broken func()
-
-	router  Decider
-	events  []aspenshed.Event
-	members map[string]aspenshed.Member // as last told, for a new Router
-	order   []string
-	groups  map[int]bool
+	Executor Executor
+	// NewDecider makes a Decider; nil: the Router.
+	NewDecider func(aspenshed.Settings, uint64) (Decider, error)
+	// OnPanic ends all requests at hand after the module has panicked.
+	OnPanic func()
+
+	decider       Decider
+	pendingEvents []aspenshed.Event
+	members       map[string]aspenshed.Member // as last told, for a new Router
+	memberOrder   []string
+	knownGroups   map[int]bool
 }
 
 // Start makes the Router and gives it the list as last known.
 func (s *Stage) Start(known []aspenshed.Member) error {
-	s.members, s.groups = map[string]aspenshed.Member{}, map[int]bool{}
-	if err := s.renew(); err != nil {
+	s.members, s.knownGroups = map[string]aspenshed.Member{}, map[int]bool{}
+	if err := s.resetDecider(); err != nil {
 		return err
 	}
-	s.Members(aspenshed.MemberList{Whole: true, Remnant: true, Members: known})
+	s.UpdateMembers(aspenshed.MemberList{Whole: true, Remnant: true, Members: known})
 	return nil
 }
 
-func (s *Stage) renew() (err error) {
-	if s.Make != nil {
-		s.router, err = s.Make(s.Settings, s.Seed)
+func (s *Stage) resetDecider() (err error) {
+	if s.NewDecider != nil {
+		s.decider, err = s.NewDecider(s.Settings, s.Seed)
 	} else {
-		s.router, err = aspenshed.New(s.Settings, s.Seed)
+		s.decider, err = aspenshed.New(s.Settings, s.Seed)
 	}
 	s.Seed++
 	return err
 }
 
 // KnownGroup tells whether some list has named the group.
-func (s *Stage) KnownGroup(g int) bool { return s.groups[g] }
+func (s *Stage) KnownGroup(g int) bool { return s.knownGroups[g] }
 
-// Request asks the module about a request.
-func (s *Stage) Request(r *request.Request) {
-	s.Tell(aspenshed.Request{ID: r.ID, Class: r.Class, Group: r.Group, Tenant: r.Tenant, Session: r.Session,
-		Remaining: max(r.Deadline-s.Loop.Now(), 1), SinceCommit: r.SinceCommit, Repeat: r.Repeat})
+// Submit asks the module about a request.
+func (s *Stage) Submit(r *request.Request) {
+	s.AddEvent(aspenshed.Request{ID: r.ID, Class: r.Class, Group: r.Group, Tenant: r.Tenant, Session: r.Session,
+		Remaining: max(r.Deadline-s.Loop.Now(), 1), SinceCommit: r.SinceCommit, Repeat: r.IsRetry})
 }
 
-// Members takes news of the member list.
-func (s *Stage) Members(l aspenshed.MemberList) {
+// UpdateMembers takes news of the member list.
+func (s *Stage) UpdateMembers(l aspenshed.MemberList) {
 	if l.Whole {
-		s.members, s.order = map[string]aspenshed.Member{}, nil
+		s.members, s.memberOrder = map[string]aspenshed.Member{}, nil
 	}
 	for _, m := range l.Members {
 		_, old := s.members[m.ID]
-		switch s.groups[m.Group] = true; {
+		switch s.knownGroups[m.Group] = true; {
 		case m.State == aspenshed.Gone: // ids are always new: those that left must not be kept
 			delete(s.members, m.ID)
-			s.order = slices.DeleteFunc(s.order, func(id string) bool { return id == m.ID })
+			s.memberOrder = slices.DeleteFunc(s.memberOrder, func(id string) bool { return id == m.ID })
 			continue
 		case !old:
-			s.order = append(s.order, m.ID)
+			s.memberOrder = append(s.memberOrder, m.ID)
 		}
 		s.members[m.ID] = m
 	}
-	s.Tell(l)
+	s.AddEvent(l)
 }
 
 // Learned is what the Router has learned; false: another Decider is in its place.
 func (s *Stage) Learned() (aspenshed.Learned, bool) {
-	if r, ok := s.router.(*aspenshed.Router); ok {
+	if r, ok := s.decider.(*aspenshed.Router); ok {
 		return r.Learned(), true
 	}
 	return aspenshed.Learned{}, false
 }
 
-// Tell keeps an event for the next Step.
-func (s *Stage) Tell(e aspenshed.Event) { s.events = append(s.events, e) }
+// AddEvent keeps an event for the next Step.
+func (s *Stage) AddEvent(e aspenshed.Event) { s.pendingEvents = append(s.pendingEvents, e) }
 
 // Step gives the module all events at hand and carries out its actions. It runs after every batch.
 func (s *Stage) Step() {
-	events := s.events
-	s.events = nil
-	actions, err := s.step(events)
+	events := s.pendingEvents
+	s.pendingEvents = nil
+	actions, err := s.callDecider(events)
 	if err != nil {
-		s.recover(err)
+		s.restart(err)
 		return
 	}
 	for _, a := range actions {
-		s.do(a)
+		s.execute(a)
 	}
 }
 
-func (s *Stage) step(events []aspenshed.Event) (out []aspenshed.Action, err error) {
+func (s *Stage) callDecider(events []aspenshed.Event) (out []aspenshed.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("%v\n%s", p, debug.Stack())
 		}
 	}()
-	return s.router.Step(s.Loop.Now(), events), nil
+	return s.decider.Step(s.Loop.Now(), events), nil
 }
 
-// recover guards against a defect in the module: every request at hand still gets its one answer, and a new
+// restart guards against a defect in the module: every request at hand still gets its one answer, and a new
 // Router starts from the member list.
-func (s *Stage) recover(err error) {
+func (s *Stage) restart(err error) {
 	s.Log.WithError(err).Error("decision module panicked: requests at hand fail, a new one starts")
-	s.Broken()
-	if err := s.renew(); err != nil {
+	s.OnPanic()
+	if err := s.resetDecider(); err != nil {
 		s.Log.WithError(err).Error("decision module did not start again")
 		return
 	}
-	s.events = nil
-	s.Tell(aspenshed.MemberList{Whole: true, Remnant: true, Members: s.Last()})
+	s.pendingEvents = nil
+	s.AddEvent(aspenshed.MemberList{Whole: true, Remnant: true, Members: s.LastMembers()})
 	s.Loop.Post(func() {})
 }
 
-// Last is the member list as last told.
-func (s *Stage) Last() []aspenshed.Member {
-	out := make([]aspenshed.Member, 0, len(s.order))
-	for _, id := range s.order {
+// LastMembers is the member list as last told.
+func (s *Stage) LastMembers() []aspenshed.Member {
+	out := make([]aspenshed.Member, 0, len(s.memberOrder))
+	for _, id := range s.memberOrder {
 		out = append(out, s.members[id])
 	}
 	return out
 }
 
-func (s *Stage) do(a aspenshed.Action) {
+func (s *Stage) execute(a aspenshed.Action) {
 	switch a := a.(type) {
 	case aspenshed.Send:
-		s.Do.Send(a.ID, a.Member, a.Attempt, a.GiveUpAt, a.LeaveBy)
+		s.Executor.Send(a.ID, a.Member, a.Attempt, a.GiveUpAt, a.LeaveBy)
 	case aspenshed.Cancel:
-		s.Do.Cancel(a.ID, a.Attempt)
+		s.Executor.Cancel(a.ID, a.Attempt)
 	case aspenshed.Probe:
-		s.Do.Probe(a.Member)
+		s.Executor.Probe(a.Member)
 	case aspenshed.ClosePool:
-		s.Do.ClosePool(a.Member)
+		s.Executor.ClosePool(a.Member)
 	case aspenshed.Refuse:
-		s.Do.Refuse(a.ID, a.RetryIn)
+		s.Executor.Refuse(a.ID, a.RetryIn)
 	case aspenshed.Fail:
-		s.Do.Fail(a.ID)
+		s.Executor.Fail(a.ID)
 	case aspenshed.Watch:
-		s.Do.Watch()
+		s.Executor.Watch()
 	case aspenshed.Wake:
-		s.Loop.At(s.Loop.Now()+a.After, func() { s.Tell(aspenshed.Woke{Label: a.Label}) })
+		s.Loop.At(s.Loop.Now()+a.After, func() { s.AddEvent(aspenshed.Woke{Label: a.Label}) })
 	case aspenshed.Note:
 		s.Log.WithField("note", a.Text).Info("decision module")
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -90,7 +90,7 @@
 			m.Size = *x.Weight
 		}
 		if x.StartedAtMs > 0 {
-			m.StartedAt = eventloop.UnixMs(x.StartedAtMs)
+			m.StartedAt = eventloop.FromUnixMillis(x.StartedAtMs)
 		}
 		switch x.Lifecycle {
 		case "in_service":
@@ -230,14 +230,14 @@
 }
 
 func (x *watch) alive() {
-	x.w.Loop.Stop(x.timer)
+	x.w.Loop.StopTimer(x.timer)
 	x.heard = x.w.Loop.Now()
 	x.timer = x.w.Loop.At(x.heard+silence, func() { x.broke(errSilent) })
 }
 
 func (x *watch) end() {
 	x.over = true
-	x.w.Loop.Stop(x.timer)
+	x.w.Loop.StopTimer(x.timer)
 	if x.conn != nil {
 		x.conn.Close()
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -141,7 +141,7 @@
 }
 
 func (g *rig) service() *netio.Net {
-	n, err := netio.New(netio.Config{Listen: "127.0.0.1:0", Clients: 9, Dials: 9, Accept: func(c *netio.Conn) netio.Handler {
+	n, err := netio.New(netio.Config{Listen: "127.0.0.1:0", MaxClients: 9, MaxDials: 9, Accept: func(c *netio.Conn) netio.Handler {
 		return &server{conn: c, asks: g.asks}
 	}})
 	if err != nil {
@@ -153,7 +153,7 @@
 
 func (g *rig) until(what string, ok func() bool) {
 	g.t.Helper()
-	for end := time.Now().Add(10 * time.Second); !ok(); g.Loop.Turn() {
+	for end := time.Now().Add(10 * time.Second); !ok(); g.Loop.RunPending() {
 		if time.Now().After(end) {
 			g.t.Fatalf("never came: %s", what)
 		}
@@ -204,11 +204,11 @@
 		t.Errorf("updates %v", g.versions)
 	}
 	g.clock.now += silence - 1
-	if g.Loop.Turn(); g.broke != 0 {
+	if g.Loop.RunPending(); g.broke != 0 {
 		t.Error("broke too early")
 	}
 	g.clock.now++
-	if g.Loop.Turn(); g.broke != 1 || g.last != (aspenshed.DiscoveryBroke{Heard: g.clock.now - silence}) {
+	if g.Loop.RunPending(); g.broke != 1 || g.last != (aspenshed.DiscoveryBroke{Heard: g.clock.now - silence}) {
 		t.Errorf("silence broke the watch %d times: %+v", g.broke, g.last)
 	}
 	g.Watch()
@@ -216,7 +216,7 @@
 		t.Errorf("asked %q", s.line)
 	}
 	g.clock.now += silence
-	if g.Loop.Turn(); g.broke != 2 || g.last != (aspenshed.DiscoveryBroke{Heard: g.clock.now - silence}) {
+	if g.Loop.RunPending(); g.broke != 2 || g.last != (aspenshed.DiscoveryBroke{Heard: g.clock.now - silence}) {
 		t.Errorf("a silent call broke %d times: %+v", g.broke, g.last)
 	}
 	g.Watch()
@@ -331,7 +331,7 @@
 		t.Errorf("moved at %d, the call is of %d and %d", moved, g.cur.began, g.cur.moved)
 	}
 	g.clock.now += silence
-	if g.Loop.Turn(); g.broke != 1 || g.last.Heard != moved-movedEarly {
+	if g.Loop.RunPending(); g.broke != 1 || g.last.Heard != moved-movedEarly {
 		t.Errorf("broke %d times: %+v", g.broke, g.last)
 	}
 	if len(g.asks) > 0 {
@@ -406,7 +406,7 @@
 			t.Errorf("%q: %v, broke %d times at once", answer, g.states, g.broke)
 		}
 		g.clock.now += leastGap
-		if g.Loop.Turn(); g.broke != i+1 || g.last.Heard != began {
+		if g.Loop.RunPending(); g.broke != i+1 || g.last.Heard != began {
 			t.Errorf("%q: broke %d times, last %+v", answer, g.broke, g.last)
 		}
 	}
--- a/internal/discovery/dribble_test.go
+++ b/internal/discovery/dribble_test.go
@@ -17,7 +17,7 @@
 	for i := range text {
 		_ = s.conn.Write([]byte(text[i : i+1]))
 		g.clock.now += pause
-		g.Loop.Turn()
+		g.Loop.RunPending()
 	}
 }
 
--- a/internal/experiment/datapath/connection.go
+++ b/internal/experiment/datapath/connection.go
@@ -28,8 +28,8 @@
 	if err != nil {
 		return nil, err
 	}
-	x := &clientConn{c: c, in: pgwire.Reader{Max: 1 << 20}}
-	if err := x.roundTrip(pgwire.Startup("web", "orders")); err != nil {
+	x := &clientConn{c: c, in: pgwire.Reader{MaxSize: 1 << 20}}
+	if err := x.roundTrip(pgwire.StartupMessage("web", "orders")); err != nil {
 		_ = c.Close()
 		return nil, err
 	}
@@ -42,7 +42,7 @@
 	if class == write {
 		verb = "INSERT INTO entries (ref, payload) VALUES ('k%d', '\\x00') RETURNING payload /* id=%d,c=%s,d=900,cluster=1 */"
 	}
-	err = x.roundTrip(pgwire.Query(fmt.Sprintf(verb, id%100, id, classNames[class])))
+	err = x.roundTrip(pgwire.QueryMessage(fmt.Sprintf(verb, id%100, id, classNames[class])))
 	return x.code, err
 }
 
--- a/internal/experiment/datapath/gateway.go
+++ b/internal/experiment/datapath/gateway.go
@@ -76,8 +76,8 @@
 		g := &gateway{number: i, world: w, loop: eventloop.NewLoop(&w.clock), byID: byID, groups: groups,
 			random: rand.New(rand.NewPCG(w.random.Uint64(), uint64(i)))}
 		g.pipeline = pipeline.New(pipeline.Config{Loop: g.loop, Log: w.log, Settings: s, Seed: w.random.Uint64(),
-			MostHeld: mostHeld, Backend: g, Watch: func() {}})
-		g.pipeline.Routing.Make = func(s aspenshed.Settings, seed uint64) (routing.Decider, error) {
+			MaxPending: mostHeld, Backend: g, Watch: func() {}})
+		g.pipeline.Routing.NewDecider = func(s aspenshed.Settings, seed uint64) (routing.Decider, error) {
 			r, err := aspenshed.New(s, seed)
 			g.router = r
 			return timed{r, &g.steps}, err
@@ -97,7 +97,7 @@
 }
 
 // turn handles what is due.
-func (g *gateway) turn() { g.due = g.loop.Turn() }
+func (g *gateway) turn() { g.due = g.loop.RunPending() }
 
 // load has clients ask at random instants, so many a second in the mean.
 func (g *gateway) load(statements float64) {
@@ -122,7 +122,7 @@
 // ask takes one statement in.
 func (g *gateway) ask(class int) {
 	now := g.loop.Now()
-	g.pipeline.Accept.Take(request.Query{Class: class, Group: g.random.IntN(g.groups), Wait: statementWait,
+	g.pipeline.Accept.Accept(request.Query{Class: class, Group: g.random.IntN(g.groups), Timeout: statementWait,
 		Statement: class == write, Client: &client{g, class, now}}, now)
 }
 
@@ -133,9 +133,9 @@
 	arrived aspenshed.Nanos
 }
 
-// Finish counts the answer.
-func (c *client) Finish(f request.Final) {
-	switch g := c.gateway; f.Verdict {
+// Respond counts the answer.
+func (c *client) Respond(f request.Response) {
+	switch g := c.gateway; f.Status {
 	case request.Served:
 		g.answers.served++
 	case request.Refused:
@@ -144,6 +144,6 @@
 		g.answers.failed++
 	}
 	if c.gateway.ended != nil {
-		c.gateway.ended(ending{c.class, c.arrived, c.gateway.loop.Now(), f.Verdict == request.Served})
+		c.gateway.ended(ending{c.class, c.arrived, c.gateway.loop.Now(), f.Status == request.Served})
 	}
 }
--- a/internal/experiment/datapath/link.go
+++ b/internal/experiment/datapath/link.go
@@ -18,7 +18,7 @@
 type link struct {
 	gateway  *gateway
 	database *database
-	events   request.LinkEvents
+	events   request.ConnectionEvents
 	place    int // in database.links; -1: not there
 	closed   bool
 	sent     bool
@@ -26,7 +26,7 @@
 }
 
 // Open connects.
-func (g *gateway) Open(address string, limit aspenshed.Nanos, _ bool, events request.LinkEvents) (request.Link, error) {
+func (g *gateway) Open(address string, limit aspenshed.Nanos, _ bool, events request.ConnectionEvents) (request.Connection, error) {
 	l := &link{gateway: g, database: g.byID[address], events: events, place: -1}
 	l.limit = g.at(limit, func() { l.down(request.Unreachable) })
 	g.at(oneWay, func() {
@@ -52,8 +52,8 @@
 	d.links = append(d.links, l)
 	l.gateway.at(3*oneWay, func() {
 		if !l.closed && d.state == running {
-			l.gateway.loop.Stop(l.limit)
-			l.events.Up()
+			l.gateway.loop.StopTimer(l.limit)
+			l.events.Ready()
 		}
 	})
 }
@@ -61,7 +61,7 @@
 // Send shows by an empty query's round trip that the connection is alive, then lets the statement go.
 func (l *link) Send(statement any, _ aspenshed.Nanos) bool {
 	l.gateway.at(2*oneWay, func() {
-		if l.closed || l.database.state != running || !l.events.Leave() {
+		if l.closed || l.database.state != running || !l.events.AllowSend() {
 			return
 		}
 		l.sent = true
@@ -127,8 +127,8 @@
 
 func nanos(d time.Duration) aspenshed.Nanos { return aspenshed.Nanos(d) }
 
-// Out tells whether a statement may have left.
-func (l *link) Out() bool { return l.sent }
+// MayHaveSent tells whether a statement may have left.
+func (l *link) MayHaveSent() bool { return l.sent }
 
 // Close ends the connection without another event.
 func (l *link) Close() {
@@ -136,7 +136,7 @@
 		return
 	}
 	l.closed = true
-	l.gateway.loop.Stop(l.limit)
+	l.gateway.loop.StopTimer(l.limit)
 	l.leave()
 }
 
@@ -152,12 +152,12 @@
 }
 
 // broke tells the gateway that the connection has ended by itself.
-func (l *link) broke() { l.down(request.HowEnded(l.sent, false)) }
+func (l *link) broke() { l.down(request.ClassifyLoss(l.sent, false)) }
 
-func (l *link) down(how request.End) {
+func (l *link) down(how request.ConnectionLoss) {
 	if l.closed {
 		return
 	}
 	l.Close()
-	l.events.Down(how, errGone)
+	l.events.Lost(how, errGone)
 }
--- a/internal/experiment/pgclient/pgclient.go
+++ b/internal/experiment/pgclient/pgclient.go
@@ -39,7 +39,7 @@
 
 // Dial connects and is greeted.
 func Dial(n *netio.Net, address string) (*Client, error) {
-	c := &Client{reader: pgwire.Reader{Max: maxMessage}, up: make(chan struct{}), answers: make(chan string, 4), ended: make(chan struct{})}
+	c := &Client{reader: pgwire.Reader{MaxSize: maxMessage}, up: make(chan struct{}), answers: make(chan string, 4), ended: make(chan struct{})}
 	conn, err := n.Dial(address, dialLimit, false, c)
 	if err != nil {
 		return nil, err
@@ -50,7 +50,7 @@
 	case <-c.ended:
 		return nil, ErrEnded
 	}
-	if err := conn.Write(pgwire.Startup(user, database)); err != nil {
+	if err := conn.Write(pgwire.StartupMessage(user, database)); err != nil {
 		return nil, err
 	}
 	if _, err := c.answer(greetLimit); err != nil {
@@ -61,7 +61,7 @@
 
 // Query asks one statement and returns the error code of its answer; empty: it was served.
 func (c *Client) Query(sql string) (code string, err error) {
-	if err := c.conn.Write(pgwire.Query(sql)); err != nil {
+	if err := c.conn.Write(pgwire.QueryMessage(sql)); err != nil {
 		return "", err
 	}
 	return c.answer(answerLimit)
--- a/internal/experiment/scale/fleet.go
+++ b/internal/experiment/scale/fleet.go
@@ -55,7 +55,7 @@
 
 // NewFleet has no gateways yet.
 func NewFleet(c Configure) (*Fleet, error) {
-	n, err := netio.New(netio.Config{Name: "hollow", Dials: 2 * maxFleet})
+	n, err := netio.New(netio.Config{Name: "hollow", MaxDials: 2 * maxFleet})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/experiment/scale/load.go
+++ b/internal/experiment/scale/load.go
@@ -36,7 +36,7 @@
 	if databases > maxDatabases {
 		return nil, fmt.Errorf("scale: %d databases, %d at most", databases, maxDatabases)
 	}
-	n, err := netio.New(netio.Config{Name: "load", Dials: maxLoadClients})
+	n, err := netio.New(netio.Config{Name: "load", MaxDials: maxLoadClients})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/experiment/scale/observer.go
+++ b/internal/experiment/scale/observer.go
@@ -29,7 +29,7 @@
 
 // NewObserver subscribes to one of the servers.
 func NewObserver(c Configure) (*Observer, error) {
-	n, err := netio.New(netio.Config{Name: "observer", Dials: 2 * len(c.Servers)})
+	n, err := netio.New(netio.Config{Name: "observer", MaxDials: 2 * len(c.Servers)})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/experiment/scenario/commands_test.go
+++ b/internal/experiment/scenario/commands_test.go
@@ -18,7 +18,7 @@
 
 func newTalk(p *player, login mysqlwire.Login, caps byte) *talk {
 	k := &talk{t: p.t, packets: make(chan []byte, 100)}
-	in := mysqlwire.Reader{Max: 1 << 20}
+	in := mysqlwire.Reader{MaxSize: 1 << 20}
 	up := make(chan bool)
 	conn, err := p.net.Dial(p.address, patient, false, &peer{func() { close(up) }, func(b []byte) {
 		_ = in.Feed(b, func(_ byte, body, _ []byte) error {
@@ -33,7 +33,7 @@
 	k.conn = conn
 	challenge, _ := mysqlwire.ParseGreeting(k.next())
 	login.Auth = mysqlwire.Scramble(challenge, string(login.Auth))
-	response := mysqlwire.Response(1, login)
+	response := mysqlwire.HandshakeResponse(1, login)
 	response[5] |= caps
 	_ = conn.Write(response)
 	return k
@@ -185,7 +185,7 @@
 	k.next()
 	k.next()
 	_ = k.conn.Write(mysqlwire.Command(mysqlwire.ComStmtSendLongData, []byte("\x01\x00\x00\x00\x00\x00long value")))
-	_ = k.conn.Write(mysqlwire.Execute{Nulls: []byte{0}, Types: []byte{0xfc, 0}}.Command(1))
+	_ = k.conn.Write(mysqlwire.Execute{NullBitmap: []byte{0}, Types: []byte{0xfc, 0}}.Packet(1))
 	select {
 	case got := <-p.members["a"].Got:
 		if got.Long != "long value" {
--- a/internal/experiment/scenario/late_test.go
+++ b/internal/experiment/scenario/late_test.go
@@ -31,8 +31,8 @@
 			p.recount()
 			p.sent++
 			late.hold(a)
-			_ = k.conn.Write(mysqlwire.Execute{Nulls: []byte{0}, Types: []byte{0xfd, 0}, Values: []byte("\x01r")}.Command(1))
-			p.until("the execution's connection", func() bool { return p.pipeline.Dispatch.Busy() > 0 })
+			_ = k.conn.Write(mysqlwire.Execute{NullBitmap: []byte{0}, Types: []byte{0xfd, 0}, Values: []byte("\x01r")}.Packet(1))
+			p.until("the execution's connection", func() bool { return p.pipeline.Dispatch.PendingSends() > 0 })
 			p.until("what is late", func() bool { return a.Holding() })
 			p.say("wait 1500ms")
 			if n := len(a.Got); n != 0 {
--- a/internal/experiment/scenario/mysql_test.go
+++ b/internal/experiment/scenario/mysql_test.go
@@ -34,7 +34,7 @@
 var challenge = []byte("12345678abcdefghijkl")
 
 func (mysqlKit) Member(m *Member, c *netio.Conn) netio.Handler {
-	in := mysqlwire.Reader{Max: 1 << 20}
+	in := mysqlwire.Reader{MaxSize: 1 << 20}
 	loggedIn, stmts, next := false, map[uint32]string{}, uint32(len(m.Name))+uint32(m.Name[0]) // ids differ between members
 	text := func(v string) { _ = m.Write(c, mysqlwire.TextResult("payload", &v)) }
 	long := ""
@@ -62,7 +62,7 @@
 	return &peer{func() { _ = m.Write(c, mysqlwire.Greeting(1, challenge)) }, func(b []byte) {
 		_ = in.Feed(b, func(seq byte, body, _ []byte) error {
 			if !loggedIn {
-				l, err := mysqlwire.ParseResponse(body)
+				l, err := mysqlwire.ParseHandshakeResponse(body)
 				if loggedIn = true; err != nil || l.User != "gate" || !l.Matches(challenge, "secret") {
 					return m.Write(c, mysqlwire.Error{Code: 1045, State: "28000", Message: "denied"}.Packet(seq+1))
 				}
@@ -76,7 +76,7 @@
 				}
 				next++
 				stmts[next] = sql
-				return m.Write(c, mysqlwire.PreparedOK(next, sql))
+				return m.Write(c, mysqlwire.PrepareOK(next, sql))
 			case body[0] == mysqlwire.ComStmtSendLongData:
 				long += string(body[7:])
 			case body[0] == mysqlwire.ComStmtExecute:
@@ -105,9 +105,9 @@
 }
 
 func (k mysqlKit) Client(n *netio.Net, address string) Client {
-	in := mysqlwire.Reader{Max: 1 << 20}
+	in := mysqlwire.Reader{MaxSize: 1 << 20}
 	return dial(n, address, nil, func(c *client, ready chan struct{}) func([]byte) {
-		phase, answer := 0, mysqlwire.Answer{}
+		phase, answer := 0, mysqlwire.ResponseReader{}
 		c.send = func(half bool, sql string) {
 			com := byte(mysqlwire.ComQuery)
 			if k.prepared {
@@ -122,7 +122,7 @@
 				case 0:
 					ch, _ := mysqlwire.ParseGreeting(body)
 					phase = 1
-					return c.conn.Write(mysqlwire.Response(seq+1, mysqlwire.Login{User: "web", DB: "fares", Auth: mysqlwire.Scramble(ch, "pass")}))
+					return c.conn.Write(mysqlwire.HandshakeResponse(seq+1, mysqlwire.Login{User: "web", DB: "fares", Auth: mysqlwire.Scramble(ch, "pass")}))
 				case 1:
 					phase = 3
 					close(ready)
@@ -133,10 +133,10 @@
 					return err
 				}
 				a := answer
-				answer = mysqlwire.Answer{}
-				if p, ok := mysqlwire.ParsePrepared(a.First); phase == 2 && ok && a.Err == nil {
+				answer = mysqlwire.ResponseReader{}
+				if p, ok := mysqlwire.ParsePrepareResponse(a.FirstPacket); phase == 2 && ok && a.Err == nil {
 					phase = 3
-					return c.conn.Write(mysqlwire.Execute{Nulls: []byte{0}, Types: []byte{0xfd, 0}, Values: []byte("\x01r")}.Command(p.ID))
+					return c.conn.Write(mysqlwire.Execute{NullBitmap: []byte{0}, Types: []byte{0xfd, 0}, Values: []byte("\x01r")}.Packet(p.ID))
 				}
 				phase = 3
 				c.answers <- verdict(&a)
@@ -146,9 +146,9 @@
 	})
 }
 
-func verdict(a *mysqlwire.Answer) string {
+func verdict(a *mysqlwire.ResponseReader) string {
 	switch {
-	case a.Err == nil && string(a.Row) == "\x01v":
+	case a.Err == nil && string(a.FirstRow) == "\x01v":
 		return "served"
 	case a.Err != nil && a.Err.State == "40001":
 		return "refused"
--- a/internal/experiment/scenario/pg_test.go
+++ b/internal/experiment/scenario/pg_test.go
@@ -21,7 +21,7 @@
 
 func manager(l *eventloop.Loop, s *aspenshed.Settings, e *pipeline.Pipeline) session.Manager {
 	return session.Manager{Loop: l, Settings: s, Limits: session.Limits{Silent: 2000 * ms, Idle: 2000 * ms, Roomy: 7, Spare: 200 * ms},
-		Take: e.Accept.Take, Leave: e.Leave, Rejected: e.Accounting.Rejected}
+		Take: e.Accept.Accept, Leave: e.Abandon, Rejected: e.Accounting.CountRejected}
 }
 
 func (pgKit) Backend(n *netio.Net, l *eventloop.Loop) request.Backend {
@@ -50,26 +50,26 @@
 }
 
 func (pgKit) Member(m *Member, c *netio.Conn) netio.Handler {
-	in := pgwire.Reader{Startup: true, Max: 1 << 20}
+	in := pgwire.Reader{Startup: true, MaxSize: 1 << 20}
 	row := func(v string) []byte {
-		b := pgwire.Append(nil, 'T', "\x00\x01payload\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
-		b = pgwire.Append(b, 'D', "\x00\x01\x00\x00\x00", string(rune(len(v))), v)
-		return pgwire.Append(b, 'C', "SELECT 1\x00")
+		b := pgwire.AppendMessage(nil, 'T', "\x00\x01payload\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
+		b = pgwire.AppendMessage(b, 'D', "\x00\x01\x00\x00\x00", string(rune(len(v))), v)
+		return pgwire.AppendMessage(b, 'C', "SELECT 1\x00")
 	}
 	say := func(b []byte) {
 		role := "on"
 		if m.Primary.Load() {
 			role = "off"
 		}
-		_ = m.Write(c, pgwire.Ready(pgwire.Append(b, 'S', "recovery\x00", role, "\x00")))
+		_ = m.Write(c, pgwire.AppendReadyForQuery(pgwire.AppendMessage(b, 'S', "recovery\x00", role, "\x00")))
 	}
 	var late, stale atomic.Bool // the script's goroutine sets them
 	got := func(msg pgwire.Message) error {
 		if in.Startup {
 			in.Startup = false
-			return m.Write(c, pgwire.Welcome())
+			return m.Write(c, pgwire.StartupResponse())
 		}
-		sql, _, _ := pgwire.CString(msg.Body)
+		sql, _, _ := pgwire.ReadCString(msg.Body)
 		if sql == "" {
 			switch {
 			case stale.Swap(false):
@@ -78,7 +78,7 @@
 			case late.Swap(false):
 				say(row("old"))
 			}
-			return m.Write(c, pgwire.Ready(pgwire.Append(nil, 'I')))
+			return m.Write(c, pgwire.AppendReadyForQuery(pgwire.AppendMessage(nil, 'I')))
 		}
 		if sql == "SHOW health" {
 			x1 := 0
@@ -150,15 +150,15 @@
 }
 
 func (pgKit) Client(n *netio.Net, address string) Client {
-	in := pgwire.Reader{Max: 1 << 20}
-	return dial(n, address, pgwire.Startup("web", "orders"), func(c *client, ready chan struct{}) func([]byte) {
+	in := pgwire.Reader{MaxSize: 1 << 20}
+	return dial(n, address, pgwire.StartupMessage("web", "orders"), func(c *client, ready chan struct{}) func([]byte) {
 		first, verdict := true, ""
-		c.send = func(half bool, sql string) { c.write(half, pgwire.Query(sql)) }
+		c.send = func(half bool, sql string) { c.write(half, pgwire.QueryMessage(sql)) }
 		return func(b []byte) {
 			_ = in.Feed(b, func(m pgwire.Message) error {
 				switch m.Type {
 				case 'D':
-					if v, _ := pgwire.OneColumn(m.Body); v == "v" {
+					if v, _ := pgwire.ParseSingleColumn(m.Body); v == "v" {
 						verdict = "served"
 					}
 				case 'E':
--- a/internal/experiment/scenario/platform_test.go
+++ b/internal/experiment/scenario/platform_test.go
@@ -18,7 +18,7 @@
 // hear is a raw client of the platform's wire: it sends bytes and notes the types of the messages, and the codes of errors.
 func hear(t *testing.T, p *player) (*netio.Conn, func(until string) string) {
 	got, up := make(chan string, 1000), make(chan bool)
-	in := pgwire.Reader{Max: 1 << 20}
+	in := pgwire.Reader{MaxSize: 1 << 20}
 	conn, err := p.net.Dial(p.address, patient, false, &peer{func() { close(up) }, func(b []byte) {
 		_ = in.Feed(b, func(m pgwire.Message) error {
 			word := string(rune(m.Type))
@@ -27,7 +27,7 @@
 				e, _ := pgwire.ParseError(m.Body)
 				word += e.Severity + e.Code + e.Detail
 			case 'D':
-				v, _ := pgwire.OneColumn(m.Body)
+				v, _ := pgwire.ParseSingleColumn(m.Body)
 				word += v
 			case 'S':
 				return nil
@@ -55,8 +55,8 @@
 }
 
 func TestPlatformBadInputIsAnswered(t *testing.T) {
-	hello := string(pgwire.Startup("web", "orders"))
-	ask := func(sql string) string { return string(pgwire.Query(sql)) }
+	hello := string(pgwire.StartupMessage("web", "orders"))
+	ask := func(sql string) string { return string(pgwire.QueryMessage(sql)) }
 	for name, c := range map[string]struct{ send, want string }{
 		"a query right behind the start": {hello + ask(" "), "R Z I Z "},
 		"no comment":                     {hello + ask("SELECT 1"), "R Z EERROR42601 Z "},
@@ -95,7 +95,7 @@
 	p := newPlayer(t, pgKit{}, []string{"a=primary", "b=replica"})
 	conn, heard := hear(t, p)
 	sql := func(class string) []byte {
-		return pgwire.Query("SELECT 1 /* id=" + class + ",c=" + class + ",d=900,cluster=1 */")
+		return pgwire.QueryMessage("SELECT 1 /* id=" + class + ",c=" + class + ",d=900,cluster=1 */")
 	}
 	next := func(member string) (g Got) {
 		t.Helper()
@@ -106,10 +106,10 @@
 		}
 		return g
 	}
-	_ = conn.Write(append(pgwire.Startup("web", "orders"), sql("booking")...))
+	_ = conn.Write(append(pgwire.StartupMessage("web", "orders"), sql("booking")...))
 	next("a").Reply("served") // from now on the primary is known, and reads go to the replica
 	heard("C Z ")
-	_ = conn.Write(append(append(sql("booking"), sql("timetable")...), pgwire.Query("")...))
+	_ = conn.Write(append(append(sql("booking"), sql("timetable")...), pgwire.QueryMessage("")...))
 	slow, quick := next("a"), next("b")
 	quick.Reply("served")
 	p.until("the second answer", func() bool { return p.pipeline.Accounting.Counts.Served == 2 })
@@ -127,17 +127,17 @@
 		var f *postgres.Front
 		p := newPlayer(t, pgKit{}, []string{"a=primary"})
 		f = &postgres.Front{Manager: session.Manager{Loop: p.loop, Settings: &s, Rejected: func(string) {}, Take: func(q request.Query, _ aspenshed.Nanos) *request.Request {
-			q.Client.Finish(request.Final{Verdict: request.Refused, RetryIn: 250 * ms, Reason: "try again"})
+			q.Client.Respond(request.Response{Status: request.Refused, RetryAfter: 250 * ms, Reason: "try again"})
 			return nil
 		}}}
-		n, err := netio.New(netio.Config{Listen: "127.0.0.1:0", Clients: 9, Accept: f.Accept})
+		n, err := netio.New(netio.Config{Listen: "127.0.0.1:0", MaxClients: 9, Accept: f.Accept})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(n.Stop)
 		p.address = n.Addr()
 		conn, heard := hear(t, p)
-		_ = conn.Write(append(pgwire.Startup("web", "orders"), pgwire.Query("SELECT 1 /* id=1,c=booking,d=900,cluster=1 */")...))
+		_ = conn.Write(append(pgwire.StartupMessage("web", "orders"), pgwire.QueryMessage("SELECT 1 /* id=1,c=booking,d=900,cluster=1 */")...))
 		if got := heard(want); got != "R Z "+want {
 			t.Errorf("advice allowed %t: heard %q", allowed, got)
 		}
@@ -149,14 +149,14 @@
 	const many = 90
 	p := newPlayer(t, pgKit{}, []string{"a=replica", "b=replica"})
 	conn, _ := hear(t, p)
-	all := pgwire.Startup("web", "orders")
+	all := pgwire.StartupMessage("web", "orders")
 	for i := range many {
-		all = append(all, pgwire.Query(fmt.Sprintf("INSERT INTO entries VALUES (1) /* id=%d,c=booking,d=5000,cluster=1 */", i))...)
+		all = append(all, pgwire.QueryMessage(fmt.Sprintf("INSERT INTO entries VALUES (1) /* id=%d,c=booking,d=5000,cluster=1 */", i))...)
 	}
 	_ = conn.Write(all)
-	p.until("held requests", func() bool { return p.pipeline.Response.Live() == many })
+	p.until("held requests", func() bool { return p.pipeline.Response.Pending() == many })
 	conn.Close()
-	p.until("its leave", func() bool { return p.pipeline.Response.Live() == 0 })
+	p.until("its leave", func() bool { return p.pipeline.Response.Pending() == 0 })
 	p.members["a"].Primary.Store(true)
 	p.sent = many
 	p.say("wait 500ms", "y send booking", "a expect booking", "a send served", "y expect served")
--- a/internal/experiment/scenario/scenario.go
+++ b/internal/experiment/scenario/scenario.go
@@ -191,7 +191,7 @@
 		m := &Member{Name: name, Clock: p.clock, Got: make(chan Got, 100)}
 		m.Primary.Store(role == "primary")
 		p.members[name] = m
-		n := must(netio.New(netio.Config{Name: name, Listen: "127.0.0.1:0", Clients: 100,
+		n := must(netio.New(netio.Config{Name: name, Listen: "127.0.0.1:0", MaxClients: 100,
 			Accept: func(c *netio.Conn) netio.Handler { return p.kit.Member(m, c) }}))
 		known.Members = append(known.Members, aspenshed.Member{ID: name, Group: 1, Size: 1, State: aspenshed.Up})
 		addresses[name] = n.Addr()
@@ -199,13 +199,13 @@
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
 	p.loop = eventloop.NewLoop(p.clock)
-	p.net = must(netio.New(netio.Config{Name: "out", Dials: 100}))
+	p.net = must(netio.New(netio.Config{Name: "out", MaxDials: 100}))
 	s := Settings()
-	p.pipeline = pipeline.New(pipeline.Config{Loop: p.loop, Log: logrus.NewEntry(log), Settings: s, Seed: 1, MostHeld: 100,
+	p.pipeline = pipeline.New(pipeline.Config{Loop: p.loop, Log: logrus.NewEntry(log), Settings: s, Seed: 1, MaxPending: 100,
 		Backend: p.kit.Backend(p.net, p.loop), Watch: func() {}})
 	accept, manager := p.kit.Front(p.loop, &s, p.pipeline)
 	p.manager = manager
-	p.in = must(netio.New(netio.Config{Name: "in", Listen: "127.0.0.1:0", Clients: 100, Accept: accept}))
+	p.in = must(netio.New(netio.Config{Name: "in", Listen: "127.0.0.1:0", MaxClients: 100, Accept: accept}))
 	p.address = p.in.Addr()
 	if err := p.pipeline.Start(known, addresses); err != nil {
 		p.t.Fatal(err)
@@ -237,19 +237,19 @@
 	}
 	p.until("taken requests", func() bool {
 		c := p.pipeline.Accounting.Counts
-		return c.Taken+c.Rejected >= p.sent || held && p.pipeline.Response.Live() > 0 && c.Auxiliary > p.prepared
+		return c.Accepted+c.Rejected >= p.sent || held && p.pipeline.Response.Pending() > 0 && c.PrepareOnly > p.prepared
 	})
 	if held {
 		return
 	}
 	for range 2 { // what one answer sets off comes with the next batch
-		p.until("probes and links", func() bool { return p.pipeline.Dispatch.Busy() == 0 })
+		p.until("probes and links", func() bool { return p.pipeline.Dispatch.PendingSends() == 0 })
 	}
 }
 
 // recount forgets requests that will never be taken: their client went, or was refused, before it came to them.
 func (p *player) recount() {
-	p.on(func() { p.sent = p.pipeline.Accounting.Counts.Taken + p.pipeline.Accounting.Counts.Rejected })
+	p.on(func() { p.sent = p.pipeline.Accounting.Counts.Accepted + p.pipeline.Accounting.Counts.Rejected })
 }
 
 func (p *player) line(f []string) error {
@@ -290,9 +290,9 @@
 		}
 	case f[1] == "close":
 		var before int
-		p.on(func() { before = p.pipeline.Response.Live() })
+		p.on(func() { before = p.pipeline.Response.Pending() })
 		p.clients[f[0]].Close()
-		p.until("the client's leave", func() bool { return p.pipeline.Response.Live() < max(before, 1) })
+		p.until("the client's leave", func() bool { return p.pipeline.Response.Pending() < max(before, 1) })
 		p.recount()
 	default:
 		return fmt.Errorf("unknown verb")
@@ -360,7 +360,7 @@
 		sql = `INSERT INTO entries (ref, payload) VALUES ('r', 'v') RETURNING payload`
 	}
 	var halves int
-	p.on(func() { halves, p.prepared = p.manager.Halfway(), p.pipeline.Accounting.Counts.Auxiliary })
+	p.on(func() { halves, p.prepared = p.manager.Halfway(), p.pipeline.Accounting.Counts.PrepareOnly })
 	c.Send(half, fmt.Sprintf("%s /* id=%s,c=%s,d=%s,cluster=%s */", sql, tag["id"], class, tag["d"], tag["cluster"]))
 	if half {
 		p.until("half a command", func() bool { return p.manager.Halfway() > halves })
--- a/internal/experiment/scenario/scenario_test.go
+++ b/internal/experiment/scenario/scenario_test.go
@@ -351,7 +351,7 @@
 		t.Run(wire, func(t *testing.T) {
 			p := newPlayer(t, kit, []string{"a=primary", "b=replica"})
 			p.say("x send booking", "a expect booking", "a send served", "x expect served", "a send hold", "x send booking d=5000")
-			p.until("the attempt", func() bool { return p.pipeline.Response.Live() == 1 && p.pipeline.Dispatch.Busy() > 0 })
+			p.until("the attempt", func() bool { return p.pipeline.Response.Pending() == 1 && p.pipeline.Dispatch.PendingSends() > 0 })
 			p.on(func() { p.pipeline.FailAll("the gateway ends") })
 			p.say("x expect refused")
 			p.recount()
@@ -400,14 +400,14 @@
 			for i := range many {
 				p.say(fmt.Sprintf("x%d send booking d=5000", i))
 			}
-			p.until("held requests", func() bool { return p.pipeline.Response.Live() == many })
+			p.until("held requests", func() bool { return p.pipeline.Response.Pending() == many })
 			stopped, goOn := make(chan bool), make(chan bool)
 			p.loop.Post(func() { close(stopped); <-goOn })
 			<-stopped
 			for i := range many {
 				p.clients[fmt.Sprint("x", i)].Close()
 			}
-			for end := time.Now().Add(patient); p.in.Clients() > 0; runtime.Gosched() { // all are read, and none is heard of yet
+			for end := time.Now().Add(patient); p.in.ClientCount() > 0; runtime.Gosched() { // all are read, and none is heard of yet
 				if time.Now().After(end) {
 					t.Fatal("a client's end was never read")
 				}
@@ -415,12 +415,12 @@
 			p.members["b"].Primary.Store(true)
 			p.clock.at.Add(int64(300 * ms)) // a round is due in the same batch
 			close(goOn)
-			p.until("their leave", func() bool { return p.pipeline.Response.Live() == 0 && p.manager.Sessions() == 0 })
+			p.until("their leave", func() bool { return p.pipeline.Response.Pending() == 0 && p.manager.Sessions() == 0 })
 			p.recount()
 			p.say("wait 500ms", "y send booking d=5000", "b expect booking", "b send served", "y expect served")
 			p.on(func() {
 				c := p.pipeline.Accounting.Counts
-				if n := len(p.members["a"].Got) + len(p.members["b"].Got); n != 0 || c.Left != many || c.Attempts-c.Auxiliary != 1 || p.pipeline.Dispatch.Busy() != 0 {
+				if n := len(p.members["a"].Got) + len(p.members["b"].Got); n != 0 || c.ClientGone != many || c.Attempts-c.PrepareOnly != 1 || p.pipeline.Dispatch.PendingSends() != 0 {
 					t.Errorf("members got %d more; counts %+v", n, c)
 				}
 				p.loop.Quit()
--- a/internal/experiment/standin/standin.go
+++ b/internal/experiment/standin/standin.go
@@ -56,7 +56,7 @@
 // Add starts one more.
 func (g *Group) Add(wire Wire, cfg Limits, id string, primary bool) (*DB, error) {
 	d := &DB{ID: id, wire: wire, group: g, m: NewModel(cfg, primary), timer: map[*time.Timer]bool{}}
-	n, err := netio.New(netio.Config{Name: id, Listen: "127.0.0.1:0", Clients: 1000, Accept: func(c *netio.Conn) netio.Handler {
+	n, err := netio.New(netio.Config{Name: id, Listen: "127.0.0.1:0", MaxClients: 1000, Accept: func(c *netio.Conn) netio.Handler {
 		if wire == MySQL {
 			return newMySQL(d, c)
 		}
@@ -164,7 +164,7 @@
 	d.mu.Unlock()
 }
 
-func (g *Group) run(tag sqlcomment.Tag, write bool) string {
+func (g *Group) run(tag sqlcomment.Statement, write bool) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	id := tag.Values["id"]
--- a/internal/experiment/standin/wires.go
+++ b/internal/experiment/standin/wires.go
@@ -18,7 +18,7 @@
 }
 
 func newPostgres(d *DB, c *netio.Conn) *postgres {
-	return &postgres{d: d, c: c, in: pgwire.Reader{Startup: true, Max: 1 << 20}}
+	return &postgres{d: d, c: c, in: pgwire.Reader{Startup: true, MaxSize: 1 << 20}}
 }
 
 func (p *postgres) Up()          {}
@@ -33,16 +33,16 @@
 func (p *postgres) message(m pgwire.Message) error {
 	if p.in.Startup {
 		p.in.Startup = false
-		return p.c.Write(pgwire.Welcome())
+		return p.c.Write(pgwire.StartupResponse())
 	}
-	sql, _, ok := pgwire.CString(m.Body)
+	sql, _, ok := pgwire.ReadCString(m.Body)
 	switch {
 	case m.Type == 'X':
 		p.c.Close()
 	case !ok || m.Type != 'Q':
 		return pgwire.ErrMalformed
 	case strings.TrimSpace(sql) == "":
-		return p.c.Write(pgwire.Ready(pgwire.Append(nil, 'I')))
+		return p.c.Write(pgwire.AppendReadyForQuery(pgwire.AppendMessage(nil, 'I')))
 	case sql == "SHOW health":
 		primary, position, waiting := p.d.state()
 		x1 := 0
@@ -73,15 +73,15 @@
 	if primary {
 		role = "off"
 	}
-	b = pgwire.Append(b, 'S', "recovery\x00", role, "\x00")
-	b = pgwire.Append(b, 'S', "lsn_ms\x00", fmt.Sprint(position), "\x00")
-	_ = p.c.Write(pgwire.Ready(b)) // whom a close has reached needs no answer
+	b = pgwire.AppendMessage(b, 'S', "recovery\x00", role, "\x00")
+	b = pgwire.AppendMessage(b, 'S', "lsn_ms\x00", fmt.Sprint(position), "\x00")
+	_ = p.c.Write(pgwire.AppendReadyForQuery(b)) // whom a close has reached needs no answer
 }
 
 func pgRow(v string) []byte {
-	b := pgwire.Append(nil, 'T', "\x00\x01payload\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
-	b = pgwire.Append(b, 'D', "\x00\x01", string(binary.BigEndian.AppendUint32(nil, uint32(len(v)))), v)
-	return pgwire.Append(b, 'C', "SELECT 1\x00")
+	b := pgwire.AppendMessage(nil, 'T', "\x00\x01payload\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
+	b = pgwire.AppendMessage(b, 'D', "\x00\x01", string(binary.BigEndian.AppendUint32(nil, uint32(len(v)))), v)
+	return pgwire.AppendMessage(b, 'C', "SELECT 1\x00")
 }
 
 // The account that the stand-ins know, and the queries that tell role and position.
@@ -105,7 +105,7 @@
 }
 
 func newMySQL(d *DB, c *netio.Conn) *mysqlConn {
-	return &mysqlConn{d: d, c: c, in: mysqlwire.Reader{Max: 1 << 20}, stmts: map[uint32]string{}}
+	return &mysqlConn{d: d, c: c, in: mysqlwire.Reader{MaxSize: 1 << 20}, stmts: map[uint32]string{}}
 }
 
 func (p *mysqlConn) Up()          { _ = p.c.Write(mysqlwire.Greeting(1, challenge)) }
@@ -119,7 +119,7 @@
 
 func (p *mysqlConn) packet(seq byte, body, _ []byte) error {
 	if !p.known {
-		l, err := mysqlwire.ParseResponse(body)
+		l, err := mysqlwire.ParseHandshakeResponse(body)
 		if p.known = err == nil && l.User == User && l.Matches(challenge, Password); !p.known {
 			return p.c.Write(mysqlwire.Error{Code: 1045, State: "28000", Message: "denied"}.Packet(seq + 1))
 		}
@@ -135,7 +135,7 @@
 	case com == mysqlwire.ComStmtPrepare:
 		p.next++
 		p.stmts[p.next] = sql
-		return p.c.Write(mysqlwire.PreparedOK(p.next, sql))
+		return p.c.Write(mysqlwire.PrepareOK(p.next, sql))
 	case com == mysqlwire.ComStmtExecute && len(body) >= 5:
 		sql = p.stmts[binary.LittleEndian.Uint32(body[1:])]
 		if sql == "" {
--- a/internal/experiment/trial/trial.go
+++ b/internal/experiment/trial/trial.go
@@ -251,7 +251,7 @@
 }
 
 func startLoad(d *daemon.Demo, o Options) *load {
-	n, _ := netio.New(netio.Config{Name: "load", Dials: 4096})
+	n, _ := netio.New(netio.Config{Name: "load", MaxDials: 4096})
 	l := &load{net: n, began: time.Now()}
 	for i := range d.Instances {
 		l.moved(i, d)
--- a/internal/frontend/mysql/backend.go
+++ b/internal/frontend/mysql/backend.go
@@ -24,7 +24,7 @@
 
 // Statement is what the MySQL front has a member do.
 type Statement struct {
-	Tag     sqlcomment.Tag
+	Tag     sqlcomment.Statement
 	Prepare bool // only prepare it
 	Execute *mysqlwire.Execute
 	Long    []LongData
@@ -66,24 +66,24 @@
 // side up to whole answers; all else is the loop's.
 type link struct {
 	b       *Backend
-	ev      request.LinkEvents
+	ev      request.ConnectionEvents
 	conn    *netio.Conn
 	in      mysqlwire.Reader
 	pending session.PendingResponses
 
 	// The poller's.
 	phase  int // of the login
-	answer mysqlwire.Answer
-	seq    byte               // of the answer's last packet
-	whole  []mysqlwire.Answer // answers that the bytes at hand have brought to their end
+	answer mysqlwire.ResponseReader
+	seq    byte                       // of the answer's last packet
+	whole  []mysqlwire.ResponseReader // answers that the bytes at hand have brought to their end
 
 	// The loop's.
 	limit    *eventloop.Timer
 	closed   bool
 	sent     bool // the statement's last byte may have left
 	stmt     *Statement
-	prepared map[string]mysqlwire.Prepared
-	then     func(*mysqlwire.Answer) // what the next whole answer is for
+	prepared map[string]mysqlwire.PrepareResponse
+	then     func(*mysqlwire.ResponseReader) // what the next whole answer is for
 	report   aspenshed.Report
 	extra    bool // more came than belongs to the answer: it is good, the link is not
 }
@@ -107,8 +107,8 @@
 )
 
 // Open dials. The limit holds until the server has let the link in.
-func (b *Backend) Open(address string, limit aspenshed.Nanos, probe bool, ev request.LinkEvents) (request.Link, error) {
-	l := &link{b: b, ev: ev, in: mysqlwire.Reader{Max: maxAnswer}, prepared: map[string]mysqlwire.Prepared{}}
+func (b *Backend) Open(address string, limit aspenshed.Nanos, probe bool, ev request.ConnectionEvents) (request.Connection, error) {
+	l := &link{b: b, ev: ev, in: mysqlwire.Reader{MaxSize: maxAnswer}, prepared: map[string]mysqlwire.PrepareResponse{}}
 	conn, err := b.Net.Dial(address, time.Duration(limit), probe, l)
 	if err != nil {
 		return nil, err
@@ -129,24 +129,24 @@
 		return
 	}
 	l.Close()
-	l.ev.Down(request.HowEnded(l.sent, errors.Is(err, netio.ErrRefused)), err)
+	l.ev.Lost(request.ClassifyLoss(l.sent, errors.Is(err, netio.ErrRefused)), err)
 }
 
 // Close ends the connection without another event.
 func (l *link) Close() {
 	l.closed = true
-	l.b.Loop.Stop(l.limit)
+	l.b.Loop.StopTimer(l.limit)
 	l.conn.Close()
 }
 
-// Out tells whether the statement itself may have left; preparing it runs nothing.
-func (l *link) Out() bool { return l.sent }
+// MayHaveSent tells whether the statement itself may have left; preparing it runs nothing.
+func (l *link) MayHaveSent() bool { return l.sent }
 
 // Data parses; only whole answers reach the loop. What can't be read ends the
 // link, and so does what comes unasked: it could be taken for the next answer.
 func (l *link) Data(b []byte) {
 	err := l.in.Feed(b, l.packet)
-	if err == nil && l.phase == ready && l.pending.Next() == 0 && l.in.Partial() {
+	if err == nil && l.phase == ready && l.pending.Next() == 0 && l.in.HasPartial() {
 		err = errExtra
 	}
 	whole := l.whole
@@ -165,7 +165,7 @@
 	})
 }
 
-func (l *link) done(a *mysqlwire.Answer) {
+func (l *link) done(a *mysqlwire.ResponseReader) {
 	then := l.then
 	if !l.closed && then != nil {
 		l.then = nil
@@ -178,7 +178,7 @@
 		return l.login(seq, body)
 	}
 	what := l.pending.Next()
-	if l.answer.First == nil {
+	if l.answer.FirstPacket == nil {
 		if what == 0 {
 			return errExtra
 		}
@@ -195,8 +195,8 @@
 		return err
 	}
 	a := l.answer
-	l.answer = mysqlwire.Answer{}
-	if what == forCheck && (a.Err != nil || a.First[0] != 0) {
+	l.answer = mysqlwire.ResponseReader{}
+	if what == forCheck && (a.Err != nil || a.FirstPacket[0] != 0) {
 		return errSpoilt
 	}
 	l.pending.Done()
@@ -218,15 +218,15 @@
 		}
 		l.phase = loggingIn
 		out = func() []byte {
-			return mysqlwire.Response(seq+1, mysqlwire.Login{User: l.b.User, DB: l.b.Database,
+			return mysqlwire.HandshakeResponse(seq+1, mysqlwire.Login{User: l.b.User, DB: l.b.Database,
 				Auth: mysqlwire.Scramble(challenge, l.b.Password)})
 		}
 	case body[0] == 0:
 		l.phase = ready
 		l.b.Loop.Post(func() {
 			if !l.closed {
-				l.b.Loop.Stop(l.limit)
-				l.ev.Up()
+				l.b.Loop.StopTimer(l.limit)
+				l.ev.Ready()
 			}
 		})
 		return nil
@@ -234,11 +234,11 @@
 		e := mysqlwire.ParseError(body)
 		return l.turnedAway(&e)
 	default:
-		plugin, fresh, ok := mysqlwire.ParseSwitch(body)
+		plugin, fresh, ok := mysqlwire.ParseAuthSwitchRequest(body)
 		if !ok || plugin != mysqlwire.NativePassword {
 			return errors.New("server wants a way to log in that is not supported")
 		}
-		out = func() []byte { return mysqlwire.Packet(nil, seq+1, mysqlwire.Scramble(fresh, l.b.Password)) }
+		out = func() []byte { return mysqlwire.AppendPacket(nil, seq+1, mysqlwire.Scramble(fresh, l.b.Password)) }
 	}
 	// The connection is the loop's to write on: its Dial may not have returned yet.
 	l.b.Loop.Post(func() { _ = l.conn.Write(out()) })
@@ -251,7 +251,7 @@
 	if errors.As(err, &e) && (e.Code == 1040 || e.Code == 1203) {
 		l.b.Loop.Post(func() {
 			if !l.closed {
-				l.ev.Done(request.Result{Outcome: aspenshed.Full, Close: true, Detail: e.Message})
+				l.ev.Done(request.Result{Outcome: aspenshed.Full, CloseConnection: true, Detail: e.Message})
 			}
 		})
 		return nil
@@ -264,7 +264,7 @@
 // only the execution counts as sent.
 func (l *link) Send(statement any, wait aspenshed.Nanos) bool {
 	l.stmt = statement.(*Statement)
-	return l.ask(forCheck, mysqlwire.Command(mysqlwire.ComPing), func(*mysqlwire.Answer) {
+	return l.ask(forCheck, mysqlwire.Command(mysqlwire.ComPing), func(*mysqlwire.ResponseReader) {
 		if !l.extra && !l.begin(wait) { // where more came, down follows anyway
 			l.down(netio.ErrClosed)
 		}
@@ -276,17 +276,17 @@
 	p, known := l.prepared[s.Tag.SQL]
 	switch {
 	case s.Prepare:
-		return l.ev.Leave() && l.prepare()
+		return l.ev.AllowSend() && l.prepare()
 	case s.Execute != nil && known:
 		return l.execute(p)
 	case s.Execute != nil:
 		return l.prepare()
 	}
-	l.sent = l.ev.Leave()
-	return l.sent && l.ask(forResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(s.Tag.WithWait(int64(wait)/1e6))), l.finish)
+	l.sent = l.ev.AllowSend()
+	return l.sent && l.ask(forResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(s.Tag.WithTimeout(int64(wait)/1e6))), l.finish)
 }
 
-func (l *link) ask(what int, command []byte, then func(*mysqlwire.Answer)) bool {
+func (l *link) ask(what int, command []byte, then func(*mysqlwire.ResponseReader)) bool {
 	l.then = then
 	l.pending.Add(what)
 	if l.conn.Write(command) != nil {
@@ -304,8 +304,8 @@
 			break
 		}
 	}
-	return l.ask(forPrepare, mysqlwire.Command(mysqlwire.ComStmtPrepare, []byte(l.stmt.Tag.SQL)), func(a *mysqlwire.Answer) {
-		p, ok := mysqlwire.ParsePrepared(a.First)
+	return l.ask(forPrepare, mysqlwire.Command(mysqlwire.ComStmtPrepare, []byte(l.stmt.Tag.SQL)), func(a *mysqlwire.ResponseReader) {
+		p, ok := mysqlwire.ParsePrepareResponse(a.FirstPacket)
 		if ok && a.Err == nil {
 			if old, twice := l.prepared[l.stmt.Tag.SQL]; twice {
 				_ = l.conn.Write(mysqlwire.Command(mysqlwire.ComStmtClose, binary.LittleEndian.AppendUint32(nil, old.ID)))
@@ -320,25 +320,25 @@
 	})
 }
 
-func (l *link) execute(p mysqlwire.Prepared) bool {
+func (l *link) execute(p mysqlwire.PrepareResponse) bool {
 	var b []byte
 	for _, d := range l.stmt.Long {
 		head := binary.LittleEndian.AppendUint16(binary.LittleEndian.AppendUint32(nil, p.ID), d.Param)
 		b = append(b, mysqlwire.Command(mysqlwire.ComStmtSendLongData, head, d.Data)...)
 	}
-	l.sent = l.ev.Leave()
-	return l.sent && l.ask(forResult, append(b, l.stmt.Execute.Command(p.ID)...), l.finish)
+	l.sent = l.ev.AllowSend()
+	return l.sent && l.ask(forResult, append(b, l.stmt.Execute.Packet(p.ID)...), l.finish)
 }
 
 // finish ends an attempt.
-func (l *link) finish(a *mysqlwire.Answer) {
+func (l *link) finish(a *mysqlwire.ResponseReader) {
 	r := request.Result{Outcome: aspenshed.Served, Value: a.Raw}
 	if a.Err != nil {
 		r = outcomeOf(*a.Err)
 	} else if l.stmt != nil && !l.stmt.Prepare && isWrite(l.stmt.Tag.SQL) {
 		r.Role = aspenshed.RolePrimary // it has taken a write
 	}
-	l.sent, l.stmt, r.Close = false, nil, l.extra
+	l.sent, l.stmt, r.CloseConnection = false, nil, l.extra
 	l.ev.Done(r)
 }
 
@@ -361,8 +361,8 @@
 func (l *link) Probe() bool {
 	l.report, l.stmt = aspenshed.Report{}, nil
 	l.sent = true
-	return l.ask(forResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(l.b.Probes.Role)), func(a *mysqlwire.Answer) {
-		if v, _, ok := mysqlwire.LenencString(a.Row); ok {
+	return l.ask(forResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(l.b.Probes.Role)), func(a *mysqlwire.ResponseReader) {
+		if v, _, ok := mysqlwire.ReadLenencString(a.FirstRow); ok {
 			l.report.HasRole, l.report.Primary = true, v == "0" || v == "OFF"
 		}
 		if a.Err != nil || l.b.Probes.Position == "" {
@@ -373,20 +373,20 @@
 	})
 }
 
-func (l *link) positioned(a *mysqlwire.Answer) {
-	if v, _, ok := mysqlwire.LenencString(a.Row); ok {
+func (l *link) positioned(a *mysqlwire.ResponseReader) {
+	if v, _, ok := mysqlwire.ReadLenencString(a.FirstRow); ok {
 		if ms, err := strconv.ParseInt(v, 10, 64); err == nil && ms > 0 {
-			l.report.HasPosition, l.report.Position = true, eventloop.UnixMs(ms)
+			l.report.HasPosition, l.report.Position = true, eventloop.FromUnixMillis(ms)
 		}
 	}
 	l.probed(a)
 }
 
-func (l *link) probed(a *mysqlwire.Answer) {
+func (l *link) probed(a *mysqlwire.ResponseReader) {
 	r := request.Result{Outcome: aspenshed.Served, Report: l.report}
 	if a.Err != nil {
 		r = request.Result{Outcome: aspenshed.Errored, Detail: a.Err.Message}
 	}
-	l.sent, r.Close = false, l.extra
+	l.sent, r.CloseConnection = false, l.extra
 	l.ev.Done(r)
 }
--- a/internal/frontend/mysql/front.go
+++ b/internal/frontend/mysql/front.go
@@ -64,7 +64,7 @@
 
 // stmt is a client's prepared statement.
 type stmt struct {
-	tag      sqlcomment.Tag
+	tag      sqlcomment.Statement
 	params   atomic.Int32 // as the server said; the loop sets it before the client hears of the statement
 	types    []byte
 	long     []LongData
@@ -73,7 +73,7 @@
 
 // Accept makes a session for a new connection.
 func (f *Front) Accept(c *netio.Conn) netio.Handler {
-	s := &clientConn{f: f, conn: c, session: f.Open(c), in: mysqlwire.Reader{Max: maxPacket}, challenge: make([]byte, 20)}
+	s := &clientConn{f: f, conn: c, session: f.Open(c), in: mysqlwire.Reader{MaxSize: maxPacket}, challenge: make([]byte, 20)}
 	_, _ = rand.Read(s.challenge) // never fails
 	for i, b := range s.challenge {
 		s.challenge[i] = b&0x7f | 1 // no zero byte may stand in it
@@ -90,7 +90,7 @@
 // Data parses and posts.
 func (s *clientConn) Data(b []byte) {
 	err := s.in.Feed(b, s.packet)
-	s.session.Reading(s.in.Partial())
+	s.session.Reading(s.in.HasPartial())
 	switch {
 	case errors.Is(err, errBye):
 		s.session.Gone()
@@ -112,7 +112,7 @@
 func (s *clientConn) packet(seq byte, body, _ []byte) error {
 	switch s.phase {
 	case wantLogin:
-		l, err := mysqlwire.ParseResponse(body)
+		l, err := mysqlwire.ParseHandshakeResponse(body)
 		if err != nil {
 			return err
 		}
@@ -121,7 +121,7 @@
 		}
 		if l.Plugin != "" && l.Plugin != mysqlwire.NativePassword {
 			s.phase, s.user = wantSwitched, l.User
-			return s.say(mysqlwire.SwitchAuth(seq+1, s.challenge))
+			return s.say(mysqlwire.AuthSwitchRequest(seq+1, s.challenge))
 		}
 		return s.login(seq, l)
 	case wantSwitched:
@@ -195,15 +195,15 @@
 }
 
 // readable looks at a statement's text; what cannot be routed is answered here.
-func (s *clientConn) readable(sql string) (sqlcomment.Tag, bool) {
+func (s *clientConn) readable(sql string) (sqlcomment.Statement, bool) {
 	tag, err := sqlcomment.Parse(sql)
-	verb := mysqlwire.Verb(sql)
+	verb := mysqlwire.FirstKeyword(sql)
 	switch {
-	case err != nil && !errors.Is(err, sqlcomment.ErrNone):
+	case err != nil && !errors.Is(err, sqlcomment.ErrNoComment):
 		s.bad(err)
 	case verb == "":
 		s.refuse(1065, "42000", "Query was empty")
-	case mysqlwire.Several(sql):
+	case mysqlwire.HasMultipleStatements(sql):
 		s.refuse(1235, "42000", "multi-statements are not supported")
 	case transactional[verb]:
 		s.refuse(1235, "42000", "transactions are not supported: "+verb)
@@ -225,7 +225,7 @@
 	s.session.Post(0, func(x *session.Slot) { x.Ask(request.Query{}, err, 0, s.f.answer) })
 }
 
-func (s *clientConn) ask(st *Statement, tag sqlcomment.Tag, form func(request.Final) []byte) {
+func (s *clientConn) ask(st *Statement, tag sqlcomment.Statement, form func(request.Response) []byte) {
 	arrived := s.f.Loop.Now()
 	q, err := s.f.query(tag, st)
 	s.session.Post(st.size(), func(x *session.Slot) { x.Ask(q, err, arrived, form) })
@@ -235,7 +235,7 @@
 // for a write that is none only costs the primary some work.
 func isWrite(sql string) bool {
 	up := strings.ToUpper(sql)
-	return mysqlwire.Verb(sql) != "SELECT" || strings.Contains(up, "FOR UPDATE") || strings.Contains(up, "INTO ")
+	return mysqlwire.FirstKeyword(sql) != "SELECT" || strings.Contains(up, "FOR UPDATE") || strings.Contains(up, "INTO ")
 }
 
 // harmless session settings are what every connector says first.
@@ -243,7 +243,7 @@
 
 // query reads the comment, with the configured defaults behind it. What is not
 // known to be a read counts as a write that must never run twice, whatever class it names.
-func (f *Front) query(tag sqlcomment.Tag, st *Statement) (request.Query, error) {
+func (f *Front) query(tag sqlcomment.Statement, st *Statement) (request.Query, error) {
 	class := f.Defaults.ReadClass
 	if isWrite(tag.SQL) {
 		class = f.Defaults.WriteClass
@@ -262,7 +262,7 @@
 	}
 	switch {
 	case st.Prepare: // runs nothing: any member will do
-		q.Name, q.Class, q.Auxiliary = "", f.Class(f.Defaults.ReadClass), true
+		q.ExternalID, q.Class, q.PrepareOnly = "", f.Class(f.Defaults.ReadClass), true
 	case isWrite(tag.SQL) && f.Settings.Classes[q.Class].Need != aspenshed.WriteToIt:
 		q.Class = f.Class(f.Defaults.WriteClass)
 	}
@@ -282,9 +282,9 @@
 	s.lastID++
 	id, st := s.lastID, &stmt{tag: tag}
 	s.stmts[id] = st
-	s.ask(&Statement{Tag: tag, Prepare: true}, tag, func(x request.Final) []byte {
+	s.ask(&Statement{Tag: tag, Prepare: true}, tag, func(x request.Response) []byte {
 		b := s.f.answer(x)
-		if p, ok := mysqlwire.ParsePrepared(b[4:]); ok && x.Verdict == request.Served {
+		if p, ok := mysqlwire.ParsePrepareResponse(b[4:]); ok && x.Status == request.Served {
 			st.params.Store(int32(p.Params))
 			binary.LittleEndian.PutUint32(b[5:], id) // the client knows it by our name
 		}
@@ -328,17 +328,17 @@
 }
 
 // answer is a final answer in bytes.
-func (f *Front) answer(x request.Final) []byte {
+func (f *Front) answer(x request.Response) []byte {
 	switch e, known := x.Value.(mysqlwire.Error); {
-	case x.Verdict == request.Served:
+	case x.Status == request.Served:
 		return x.Value.([]byte)
-	case x.Verdict == request.Refused: // 40001 is the state on which clients try again by themselves
+	case x.Status == request.Refused: // 40001 is the state on which clients try again by themselves
 		m := "refused, nothing ran: " + x.Reason
-		if x.RetryIn > 0 && f.Settings.RetryAdvice {
-			m += fmt.Sprintf("; retry in %d ms", int64(x.RetryIn+999999)/1e6)
+		if x.RetryAfter > 0 && f.Settings.RetryAdvice {
+			m += fmt.Sprintf("; retry in %d ms", int64(x.RetryAfter+999999)/1e6)
 		}
 		return mysqlwire.Error{Code: 1213, State: "40001", Message: m}.Packet(1)
-	case x.Bad:
+	case x.Invalid:
 		return mysqlwire.Error{Code: 1210, State: "HY000", Message: x.Reason}.Packet(1)
 	case known:
 		return e.Packet(1)
--- a/internal/frontend/postgres/backend.go
+++ b/internal/frontend/postgres/backend.go
@@ -35,7 +35,7 @@
 // state, the loop what was sent; they meet in the loop's mailbox and in owed.
 type link struct {
 	loop    *eventloop.Loop
-	ev      request.LinkEvents
+	ev      request.ConnectionEvents
 	conn    *netio.Conn
 	in      pgwire.Reader
 	pending session.PendingResponses
@@ -80,8 +80,8 @@
 )
 
 // Open dials. The limit holds until the database is ready for a statement.
-func (b *Backend) Open(address string, limit aspenshed.Nanos, probe bool, ev request.LinkEvents) (request.Link, error) {
-	l := &link{loop: b.Loop, ev: ev, in: pgwire.Reader{Max: maxAnswer}, next: 'R'}
+func (b *Backend) Open(address string, limit aspenshed.Nanos, probe bool, ev request.ConnectionEvents) (request.Connection, error) {
+	l := &link{loop: b.Loop, ev: ev, in: pgwire.Reader{MaxSize: maxAnswer}, next: 'R'}
 	conn, err := b.Net.Dial(address, time.Duration(limit), probe, l)
 	if err != nil {
 		return nil, err
@@ -98,15 +98,15 @@
 // Send writes an empty query and the statement, only d in it changed, but for its last byte. The empty query's answer
 // shows that the link is alive and that nothing else came ahead of it: till then a break proves that nothing has run.
 func (l *link) Send(statement any, wait aspenshed.Nanos) bool {
-	sql := pgwire.Query(statement.(sqlcomment.Tag).WithWait(int64(wait) / 1e6))
+	sql := pgwire.QueryMessage(statement.(sqlcomment.Statement).WithTimeout(int64(wait) / 1e6))
 	l.rest = sql[len(sql)-1:]
 	l.pending.Add(forCheck)
-	return l.conn.Write(append(pgwire.Query(""), sql[:len(sql)-1]...)) == nil
+	return l.conn.Write(append(pgwire.QueryMessage(""), sql[:len(sql)-1]...)) == nil
 }
 
 // checked lets the statement's last byte go.
 func (l *link) checked() {
-	if !l.ev.Leave() {
+	if !l.ev.AllowSend() {
 		return
 	}
 	l.pending.Add(forStatement)
@@ -121,21 +121,21 @@
 func (l *link) Probe() bool {
 	l.sent = true
 	l.pending.Add(forProbe)
-	return l.conn.Write(pgwire.Query("SHOW health")) == nil
+	return l.conn.Write(pgwire.QueryMessage("SHOW health")) == nil
 }
 
-// Out tells whether a statement may have left.
-func (l *link) Out() bool { return l.sent }
+// MayHaveSent tells whether a statement may have left.
+func (l *link) MayHaveSent() bool { return l.sent }
 
 // Close ends the connection without another event.
 func (l *link) Close() {
 	l.closed = true
-	l.loop.Stop(l.limit)
+	l.loop.StopTimer(l.limit)
 	l.conn.Close()
 }
 
 // Up greets the database. It may run before Dial has returned.
-func (l *link) Up() { l.loop.Post(func() { _ = l.conn.Write(pgwire.Startup("web", "orders")) }) }
+func (l *link) Up() { l.loop.Post(func() { _ = l.conn.Write(pgwire.StartupMessage("web", "orders")) }) }
 
 // Closed is called when the connection ends by itself.
 func (l *link) Closed(err error) { l.loop.Post(func() { l.down(err) }) }
@@ -145,14 +145,14 @@
 		return
 	}
 	l.Close()
-	l.ev.Down(request.HowEnded(l.sent, errors.Is(err, netio.ErrRefused)), err)
+	l.ev.Lost(request.ClassifyLoss(l.sent, errors.Is(err, netio.ErrRefused)), err)
 }
 
 // Data parses; only whole answers reach the loop. What can't be read ends the
 // link, and so does what comes unasked: it could be taken for the next answer.
 func (l *link) Data(b []byte) {
 	err := l.in.Feed(b, l.message)
-	if err == nil && l.ready && l.pending.Next() == 0 && l.in.Partial() {
+	if err == nil && l.ready && l.pending.Next() == 0 && l.in.HasPartial() {
 		err = errExtra
 	}
 	whole := l.whole
@@ -162,8 +162,8 @@
 	}
 	l.loop.Post(func() {
 		for i, r := range whole {
-			r.Close = r.Close || err != nil && i == len(whole)-1 // the answer is good, the link is not
-			if err == nil || r.what != forCheck {                // behind a spoilt check no statement leaves
+			r.CloseConnection = r.CloseConnection || err != nil && i == len(whole)-1 // the answer is good, the link is not
+			if err == nil || r.what != forCheck {                                    // behind a spoilt check no statement leaves
 				l.done(r)
 			}
 		}
@@ -187,7 +187,7 @@
 	switch {
 	case m.Type == 'N': // notices get passed over
 	case m.Type == 'S':
-		k, v, ok := pgwire.Parameter(m.Body)
+		k, v, ok := pgwire.ParseParameterStatus(m.Body)
 		if !ok {
 			return errSpoilt
 		}
@@ -222,12 +222,12 @@
 	case 'R':
 		l.next, ok = 'Z', string(m.Body) == "\x00\x00\x00\x00"
 	case 'T':
-		l.next, ok = 'D', pgwire.IsOneColumn(m.Body)
+		l.next, ok = 'D', pgwire.IsSingleColumn(m.Body)
 	case 'D':
 		l.next = 'C'
-		l.row, ok = pgwire.OneColumn(m.Body)
+		l.row, ok = pgwire.ParseSingleColumn(m.Body)
 	case 'C':
-		_, rest, whole := pgwire.CString(m.Body)
+		_, rest, whole := pgwire.ReadCString(m.Body)
 		l.next, ok = 'Z', whole && len(rest) == 0
 	case 'I':
 		l.next, ok = 'Z', len(m.Body) == 0
@@ -248,21 +248,21 @@
 		return errSpoilt
 	}
 	if what == forStatement {
-		l.rows = pgwire.Append(l.rows, m.Type, string(m.Body))
+		l.rows = pgwire.AppendMessage(l.rows, m.Type, string(m.Body))
 	}
 	return nil
 }
 
 func (l *link) up() {
 	if !l.closed {
-		l.loop.Stop(l.limit)
-		l.ev.Up()
+		l.loop.StopTimer(l.limit)
+		l.ev.Ready()
 	}
 }
 
 // finish keeps a whole answer for the loop.
 func (l *link) finish(what int, last bool) {
-	r := request.Result{Close: last, Outcome: aspenshed.Served, Value: l.rows}
+	r := request.Result{CloseConnection: last, Outcome: aspenshed.Served, Value: l.rows}
 	if e := l.fault; e != nil {
 		r.Outcome, r.Detail, r.Value = outcomeOf(e.Code, l.ready), e.Code+" "+e.Message, *e
 	}
@@ -274,7 +274,7 @@
 	}
 	now := l.loop.Now()
 	if ms, err := strconv.ParseInt(l.params["lsn_ms"], 10, 64); err == nil && ms > 0 && ms <= int64(now+ahead)/1e6 {
-		r.Position = eventloop.UnixMs(ms)
+		r.Position = eventloop.FromUnixMillis(ms)
 	}
 	health := l.params["health"]
 	if what == forProbe {
--- a/internal/frontend/postgres/backend_test.go
+++ b/internal/frontend/postgres/backend_test.go
@@ -25,19 +25,19 @@
 	last request.Result
 }
 
-func (e *ears) Up()         { e.said += "up " }
-func (e *ears) Leave() bool { e.said += "leave "; return false }
+func (e *ears) Ready()          { e.said += "up " }
+func (e *ears) AllowSend() bool { e.said += "leave "; return false }
 func (e *ears) Done(r request.Result) {
 	e.last = r
 	e.said += "done"
-	if r.Close {
+	if r.CloseConnection {
 		e.said += "+close"
 		e.link.Close()
 	}
 	e.said += " "
 }
-func (e *ears) Down(how request.End, _ error) {
-	if e.said += "down"; how == request.CutAfter {
+func (e *ears) Lost(how request.ConnectionLoss, _ error) {
+	if e.said += "down"; how == request.LostAfterSend {
 		e.said += "+sent"
 	}
 	e.said += " "
@@ -46,7 +46,7 @@
 // hear feeds a link that is up and owed something with what a database writes, in pieces of that size.
 func hear(owed []int, wire string, size int) *ears {
 	e := &ears{}
-	l := &link{loop: eventloop.NewLoop(now), ev: e, conn: &netio.Conn{}, in: pgwire.Reader{Max: maxAnswer}, ready: true,
+	l := &link{loop: eventloop.NewLoop(now), ev: e, conn: &netio.Conn{}, in: pgwire.Reader{MaxSize: maxAnswer}, ready: true,
 		sent: slices.Contains(owed, forStatement)}
 	e.link = l
 	for _, what := range owed {
@@ -55,11 +55,11 @@
 	for ; len(wire) > 0; wire = wire[min(size, len(wire)):] {
 		l.Data([]byte(wire[:min(size, len(wire))]))
 	}
-	l.loop.Turn()
+	l.loop.RunPending()
 	return e
 }
 
-func msg(typ byte, body string) string { return string(pgwire.Append(nil, typ, body)) }
+func msg(typ byte, body string) string { return string(pgwire.AppendMessage(nil, typ, body)) }
 
 // Guards "never a value that was not made for the request": a spoilt answer is a failed attempt that may have run,
 // and what comes behind a good one ends the link.
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -31,7 +31,7 @@
 
 // Accept makes a session for a new connection.
 func (f *Front) Accept(c *netio.Conn) netio.Handler {
-	return &clientConn{f: f, conn: c, session: f.Open(c), in: pgwire.Reader{Startup: true, Max: maxQuery}, start: true}
+	return &clientConn{f: f, conn: c, session: f.Open(c), in: pgwire.Reader{Startup: true, MaxSize: maxQuery}, start: true}
 }
 
 // Up has nothing to say: the client speaks first.
@@ -43,7 +43,7 @@
 // Data parses and posts.
 func (s *clientConn) Data(b []byte) {
 	err := s.in.Feed(b, s.message)
-	s.session.Reading(s.in.Partial())
+	s.session.Reading(s.in.HasPartial())
 	switch {
 	case errors.Is(err, errBye):
 		s.session.Gone()
@@ -61,12 +61,12 @@
 	arrived := s.f.Loop.Now()
 	switch m.Type {
 	case 'Q':
-		sql, _, ok := pgwire.CString(m.Body)
+		sql, _, ok := pgwire.ReadCString(m.Body)
 		if !ok {
 			return pgwire.ErrMalformed
 		}
 		if strings.TrimSpace(sql) == "" {
-			s.session.Post(len(m.Body), func(x *session.Slot) { x.Fill(pgwire.Ready(pgwire.Append(nil, 'I'))) })
+			s.session.Post(len(m.Body), func(x *session.Slot) { x.Fill(pgwire.AppendReadyForQuery(pgwire.AppendMessage(nil, 'I'))) })
 			return nil
 		}
 		q, err := s.f.parse(sql)
@@ -85,11 +85,11 @@
 		return s.say([]byte{'N'})
 	case code == pgwire.CancelRequest:
 		return errBye
-	case code>>16 != pgwire.Version3>>16:
+	case code>>16 != pgwire.ProtocolVersion3>>16:
 		return errors.New("protocol version not supported")
 	}
 	s.start, s.in.Startup = false, false
-	return s.say(pgwire.Welcome())
+	return s.say(pgwire.StartupResponse())
 }
 
 // say answers without a slot. A client that can't be answered has gone: that is no bad input.
@@ -113,21 +113,21 @@
 }
 
 // answer is a final answer in bytes.
-func (f *Front) answer(x request.Final) []byte {
+func (f *Front) answer(x request.Response) []byte {
 	e := pgwire.Error{Severity: "ERROR", Code: "XX000", Message: "failed: " + x.Reason}
 	own, known := x.Value.(pgwire.Error)
 	switch {
-	case x.Verdict == request.Served:
-		return pgwire.Ready(x.Value.([]byte))
-	case x.Verdict == request.Refused:
+	case x.Status == request.Served:
+		return pgwire.AppendReadyForQuery(x.Value.([]byte))
+	case x.Status == request.Refused:
 		e.Code, e.Message = "53300", "refused: "+x.Reason
-		if x.RetryIn > 0 && f.Settings.RetryAdvice {
-			e.Detail = strconv.FormatInt(int64(x.RetryIn+999999)/1e6, 10)
+		if x.RetryAfter > 0 && f.Settings.RetryAdvice {
+			e.Detail = strconv.FormatInt(int64(x.RetryAfter+999999)/1e6, 10)
 		}
 	case known && own.Code != "57P03": // a database's own error, where it does not read as a refusal
 		e.Code, e.Message = own.Code, own.Message
-	case x.Bad:
+	case x.Invalid:
 		e.Code, e.Message = "42601", x.Reason
 	}
-	return pgwire.Ready(pgwire.AppendError(nil, e))
+	return pgwire.AppendReadyForQuery(pgwire.AppendError(nil, e))
 }
--- a/internal/frontend/session/memory_test.go
+++ b/internal/frontend/session/memory_test.go
@@ -36,7 +36,7 @@
 				c := &counting{}
 				conns, sessions = append(conns, c), append(sessions, m.Open(c))
 			}
-			m.Loop.Turn()
+			m.Loop.RunPending()
 			var slots []*Slot
 			take := func(x *Slot) { slots = append(slots, x) }
 			for range 200_000 { // commands come in turn, and the loop stands still
@@ -48,7 +48,7 @@
 				}
 			}
 			sessions[flooders].Post(1<<20, take)
-			m.Loop.Turn()
+			m.Loop.RunPending()
 			taken := len(slots)
 			if last := slots[taken-1]; last.s != sessions[flooders] {
 				t.Error("the one that sends a single command was not taken")
@@ -61,7 +61,7 @@
 			}
 			for range 3 {
 				clock.now += sweepEvery
-				m.Loop.Turn()
+				m.Loop.RunPending()
 			}
 			answers := 0
 			for i, c := range conns {
@@ -88,7 +88,7 @@
 	for range maxPipeline {
 		s.Post(1, func(x *Slot) { slots = append(slots, x) })
 	}
-	m.Loop.Turn()
+	m.Loop.RunPending()
 	filled := 0
 	for _, x := range slots[1:] {
 		if conn.closed == 0 {
--- a/internal/frontend/session/session.go
+++ b/internal/frontend/session/session.go
@@ -85,7 +85,7 @@
 type Slot struct {
 	s      *Session
 	r      *request.Request
-	form   func(request.Final) []byte
+	form   func(request.Response) []byte
 	answer []byte
 	done   bool
 	size   int // of what it keeps, in bytes
@@ -169,21 +169,21 @@
 func (s *Session) Gone() { s.manager.Loop.Post(s.end) }
 
 // Ask hands a query on; form turns its final answer into bytes. err is why there is no query.
-func (x *Slot) Ask(q request.Query, err error, arrived aspenshed.Nanos, form func(request.Final) []byte) {
+func (x *Slot) Ask(q request.Query, err error, arrived aspenshed.Nanos, form func(request.Response) []byte) {
 	x.form = form
 	if err != nil {
 		x.s.manager.Rejected(err.Error())
-		x.Finish(request.Final{Verdict: request.Failed, Reason: err.Error(), Bad: true})
+		x.Respond(request.Response{Status: request.Failed, Reason: err.Error(), Invalid: true})
 		return
 	}
 	q.Client = x
-	if r := x.s.manager.Take(q, arrived); r != nil && !r.Final {
+	if r := x.s.manager.Take(q, arrived); r != nil && !r.Responded {
 		x.r = r
 	}
 }
 
-// Finish takes the one final answer.
-func (x *Slot) Finish(f request.Final) { x.Fill(x.form(f)) }
+// Respond takes the one final answer.
+func (x *Slot) Respond(f request.Response) { x.Fill(x.form(f)) }
 
 // Fill sets a command's answer and writes all answers that are next in order.
 func (x *Slot) Fill(b []byte) {
@@ -315,14 +315,14 @@
 }
 
 // Query reads what a statement's comment says of it. Class and tenant go by name.
-func (d *Manager) Query(tag sqlcomment.Tag, statement any) (q request.Query, err error) {
-	q = request.Query{Name: tag.Values["id"], Statement: statement, Repeat: tag.Values["r"] == "1"}
+func (d *Manager) Query(tag sqlcomment.Statement, statement any) (q request.Query, err error) {
+	q = request.Query{ExternalID: tag.Values["id"], Statement: statement, IsRetry: tag.Values["r"] == "1"}
 	if q.Class = d.Class(tag.Values["c"]); q.Class < 0 {
-		return q, errors.New("unknown class " + sqlcomment.Short(tag.Values["c"]))
+		return q, errors.New("unknown class " + sqlcomment.QuoteTruncated(tag.Values["c"]))
 	}
 	if t, ok := tag.Values["t"]; ok && len(d.Settings.Tenants) > 0 {
 		if q.Tenant = d.tenant(t); q.Tenant < 0 {
-			return q, errors.New("unknown tenant " + sqlcomment.Short(t))
+			return q, errors.New("unknown tenant " + sqlcomment.QuoteTruncated(t))
 		}
 	}
 	if n := d.Settings.Classes[q.Class].Need; n == aspenshed.OwnWrites || n == aspenshed.WriteToIt {
@@ -335,7 +335,7 @@
 	if wait <= 0 || wait > 1e7 {
 		return q, errors.New("comment: d is missing or out of range")
 	}
-	q.Wait = aspenshed.Nanos(wait * 1e6)
+	q.Timeout = aspenshed.Nanos(wait * 1e6)
 	group, err := tag.Int("cluster", -1)
 	if err != nil {
 		return q, err
@@ -343,7 +343,7 @@
 	q.Group = int(group)
 	after, err := tag.Int("after", 0)
 	if err == nil && after > 0 {
-		q.SinceCommit = max(d.Loop.Now()-eventloop.UnixMs(after), 1)
+		q.SinceCommit = max(d.Loop.Now()-eventloop.FromUnixMillis(after), 1)
 	}
 	return q, err
 }
--- a/internal/frontend/session/session_test.go
+++ b/internal/frontend/session/session_test.go
@@ -41,7 +41,7 @@
 			pass := func(span aspenshed.Nanos) {
 				for ; span > 0; span -= sweepEvery {
 					c.now += sweepEvery
-					d.Loop.Turn()
+					d.Loop.RunPending()
 				}
 			}
 			if pass(5000 * ms); conn.closed || d.CloseIdle() != 1 {
--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -16,47 +16,47 @@
 
 // Conn is one connection. Its methods may be called from any goroutine.
 type Conn struct {
-	mu      sync.Mutex // held while the poller comes to know c: before that nobody may close it
-	c       *nbio.Conn // nil while the dial is on
-	h       Handler
-	closed  atomic.Bool  // the handler hears nothing more
-	unsent  atomic.Int64 // bytes that Write has taken and the system not yet
-	budget  *atomic.Int64
-	queue   writeQueue
-	flusher *flusher
-	cancel  context.CancelFunc // of the dial
+	mu          sync.Mutex // held while the poller comes to know c: before that nobody may close it
+	nbConn      *nbio.Conn // nil while the dial is on
+	handler     Handler
+	closed      atomic.Bool  // the handler hears nothing more
+	unsentBytes atomic.Int64 // bytes that Write has taken and the system not yet
+	descriptors *atomic.Int64
+	queue       writeQueue
+	flusher     *flusher
+	cancelDial  context.CancelFunc // of the dial
 
-	reading sync.Mutex // held from a read to the end of its Data: Shut knows by it that nothing lies between the two
+	readMu sync.Mutex // held from a read to the end of its Data: Shut knows by it that nothing lies between the two
 }
 
-// hangUp ends sending at once and has the poller close c. A descriptor that anybody else closed could be another
+// closeViaPoller ends sending at once and has the poller close c. A descriptor that anybody else closed could be another
 // connection's before the poller comes to what the system had told it of this one, and that one would end for it.
-func hangUp(c *nbio.Conn) {
+func closeViaPoller(c *nbio.Conn) {
 	c.Lock() // it can't be closed meanwhile
 	defer c.Unlock()
-	shutDown(c)
+	closeViaPollerLocked(c)
 }
 
-// shutDown is hangUp for one who holds c's lock.
-func shutDown(c *nbio.Conn) {
+// closeViaPollerLocked is hangUp for one who holds c's lock.
+func closeViaPollerLocked(c *nbio.Conn) {
 	if done, _ := c.IsClosed(); !done {
 		_ = syscall.Shutdown(c.Hash(), syscall.SHUT_RDWR) // where that fails the poller has the end before it already
 	}
 }
 
-func (x *Conn) conn() *nbio.Conn {
+func (x *Conn) loadConn() *nbio.Conn {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.c
+	return x.nbConn
 }
 
 // Unsent tells whether some of what was written still waits for the peer to read. Close would drop it.
-func (x *Conn) Unsent() bool { return x.unsent.Load() > 0 }
+func (x *Conn) Unsent() bool { return x.unsentBytes.Load() > 0 }
 
 // read hands on what has come; the caller holds reading. whole: until nothing is left, though that costs one more call.
 // An error means that nothing more will come.
 func (x *Conn) read(c *nbio.Conn, buf []byte, whole bool) error {
-	for range maxReads {
+	for range maxReadsPerEvent {
 		n, err := c.Read(buf)
 		switch {
 		case errors.Is(err, syscall.EINTR):
@@ -68,7 +68,7 @@
 			return io.EOF
 		default:
 			if !x.closed.Load() {
-				x.guard(func() { x.h.Data(buf[:n]) })
+				x.callHandler(func() { x.handler.Data(buf[:n]) })
 			}
 			if n < len(buf) && !whole {
 				return nil
@@ -85,9 +85,9 @@
 // not, nothing happens and Shut returns false. What comes later was never read, and its sender knows that.
 // After Shut, as after Close, no Closed follows.
 func (x *Conn) Shut(idle func() bool) bool {
-	x.reading.Lock()
-	defer x.reading.Unlock()
-	c := x.conn()
+	x.readMu.Lock()
+	defer x.readMu.Unlock()
+	c := x.loadConn()
 	if c == nil {
 		x.Close()
 		return true
@@ -105,53 +105,53 @@
 		c.Unlock()
 	}
 	if err != nil {
-		hangUp(c)
+		closeViaPoller(c)
 		return true
 	}
-	time.AfterFunc(LingerLimit, func() { hangUp(c) })
+	time.AfterFunc(LingerTimeout, func() { closeViaPoller(c) })
 	return true
 }
 
 // Close ends the connection at once; no Closed follows.
 func (x *Conn) Close() {
 	x.closed.Store(true)
-	if c := x.conn(); c != nil {
-		hangUp(c)
-	} else if x.cancel != nil {
-		x.cancel()
+	if c := x.loadConn(); c != nil {
+		closeViaPoller(c)
+	} else if x.cancelDial != nil {
+		x.cancelDial()
 	}
 }
 
-// end gives the descriptor back and tells the handler, unless it closed itself.
-func (x *Conn) end(err error) {
-	x.budget.Add(-1)
-	if c := x.conn(); c != nil {
-		err = cmp.Or(x.endWrites(c), err)
+// connectionEnded gives the descriptor back and tells the handler, unless it closed itself.
+func (x *Conn) connectionEnded(err error) {
+	x.descriptors.Add(-1)
+	if c := x.loadConn(); c != nil {
+		err = cmp.Or(x.closeQueue(c), err)
 	}
 	x.waitForReader()
-	x.fail(err)
+	x.notifyClosed(err)
 }
 
 // waitForReader returns once the handler has had all that was read. nbio reports the end of a connection on a goroutine
 // of its own, which may overtake the one that reads. A read that begins later finds the connection ended.
 func (x *Conn) waitForReader() {
-	x.reading.Lock()
-	defer x.reading.Unlock()
+	x.readMu.Lock()
+	defer x.readMu.Unlock()
 }
 
-func (x *Conn) fail(err error) {
+func (x *Conn) notifyClosed(err error) {
 	if !x.closed.Swap(true) {
-		x.h.Closed(err)
+		x.handler.Closed(err)
 	}
 }
 
-// guard keeps a panic in a parser from ending the program: the connection is closed instead.
-func (x *Conn) guard(f func()) {
+// callHandler keeps a panic in a parser from ending the program: the connection is closed instead.
+func (x *Conn) callHandler(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			logrus.WithField("panic", p).Error("connection closed: panic while reading it")
-			if c := x.conn(); c != nil {
-				hangUp(c)
+			if c := x.loadConn(); c != nil {
+				closeViaPoller(c)
 			}
 		}
 	}()
--- a/internal/netio/dial.go
+++ b/internal/netio/dial.go
@@ -19,37 +19,37 @@
 // package's dialer, which does not block a thread either, connects instead;
 // nbio has the socket from then on.
 func (n *Net) Dial(addr string, limit time.Duration, reserved bool, h Handler) (*Conn, error) {
-	most := n.cfg.Dials
+	most := n.cfg.MaxDials
 	if !reserved {
-		most -= n.cfg.Reserved
+		most -= n.cfg.ReservedDials
 	}
 	if n.dials.Add(1) > int64(most) {
 		n.dials.Add(-1)
-		return nil, ErrBudget
+		return nil, ErrDescriptorLimit
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
-	x := &Conn{h: h, budget: &n.dials, flusher: n.flusher, cancel: cancel}
+	x := &Conn{handler: h, descriptors: &n.dials, flusher: n.flusher, cancelDial: cancel}
 	go func() {
 		defer cancel()
 		var d net.Dialer
-		network, where := split(addr)
+		network, where := splitAddress(addr)
 		conn, err := d.DialContext(ctx, network, where)
 		if err == nil {
-			err = n.adopt(x, conn)
+			err = n.register(x, conn)
 		}
 		if errors.Is(err, syscall.ECONNRESET) { // something on the way: a member that is there answers the next dial
-			x.end(fmt.Errorf("%w: %v", ErrClosed, err))
+			x.connectionEnded(fmt.Errorf("%w: %v", ErrClosed, err))
 		} else if err != nil {
-			x.end(fmt.Errorf("%w: %v", ErrRefused, err))
+			x.connectionEnded(fmt.Errorf("%w: %v", ErrRefused, err))
 		}
 	}()
 	return x, nil
 }
 
-// adopt hands a connected socket to nbio. After an error nothing is left open.
-func (n *Net) adopt(x *Conn, conn net.Conn) error {
-	n.ending.RLock()
-	defer n.ending.RUnlock()
+// register hands a connected socket to nbio. After an error nothing is left open.
+func (n *Net) register(x *Conn, conn net.Conn) error {
+	n.stopMu.RLock()
+	defer n.stopMu.RUnlock()
 	if n.stopped { // a poller that ends must come to know no more connections
 		_ = conn.Close()
 		return ErrClosed
@@ -68,16 +68,16 @@
 	}
 	c.SetSession(x)
 	x.mu.Lock()
-	x.c = c
+	x.nbConn = c
 	n.published.Add(1)
-	_, err = n.eng.AddConn(c)
+	_, err = n.engine.AddConn(c)
 	x.mu.Unlock()
 	switch {
 	case err != nil: // nbio has closed it, and OnClose gives the descriptor back
 	case x.closed.Load():
-		hangUp(c)
+		closeViaPoller(c)
 	default:
-		x.guard(x.h.Up)
+		x.callHandler(x.handler.Up)
 	}
 	return nil
 }
--- a/internal/netio/listen.go
+++ b/internal/netio/listen.go
@@ -17,22 +17,22 @@
 // listener guards nbio's accept loop, which spins on every error.
 type listener struct {
 	net.Listener
-	quiet, done       chan struct{}
-	accepting         chan struct{} // closed at the first Accept: nbio (v1.6.8) forgets a Stop that comes before it, and spins
-	first, once, stop sync.Once
+	stopping, closed                chan struct{}
+	accepting                       chan struct{} // closed at the first Accept: nbio (v1.6.8) forgets a Stop that comes before it, and spins
+	acceptOnce, stopOnce, closeOnce sync.Once
 }
 
-// split tells a local socket's path from host and port.
-func split(addr string) (network, where string) {
+// splitAddress tells a local socket's path from host and port.
+func splitAddress(addr string) (network, where string) {
 	if path, ok := strings.CutPrefix(addr, "unix:"); ok {
 		return "unix", path
 	}
 	return "tcp", addr
 }
 
-// local makes a socket in a folder that nobody else can enter, and moves it out once its permissions are set: there
+// listenLocal makes a socket in a folder that nobody else can enter, and moves it out once its permissions are set: there
 // is no moment at which others could open it. One that a killed program left behind is replaced.
-func local(path string) (net.Listener, error) {
+func listenLocal(path string) (net.Listener, error) {
 	if c, err := net.Dial("unix", path); err == nil {
 		_ = c.Close()
 		return nil, fmt.Errorf("%s is in use by another program", path)
@@ -56,45 +56,45 @@
 
 func (n *Net) listen(network, addr string) (l net.Listener, err error) {
 	if network == "unix" {
-		l, err = local(addr)
+		l, err = listenLocal(addr)
 	} else {
 		l, err = net.Listen(network, addr)
 	}
 	if err != nil {
 		return nil, err
 	}
-	n.ln = &listener{Listener: l, quiet: make(chan struct{}), done: make(chan struct{}), accepting: make(chan struct{})}
-	return n.ln, nil
+	n.listener = &listener{Listener: l, stopping: make(chan struct{}), closed: make(chan struct{}), accepting: make(chan struct{})}
+	return n.listener, nil
 }
 
 func (l *listener) Accept() (net.Conn, error) {
-	l.first.Do(func() { close(l.accepting) })
+	l.acceptOnce.Do(func() { close(l.accepting) })
 	c, err := l.Listener.Accept()
 	if err == nil {
 		return c, nil
 	}
 	select {
-	case <-l.quiet:
-		<-l.done
-	case <-l.done:
+	case <-l.stopping:
+		<-l.closed
+	case <-l.closed:
 	case <-time.After(10 * time.Millisecond): // out of descriptors, say
 		logrus.WithError(err).Warn("accept failed")
 	}
 	return nil, err
 }
 
-// hush closes the listener and returns the connections that waited to be accepted.
-func (l *listener) hush() (waiting []net.Conn) {
-	l.once.Do(func() {
-		close(l.quiet)
-		waiting = l.waiting()
+// stopAccepting closes the listener and returns the connections that waited to be accepted.
+func (l *listener) stopAccepting() (waiting []net.Conn) {
+	l.stopOnce.Do(func() {
+		close(l.stopping)
+		waiting = l.acceptPending()
 		_ = l.Listener.Close()
 	})
 	return waiting
 }
 
-// waiting accepts what is there, without waiting for more.
-func (l *listener) waiting() (out []net.Conn) {
+// acceptPending accepts what is there, without acceptPending for more.
+func (l *listener) acceptPending() (out []net.Conn) {
 	sc, ok := l.Listener.(syscall.Conn)
 	if !ok {
 		return nil
@@ -124,9 +124,9 @@
 }
 
 func (l *listener) Close() error {
-	for _, c := range l.hush() {
+	for _, c := range l.stopAccepting() {
 		_ = c.Close()
 	}
-	l.stop.Do(func() { close(l.done) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	return nil
 }
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -50,7 +50,7 @@
 
 func start(t *testing.T, listen string) (*Net, chan *probe) {
 	accepted := make(chan *probe, 10)
-	return startWith(t, Config{Listen: listen, Clients: 3, Dials: 3, Reserved: 1}, accepted), accepted
+	return startWith(t, Config{Listen: listen, MaxClients: 3, MaxDials: 3, ReservedDials: 1}, accepted), accepted
 }
 
 // startWith starts a Net that offers each connection it accepts.
@@ -112,7 +112,7 @@
 	}
 	first, _ := dial(false)
 	_, _ = dial(false)
-	if _, err := dial(false); !errors.Is(err, ErrBudget) {
+	if _, err := dial(false); !errors.Is(err, ErrDescriptorLimit) {
 		t.Errorf("third dial of two: %v", err)
 	}
 	if _, err := dial(true); err != nil {
@@ -199,7 +199,7 @@
 func queued(t *testing.T, x *Conn, bytes int) {
 	t.Helper()
 	for end := time.Now().Add(patient); ; {
-		if n, err := unix.IoctlGetInt(x.c.Hash(), unix.TIOCINQ); err != nil || n >= bytes {
+		if n, err := unix.IoctlGetInt(x.nbConn.Hash(), unix.TIOCINQ); err != nil || n >= bytes {
 			return
 		}
 		if time.Now().After(end) {
@@ -260,7 +260,7 @@
 		if closes {
 			_ = raw.Close()
 		}
-		for end := time.Now().Add(patient); n.Clients() > 0; {
+		for end := time.Now().Add(patient); n.ClientCount() > 0; {
 			if time.Now().After(end) {
 				t.Fatalf("the client closes %t: its descriptor was never given back", closes)
 			}
@@ -278,10 +278,10 @@
 	raw, in := pair(t, n, accepted)
 	in.data = make(chan string, 1000)
 	release := hold(t, n, accepted)
-	if err := unix.SetsockoptInt(in.conn.c.Hash(), unix.SOL_SOCKET, unix.SO_RCVBUF, 4<<20); err != nil {
+	if err := unix.SetsockoptInt(in.conn.nbConn.Hash(), unix.SOL_SOCKET, unix.SO_RCVBUF, 4<<20); err != nil {
 		t.Fatal(err)
 	}
-	long := make([]byte, 6*readSize)
+	long := make([]byte, 6*readBufferSize)
 	_, _ = raw.Write(long)
 	_ = raw.Close()
 	queued(t, in.conn, len(long))
@@ -304,10 +304,10 @@
 	out.conn, _ = n.Dial(n.Addr(), patient, false, out)
 	want(t, "up", out.up)
 	for _, p := range []*probe{out, want(t, "accept", accepted)} {
-		if on, err := unix.GetsockoptInt(p.conn.c.Hash(), unix.IPPROTO_TCP, unix.TCP_NODELAY); on == 0 || err != nil {
+		if on, err := unix.GetsockoptInt(p.conn.nbConn.Hash(), unix.IPPROTO_TCP, unix.TCP_NODELAY); on == 0 || err != nil {
 			t.Errorf("TCP_NODELAY is %d, %v", on, err)
 		}
-		if flags, err := unix.FcntlInt(uintptr(p.conn.c.Hash()), unix.F_GETFD, 0); flags&unix.FD_CLOEXEC == 0 || err != nil {
+		if flags, err := unix.FcntlInt(uintptr(p.conn.nbConn.Hash()), unix.F_GETFD, 0); flags&unix.FD_CLOEXEC == 0 || err != nil {
 			t.Errorf("the descriptor's flags are %#x, %v", flags, err)
 		}
 	}
@@ -321,8 +321,8 @@
 	in.before = func() { close(reading); <-release }
 	_, _ = raw.Write([]byte("x"))
 	want(t, "a read", reading)
-	_ = in.conn.c.Close()
-	for n.Clients() > 0 { // its end is under way
+	_ = in.conn.nbConn.Close()
+	for n.ClientCount() > 0 { // its end is under way
 		runtime.Gosched()
 	}
 	for range 1000 {
@@ -340,7 +340,7 @@
 // first the next are closed and their descriptors given to new ones.
 func TestAnEndIsNotTakenForAnothers(t *testing.T) {
 	accepted := make(chan *probe, 10)
-	n := startWith(t, Config{Listen: "127.0.0.1:0", Clients: 100}, accepted)
+	n := startWith(t, Config{Listen: "127.0.0.1:0", MaxClients: 100}, accepted)
 	release := hold(t, n, accepted)
 	slow, first := pair(t, n, accepted)
 	reading, resume := make(chan bool), make(chan bool)
@@ -385,21 +385,21 @@
 // Guards the budget, and other connections: a link that is given up in the instant in which it comes up.
 func TestALinkGivenUpAsItComesUp(t *testing.T) {
 	accepted := make(chan *probe, 10)
-	n := startWith(t, Config{Listen: "127.0.0.1:0", Clients: 2000, Dials: 2000}, accepted)
+	n := startWith(t, Config{Listen: "127.0.0.1:0", MaxClients: 2000, MaxDials: 2000}, accepted)
 	for range 500 {
 		out := newProbe()
 		c, err := n.Dial(n.Addr(), patient, false, out)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for c.conn() == nil { // the poller comes to know it right now
+		for c.loadConn() == nil { // the poller comes to know it right now
 		}
 		c.Close()
 		want(t, "accept", accepted)
 	}
-	for end := time.Now().Add(patient); n.dials.Load() > 0 || n.Clients() > 0; runtime.Gosched() {
+	for end := time.Now().Add(patient); n.dials.Load() > 0 || n.ClientCount() > 0; runtime.Gosched() {
 		if time.Now().After(end) {
-			t.Fatalf("%d dialled and %d accepted descriptors were never given back", n.dials.Load(), n.Clients())
+			t.Fatalf("%d dialled and %d accepted descriptors were never given back", n.dials.Load(), n.ClientCount())
 		}
 	}
 }
@@ -407,7 +407,7 @@
 // Guards requests on connections that the system has taken and the poller not yet, as the gateway stops listening.
 func TestStopListeningTakesWhatWaits(t *testing.T) {
 	accepted := make(chan *probe) // the first one keeps the accepting goroutine
-	n := startWith(t, Config{Listen: "127.0.0.1:0", Clients: 10}, accepted)
+	n := startWith(t, Config{Listen: "127.0.0.1:0", MaxClients: 10}, accepted)
 	var raws []net.Conn
 	for range 4 {
 		raw, err := net.Dial("tcp", n.Addr())
@@ -431,7 +431,7 @@
 func TestAnEndIsHeardBehindABlockedAnswer(t *testing.T) {
 	n, accepted := start(t, "127.0.0.1:0")
 	raw, in := pair(t, n, accepted)
-	if err := in.conn.Write(make([]byte, maxWriteBuffer)); err != nil {
+	if err := in.conn.Write(make([]byte, defaultMaxWriteBuffer)); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(patient); !in.conn.Unsent(); runtime.Gosched() {
--- a/internal/netio/write.go
+++ b/internal/netio/write.go
@@ -16,31 +16,31 @@
 // the goroutine that writes. Its number may then be the next connection's while the poller still has an event of the old
 // one at hand, and would end the new one by it. Here a failed write stops both ways of the connection, and the poller closes.
 
-// ErrFull is the error of a write on a connection whose peer does not read.
-var ErrFull = errors.New("write buffer full")
+// ErrWriteBufferFull is the error of a write on a connection whose peer does not read.
+var ErrWriteBufferFull = errors.New("write buffer full")
 
-// maxWriteBuffer bounds what waits on one connection for its peer to read, where the Config says nothing else: a write that
+// defaultMaxWriteBuffer bounds what waits on one connection for its peer to read, where the Config says nothing else: a write that
 // would come to more with what waits ends the connection. A single write that finds nothing waiting may be longer, as whoever
 // made it holds it already.
-const maxWriteBuffer = 2 << 20
+const defaultMaxWriteBuffer = 2 << 20
 
 // writeQueue is what waits for the system to take it; the lock of nbio's connection guards it.
 type writeQueue struct {
-	buffer  []byte
-	taken   int   // of buffer, by the system
-	watched bool  // the flusher's epoll knows the descriptor
-	failed  error // no more may be written
+	buffer     []byte
+	sent       int   // of buffer, by the system
+	registered bool  // the flusher's epoll knows the descriptor
+	err        error // no more may be written
 }
 
 // Write sends or queues b. An error means that its last byte never left.
 func (x *Conn) Write(b []byte) error {
-	c := x.conn()
+	c := x.loadConn()
 	if c == nil || x.closed.Load() {
 		return ErrClosed
 	}
 	c.Lock() // it can't be closed meanwhile
 	defer c.Unlock()
-	if !x.writable(c) {
+	if !x.canWrite(c) {
 		return ErrClosed
 	}
 	err := x.sendOrQueue(c, b)
@@ -50,15 +50,15 @@
 	return err
 }
 
-// writable tells whether a write may be tried. Its caller holds c's lock, as do those of the functions below.
-func (x *Conn) writable(c *nbio.Conn) bool {
+// canWrite tells whether a write may be tried. Its caller holds c's lock, as do those of the functions below.
+func (x *Conn) canWrite(c *nbio.Conn) bool {
 	ended, _ := c.IsClosed()
-	return !ended && x.queue.failed == nil
+	return !ended && x.queue.err == nil
 }
 
 func (x *Conn) sendOrQueue(c *nbio.Conn, b []byte) error {
 	q := &x.queue
-	waiting := len(q.buffer) - q.taken
+	waiting := len(q.buffer) - q.sent
 	switch {
 	case waiting == 0:
 		n, err := writeAvailable(c.Hash(), b)
@@ -66,32 +66,32 @@
 			return err
 		}
 		b = b[n:]
-	case x.tooMuch(waiting + len(b)):
-		return ErrFull
+	case x.exceedsLimit(waiting + len(b)):
+		return ErrWriteBufferFull
 	}
-	if q.taken > waiting { // each byte is moved once at most for each that has been taken
-		q.buffer = append(q.buffer[:0], q.buffer[q.taken:]...)
-		q.taken = 0
+	if q.sent > waiting { // each byte is moved once at most for each that has been taken
+		q.buffer = append(q.buffer[:0], q.buffer[q.sent:]...)
+		q.sent = 0
 	}
 	q.buffer = append(q.buffer, b...)
-	x.countWaiting()
+	x.updateCounts()
 	return x.flusher.watch(x, c.Hash())
 }
 
 // flush writes on what waits, once the system takes more.
 func (x *Conn) flush() {
-	c := x.conn()
+	c := x.loadConn()
 	c.Lock()
 	defer c.Unlock()
-	if !x.writable(c) {
+	if !x.canWrite(c) {
 		return
 	}
 	q := &x.queue
-	n, err := writeAvailable(c.Hash(), q.buffer[q.taken:])
-	q.taken += n
-	x.countWaiting()
-	if q.taken == len(q.buffer) {
-		q.buffer, q.taken = nil, 0
+	n, err := writeAvailable(c.Hash(), q.buffer[q.sent:])
+	q.sent += n
+	x.updateCounts()
+	if q.sent == len(q.buffer) {
+		q.buffer, q.sent = nil, 0
 		return
 	}
 	if err == nil {
@@ -105,35 +105,35 @@
 // failWrites drops what waits and has the poller close the connection.
 func (x *Conn) failWrites(c *nbio.Conn, err error) {
 	x.dropQueue(err)
-	shutDown(c)
+	closeViaPollerLocked(c)
 }
 
-// endWrites drops what waits on a connection that has ended, and returns why writes failed, if one did.
-func (x *Conn) endWrites(c *nbio.Conn) error {
+// closeQueue drops what waits on a connection that has ended, and returns why writes failed, if one did.
+func (x *Conn) closeQueue(c *nbio.Conn) error {
 	c.Lock()
 	defer c.Unlock()
-	failed := x.queue.failed
+	failed := x.queue.err
 	x.dropQueue(cmp.Or(failed, ErrClosed))
-	x.flusher.forget(x, c.Hash())
+	x.flusher.unregister(x, c.Hash())
 	return failed
 }
 
 func (x *Conn) dropQueue(why error) {
-	x.queue.failed = why
-	x.queue.buffer, x.queue.taken = nil, 0
-	x.countWaiting()
+	x.queue.err = why
+	x.queue.buffer, x.queue.sent = nil, 0
+	x.updateCounts()
 }
 
-// tooMuch tells whether that many bytes may not wait on the connection.
-func (x *Conn) tooMuch(waiting int) bool {
-	total := x.flusher.queued.Load() - x.unsent.Load() + int64(waiting)
-	return waiting > x.flusher.writeBuffer || waiting > x.flusher.share && total > x.flusher.maxQueued
+// exceedsLimit tells whether that many bytes may not wait on the connection.
+func (x *Conn) exceedsLimit(waiting int) bool {
+	total := x.flusher.queued.Load() - x.unsentBytes.Load() + int64(waiting)
+	return waiting > x.flusher.maxWriteBuffer || waiting > x.flusher.fairShare && total > x.flusher.maxQueued
 }
 
-// countWaiting brings the counts of what waits up to date.
-func (x *Conn) countWaiting() {
-	waiting := int64(len(x.queue.buffer) - x.queue.taken)
-	x.flusher.queued.Add(waiting - x.unsent.Swap(waiting))
+// updateCounts brings the counts of what waits up to date.
+func (x *Conn) updateCounts() {
+	waiting := int64(len(x.queue.buffer) - x.queue.sent)
+	x.flusher.queued.Add(waiting - x.unsentBytes.Swap(waiting))
 }
 
 // writeAvailable writes as much as the system takes at once.
@@ -159,14 +159,14 @@
 	epoll *os.File // Go's own poller watches it, so no thread waits in it
 	raw   syscall.RawConn
 
-	writeBuffer int // bytes that may wait on one connection
+	maxWriteBuffer int // bytes that may wait on one connection
 
 	queued    atomic.Int64 // bytes that wait on all connections
 	maxQueued int64
-	share     int // of a connection, beyond maxQueued
+	fairShare int // of a connection, beyond maxQueued
 
-	mu    sync.Mutex
-	stuck map[int32]*Conn // by descriptor; no more than there are
+	mu      sync.Mutex
+	blocked map[int32]*Conn // by descriptor; no more than there are
 }
 
 func newFlusher(c Config) (*flusher, error) {
@@ -178,8 +178,8 @@
 		_ = syscall.Close(descriptor)
 		return nil, os.NewSyscallError("fcntl", err)
 	}
-	f := &flusher{epoll: os.NewFile(uintptr(descriptor), "epoll"), stuck: map[int32]*Conn{}, maxQueued: cmp.Or(c.Queued, math.MaxInt64)}
-	f.share = int(f.maxQueued) / max(c.Clients+c.Dials, 1)
+	f := &flusher{epoll: os.NewFile(uintptr(descriptor), "epoll"), blocked: map[int32]*Conn{}, maxQueued: cmp.Or(c.MaxQueued, math.MaxInt64)}
+	f.fairShare = int(f.maxQueued) / max(c.MaxClients+c.MaxDials, 1)
 	if f.raw, err = f.epoll.SyscallConn(); err != nil {
 		return nil, errors.Join(err, f.epoll.Close())
 	}
@@ -189,12 +189,12 @@
 // watch has x flushed once its descriptor takes more. The caller holds the lock of x's nbio connection.
 func (f *flusher) watch(x *Conn, descriptor int) error {
 	operation := syscall.EPOLL_CTL_ADD
-	if x.queue.watched {
+	if x.queue.registered {
 		operation = syscall.EPOLL_CTL_MOD
 	}
-	x.queue.watched = true
+	x.queue.registered = true
 	f.mu.Lock()
-	f.stuck[int32(descriptor)] = x
+	f.blocked[int32(descriptor)] = x
 	f.mu.Unlock()
 	event := syscall.EpollEvent{Fd: int32(descriptor), Events: syscall.EPOLLOUT | syscall.EPOLLONESHOT}
 	var err error
@@ -206,19 +206,19 @@
 	return os.NewSyscallError("epoll_ctl", err)
 }
 
-// forget drops a connection that has ended; the system forgets its descriptor by itself.
-func (f *flusher) forget(x *Conn, descriptor int) {
+// unregister drops a connection that has ended; the system forgets its descriptor by itself.
+func (f *flusher) unregister(x *Conn, descriptor int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.stuck[int32(descriptor)] == x {
-		delete(f.stuck, int32(descriptor))
+	if f.blocked[int32(descriptor)] == x {
+		delete(f.blocked, int32(descriptor))
 	}
 }
 
-func (f *flusher) connection(descriptor int32) *Conn {
+func (f *flusher) lookup(descriptor int32) *Conn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.stuck[descriptor]
+	return f.blocked[descriptor]
 }
 
 // run flushes until stop.
@@ -234,7 +234,7 @@
 			return
 		}
 		for _, event := range events[:n] {
-			if x := f.connection(event.Fd); x != nil {
+			if x := f.lookup(event.Fd); x != nil {
 				x.flush()
 			}
 		}
--- a/internal/netio/write_test.go
+++ b/internal/netio/write_test.go
@@ -56,7 +56,7 @@
 			}
 		}},
 		"its buffer is full": {false, func(t *testing.T, x *Conn) {
-			for end := time.Now().Add(patient); x.Write(make([]byte, maxWriteBuffer)) == nil; {
+			for end := time.Now().Add(patient); x.Write(make([]byte, defaultMaxWriteBuffer)) == nil; {
 				if time.Now().After(end) {
 					t.Fatal("the buffer is never full")
 				}
@@ -65,7 +65,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			accepted := make(chan *probe, 10)
-			n := startWith(t, Config{Listen: "127.0.0.1:0", Clients: 100}, accepted)
+			n := startWith(t, Config{Listen: "127.0.0.1:0", MaxClients: 100}, accepted)
 			old, resume := batch(t, n, accepted, fail.reset)
 			for _, in := range old {
 				fail.write(t, in.conn)
@@ -111,8 +111,8 @@
 func TestAWriteThatGetsStuckFollowsWhole(t *testing.T) {
 	for _, listen := range []string{"127.0.0.1:0", "unix:" + t.TempDir() + "/socket"} {
 		accepted := make(chan *probe, 10)
-		n := startWith(t, Config{Listen: listen, Clients: 100}, accepted)
-		network, address := split(listen)
+		n := startWith(t, Config{Listen: listen, MaxClients: 100}, accepted)
+		network, address := splitAddress(listen)
 		if network == "tcp" {
 			address = n.Addr()
 		}
@@ -151,20 +151,20 @@
 func TestOneLongAnswerIsSentWhole(t *testing.T) {
 	n, accepted := start(t, "127.0.0.1:0")
 	_, in := pair(t, n, accepted)
-	if err := unix.SetsockoptInt(in.conn.c.Hash(), unix.SOL_SOCKET, unix.SO_SNDBUF, 64<<10); err != nil {
+	if err := unix.SetsockoptInt(in.conn.nbConn.Hash(), unix.SOL_SOCKET, unix.SO_SNDBUF, 64<<10); err != nil {
 		t.Fatal(err)
 	}
-	long := make([]byte, 2*maxWriteBuffer)
+	long := make([]byte, 2*defaultMaxWriteBuffer)
 	if err := in.conn.Write(long); err != nil {
 		t.Fatal(err)
 	}
 	if !in.conn.Unsent() {
 		t.Error("nothing waits: the test shows nothing")
 	}
-	if err := in.conn.Write([]byte("one more")); !errors.Is(err, ErrFull) {
+	if err := in.conn.Write([]byte("one more")); !errors.Is(err, ErrWriteBufferFull) {
 		t.Errorf("a write behind a full buffer: %v", err)
 	}
-	if err := want(t, "the end", in.closed); !errors.Is(err, ErrFull) {
+	if err := want(t, "the end", in.closed); !errors.Is(err, ErrWriteBufferFull) {
 		t.Errorf("it ended with %v", err)
 	}
 	raw, in := pair(t, n, accepted)
@@ -179,9 +179,9 @@
 // Guards the memory, and the other clients: clients that read nothing are kept their share of answers and no more once all of
 // it is in use; one that is slow for a moment goes on, and one that reads is served.
 func TestClientsThatReadNothingShareABoundedMemory(t *testing.T) {
-	const flooders, limit = 8, 4 * maxWriteBuffer
+	const flooders, limit = 8, 4 * defaultMaxWriteBuffer
 	accepted := make(chan *probe, 10)
-	n := startWith(t, Config{Listen: "127.0.0.1:0", Clients: flooders + 2, Queued: limit}, accepted)
+	n := startWith(t, Config{Listen: "127.0.0.1:0", MaxClients: flooders + 2, MaxQueued: limit}, accepted)
 	slow, patientOne := pair(t, n, accepted)
 	before := stuck(t, patientOne.conn)
 	piece := make([]byte, 64<<10)
@@ -189,9 +189,9 @@
 	for range flooders {
 		_, in := pair(t, n, accepted)
 		_ = stuck(t, in.conn)
-		for waiting := int64(0); waiting < maxWriteBuffer-int64(len(piece)); waiting = in.conn.unsent.Load() {
+		for waiting := int64(0); waiting < defaultMaxWriteBuffer-int64(len(piece)); waiting = in.conn.unsentBytes.Load() {
 			if err := in.conn.Write(piece); err != nil {
-				if !errors.Is(err, ErrFull) {
+				if !errors.Is(err, ErrWriteBufferFull) {
 					t.Fatal(err)
 				}
 				ended++
--- a/internal/protocol/frame/frame.go
+++ b/internal/protocol/frame/frame.go
@@ -49,7 +49,7 @@
 		}
 		b = b[prefixSize+size:]
 	}
-	r.keep(b)
+	r.retain(b)
 	return nil
 }
 
@@ -68,8 +68,8 @@
 	return int(size), nil
 }
 
-// keep holds the rest until more comes, and no memory where there is none.
-func (r *Reader) keep(rest []byte) {
+// retain holds the rest until more comes, and no memory where there is none.
+func (r *Reader) retain(rest []byte) {
 	switch {
 	case len(rest) == 0:
 		r.partial = nil
--- a/internal/protocol/mysqlwire/login.go
+++ b/internal/protocol/mysqlwire/login.go
@@ -43,7 +43,7 @@
 	caps := uint32(Capabilities)
 	b = append(b, byte(caps), byte(caps>>8), 45, 2, 0, byte(caps>>16), byte(caps>>24), 21)
 	b = append(append(b, make([]byte, 10)...), challenge[8:20]...)
-	return Packet(nil, 0, b, []byte("\x00"+NativePassword+"\x00"))
+	return AppendPacket(nil, 0, b, []byte("\x00"+NativePassword+"\x00"))
 }
 
 // ParseGreeting reads a server's challenge.
@@ -60,8 +60,8 @@
 	return append(bytes.Clone(b[:8]), b[27:39]...), nil
 }
 
-// Response builds a client's answer to a greeting.
-func Response(seq byte, l Login) []byte {
+// HandshakeResponse builds a client's answer to a greeting.
+func HandshakeResponse(seq byte, l Login) []byte {
 	caps := uint32(Capabilities)
 	if l.DB == "" {
 		caps &^= CapConnectWithDB
@@ -73,11 +73,11 @@
 	if l.DB != "" {
 		b = append(b, l.DB+"\x00"...)
 	}
-	return Packet(nil, seq, b, []byte(NativePassword+"\x00"))
+	return AppendPacket(nil, seq, b, []byte(NativePassword+"\x00"))
 }
 
-// ParseResponse reads a client's answer to the greeting.
-func ParseResponse(b []byte) (l Login, err error) {
+// ParseHandshakeResponse reads a client's answer to the greeting.
+func ParseHandshakeResponse(b []byte) (l Login, err error) {
 	if len(b) < 4 {
 		return l, ErrMalformed
 	}
@@ -95,7 +95,7 @@
 	l.User = user
 	var auth string
 	if l.Capabilities&CapLenencAuth != 0 || l.Capabilities&(1<<15) != 0 {
-		if auth, rest, ok = LenencString(rest); !ok {
+		if auth, rest, ok = ReadLenencString(rest); !ok {
 			return l, ErrMalformed
 		}
 	} else if auth, rest, ok = cutString(rest); !ok {
@@ -113,13 +113,13 @@
 	return l, nil
 }
 
-// SwitchAuth asks a client for a native password.
-func SwitchAuth(seq byte, challenge []byte) []byte {
-	return Packet(nil, seq, []byte("\xfe"+NativePassword+"\x00"), challenge, []byte{0})
+// AuthSwitchRequest asks a client for a native password.
+func AuthSwitchRequest(seq byte, challenge []byte) []byte {
+	return AppendPacket(nil, seq, []byte("\xfe"+NativePassword+"\x00"), challenge, []byte{0})
 }
 
-// ParseSwitch reads a server's wish for another way to log in: its name and challenge.
-func ParseSwitch(b []byte) (plugin string, challenge []byte, ok bool) {
+// ParseAuthSwitchRequest reads a server's wish for another way to log in: its name and challenge.
+func ParseAuthSwitchRequest(b []byte) (plugin string, challenge []byte, ok bool) {
 	if len(b) < 2 || b[0] != 0xfe {
 		return "", nil, false
 	}
