--- a/internal/protocol/mysqlwire/mysqlwire.go
+++ b/internal/protocol/mysqlwire/mysqlwire.go
@@ -49,9 +49,9 @@
 
 // Reader cuts a stream into packets. It accepts fragments of any size.
 type Reader struct {
-	Max int
-	buf []byte
-	err error // the stream cannot be read on: what still comes is dropped, not kept
+	MaxSize int
+	buf     []byte
+	err     error // the stream cannot be read on: what still comes is dropped, not kept
 }
 
 // Feed adds bytes and calls f for each whole packet with its sequence number,
@@ -59,17 +59,17 @@
 // After an error it takes no more.
 func (r *Reader) Feed(b []byte, f func(seq byte, body, raw []byte) error) error {
 	if r.err == nil {
-		if r.err = r.feed(b, f); r.err != nil {
+		if r.err = r.parse(b, f); r.err != nil {
 			r.buf = nil
 		}
 	}
 	return r.err
 }
 
-// Partial tells whether part of a packet has come and the rest not yet.
-func (r *Reader) Partial() bool { return len(r.buf) > 0 }
+// HasPartial tells whether part of a packet has come and the rest not yet.
+func (r *Reader) HasPartial() bool { return len(r.buf) > 0 }
 
-func (r *Reader) feed(b []byte, f func(seq byte, body, raw []byte) error) error {
+func (r *Reader) parse(b []byte, f func(seq byte, body, raw []byte) error) error {
 	data := b
 	if len(r.buf) > 0 {
 		r.buf = append(r.buf, b...)
@@ -78,7 +78,7 @@
 	rest := data
 	for len(rest) >= 4 {
 		n := int(rest[0]) | int(rest[1])<<8 | int(rest[2])<<16
-		if n > r.Max || n == 1<<24-1 {
+		if n > r.MaxSize || n == 1<<24-1 {
 			return ErrTooLong
 		}
 		if len(rest) < 4+n {
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// Packet adds one packet.
-func Packet(to []byte, seq byte, body ...[]byte) []byte {
+// AppendPacket adds one packet.
+func AppendPacket(to []byte, seq byte, body ...[]byte) []byte {
 	at := len(to)
 	to = append(to, 0, 0, 0, seq)
 	for _, b := range body {
@@ -113,11 +113,11 @@
 
 // Command builds a command's packet.
 func Command(com byte, body ...[]byte) []byte {
-	return Packet(nil, 0, append([][]byte{{com}}, body...)...)
+	return AppendPacket(nil, 0, append([][]byte{{com}}, body...)...)
 }
 
-// Lenenc reads a length-encoded integer. ok is false for NULL and for what is cut off.
-func Lenenc(b []byte) (n uint64, rest []byte, ok bool) {
+// ReadLenencInt reads a length-encoded integer. ok is false for NULL and for what is cut off.
+func ReadLenencInt(b []byte) (n uint64, rest []byte, ok bool) {
 	if len(b) == 0 {
 		return 0, b, false
 	}
@@ -133,17 +133,17 @@
 	return binary.LittleEndian.Uint64(le[:]), b[1+size:], true
 }
 
-// LenencString reads a length-encoded string; NULL is not ok.
-func LenencString(b []byte) (s string, rest []byte, ok bool) {
-	n, rest, ok := Lenenc(b)
+// ReadLenencString reads a length-encoded string; NULL is not ok.
+func ReadLenencString(b []byte) (s string, rest []byte, ok bool) {
+	n, rest, ok := ReadLenencInt(b)
 	if !ok || n > uint64(len(rest)) {
 		return "", b, false
 	}
 	return string(rest[:n]), rest[n:], true
 }
 
-// AppendLenenc adds a length-encoded string.
-func AppendLenenc(to []byte, s string) []byte {
+// AppendLenencString adds a length-encoded string.
+func AppendLenencString(to []byte, s string) []byte {
 	switch n := len(s); {
 	case n < 0xfb:
 		to = append(to, byte(n))
@@ -164,7 +164,7 @@
 
 // Packet is the error in bytes.
 func (e Error) Packet(seq byte) []byte {
-	return Packet(nil, seq, []byte{0xff, byte(e.Code), byte(e.Code >> 8)}, []byte("#"+e.State+e.Message))
+	return AppendPacket(nil, seq, []byte{0xff, byte(e.Code), byte(e.Code >> 8)}, []byte("#"+e.State+e.Message))
 }
 
 // ParseError reads an ERR packet's body.
@@ -180,7 +180,7 @@
 }
 
 // OK is an OK packet of nothing but success.
-func OK(seq byte) []byte { return Packet(nil, seq, []byte{0, 0, 0, 2, 0, 0, 0}) }
+func OK(seq byte) []byte { return AppendPacket(nil, seq, []byte{0, 0, 0, 2, 0, 0, 0}) }
 
 // IsEOF tells an EOF packet from a row.
 func IsEOF(body []byte) bool { return len(body) > 0 && len(body) < 9 && body[0] == 0xfe }
--- a/internal/protocol/mysqlwire/mysqlwire_test.go
+++ b/internal/protocol/mysqlwire/mysqlwire_test.go
@@ -14,18 +14,18 @@
 	if err != nil || !bytes.Equal(got, challenge) {
 		t.Fatalf("%v: challenge %q", err, got)
 	}
-	l, err := ParseResponse(Response(1, Login{User: "u", DB: "fares", Auth: Scramble(challenge, "pw")})[4:])
+	l, err := ParseHandshakeResponse(HandshakeResponse(1, Login{User: "u", DB: "fares", Auth: Scramble(challenge, "pw")})[4:])
 	if err != nil || l.User != "u" || l.DB != "fares" || !l.Matches(challenge, "pw") || l.Matches(challenge, "other") || l.Matches(challenge, "") {
 		t.Errorf("%v: %+v", err, l)
 	}
-	tls := Response(1, Login{User: "u"})[4:]
+	tls := HandshakeResponse(1, Login{User: "u"})[4:]
 	tls[1] |= CapSSL >> 8
-	if _, err := ParseResponse(tls); err == nil || !strings.Contains(err.Error(), "TLS") {
+	if _, err := ParseHandshakeResponse(tls); err == nil || !strings.Contains(err.Error(), "TLS") {
 		t.Errorf("a wish for TLS: %v", err)
 	}
 	for n := range greeting[4:] { // cut anywhere: no panic
 		_, _ = ParseGreeting(greeting[4 : 4+n])
-		_, _ = ParseResponse(tls[:min(n, len(tls))])
+		_, _ = ParseHandshakeResponse(tls[:min(n, len(tls))])
 	}
 }
 
@@ -34,9 +34,9 @@
 	row := TextResult("payload", &v)
 	more := bytes.Clone(OK(1))
 	more[7] |= 8
-	prepared := Packet(nil, 1, []byte{0, 9, 0, 0, 0, 1, 0, 2, 0, 0, 0, 0})
+	prepared := AppendPacket(nil, 1, []byte{0, 9, 0, 0, 0, 1, 0, 2, 0, 0, 0, 0})
 	for _, b := range []byte{'p', 'p', 0xfe, 'c', 0xfe} {
-		prepared = Packet(prepared, 2, []byte{b, 0, 0, 2, 0})
+		prepared = AppendPacket(prepared, 2, []byte{b, 0, 0, 2, 0})
 	}
 	broken := append(bytes.Clone(row[:len(row)-9]), Error{1317, "70100", "interrupted"}.Packet(5)...)
 	for name, c := range map[string]struct {
@@ -51,9 +51,9 @@
 		"error":              {Error{1290, "HY000", "read-only"}.Packet(1), false, nil, 1290},
 		"error between rows": {broken, false, nil, 1317},
 		"prepared":           {prepared, true, nil, 0},
-		"several results":    {more, false, ErrMore, 0},
+		"several results":    {more, false, ErrMultipleResults, 0},
 	} {
-		r, a, whole := Reader{Max: 1 << 16}, Answer{Prepare: c.prepare}, 0
+		r, a, whole := Reader{MaxSize: 1 << 16}, ResponseReader{Prepare: c.prepare}, 0
 		var err error
 		for _, b := range c.wire {
 			err = errors.Join(err, r.Feed([]byte{b}, func(_ byte, body, raw []byte) error {
@@ -79,7 +79,7 @@
 	}
 	again, err := ParseExecute([]byte("\x01\x00\x00\x00\x00\x01\x00\x00\x00\x00\x00\x01s"), 1, e.Types)
 	want := append([]byte("\x10\x00\x00\x00\x17\x09\x00\x00\x00\x00\x01\x00\x00\x00\x00\x01\xfd\x00"), "\x01s"...)
-	if got := again.Command(9); err != nil || !bytes.Equal(got, append([]byte{16 + 0}, want[1:]...)) {
+	if got := again.Packet(9); err != nil || !bytes.Equal(got, append([]byte{16 + 0}, want[1:]...)) {
 		t.Errorf("%v: % x, want % x", err, got, want)
 	}
 	for n := range first {
@@ -92,7 +92,7 @@
 func TestSeveralStatements(t *testing.T) {
 	for sql, want := range map[string]bool{"SELECT 1": false, "SELECT 1; ": false, "SELECT 1; SELECT 2": true, "SELECT ';x', \";y\", `;z`": false,
 		"SELECT 1 /* ; */ -- ; x": false, "SELECT '\\';' ; DROP": true, "SELECT 1; /* only a comment */": false, "SELECT 1 # ; x\n; DROP": true} {
-		if Several(sql) != want {
+		if HasMultipleStatements(sql) != want {
 			t.Errorf("%q: %t", sql, !want)
 		}
 	}
@@ -103,7 +103,7 @@
 	text := Command(ComQuery, make([]byte, 60000))
 	whole := 0
 	if n := testing.AllocsPerRun(1, func() {
-		r := Reader{Max: 1 << 16}
+		r := Reader{MaxSize: 1 << 16}
 		for i := range text {
 			_ = r.Feed(text[i:i+1], func(byte, []byte, []byte) error { whole++; return nil })
 		}
--- a/internal/protocol/mysqlwire/prepared.go
+++ b/internal/protocol/mysqlwire/prepared.go
@@ -5,26 +5,26 @@
 	"encoding/binary"
 )
 
-// Prepared is the head of an answer to COM_STMT_PREPARE.
-type Prepared struct {
+// PrepareResponse is the head of an answer to COM_STMT_PREPARE.
+type PrepareResponse struct {
 	ID              uint32
 	Params, Columns int
 }
 
-// ParsePrepared reads it.
-func ParsePrepared(b []byte) (p Prepared, ok bool) {
+// ParsePrepareResponse reads it.
+func ParsePrepareResponse(b []byte) (p PrepareResponse, ok bool) {
 	if len(b) < 12 || b[0] != 0 {
 		return p, false
 	}
-	return Prepared{ID: binary.LittleEndian.Uint32(b[1:]), Columns: int(binary.LittleEndian.Uint16(b[5:])),
+	return PrepareResponse{ID: binary.LittleEndian.Uint32(b[1:]), Columns: int(binary.LittleEndian.Uint16(b[5:])),
 		Params: int(binary.LittleEndian.Uint16(b[7:]))}, true
 }
 
 // Execute is a COM_STMT_EXECUTE taken apart after its statement id.
 type Execute struct {
-	Nulls  []byte // the bitmap
-	Types  []byte // two bytes a parameter
-	Values []byte
+	NullBitmap []byte // the bitmap
+	Types      []byte // two bytes a parameter
+	Values     []byte
 }
 
 // ParseExecute reads the body after the command byte. types are those of the
@@ -41,7 +41,7 @@
 	if len(b) < n+1 {
 		return e, ErrMalformed
 	}
-	e.Nulls = bytes.Clone(b[:n])
+	e.NullBitmap = bytes.Clone(b[:n])
 	fresh := b[n]
 	b = b[n+1:]
 	if e.Types = types; fresh == 1 {
@@ -57,11 +57,11 @@
 	return e, nil
 }
 
-// Command builds the execution for a server that may never have seen the types. It asks for no cursor.
-func (e Execute) Command(id uint32) []byte {
+// Packet builds the execution for a server that may never have seen the types. It asks for no cursor.
+func (e Execute) Packet(id uint32) []byte {
 	head := append(binary.LittleEndian.AppendUint32(nil, id), 0, 1, 0, 0, 0)
 	if len(e.Types) == 0 {
 		return Command(ComStmtExecute, head)
 	}
-	return Command(ComStmtExecute, head, e.Nulls, []byte{1}, e.Types, e.Values)
+	return Command(ComStmtExecute, head, e.NullBitmap, []byte{1}, e.Types, e.Values)
 }
--- a/internal/protocol/mysqlwire/text.go
+++ b/internal/protocol/mysqlwire/text.go
@@ -4,8 +4,8 @@
 	"strings"
 )
 
-// Several tells whether a text holds more than one statement. Quotes and comments do not count.
-func Several(sql string) bool {
+// HasMultipleStatements tells whether a text holds more than one statement. Quotes and comments do not count.
+func HasMultipleStatements(sql string) bool {
 	var quote byte
 	for i := 0; i < len(sql); i++ {
 		c := sql[i]
@@ -30,15 +30,15 @@
 				return false
 			}
 			i += end
-		case c == ';' && Verb(sql[i+1:]) != "":
+		case c == ';' && FirstKeyword(sql[i+1:]) != "":
 			return true
 		}
 	}
 	return false
 }
 
-// Verb is the first word of a statement in capitals, after comments.
-func Verb(sql string) string {
+// FirstKeyword is the first word of a statement in capitals, after comments.
+func FirstKeyword(sql string) string {
 	for {
 		sql = strings.TrimLeft(sql, " \t\r\n;(")
 		if !strings.HasPrefix(sql, "/*") {
--- a/internal/protocol/pgwire/pgwire.go
+++ b/internal/protocol/pgwire/pgwire.go
@@ -11,13 +11,13 @@
 
 // The codes of start-up packets.
 const (
-	Version3      = 196608
-	CancelRequest = 80877102
-	SSLRequest    = 80877103
-	GSSENCRequest = 80877104
+	ProtocolVersion3 = 196608
+	CancelRequest    = 80877102
+	SSLRequest       = 80877103
+	GSSENCRequest    = 80877104
 )
 
-const maxStartup = 10000 // bytes; PostgreSQL takes no longer packet at the start
+const maxStartupSize = 10000 // bytes; PostgreSQL takes no longer packet at the start
 
 // ErrTooLong and ErrMalformed end a connection.
 var (
@@ -34,7 +34,7 @@
 // Reader cuts a stream into messages. It accepts fragments of any size.
 type Reader struct {
 	Startup bool // the next message has no type byte
-	Max     int  // the longest message taken
+	MaxSize int  // the longest message taken
 	buf     []byte
 	err     error // the stream cannot be read on: what still comes is dropped, not kept
 }
@@ -43,17 +43,17 @@
 // within the call. After an error it takes no more.
 func (r *Reader) Feed(b []byte, f func(Message) error) error {
 	if r.err == nil {
-		if r.err = r.feed(b, f); r.err != nil {
+		if r.err = r.parse(b, f); r.err != nil {
 			r.buf = nil
 		}
 	}
 	return r.err
 }
 
-// Partial tells whether part of a message has come and the rest not yet.
-func (r *Reader) Partial() bool { return len(r.buf) > 0 }
+// HasPartial tells whether part of a message has come and the rest not yet.
+func (r *Reader) HasPartial() bool { return len(r.buf) > 0 }
 
-func (r *Reader) feed(b []byte, f func(Message) error) error {
+func (r *Reader) parse(b []byte, f func(Message) error) error {
 	data := b
 	if len(r.buf) > 0 {
 		r.buf = append(r.buf, b...)
@@ -72,7 +72,7 @@
 		if n < 4 || r.Startup && n < 8 {
 			return ErrMalformed
 		}
-		if n > r.Max || r.Startup && n > maxStartup {
+		if n > r.MaxSize || r.Startup && n > maxStartupSize {
 			return fmt.Errorf("%w: %d bytes", ErrTooLong, n)
 		}
 		whole := head - 4 + n
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// Append adds one message.
-func Append(to []byte, typ byte, body ...string) []byte {
+// AppendMessage adds one message.
+func AppendMessage(to []byte, typ byte, body ...string) []byte {
 	n := 4
 	for _, s := range body {
 		n += len(s)
@@ -113,25 +113,25 @@
 	return to
 }
 
-// Startup builds a start-up packet.
-func Startup(user, database string) []byte {
-	return Append(nil, 0, "\x00\x03\x00\x00user\x00", user, "\x00database\x00", database, "\x00\x00")
+// StartupMessage builds a start-up packet.
+func StartupMessage(user, database string) []byte {
+	return AppendMessage(nil, 0, "\x00\x03\x00\x00user\x00", user, "\x00database\x00", database, "\x00\x00")
 }
 
-// Query builds a simple query.
-func Query(sql string) []byte { return Append(nil, 'Q', sql, "\x00") }
+// QueryMessage builds a simple query.
+func QueryMessage(sql string) []byte { return AppendMessage(nil, 'Q', sql, "\x00") }
 
-// Ready is ReadyForQuery outside a transaction.
-func Ready(to []byte) []byte { return Append(to, 'Z', "I") }
+// AppendReadyForQuery is ReadyForQuery outside a transaction.
+func AppendReadyForQuery(to []byte) []byte { return AppendMessage(to, 'Z', "I") }
 
-// Welcome is what a server answers to a start-up packet.
-func Welcome() []byte {
-	b := Append(nil, 'R', "\x00\x00\x00\x00")
+// StartupResponse is what a server answers to a start-up packet.
+func StartupResponse() []byte {
+	b := AppendMessage(nil, 'R', "\x00\x00\x00\x00")
 	for _, kv := range [][2]string{{"server_version", "16.0"}, {"client_encoding", "UTF8"}, {"server_encoding", "UTF8"},
 		{"standard_conforming_strings", "on"}} {
-		b = Append(b, 'S', kv[0], "\x00", kv[1], "\x00")
+		b = AppendMessage(b, 'S', kv[0], "\x00", kv[1], "\x00")
 	}
-	return Ready(b)
+	return AppendReadyForQuery(b)
 }
 
 // Error is an ErrorResponse. Detail goes into field D where it is not empty.
@@ -143,14 +143,14 @@
 	if e.Detail != "" {
 		s += "D" + e.Detail + "\x00"
 	}
-	return Append(to, 'E', s, "\x00")
+	return AppendMessage(to, 'E', s, "\x00")
 }
 
 // ParseError reads an ErrorResponse. All of it must be well-formed: severity and code decide what becomes of a request.
 func ParseError(body []byte) (e Error, ok bool) {
 	for len(body) > 0 && body[0] != 0 {
 		field := body[0]
-		v, rest, whole := CString(body[1:])
+		v, rest, whole := ReadCString(body[1:])
 		if !whole {
 			return e, false
 		}
@@ -168,8 +168,8 @@
 	return e, len(body) == 1 && e.Severity != "" && len(e.Code) == 5
 }
 
-// CString reads a string that a zero byte ends.
-func CString(b []byte) (s string, rest []byte, ok bool) {
+// ReadCString reads a string that a zero byte ends.
+func ReadCString(b []byte) (s string, rest []byte, ok bool) {
 	i := bytes.IndexByte(b, 0)
 	if i < 0 {
 		return "", b, false
@@ -177,24 +177,24 @@
 	return string(b[:i]), b[i+1:], true
 }
 
-// Parameter reads a ParameterStatus.
-func Parameter(body []byte) (name, value string, ok bool) {
-	name, rest, ok1 := CString(body)
-	value, rest, ok2 := CString(rest)
+// ParseParameterStatus reads a ParameterStatus.
+func ParseParameterStatus(body []byte) (name, value string, ok bool) {
+	name, rest, ok1 := ReadCString(body)
+	value, rest, ok2 := ReadCString(rest)
 	return name, value, ok1 && ok2 && len(rest) == 0
 }
 
-// IsOneColumn tells whether a RowDescription is well-formed and names one column.
-func IsOneColumn(body []byte) bool {
+// IsSingleColumn tells whether a RowDescription is well-formed and names one column.
+func IsSingleColumn(body []byte) bool {
 	if len(body) < 2 || binary.BigEndian.Uint16(body) != 1 {
 		return false
 	}
-	_, rest, ok := CString(body[2:])
+	_, rest, ok := ReadCString(body[2:])
 	return ok && len(rest) == 18
 }
 
-// OneColumn reads a DataRow of one column.
-func OneColumn(body []byte) (string, bool) {
+// ParseSingleColumn reads a DataRow of one column.
+func ParseSingleColumn(body []byte) (string, bool) {
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 {
 		return "", false
 	}
--- a/internal/protocol/pgwire/pgwire_test.go
+++ b/internal/protocol/pgwire/pgwire_test.go
@@ -7,10 +7,10 @@
 )
 
 func TestMessagesFromFragmentsOfAnySize(t *testing.T) {
-	text := append(Startup("web", "orders"), Query("SELECT 1")...)
+	text := append(StartupMessage("web", "orders"), QueryMessage("SELECT 1")...)
 	text = AppendError(text, Error{"ERROR", "53300", "full", "250"})
 	for size := 1; size <= len(text); size++ {
-		r, got := Reader{Startup: true, Max: 1000}, ""
+		r, got := Reader{Startup: true, MaxSize: 1000}, ""
 		for at := 0; at < len(text); at += size {
 			if err := r.Feed(text[at:min(at+size, len(text))], func(m Message) error {
 				r.Startup = false
@@ -34,7 +34,7 @@
 // Guards memory and the program: lengths that lie end the connection, and nothing is kept afterwards.
 func TestMalformedLengths(t *testing.T) {
 	for text, want := range map[string]error{"Q\x00\x00\x00\x03": ErrMalformed, "Q\x7f\xff\xff\xff": ErrTooLong, "Q\xff\xff\xff\xff": ErrTooLong} {
-		r := Reader{Max: 100}
+		r := Reader{MaxSize: 100}
 		for range 2 {
 			if err := r.Feed([]byte(text), func(Message) error { return nil }); !errors.Is(err, want) || len(r.buf) > 0 {
 				t.Errorf("%q: %v with %d bytes kept, want %v", text, err, len(r.buf), want)
@@ -42,7 +42,7 @@
 		}
 	}
 	for _, body := range []string{"", "\x00", "\x00\x01", "\x00\x01\x00\x00\x00\x09x", "\x00\x01\xff\xff\xff\xff", "\x00\x00\x00\x00\x00\x00"} {
-		if v, ok := OneColumn([]byte(body)); ok {
+		if v, ok := ParseSingleColumn([]byte(body)); ok {
 			t.Errorf("%q gave %q", body, v)
 		}
 	}
@@ -55,10 +55,10 @@
 
 // Guards CPU and memory against long messages in small pieces: the buffer is not copied for each of them.
 func TestPiecesAreNotCopiedAgainAndAgain(t *testing.T) {
-	text := Query(string(make([]byte, 60000)))
+	text := QueryMessage(string(make([]byte, 60000)))
 	whole := 0
 	if n := testing.AllocsPerRun(1, func() {
-		r := Reader{Max: 1 << 16}
+		r := Reader{MaxSize: 1 << 16}
 		for i := range text {
 			_ = r.Feed(text[i:i+1], func(Message) error { whole++; return nil })
 		}
@@ -69,7 +69,7 @@
 
 // Guards memory: a packet at the start is short.
 func TestLongStartIsRefused(t *testing.T) {
-	r := Reader{Startup: true, Max: 1 << 20}
+	r := Reader{Startup: true, MaxSize: 1 << 20}
 	if err := r.Feed([]byte("\x00\x00\xff\xff\x00\x03\x00\x00"), nil); !errors.Is(err, ErrTooLong) {
 		t.Error(err)
 	}
--- a/internal/protocol/simwire/encode.go
+++ b/internal/protocol/simwire/encode.go
@@ -9,7 +9,7 @@
 )
 
 // AppendReply appends one reply line, with its newline, to buf.
-func AppendReply(buf []byte, actions []Directed, faults []Fault) []byte {
+func AppendReply(buf []byte, actions []InstanceAction, faults []Fault) []byte {
 	buf = append(buf, `{"do":[`...)
 	first := true
 	open := func(op string, driver int64) {
@@ -38,49 +38,49 @@
 	for _, d := range actions {
 		switch a := d.Action.(type) {
 		case aspenshed.Send:
-			open("attempt", d.Driver)
+			open("attempt", d.Instance)
 			text("ticket", a.ID)
 			if a.GiveUpAt != 0 {
 				number("abandonAtNs", int64(a.GiveUpAt))
 			}
 			text("member", a.Member)
 		case aspenshed.Refuse:
-			open("bounce", d.Driver)
+			open("bounce", d.Instance)
 			text("ticket", a.ID)
 			if a.RetryIn > 0 {
 				number("retryInNs", int64(a.RetryIn))
 			}
 		case aspenshed.Fail:
-			open("finishError", d.Driver)
+			open("finishError", d.Instance)
 			text("ticket", a.ID)
 		case aspenshed.Cancel:
-			open("undoSend", d.Driver)
+			open("undoSend", d.Instance)
 			text("ticket", a.ID)
 			number("seqNo", int64(a.Attempt))
 		case aspenshed.Wake:
-			open("arm", d.Driver)
+			open("arm", d.Instance)
 			number("waitNs", int64(a.After))
 			text("label", a.Label)
 		case aspenshed.Probe:
-			open("probe", d.Driver)
+			open("probe", d.Instance)
 			text("member", a.Member)
 		case aspenshed.ClosePool:
-			open("closeIdle", d.Driver)
+			open("closeIdle", d.Instance)
 			text("member", a.Member)
 		case aspenshed.Watch:
-			open("subscribe", d.Driver)
+			open("subscribe", d.Instance)
 			buf = append(buf, `,"on":true`...)
 		case aspenshed.Note:
-			open("trace", d.Driver)
+			open("trace", d.Instance)
 			text("msg", a.Text)
 		default:
-			open("fault", d.Driver)
+			open("fault", d.Instance)
 			text("msg", fmt.Sprintf("action %T has no form on the wire", a))
 		}
 		buf = append(buf, '}')
 	}
 	for _, f := range faults {
-		open("fault", f.Driver)
+		open("fault", f.Instance)
 		text("msg", f.Text)
 		buf = append(buf, '}')
 	}
--- a/internal/protocol/simwire/wire.go
+++ b/internal/protocol/simwire/wire.go
@@ -17,10 +17,10 @@
 // Item is one event of a batch for one instance. Exactly one of Start, Stop
 // and Event is set.
 type Item struct {
-	Driver int64
-	Start  *Start
-	Stop   bool
-	Event  aspenshed.Event
+	Instance int64
+	Start    *Start
+	Stop     bool
+	Event    aspenshed.Event
 }
 
 // Start is the birth of an instance.
@@ -35,38 +35,38 @@
 	Items []Item
 }
 
-// Directed is an action of one instance.
-type Directed struct {
-	Driver int64
-	Action aspenshed.Action
+// InstanceAction is an action of one instance.
+type InstanceAction struct {
+	Instance int64
+	Action   aspenshed.Action
 }
 
 // Fault reports that an instance's decisions failed.
 type Fault struct {
-	Driver int64
-	Text   string
+	Instance int64
+	Text     string
 }
 
 // Decoder reads batches. It remembers the numbered member lists, which belong
 // to the whole process, and what each instance's settings say about the form
 // of its events.
 type Decoder struct {
-	lists map[int64][]aspenshed.Member
-	zero  map[int64]aspenshed.Nanos
+	lists        map[int64][]aspenshed.Member
+	positionZero map[int64]aspenshed.Nanos
 }
 
 // NewDecoder returns an empty Decoder.
 func NewDecoder() *Decoder {
-	return &Decoder{lists: map[int64][]aspenshed.Member{}, zero: map[int64]aspenshed.Nanos{}}
+	return &Decoder{lists: map[int64][]aspenshed.Member{}, positionZero: map[int64]aspenshed.Nanos{}}
 }
 
-type event struct {
+type wireEvent struct {
 	Op           *string             `json:"op"`
 	Driver       *int64              `json:"driver"`
 	Seed         json.Number         `json:"seed"`
 	Setup        json.RawMessage     `json:"setup"`
 	List         *int64              `json:"list"`
-	Entries      *[]entry            `json:"entries"`
+	Entries      *[]memberEntry      `json:"entries"`
 	Scope        *string             `json:"scope"`
 	Gen          *int64              `json:"gen"`
 	Ticket       *string             `json:"ticket"`
@@ -87,7 +87,7 @@
 	Label        *string             `json:"label"`
 }
 
-type entry struct {
+type memberEntry struct {
 	Member    *string  `json:"member"`
 	Az        int      `json:"az"`
 	UpSinceNs int64    `json:"upSinceNs"`
@@ -103,7 +103,7 @@
 
 func (e *FieldError) Error() string { return fmt.Sprintf("field %s: %s", e.Field, e.Problem) }
 
-func missing(field string) error { return &FieldError{field, "missing"} }
+func missingField(field string) error { return &FieldError{field, "missing"} }
 
 func unmarshal(data []byte, into any, where string) error {
 	err := json.Unmarshal(data, into)
@@ -127,10 +127,10 @@
 		return Batch{}, err
 	}
 	if raw.ClockNs == nil {
-		return Batch{}, missing("clockNs")
+		return Batch{}, missingField("clockNs")
 	}
 	if raw.Items == nil {
-		return Batch{}, missing("items")
+		return Batch{}, missingField("items")
 	}
 	b := Batch{Now: aspenshed.Nanos(*raw.ClockNs)}
 	for i, data := range *raw.Items {
@@ -142,22 +142,22 @@
 			return Batch{}, err
 		}
 		if head.Op == nil {
-			return Batch{}, missing(where + "op")
+			return Batch{}, missingField(where + "op")
 		}
-		need, known := required[*head.Op]
+		need, known := requiredFields[*head.Op]
 		if !known {
 			continue
 		}
-		var e event
+		var e wireEvent
 		if err := unmarshal(data, &e, where); err != nil {
 			return Batch{}, err
 		}
 		for _, f := range need {
-			if !e.has(f) {
-				return Batch{}, missing(where + f)
+			if !e.hasField(f) {
+				return Batch{}, missingField(where + f)
 			}
 		}
-		it, err := d.item(&e, where)
+		it, err := d.decodeItem(&e, where)
 		if err != nil {
 			return Batch{}, err
 		}
@@ -168,7 +168,7 @@
 	return b, nil
 }
 
-var required = map[string][]string{
+var requiredFields = map[string][]string{
 	"provision":  {"driver", "seed", "setup"},
 	"down":       {"driver"},
 	"list":       {"list", "entries"},
@@ -181,7 +181,7 @@
 	"statusBack": {"driver", "member", "stateCode", "rttNs"},
 }
 
-func (e *event) has(field string) bool {
+func (e *wireEvent) hasField(field string) bool {
 	switch field {
 	case "driver":
 		return e.Driver != nil
@@ -217,24 +217,24 @@
 	return false
 }
 
-func (d *Decoder) item(e *event, where string) (*Item, error) {
+func (d *Decoder) decodeItem(e *wireEvent, where string) (*Item, error) {
 	if *e.Op == "list" {
-		ms, err := members(*e.Entries, where)
+		ms, err := parseMembers(*e.Entries, where)
 		d.lists[*e.List] = ms
 		return nil, err
 	}
-	it := &Item{Driver: *e.Driver}
+	it := &Item{Instance: *e.Driver}
 	switch *e.Op {
 	case "provision":
 		seed, err := parseSeed(e.Seed)
 		if err != nil {
 			return nil, &FieldError{where + "seed", "wrong type"}
 		}
-		s, err := settings(e.Setup, where+"setup.")
+		s, err := parseSettings(e.Setup, where+"setup.")
 		if err != nil {
 			return nil, err
 		}
-		d.zero[*e.Driver] = s.PositionZero
+		d.positionZero[*e.Driver] = s.PositionZero
 		it.Start = &Start{seed, s}
 	case "down":
 		it.Stop = true
@@ -244,7 +244,7 @@
 			break
 		}
 		if e.List == nil {
-			return nil, missing(where + "list")
+			return nil, missingField(where + "list")
 		}
 		ms, ok := d.lists[*e.List]
 		if !ok {
@@ -263,11 +263,11 @@
 	case "flowing": // no class streams here; its answer follows
 		return nil, nil
 	case "answer":
-		a := aspenshed.Answer{ID: *e.Ticket, Attempt: *e.SeqNo, Member: *e.Member, Outcome: outcome(*e.StateCode),
-			Over: e.Complete, Took: aspenshed.Nanos(*e.RttNs), Report: d.report(*e.Driver, e.Load)}
+		a := aspenshed.Answer{ID: *e.Ticket, Attempt: *e.SeqNo, Member: *e.Member, Outcome: parseOutcome(*e.StateCode),
+			Over: e.Complete, Took: aspenshed.Nanos(*e.RttNs), Report: d.parseReport(*e.Driver, e.Load)}
 		a.Role = aspenshed.Role(e.Stand & 3)
 		if p := e.Stand >> 2; p > 0 {
-			a.Position = d.zero[*e.Driver] + aspenshed.Nanos(p)*1e6
+			a.Position = d.positionZero[*e.Driver] + aspenshed.Nanos(p)*1e6
 		}
 		it.Event = a
 	case "abandoned":
@@ -275,8 +275,8 @@
 	case "timer":
 		it.Event = aspenshed.Woke{Label: *e.Label}
 	case "statusBack":
-		it.Event = aspenshed.Probed{Member: *e.Member, Outcome: outcome(*e.StateCode), Took: aspenshed.Nanos(*e.RttNs),
-			Report: d.report(*e.Driver, e.Load)}
+		it.Event = aspenshed.Probed{Member: *e.Member, Outcome: parseOutcome(*e.StateCode), Took: aspenshed.Nanos(*e.RttNs),
+			Report: d.parseReport(*e.Driver, e.Load)}
 	}
 	return it, nil
 }
@@ -290,15 +290,15 @@
 	return uint64(i), err
 }
 
-func members(entries []entry, where string) ([]aspenshed.Member, error) {
+func parseMembers(entries []memberEntry, where string) ([]aspenshed.Member, error) {
 	ms := make([]aspenshed.Member, 0, len(entries))
 	for i, e := range entries {
 		at := fmt.Sprintf("%sentries[%d].", where, i)
 		if e.Member == nil {
-			return nil, missing(at + "member")
+			return nil, missingField(at + "member")
 		}
 		if e.State == nil {
-			return nil, missing(at + "state")
+			return nil, missingField(at + "state")
 		}
 		m := aspenshed.Member{ID: *e.Member, Group: e.Cluster, Zone: e.Az, Size: 1,
 			StartedAt: aspenshed.Nanos(e.UpSinceNs), Primary: e.Leader == 1}
@@ -320,24 +320,24 @@
 	return ms, nil
 }
 
-var outcomes = map[string]aspenshed.Outcome{
+var outcomesByCode = map[string]aspenshed.Outcome{
 	"delivered": aspenshed.Served, "app_error": aspenshed.Errored, "shed": aspenshed.Full, "expired": aspenshed.TimedOut,
 	"dial_failed": aspenshed.NoLink, "dropped": aspenshed.LinkBroke, "revoked": aspenshed.Cancelled, "unused": aspenshed.NotSent,
 	"empty": aspenshed.Turned,
 }
 
-func outcome(code string) aspenshed.Outcome {
-	if o, ok := outcomes[code]; ok {
+func parseOutcome(code string) aspenshed.Outcome {
+	if o, ok := outcomesByCode[code]; ok {
 		return o
 	}
 	return aspenshed.Unknown
 }
 
-func (d *Decoder) report(driver int64, load map[string]*float64) aspenshed.Report {
+func (d *Decoder) parseReport(driver int64, load map[string]*float64) aspenshed.Report {
 	var r aspenshed.Report
 	if v := load["x0"]; v != nil {
 		r.HasPosition = true
-		r.Position = d.zero[driver] + aspenshed.Nanos(math.Floor(*v*1e9))
+		r.Position = d.positionZero[driver] + aspenshed.Nanos(math.Floor(*v*1e9))
 	}
 	if v := load["x1"]; v != nil {
 		r.HasRole, r.Primary = true, *v == 1
@@ -432,11 +432,11 @@
 	WorthBy      string   `json:"worthBy"`
 }
 
-// columns are the report values that the wire page names.
-var columns = map[string]bool{"outstanding": true, "backlog": true, "utilization": true, "recent_ms": true,
+// reportColumns are the report values that the wire page names.
+var reportColumns = map[string]bool{"outstanding": true, "backlog": true, "utilization": true, "recent_ms": true,
 	"throughput": true, "errors_per_s": true, "x0": true, "x1": true}
 
-func settings(data []byte, where string) (aspenshed.Settings, error) {
+func parseSettings(data []byte, where string) (aspenshed.Settings, error) {
 	var w setup
 	if err := unmarshal(data, &w, where); err != nil {
 		return aspenshed.Settings{}, err
@@ -466,7 +466,7 @@
 		Unknown: unknownKeys(tree, reflect.TypeOf(w), ""),
 	}
 	for _, c := range w.Telemetry.Columns {
-		if !columns[c] {
+		if !reportColumns[c] {
 			s.Unknown = append(s.Unknown, "report column "+c)
 		}
 	}
@@ -532,5 +532,5 @@
 	return out
 }
 
-// Settings reads the settings object by itself, as a real gateway's configuration holds it.
-func Settings(data []byte) (aspenshed.Settings, error) { return settings(data, "settings.") }
+// ParseSettings reads the settings object by itself, as a real gateway's configuration holds it.
+func ParseSettings(data []byte) (aspenshed.Settings, error) { return parseSettings(data, "settings.") }
--- a/internal/protocol/simwire/wire_test.go
+++ b/internal/protocol/simwire/wire_test.go
@@ -27,7 +27,7 @@
 func TestProvision(t *testing.T) {
 	b := decode(t, NewDecoder(), `{"clockNs":5,"items":[{"op":"provision","driver":2,"seed":18446744073709551615,"setup":`+setupJSON+`}]}`)
 	st := b.Items[0].Start
-	if st == nil || st.Seed != 18446744073709551615 || b.Items[0].Driver != 2 || b.Now != 5 {
+	if st == nil || st.Seed != 18446744073709551615 || b.Items[0].Instance != 2 || b.Now != 5 {
 		t.Fatalf("%+v", b)
 	}
 	s := st.Settings
@@ -115,7 +115,7 @@
 }
 
 func TestReplies(t *testing.T) {
-	got := string(AppendReply(nil, []Directed{
+	got := string(AppendReply(nil, []InstanceAction{
 		{3, aspenshed.Send{ID: "t", Member: "m:1", GiveUpAt: 9}}, {3, aspenshed.Refuse{ID: "t", RetryIn: 5}}, {3, aspenshed.Fail{ID: "t"}},
 		{3, aspenshed.Cancel{ID: "t", Attempt: 2}}, {3, aspenshed.Wake{After: 7, Label: "s"}}, {3, aspenshed.Probe{Member: "m"}},
 		{3, aspenshed.ClosePool{Member: "m"}}, {3, aspenshed.Watch{}}, {3, aspenshed.Note{Text: "a \"b\"\n"}},
@@ -141,7 +141,7 @@
 func TestNumberOfRouters(t *testing.T) {
 	for given, want := range map[string]int{`{}`: 1, `{"balancers":0}`: 1, `{"balancers":1}`: 1, `{"balancers":80}`: 80,
 		`{"balancers":-3}`: 0, `{"balancers":2.5}`: 0, `{"balancers":"many"}`: 0, `{"balancers":1e30}`: 0} {
-		s, err := settings([]byte(given), "settings.")
+		s, err := parseSettings([]byte(given), "settings.")
 		if want > 0 && (err != nil || s.Routers != want) {
 			t.Errorf("%s: %d routers, %v; want %d", given, s.Routers, err, want)
 		}
--- a/internal/protocol/sqlcomment/sqlcomment.go
+++ b/internal/protocol/sqlcomment/sqlcomment.go
@@ -8,55 +8,55 @@
 	"strings"
 )
 
-// ErrNone says that a statement has no such comment at its end.
-var ErrNone = errors.New("statement ends in no /* name=value,... */ comment")
+// ErrNoComment says that a statement has no such comment at its end.
+var ErrNoComment = errors.New("statement ends in no /* name=value,... */ comment")
 
-// Tag is a statement with its comment taken apart.
-type Tag struct {
-	SQL    string
-	Values map[string]string
-	d0, d1 int // where the value of d stands; 0: nowhere
+// Statement is a statement with its comment taken apart.
+type Statement struct {
+	SQL                      string
+	Values                   map[string]string
+	timeoutStart, timeoutEnd int // where the value of d stands; 0: nowhere
 }
 
 // Parse reads the comment at the end of a statement.
-func Parse(sql string) (Tag, error) {
-	t := Tag{SQL: sql, Values: map[string]string{}}
+func Parse(sql string) (Statement, error) {
+	t := Statement{SQL: sql, Values: map[string]string{}}
 	end := len(strings.TrimRight(sql, " ;\t\r\n"))
 	if !strings.HasSuffix(sql[:end], "*/") {
-		return t, ErrNone
+		return t, ErrNoComment
 	}
 	start := strings.LastIndex(sql[:end], "/*")
 	if start < 0 || start+4 > end {
-		return t, ErrNone
+		return t, ErrNoComment
 	}
 	for at := start + 2; at < end-2; {
 		stop := at + strings.IndexByte(sql[at:end-2]+",", ',')
 		part := strings.TrimSpace(sql[at:stop])
 		k, v, ok := strings.Cut(part, "=")
 		if !ok && len(t.Values) == 0 {
-			return t, ErrNone // an ordinary comment
+			return t, ErrNoComment // an ordinary comment
 		}
 		if !ok || k == "" {
-			return t, errors.New("malformed comment: " + Short(part))
+			return t, errors.New("malformed comment: " + QuoteTruncated(part))
 		}
 		if _, twice := t.Values[k]; twice {
-			return t, errors.New("comment names " + Short(k) + " twice")
+			return t, errors.New("comment names " + QuoteTruncated(k) + " twice")
 		}
 		t.Values[k] = v
 		if k == "d" {
-			t.d0 = at + strings.Index(sql[at:stop], "d=") + 2
-			t.d1 = t.d0 + len(v)
+			t.timeoutStart = at + strings.Index(sql[at:stop], "d=") + 2
+			t.timeoutEnd = t.timeoutStart + len(v)
 		}
 		at = stop + 1
 	}
 	return t, nil
 }
 
-// Short quotes what a client wrote, cut to what a log line or an answer should hold.
-func Short(s string) string { return strconv.Quote(s[:min(len(s), 40)]) }
+// QuoteTruncated quotes what a client wrote, cut to what a log line or an answer should hold.
+func QuoteTruncated(s string) string { return strconv.Quote(s[:min(len(s), 40)]) }
 
 // Int reads a value as a whole number; def where it is absent.
-func (t Tag) Int(name string, def int64) (int64, error) {
+func (t Statement) Int(name string, def int64) (int64, error) {
 	v, ok := t.Values[name]
 	if !ok {
 		return def, nil
@@ -68,10 +68,10 @@
 	return n, nil
 }
 
-// WithWait is the statement with the value of d replaced; all else is as it was.
-func (t Tag) WithWait(ms int64) string {
-	if t.d0 == 0 {
+// WithTimeout is the statement with the value of d replaced; all else is as it was.
+func (t Statement) WithTimeout(ms int64) string {
+	if t.timeoutStart == 0 {
 		return t.SQL
 	}
-	return t.SQL[:t.d0] + strconv.FormatInt(max(ms, 1), 10) + t.SQL[t.d1:]
+	return t.SQL[:t.timeoutStart] + strconv.FormatInt(max(ms, 1), 10) + t.SQL[t.timeoutEnd:]
 }
--- a/internal/protocol/sqlcomment/sqlcomment_test.go
+++ b/internal/protocol/sqlcomment/sqlcomment_test.go
@@ -10,11 +10,11 @@
 		{"SELECT 1 /* id=1 */", "SELECT 1 /* id=1 */"},
 	} {
 		tag, err := Parse(c.sql)
-		if got := tag.WithWait(77); err != nil || got != c.want {
+		if got := tag.WithTimeout(77); err != nil || got != c.want {
 			t.Errorf("%v: %q, want %q", err, got, c.want)
 		}
 	}
-	if _, err := Parse("SELECT 1 /* an ordinary comment, of two parts */"); err != ErrNone {
+	if _, err := Parse("SELECT 1 /* an ordinary comment, of two parts */"); err != ErrNoComment {
 		t.Errorf("an ordinary comment: %v", err)
 	}
 	for _, sql := range []string{"", "SELECT 1", "*/", "/*/", "SELECT /* id=1 */ 1", "SELECT 1 /* id */", "SELECT 1 /* a=1,a=2 */", "SELECT 1 /* =1 */"} {
