--- a/internal/dataplane/dispatch/attempt.go
+++ b/internal/dataplane/dispatch/attempt.go
@@ -18,7 +18,7 @@
 	startedAt        aspenshed.Nanos
 	giveUpAt         aspenshed.Nanos // when it is given up
 	sendBy           aspenshed.Nanos // it must not leave later: what is known of the member's data is too old then; 0: no matter
-	idleFor          aspenshed.Nanos // how long its connection had lain idle; 0: a new one
+	connIdleTime     aspenshed.Nanos // how long its connection had lain idle; 0: a new one
 	connectionsTried int             // taken up so far
 	giveUpTimer      *eventloop.Timer
 	livenessTimer    *eventloop.Timer // ends a connection that does not show that it is alive
@@ -72,9 +72,9 @@
 			return
 		}
 	}
-	a.conn, l.attempt, a.idleFor = l, a, 0
+	a.conn, l.attempt, a.connIdleTime = l, a, 0
 	if l.idleSince > 0 {
-		a.idleFor = max(s.Loop.Now()-l.idleSince, 1)
+		a.connIdleTime = max(s.Loop.Now()-l.idleSince, 1)
 	}
 	if l.ready {
 		l.send()
@@ -165,7 +165,7 @@
 	}
 	neverRan := res.Outcome == aspenshed.Full || res.Outcome == aspenshed.NoLink || res.Outcome == aspenshed.NotSent || res.Outcome == aspenshed.Turned
 	a.request.InFlight = false
-	res.Elapsed, res.IdleTime = s.Loop.Now()-a.startedAt, a.idleFor
+	res.Elapsed, res.IdleTime = s.Loop.Now()-a.startedAt, a.connIdleTime
 	a.request.MayHaveRun = a.request.MayHaveRun || !neverRan
 	s.OnAttemptEnd(a.request, member, res)
 	if a.request.Responded {
--- a/internal/dataplane/dispatch/connection.go
+++ b/internal/dataplane/dispatch/connection.go
@@ -39,8 +39,8 @@
 	case a != nil:
 		limit := cmp.Or(s.ConnectTimeout, probeTimeout)
 		a.livenessTimer = s.Loop.At(s.Loop.Now()+limit, func() {
-			how := request.Unreachable
-			if a.idleFor > 0 { // an old connection may have been dropped unseen: only a new one tells
+			how := request.ConnectFailed
+			if a.connIdleTime > 0 { // an old connection may have been dropped unseen: only a new one tells
 				how, a.connectionsTried = request.LostBeforeSend, maxConnectionsPerAttempt-1
 			}
 			s.retryConnection(a, how, "link does not show that it is alive")
--- a/internal/dataplane/dispatch/dispatch_test.go
+++ b/internal/dataplane/dispatch/dispatch_test.go
@@ -128,7 +128,7 @@
 		do   func(*rig, *fake)
 		want aspenshed.Outcome
 	}{
-		"the member refuses":               {func(_ *rig, f *fake) { f.ev.Lost(request.Unreachable, io.EOF) }, aspenshed.NoLink},
+		"the member refuses":               {func(_ *rig, f *fake) { f.ev.Lost(request.ConnectFailed, io.EOF) }, aspenshed.NoLink},
 		"cut before the statement leaves":  {func(g *rig, f *fake) { g.cutAll(f) }, aspenshed.NoLink},
 		"cut after the statement has left": {func(_ *rig, f *fake) { f.up(); f.alive(); f.ev.Lost(request.LostAfterSend, io.EOF) }, aspenshed.LinkBroke},
 		"no sign of life":                  {func(g *rig, f *fake) { f.up(); g.pass(250 * ms) }, aspenshed.NoLink},
--- a/internal/dataplane/pipeline/pipeline.go
+++ b/internal/dataplane/pipeline/pipeline.go
@@ -39,13 +39,13 @@
 	Dispatch   dispatch.Stage
 	Response   response.Stage
 	Accounting accounting.Stage
-	cfg        Config
+	config     Config
 }
 
 // New wires an pipeline.
 func New(c Config) *Pipeline {
 	c.Settings.MayCopy = false // send carries one attempt of a request at a time, wherever more are allowed
-	e := &Pipeline{Loop: c.Loop, cfg: c}
+	e := &Pipeline{Loop: c.Loop, config: c}
 	e.Accounting = accounting.New(c.Loop, c.Log)
 	e.Response = response.Stage{Loop: c.Loop, Grace: c.Settings.AnswerSlack / 2, OnResponse: func(r *request.Request, f request.Response) {
 		e.Accounting.CountResponse(r, f)
@@ -75,7 +75,7 @@
 		e.Accounting.CountRequest(r)
 		e.Response.Track(r)
 	}, Refuse: e.Response.Respond, Next: e.Routing.Submit}
-	e.Accept = accept.Stage{Loop: c.Loop, Settings: &e.cfg.Settings, KnownGroup: e.Routing.KnownGroup,
+	e.Accept = accept.Stage{Loop: c.Loop, Settings: &e.config.Settings, KnownGroup: e.Routing.KnownGroup,
 		Next: e.Admission.Admit, Reject: func(q request.Query, problem string) {
 			e.Accounting.CountRejected(problem)
 			q.Client.Respond(request.Response{Status: request.Failed, Reason: problem, Invalid: true})
@@ -152,7 +152,7 @@
 func (e *Pipeline) ClosePool(member string) { e.Dispatch.ClosePool(member) }
 
 // Watch asks for the member list.
-func (e *Pipeline) Watch() { e.cfg.Watch() }
+func (e *Pipeline) Watch() { e.config.Watch() }
 
 // Refuse ends a request that has not run.
 func (e *Pipeline) Refuse(id string, retryIn aspenshed.Nanos) {
--- a/internal/dataplane/request/request.go
+++ b/internal/dataplane/request/request.go
@@ -75,7 +75,7 @@
 
 // The ends. What was out on the link can have run only after LostAfterSend.
 const (
-	Unreachable    ConnectionLoss = iota // refused, or never up: the member's doing
+	ConnectFailed  ConnectionLoss = iota // refused, or never up: the member's doing
 	LostBeforeSend                       // broken before the last byte of what was out could leave
 	LostAfterSend
 )
@@ -87,7 +87,7 @@
 	case sent:
 		return LostAfterSend
 	case refused:
-		return Unreachable
+		return ConnectFailed
 	}
 	return LostBeforeSend
 }
--- a/internal/experiment/datapath/link.go
+++ b/internal/experiment/datapath/link.go
@@ -28,12 +28,12 @@
 // Open connects.
 func (g *gateway) Open(address string, limit aspenshed.Nanos, _ bool, events request.ConnectionEvents) (request.Connection, error) {
 	l := &link{gateway: g, database: g.byID[address], events: events, place: -1}
-	l.limit = g.at(limit, func() { l.down(request.Unreachable) })
+	l.limit = g.at(limit, func() { l.down(request.ConnectFailed) })
 	g.at(oneWay, func() {
 		switch l.database.state {
 		case silent:
 		case refusing:
-			g.at(oneWay, func() { l.down(request.Unreachable) })
+			g.at(oneWay, func() { l.down(request.ConnectFailed) })
 		default:
 			l.establish()
 		}
--- a/internal/experiment/scenario/commands_test.go
+++ b/internal/experiment/scenario/commands_test.go
@@ -32,7 +32,7 @@
 	<-up
 	k.conn = conn
 	challenge, _ := mysqlwire.ParseGreeting(k.next())
-	login.Auth = mysqlwire.Scramble(challenge, string(login.Auth))
+	login.AuthResponse = mysqlwire.Scramble(challenge, string(login.AuthResponse))
 	response := mysqlwire.HandshakeResponse(1, login)
 	response[5] |= caps
 	_ = conn.Write(response)
@@ -63,12 +63,12 @@
 		caps  byte
 		code  uint16
 	}{
-		{mysqlwire.Login{User: "web", Auth: []byte("pass")}, 0, 0},
-		{mysqlwire.Login{User: "web", Auth: []byte("wrong")}, 0, 1045},
+		{mysqlwire.Login{User: "web", AuthResponse: []byte("pass")}, 0, 0},
+		{mysqlwire.Login{User: "web", AuthResponse: []byte("wrong")}, 0, 1045},
 		{mysqlwire.Login{User: "web"}, 0, 1045},
-		{mysqlwire.Login{User: "nobody", Auth: []byte("pass")}, 0, 1045},
-		{mysqlwire.Login{User: "web", Auth: []byte("pass"), DB: "other"}, 0, 1835},
-		{mysqlwire.Login{User: "web", Auth: []byte("pass")}, mysqlwire.CapSSL >> 8, 1835},
+		{mysqlwire.Login{User: "nobody", AuthResponse: []byte("pass")}, 0, 1045},
+		{mysqlwire.Login{User: "web", AuthResponse: []byte("pass"), DB: "other"}, 0, 1835},
+		{mysqlwire.Login{User: "web", AuthResponse: []byte("pass")}, mysqlwire.CapSSL >> 8, 1835},
 	} {
 		k := newTalk(p, c.login, c.caps)
 		b := k.next()
@@ -90,7 +90,7 @@
 // Whatever a client says, it gets an answer with a code; nothing of this reaches a member.
 func TestEveryCommandIsAnswered(t *testing.T) {
 	p := newPlayer(t, mysqlKit{}, []string{"a=primary", "b=replica"})
-	k := newTalk(p, mysqlwire.Login{User: "web", Auth: []byte("pass")}, 0)
+	k := newTalk(p, mysqlwire.Login{User: "web", AuthResponse: []byte("pass")}, 0)
 	k.next()
 	id := "\x01\x00\x00\x00"
 	for _, c := range []struct {
@@ -152,7 +152,7 @@
 // A statement that says nothing of itself and is no plain read is a write for the primary, and never run twice.
 func TestUnknownStatementsAreWrites(t *testing.T) {
 	p := newPlayer(t, mysqlKit{}, []string{"a=primary", "b=replica"})
-	k := newTalk(p, mysqlwire.Login{User: "web", Auth: []byte("pass")}, 0)
+	k := newTalk(p, mysqlwire.Login{User: "web", AuthResponse: []byte("pass")}, 0)
 	k.next()
 	for _, sql := range []string{"CALL book()", "UPDATE entries SET payload = 1 /* c=timetable */", "SELECT 1 FOR UPDATE /* c=timetable */"} {
 		_ = k.conn.Write(mysqlwire.Command(mysqlwire.ComQuery, []byte(sql)))
@@ -179,7 +179,7 @@
 // Long data reaches the member that the execution goes to, ahead of it.
 func TestLongDataTravelsWithItsExecution(t *testing.T) {
 	p := newPlayer(t, mysqlKit{}, []string{"a=primary"})
-	k := newTalk(p, mysqlwire.Login{User: "web", Auth: []byte("pass")}, 0)
+	k := newTalk(p, mysqlwire.Login{User: "web", AuthResponse: []byte("pass")}, 0)
 	k.next()
 	k.ask(mysqlwire.ComStmtPrepare, "INSERT INTO entries VALUES (?) /* c=booking,cluster=1 */")
 	k.next()
--- a/internal/experiment/scenario/late_test.go
+++ b/internal/experiment/scenario/late_test.go
@@ -20,7 +20,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := newPlayer(t, mysqlKit{}, []string{"a=primary", "b=replica"})
 			p.say("x send booking", "a expect booking", "a send served", "x expect served") // the primary is known
-			k := newTalk(p, mysqlwire.Login{User: "web", Auth: []byte("pass")}, 0)
+			k := newTalk(p, mysqlwire.Login{User: "web", AuthResponse: []byte("pass")}, 0)
 			k.next()
 			k.ask(mysqlwire.ComStmtPrepare, "INSERT INTO entries VALUES (?) /* c=booking,cluster=1,d=5000 */")
 			k.next()
--- a/internal/experiment/scenario/mysql_test.go
+++ b/internal/experiment/scenario/mysql_test.go
@@ -63,7 +63,7 @@
 		_ = in.Feed(b, func(seq byte, body, _ []byte) error {
 			if !loggedIn {
 				l, err := mysqlwire.ParseHandshakeResponse(body)
-				if loggedIn = true; err != nil || l.User != "gate" || !l.Matches(challenge, "secret") {
+				if loggedIn = true; err != nil || l.User != "gate" || !l.VerifyPassword(challenge, "secret") {
 					return m.Write(c, mysqlwire.Error{Code: 1045, State: "28000", Message: "denied"}.Packet(seq+1))
 				}
 				return m.Write(c, mysqlwire.OK(seq+1))
@@ -122,13 +122,13 @@
 				case 0:
 					ch, _ := mysqlwire.ParseGreeting(body)
 					phase = 1
-					return c.conn.Write(mysqlwire.HandshakeResponse(seq+1, mysqlwire.Login{User: "web", DB: "fares", Auth: mysqlwire.Scramble(ch, "pass")}))
+					return c.conn.Write(mysqlwire.HandshakeResponse(seq+1, mysqlwire.Login{User: "web", DB: "fares", AuthResponse: mysqlwire.Scramble(ch, "pass")}))
 				case 1:
 					phase = 3
 					close(ready)
 					return nil
 				}
-				answer.Prepare = phase == 2
+				answer.IsPrepare = phase == 2
 				if done, err := answer.Add(body, raw); err != nil || !done {
 					return err
 				}
--- a/internal/experiment/scenario/pg_test.go
+++ b/internal/experiment/scenario/pg_test.go
@@ -46,7 +46,7 @@
 
 func class(sql string) string {
 	t, _ := sqlcomment.Parse(sql)
-	return t.Values["c"]
+	return t.Fields["c"]
 }
 
 func (pgKit) Member(m *Member, c *netio.Conn) netio.Handler {
--- a/internal/experiment/standin/standin.go
+++ b/internal/experiment/standin/standin.go
@@ -142,7 +142,7 @@
 // serve takes one statement; answer is called once, later, with what became of it.
 func (d *DB) serve(sql string, answer func(value string, v Verdict)) {
 	tag, _ := sqlcomment.Parse(sql)
-	write := tag.Values["c"] == "order"
+	write := tag.Fields["c"] == "order"
 	now := time.Now().UnixNano()
 	d.mu.Lock()
 	v, took := d.m.Take(now, write)
@@ -167,7 +167,7 @@
 func (g *Group) run(tag sqlcomment.Statement, write bool) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	id := tag.Values["id"]
+	id := tag.Fields["id"]
 	if write && id != "" && len(g.ran) < 1<<20 {
 		g.ran[id]++
 	}
--- a/internal/experiment/standin/wires.go
+++ b/internal/experiment/standin/wires.go
@@ -120,7 +120,7 @@
 func (p *mysqlConn) packet(seq byte, body, _ []byte) error {
 	if !p.known {
 		l, err := mysqlwire.ParseHandshakeResponse(body)
-		if p.known = err == nil && l.User == User && l.Matches(challenge, Password); !p.known {
+		if p.known = err == nil && l.User == User && l.VerifyPassword(challenge, Password); !p.known {
 			return p.c.Write(mysqlwire.Error{Code: 1045, State: "28000", Message: "denied"}.Packet(seq + 1))
 		}
 		return p.c.Write(mysqlwire.OK(seq + 1))
--- a/internal/frontend/mysql/backend.go
+++ b/internal/frontend/mysql/backend.go
@@ -182,7 +182,7 @@
 		if what == 0 {
 			return errExtra
 		}
-		l.answer.Prepare, l.seq = what == forPrepare, 0
+		l.answer.IsPrepare, l.seq = what == forPrepare, 0
 	}
 	if l.seq++; l.seq != seq {
 		return errSpoilt
@@ -219,7 +219,7 @@
 		l.phase = loggingIn
 		out = func() []byte {
 			return mysqlwire.HandshakeResponse(seq+1, mysqlwire.Login{User: l.b.User, DB: l.b.Database,
-				Auth: mysqlwire.Scramble(challenge, l.b.Password)})
+				AuthResponse: mysqlwire.Scramble(challenge, l.b.Password)})
 		}
 	case body[0] == 0:
 		l.phase = ready
--- a/internal/frontend/mysql/front.go
+++ b/internal/frontend/mysql/front.go
@@ -125,7 +125,7 @@
 		}
 		return s.login(seq, l)
 	case wantSwitched:
-		return s.login(seq, mysqlwire.Login{User: s.user, Auth: body})
+		return s.login(seq, mysqlwire.Login{User: s.user, AuthResponse: body})
 	}
 	if len(body) == 0 {
 		return mysqlwire.ErrMalformed
@@ -134,7 +134,7 @@
 }
 
 func (s *clientConn) login(seq byte, l mysqlwire.Login) error {
-	if password, known := s.f.Accounts[l.User]; !known || !l.Matches(s.challenge, password) {
+	if password, known := s.f.Accounts[l.User]; !known || !l.VerifyPassword(s.challenge, password) {
 		s.session.Fatal(mysqlwire.Error{Code: 1045, State: "28000",
 			Message: fmt.Sprintf("Access denied for user '%s'", l.User)}.Packet(seq+1), "access denied")
 		return errAnswered
@@ -252,10 +252,10 @@
 	if f.Defaults.Tenant != "" {
 		v["t"] = f.Defaults.Tenant
 	}
-	for k, x := range tag.Values {
+	for k, x := range tag.Fields {
 		v[k] = x
 	}
-	tag.Values = v
+	tag.Fields = v
 	q, err := f.Query(tag, st)
 	if err != nil {
 		return q, err
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -103,7 +103,7 @@
 // parse turns a statement into a query.
 func (f *Front) parse(sql string) (request.Query, error) {
 	tag, err := sqlcomment.Parse(sql)
-	if err == nil && tag.Values["id"] == "" {
+	if err == nil && tag.Fields["id"] == "" {
 		err = errors.New("comment names no id")
 	}
 	if err != nil {
--- a/internal/frontend/session/session.go
+++ b/internal/frontend/session/session.go
@@ -316,11 +316,11 @@
 
 // Query reads what a statement's comment says of it. Class and tenant go by name.
 func (d *Manager) Query(tag sqlcomment.Statement, statement any) (q request.Query, err error) {
-	q = request.Query{ExternalID: tag.Values["id"], Statement: statement, IsRetry: tag.Values["r"] == "1"}
-	if q.Class = d.Class(tag.Values["c"]); q.Class < 0 {
-		return q, errors.New("unknown class " + sqlcomment.QuoteTruncated(tag.Values["c"]))
+	q = request.Query{ExternalID: tag.Fields["id"], Statement: statement, IsRetry: tag.Fields["r"] == "1"}
+	if q.Class = d.Class(tag.Fields["c"]); q.Class < 0 {
+		return q, errors.New("unknown class " + sqlcomment.QuoteTruncated(tag.Fields["c"]))
 	}
-	if t, ok := tag.Values["t"]; ok && len(d.Settings.Tenants) > 0 {
+	if t, ok := tag.Fields["t"]; ok && len(d.Settings.Tenants) > 0 {
 		if q.Tenant = d.tenant(t); q.Tenant < 0 {
 			return q, errors.New("unknown tenant " + sqlcomment.QuoteTruncated(t))
 		}
--- a/internal/netio/dial.go
+++ b/internal/netio/dial.go
@@ -19,9 +19,9 @@
 // package's dialer, which does not block a thread either, connects instead;
 // nbio has the socket from then on.
 func (n *Net) Dial(addr string, limit time.Duration, reserved bool, h Handler) (*Conn, error) {
-	most := n.cfg.MaxDials
+	most := n.config.MaxDials
 	if !reserved {
-		most -= n.cfg.ReservedDials
+		most -= n.config.ReservedDials
 	}
 	if n.dials.Add(1) > int64(most) {
 		n.dials.Add(-1)
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -59,7 +59,7 @@
 
 // Net is one engine.
 type Net struct {
-	cfg             Config
+	config          Config
 	engine          *nbio.Engine
 	clients, dials  atomic.Int64
 	rejectedClients atomic.Int64   // clients since the last log line about them
@@ -82,7 +82,7 @@
 
 // New starts an engine.
 func New(cfg Config) (*Net, error) {
-	n := &Net{cfg: cfg, rejectLogLimit: rate.Sometimes{Interval: time.Second}}
+	n := &Net{config: cfg, rejectLogLimit: rate.Sometimes{Interval: time.Second}}
 	nc := nbio.Config{Name: cfg.Name, NPoller: 1, ReadBufferSize: readBufferSize, Listen: n.listen}
 	if cfg.Listen != "" {
 		network, addr := splitAddress(cfg.Listen)
@@ -168,10 +168,10 @@
 	syscall.CloseOnExec(c.Hash())
 	x := &Conn{nbConn: c, descriptors: &n.clients, flusher: n.flusher}
 	c.SetSession(x)
-	if n.clients.Add(1) > int64(n.cfg.MaxClients) {
+	if n.clients.Add(1) > int64(n.config.MaxClients) {
 		n.rejectedClients.Add(1)
 		n.rejectLogLimit.Do(func() {
-			logrus.WithFields(logrus.Fields{"open": n.cfg.MaxClients, "closed": n.rejectedClients.Swap(0)}).
+			logrus.WithFields(logrus.Fields{"open": n.config.MaxClients, "closed": n.rejectedClients.Swap(0)}).
 				Warn("client connections closed: descriptor budget spent")
 		})
 		x.handler = discardHandler{}
@@ -179,7 +179,7 @@
 		x.Close()
 		return
 	}
-	x.handler = n.cfg.Accept(x)
+	x.handler = n.config.Accept(x)
 	n.published.Add(1)
 	x.callHandler(x.handler.Up)
 }
--- a/internal/protocol/mysqlwire/answer.go
+++ b/internal/protocol/mysqlwire/answer.go
@@ -8,7 +8,7 @@
 
 // ResponseReader follows the packets that answer one command and tells when it is whole.
 type ResponseReader struct {
-	Prepare        bool
+	IsPrepare      bool
 	Raw            []byte // the packets as they came
 	Err            *Error
 	FirstRow       []byte // the first row's body
@@ -35,7 +35,7 @@
 		e := ParseError(body)
 		a.Err = &e
 		return true, nil
-	case first && a.Prepare:
+	case first && a.IsPrepare:
 		p, ok := ParsePrepareResponse(body)
 		if !ok {
 			return false, ErrMalformed
@@ -67,8 +67,8 @@
 		return false, nil
 	case IsEOF(body):
 		if a.definitionRuns--; a.definitionRuns == 0 {
-			a.inRows = !a.Prepare
-			return a.Prepare, nil
+			a.inRows = !a.IsPrepare
+			return a.IsPrepare, nil
 		}
 		return false, nil
 	}
--- a/internal/protocol/mysqlwire/login.go
+++ b/internal/protocol/mysqlwire/login.go
@@ -26,13 +26,13 @@
 type Login struct {
 	Capabilities uint32
 	User, DB     string
-	Auth         []byte
+	AuthResponse []byte
 	Plugin       string
 }
 
-// Matches tells whether the login answers the challenge with that password.
-func (l Login) Matches(challenge []byte, password string) bool {
-	return subtle.ConstantTimeCompare(l.Auth, Scramble(challenge, password)) == 1
+// VerifyPassword tells whether the login answers the challenge with that password.
+func (l Login) VerifyPassword(challenge []byte, password string) bool {
+	return subtle.ConstantTimeCompare(l.AuthResponse, Scramble(challenge, password)) == 1
 }
 
 // Greeting builds a server's first packet. The challenge has 20 bytes, none of them zero.
@@ -69,7 +69,7 @@
 	b := binary.LittleEndian.AppendUint32(nil, caps)
 	b = append(binary.LittleEndian.AppendUint32(b, 1<<24-1), 45)
 	b = append(append(b, make([]byte, 23)...), l.User+"\x00"...)
-	b = append(append(b, byte(len(l.Auth))), l.Auth...)
+	b = append(append(b, byte(len(l.AuthResponse))), l.AuthResponse...)
 	if l.DB != "" {
 		b = append(b, l.DB+"\x00"...)
 	}
@@ -101,7 +101,7 @@
 	} else if auth, rest, ok = cutString(rest); !ok {
 		return l, ErrMalformed
 	}
-	l.Auth = []byte(auth)
+	l.AuthResponse = []byte(auth)
 	if l.Capabilities&CapConnectWithDB != 0 {
 		if l.DB, rest, ok = cutString(rest); !ok {
 			return l, ErrMalformed
--- a/internal/protocol/mysqlwire/mysqlwire_test.go
+++ b/internal/protocol/mysqlwire/mysqlwire_test.go
@@ -14,8 +14,8 @@
 	if err != nil || !bytes.Equal(got, challenge) {
 		t.Fatalf("%v: challenge %q", err, got)
 	}
-	l, err := ParseHandshakeResponse(HandshakeResponse(1, Login{User: "u", DB: "fares", Auth: Scramble(challenge, "pw")})[4:])
-	if err != nil || l.User != "u" || l.DB != "fares" || !l.Matches(challenge, "pw") || l.Matches(challenge, "other") || l.Matches(challenge, "") {
+	l, err := ParseHandshakeResponse(HandshakeResponse(1, Login{User: "u", DB: "fares", AuthResponse: Scramble(challenge, "pw")})[4:])
+	if err != nil || l.User != "u" || l.DB != "fares" || !l.VerifyPassword(challenge, "pw") || l.VerifyPassword(challenge, "other") || l.VerifyPassword(challenge, "") {
 		t.Errorf("%v: %+v", err, l)
 	}
 	tls := HandshakeResponse(1, Login{User: "u"})[4:]
@@ -53,7 +53,7 @@
 		"prepared":           {prepared, true, nil, 0},
 		"several results":    {more, false, ErrMultipleResults, 0},
 	} {
-		r, a, whole := Reader{MaxSize: 1 << 16}, ResponseReader{Prepare: c.prepare}, 0
+		r, a, whole := Reader{MaxSize: 1 << 16}, ResponseReader{IsPrepare: c.prepare}, 0
 		var err error
 		for _, b := range c.wire {
 			err = errors.Join(err, r.Feed([]byte{b}, func(_ byte, body, raw []byte) error {
--- a/internal/protocol/sqlcomment/sqlcomment.go
+++ b/internal/protocol/sqlcomment/sqlcomment.go
@@ -14,13 +14,13 @@
 // Statement is a statement with its comment taken apart.
 type Statement struct {
 	SQL                      string
-	Values                   map[string]string
+	Fields                   map[string]string
 	timeoutStart, timeoutEnd int // where the value of d stands; 0: nowhere
 }
 
 // Parse reads the comment at the end of a statement.
 func Parse(sql string) (Statement, error) {
-	t := Statement{SQL: sql, Values: map[string]string{}}
+	t := Statement{SQL: sql, Fields: map[string]string{}}
 	end := len(strings.TrimRight(sql, " ;\t\r\n"))
 	if !strings.HasSuffix(sql[:end], "*/") {
 		return t, ErrNoComment
@@ -33,16 +33,16 @@
 		stop := at + strings.IndexByte(sql[at:end-2]+",", ',')
 		part := strings.TrimSpace(sql[at:stop])
 		k, v, ok := strings.Cut(part, "=")
-		if !ok && len(t.Values) == 0 {
+		if !ok && len(t.Fields) == 0 {
 			return t, ErrNoComment // an ordinary comment
 		}
 		if !ok || k == "" {
 			return t, errors.New("malformed comment: " + QuoteTruncated(part))
 		}
-		if _, twice := t.Values[k]; twice {
+		if _, twice := t.Fields[k]; twice {
 			return t, errors.New("comment names " + QuoteTruncated(k) + " twice")
 		}
-		t.Values[k] = v
+		t.Fields[k] = v
 		if k == "d" {
 			t.timeoutStart = at + strings.Index(sql[at:stop], "d=") + 2
 			t.timeoutEnd = t.timeoutStart + len(v)
@@ -57,7 +57,7 @@
 
 // Int reads a value as a whole number; def where it is absent.
 func (t Statement) Int(name string, def int64) (int64, error) {
-	v, ok := t.Values[name]
+	v, ok := t.Fields[name]
 	if !ok {
 		return def, nil
 	}
