--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -55,7 +55,7 @@
 func newAdmin(d *Daemon, path string) (*admin, error) {
 	a := &admin{d: d, path: path}
 	var err error
-	a.net, err = netio.New(netio.Config{Name: "admin", Listen: "unix:" + path, Clients: maxAdminClients,
+	a.net, err = netio.New(netio.Config{Name: "admin", Listen: "unix:" + path, MaxClients: maxAdminClients,
 		Accept: func(c *netio.Conn) netio.Handler { return &adminConn{a: a, c: c} }})
 	if err != nil {
 		return nil, fmt.Errorf("field admin.socket: %w", err)
@@ -260,7 +260,7 @@
 
 // clientNet is the engine of all that clientNet from this process. It is never stopped: nbio (v1.6.8) forgets a Stop that comes
 // before its poller runs, as it would where nobody answers.
-var clientNet = sync.OnceValues(func() (*netio.Net, error) { return netio.New(netio.Config{Name: "ask", Dials: 64}) })
+var clientNet = sync.OnceValues(func() (*netio.Net, error) { return netio.New(netio.Config{Name: "ask", MaxDials: 64}) })
 
 // CallAdmin asks a daemon through its socket.
 func CallAdmin(socket string, q AdminRequest) (json.RawMessage, error) {
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -88,8 +88,8 @@
 	*f.Manager = session.Manager{Loop: loop, Settings: &c.Settings, Limits: session.Limits{CommandTimeout: silent, IdleTimeout: aspenshed.Nanos(c.ClientIdleTimeout),
 		ReclaimAbove: c.Clients * 3 / 4, ReclaimMinIdle: silent}}
 	ready := make(chan struct{})
-	f.Net, err = netio.New(netio.Config{Name: f.Wire, Listen: c.Listen, Clients: c.Clients, Dials: c.BackendConnections, Reserved: c.BackendConnections / 10,
-		Queued: maxQueuedResponseBytes,
+	f.Net, err = netio.New(netio.Config{Name: f.Wire, Listen: c.Listen, MaxClients: c.Clients, MaxDials: c.BackendConnections, ReservedDials: c.BackendConnections / 10,
+		MaxQueued: maxQueuedResponseBytes,
 		Accept: func(x *netio.Conn) netio.Handler {
 			<-ready
 			return accept(x)
@@ -97,9 +97,9 @@
 	if err != nil {
 		return err
 	}
-	f.Pipeline = pipeline.New(pipeline.Config{Loop: loop, Log: f.log, Settings: c.Settings, Seed: seed, MostHeld: maxHeld,
+	f.Pipeline = pipeline.New(pipeline.Config{Loop: loop, Log: f.log, Settings: c.Settings, Seed: seed, MaxPending: maxHeld,
 		Backend: backend(f.Net), Watch: func() {}})
-	f.Manager.Submit, f.Manager.Cancel, f.Manager.CountRejected = f.Pipeline.Accept.Take, f.Pipeline.Leave, f.Pipeline.Accounting.Rejected
+	f.Manager.Submit, f.Manager.Cancel, f.Manager.CountRejected = f.Pipeline.Accept.Accept, f.Pipeline.Abandon, f.Pipeline.Accounting.CountRejected
 	list, addresses := aspenshed.MemberList{Whole: true}, map[string]string{}
 	if f.control == nil {
 		list, addresses = inventory.MemberList(own)
@@ -196,7 +196,7 @@
 	if closing {
 		f.Manager.CloseIdle()
 	}
-	return f.Net.Clients() + f.Pipeline.Response.Live()
+	return f.Net.ClientCount() + f.Pipeline.Response.Pending()
 }
 
 // Stop ends the agent and writes the last counts.
@@ -204,7 +204,7 @@
 	if f.agent != nil {
 		f.agent.Stop()
 	}
-	f.Pipeline.Accounting.Write(f.Pipeline.Response.Live())
+	f.Pipeline.Accounting.LogCounts(f.Pipeline.Response.Pending())
 }
 
 // String names the front.
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -90,7 +90,7 @@
 			m.Size = *x.Weight
 		}
 		if x.StartedAtMs > 0 {
-			m.StartedAt = eventloop.UnixMs(x.StartedAtMs)
+			m.StartedAt = eventloop.FromUnixMillis(x.StartedAtMs)
 		}
 		switch x.Lifecycle {
 		case "in_service":
@@ -230,14 +230,14 @@
 }
 
 func (x *watch) resetTimer() {
-	x.watcher.Loop.Stop(x.timer)
+	x.watcher.Loop.StopTimer(x.timer)
 	x.lastHeard = x.watcher.Loop.Now()
 	x.timer = x.watcher.Loop.At(x.lastHeard+silenceTimeout, func() { x.fail(errSilence) })
 }
 
 func (x *watch) close() {
 	x.closed = true
-	x.watcher.Loop.Stop(x.timer)
+	x.watcher.Loop.StopTimer(x.timer)
 	if x.conn != nil {
 		x.conn.Close()
 	}
--- a/internal/frontend/mysql/backend.go
+++ b/internal/frontend/mysql/backend.go
@@ -24,7 +24,7 @@
 
 // Statement is what the MySQL front has a member do.
 type Statement struct {
-	Tag         sqlcomment.Tag
+	Tag         sqlcomment.Statement
 	PrepareOnly bool // only prepare it
 	Execute     *mysqlwire.Execute
 	LongData    []LongData
@@ -66,24 +66,24 @@
 // side up to whole answers; all else is the loop's.
 type backendConn struct {
 	backend *Backend
-	events  request.LinkEvents
+	events  request.ConnectionEvents
 	conn    *netio.Conn
 	reader  mysqlwire.Reader
 	pending session.PendingResponses
 
 	// The poller's.
 	phase     int // of the login
-	response  mysqlwire.Answer
-	seq       byte               // of the answer's last packet
-	completed []mysqlwire.Answer // answers that the bytes at hand have brought to their end
+	response  mysqlwire.ResponseReader
+	seq       byte                       // of the answer's last packet
+	completed []mysqlwire.ResponseReader // answers that the bytes at hand have brought to their end
 
 	// The loop's.
 	timeout       *eventloop.Timer
 	closed        bool
 	sent          bool // the statement's last byte may have left
 	stmt          *Statement
-	prepared      map[string]mysqlwire.Prepared
-	onResponse    func(*mysqlwire.Answer) // what the next whole answer is for
+	prepared      map[string]mysqlwire.PrepareResponse
+	onResponse    func(*mysqlwire.ResponseReader) // what the next whole answer is for
 	report        aspenshed.Report
 	trailingBytes bool // more came than belongs to the answer: it is good, the link is not
 }
@@ -107,8 +107,8 @@
 )
 
 // Open dials. The limit holds until the server has let the link in.
-func (b *Backend) Open(address string, limit aspenshed.Nanos, probe bool, ev request.LinkEvents) (request.Link, error) {
-	l := &backendConn{backend: b, events: ev, reader: mysqlwire.Reader{Max: maxResponse}, prepared: map[string]mysqlwire.Prepared{}}
+func (b *Backend) Open(address string, limit aspenshed.Nanos, probe bool, ev request.ConnectionEvents) (request.Connection, error) {
+	l := &backendConn{backend: b, events: ev, reader: mysqlwire.Reader{MaxSize: maxResponse}, prepared: map[string]mysqlwire.PrepareResponse{}}
 	conn, err := b.Net.Dial(address, time.Duration(limit), probe, l)
 	if err != nil {
 		return nil, err
@@ -129,24 +129,24 @@
 		return
 	}
 	l.Close()
-	l.events.Down(request.HowEnded(l.sent, errors.Is(err, netio.ErrRefused)), err)
+	l.events.Lost(request.ClassifyLoss(l.sent, errors.Is(err, netio.ErrRefused)), err)
 }
 
 // Close ends the connection without another event.
 func (l *backendConn) Close() {
 	l.closed = true
-	l.backend.Loop.Stop(l.timeout)
+	l.backend.Loop.StopTimer(l.timeout)
 	l.conn.Close()
 }
 
-// Out tells whether the statement itself may have left; preparing it runs nothing.
-func (l *backendConn) Out() bool { return l.sent }
+// MayHaveSent tells whether the statement itself may have left; preparing it runs nothing.
+func (l *backendConn) MayHaveSent() bool { return l.sent }
 
 // Data parses; only whole answers reach the loop. What can't be read ends the
 // link, and so does what comes unasked: it could be taken for the next answer.
 func (l *backendConn) Data(b []byte) {
 	err := l.reader.Feed(b, l.packet)
-	if err == nil && l.phase == loggedIn && l.pending.Next() == 0 && l.reader.Partial() {
+	if err == nil && l.phase == loggedIn && l.pending.Next() == 0 && l.reader.HasPartial() {
 		err = errUnsolicited
 	}
 	whole := l.completed
@@ -165,7 +165,7 @@
 	})
 }
 
-func (l *backendConn) deliver(a *mysqlwire.Answer) {
+func (l *backendConn) deliver(a *mysqlwire.ResponseReader) {
 	then := l.onResponse
 	if !l.closed && then != nil {
 		l.onResponse = nil
@@ -178,11 +178,11 @@
 		return l.login(seq, body)
 	}
 	what := l.pending.Next()
-	if l.response.First == nil {
+	if l.response.FirstPacket == nil {
 		if what == 0 {
 			return errUnsolicited
 		}
-		l.response.Prepare, l.seq = what == pendingPrepare, 0
+		l.response.IsPrepare, l.seq = what == pendingPrepare, 0
 	}
 	if l.seq++; l.seq != seq {
 		return errMalformedResponse
@@ -195,8 +195,8 @@
 		return err
 	}
 	a := l.response
-	l.response = mysqlwire.Answer{}
-	if what == pendingCheck && (a.Err != nil || a.First[0] != 0) {
+	l.response = mysqlwire.ResponseReader{}
+	if what == pendingCheck && (a.Err != nil || a.FirstPacket[0] != 0) {
 		return errMalformedResponse
 	}
 	l.pending.Done()
@@ -218,15 +218,15 @@
 		}
 		l.phase = awaitLoginResult
 		out = func() []byte {
-			return mysqlwire.Response(seq+1, mysqlwire.Login{User: l.backend.User, DB: l.backend.Database,
-				Auth: mysqlwire.Scramble(challenge, l.backend.Password)})
+			return mysqlwire.HandshakeResponse(seq+1, mysqlwire.Login{User: l.backend.User, DB: l.backend.Database,
+				AuthResponse: mysqlwire.Scramble(challenge, l.backend.Password)})
 		}
 	case body[0] == 0:
 		l.phase = loggedIn
 		l.backend.Loop.Post(func() {
 			if !l.closed {
-				l.backend.Loop.Stop(l.timeout)
-				l.events.Up()
+				l.backend.Loop.StopTimer(l.timeout)
+				l.events.Ready()
 			}
 		})
 		return nil
@@ -234,11 +234,13 @@
 		e := mysqlwire.ParseError(body)
 		return l.loginRefused(&e)
 	default:
-		plugin, fresh, ok := mysqlwire.ParseSwitch(body)
+		plugin, fresh, ok := mysqlwire.ParseAuthSwitchRequest(body)
 		if !ok || plugin != mysqlwire.NativePassword {
 			return errors.New("server wants a way to log in that is not supported")
 		}
-		out = func() []byte { return mysqlwire.Packet(nil, seq+1, mysqlwire.Scramble(fresh, l.backend.Password)) }
+		out = func() []byte {
+			return mysqlwire.AppendPacket(nil, seq+1, mysqlwire.Scramble(fresh, l.backend.Password))
+		}
 	}
 	// The connection is the loop's to write on: its Dial may not have returned yet.
 	l.backend.Loop.Post(func() { _ = l.conn.Write(out()) })
@@ -251,7 +253,7 @@
 	if errors.As(err, &e) && (e.Code == 1040 || e.Code == 1203) {
 		l.backend.Loop.Post(func() {
 			if !l.closed {
-				l.events.Done(request.Result{Outcome: aspenshed.Full, Close: true, Detail: e.Message})
+				l.events.Done(request.Result{Outcome: aspenshed.Full, CloseConnection: true, Detail: e.Message})
 			}
 		})
 		return nil
@@ -264,7 +266,7 @@
 // only the execution counts as sent.
 func (l *backendConn) Send(statement any, wait aspenshed.Nanos) bool {
 	l.stmt = statement.(*Statement)
-	return l.sendCommand(pendingCheck, mysqlwire.Command(mysqlwire.ComPing), func(*mysqlwire.Answer) {
+	return l.sendCommand(pendingCheck, mysqlwire.Command(mysqlwire.ComPing), func(*mysqlwire.ResponseReader) {
 		if !l.trailingBytes && !l.sendStatement(wait) { // where more came, down follows anyway
 			l.down(netio.ErrClosed)
 		}
@@ -276,17 +278,17 @@
 	p, known := l.prepared[s.Tag.SQL]
 	switch {
 	case s.PrepareOnly:
-		return l.events.Leave() && l.prepare()
+		return l.events.AllowSend() && l.prepare()
 	case s.Execute != nil && known:
 		return l.execute(p)
 	case s.Execute != nil:
 		return l.prepare()
 	}
-	l.sent = l.events.Leave()
-	return l.sent && l.sendCommand(pendingResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(s.Tag.WithWait(int64(wait)/1e6))), l.finishAttempt)
+	l.sent = l.events.AllowSend()
+	return l.sent && l.sendCommand(pendingResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(s.Tag.WithTimeout(int64(wait)/1e6))), l.finishAttempt)
 }
 
-func (l *backendConn) sendCommand(what int, command []byte, then func(*mysqlwire.Answer)) bool {
+func (l *backendConn) sendCommand(what int, command []byte, then func(*mysqlwire.ResponseReader)) bool {
 	l.onResponse = then
 	l.pending.Add(what)
 	if l.conn.Write(command) != nil {
@@ -304,8 +306,8 @@
 			break
 		}
 	}
-	return l.sendCommand(pendingPrepare, mysqlwire.Command(mysqlwire.ComStmtPrepare, []byte(l.stmt.Tag.SQL)), func(a *mysqlwire.Answer) {
-		p, ok := mysqlwire.ParsePrepared(a.First)
+	return l.sendCommand(pendingPrepare, mysqlwire.Command(mysqlwire.ComStmtPrepare, []byte(l.stmt.Tag.SQL)), func(a *mysqlwire.ResponseReader) {
+		p, ok := mysqlwire.ParsePrepareResponse(a.FirstPacket)
 		if ok && a.Err == nil {
 			if old, twice := l.prepared[l.stmt.Tag.SQL]; twice {
 				_ = l.conn.Write(mysqlwire.Command(mysqlwire.ComStmtClose, binary.LittleEndian.AppendUint32(nil, old.ID)))
@@ -320,25 +322,25 @@
 	})
 }
 
-func (l *backendConn) execute(p mysqlwire.Prepared) bool {
+func (l *backendConn) execute(p mysqlwire.PrepareResponse) bool {
 	var b []byte
 	for _, d := range l.stmt.LongData {
 		head := binary.LittleEndian.AppendUint16(binary.LittleEndian.AppendUint32(nil, p.ID), d.Param)
 		b = append(b, mysqlwire.Command(mysqlwire.ComStmtSendLongData, head, d.Data)...)
 	}
-	l.sent = l.events.Leave()
-	return l.sent && l.sendCommand(pendingResult, append(b, l.stmt.Execute.Command(p.ID)...), l.finishAttempt)
+	l.sent = l.events.AllowSend()
+	return l.sent && l.sendCommand(pendingResult, append(b, l.stmt.Execute.Packet(p.ID)...), l.finishAttempt)
 }
 
 // finishAttempt ends an attempt.
-func (l *backendConn) finishAttempt(a *mysqlwire.Answer) {
+func (l *backendConn) finishAttempt(a *mysqlwire.ResponseReader) {
 	r := request.Result{Outcome: aspenshed.Served, Value: a.Raw}
 	if a.Err != nil {
 		r = resultForError(*a.Err)
 	} else if l.stmt != nil && !l.stmt.PrepareOnly && isWrite(l.stmt.Tag.SQL) {
 		r.Role = aspenshed.RolePrimary // it has taken a write
 	}
-	l.sent, l.stmt, r.Close = false, nil, l.trailingBytes
+	l.sent, l.stmt, r.CloseConnection = false, nil, l.trailingBytes
 	l.events.Done(r)
 }
 
@@ -361,8 +363,8 @@
 func (l *backendConn) Probe() bool {
 	l.report, l.stmt = aspenshed.Report{}, nil
 	l.sent = true
-	return l.sendCommand(pendingResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(l.backend.Probes.Role)), func(a *mysqlwire.Answer) {
-		if v, _, ok := mysqlwire.LenencString(a.Row); ok {
+	return l.sendCommand(pendingResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(l.backend.Probes.Role)), func(a *mysqlwire.ResponseReader) {
+		if v, _, ok := mysqlwire.ReadLenencString(a.FirstRow); ok {
 			l.report.HasRole, l.report.Primary = true, v == "0" || v == "OFF"
 		}
 		if a.Err != nil || l.backend.Probes.Position == "" {
@@ -373,20 +375,20 @@
 	})
 }
 
-func (l *backendConn) handlePosition(a *mysqlwire.Answer) {
-	if v, _, ok := mysqlwire.LenencString(a.Row); ok {
+func (l *backendConn) handlePosition(a *mysqlwire.ResponseReader) {
+	if v, _, ok := mysqlwire.ReadLenencString(a.FirstRow); ok {
 		if ms, err := strconv.ParseInt(v, 10, 64); err == nil && ms > 0 {
-			l.report.HasPosition, l.report.Position = true, eventloop.UnixMs(ms)
+			l.report.HasPosition, l.report.Position = true, eventloop.FromUnixMillis(ms)
 		}
 	}
 	l.finishProbe(a)
 }
 
-func (l *backendConn) finishProbe(a *mysqlwire.Answer) {
+func (l *backendConn) finishProbe(a *mysqlwire.ResponseReader) {
 	r := request.Result{Outcome: aspenshed.Served, Report: l.report}
 	if a.Err != nil {
 		r = request.Result{Outcome: aspenshed.Errored, Detail: a.Err.Message}
 	}
-	l.sent, r.Close = false, l.trailingBytes
+	l.sent, r.CloseConnection = false, l.trailingBytes
 	l.events.Done(r)
 }
--- a/internal/frontend/mysql/front.go
+++ b/internal/frontend/mysql/front.go
@@ -64,7 +64,7 @@
 
 // preparedStmt is a client's prepared statement.
 type preparedStmt struct {
-	tag      sqlcomment.Tag
+	tag      sqlcomment.Statement
 	params   atomic.Int32 // as the server said; the loop sets it before the client hears of the statement
 	types    []byte
 	longData []LongData
@@ -73,7 +73,7 @@
 
 // Accept makes a session for a new connection.
 func (f *Front) Accept(c *netio.Conn) netio.Handler {
-	s := &clientConn{front: f, conn: c, session: f.Open(c), reader: mysqlwire.Reader{Max: maxPacket}, challenge: make([]byte, 20)}
+	s := &clientConn{front: f, conn: c, session: f.Open(c), reader: mysqlwire.Reader{MaxSize: maxPacket}, challenge: make([]byte, 20)}
 	_, _ = rand.Read(s.challenge) // never fails
 	for i, b := range s.challenge {
 		s.challenge[i] = b&0x7f | 1 // no zero byte may stand in it
@@ -92,7 +92,7 @@
 // Data parses and posts.
 func (s *clientConn) Data(b []byte) {
 	err := s.reader.Feed(b, s.packet)
-	s.session.SetPartial(s.reader.Partial())
+	s.session.SetPartial(s.reader.HasPartial())
 	switch {
 	case errors.Is(err, errClientClosed):
 		s.session.ClientClosed()
@@ -114,7 +114,7 @@
 func (s *clientConn) packet(seq byte, body, _ []byte) error {
 	switch s.phase {
 	case awaitLogin:
-		l, err := mysqlwire.ParseResponse(body)
+		l, err := mysqlwire.ParseHandshakeResponse(body)
 		if err != nil {
 			return err
 		}
@@ -123,11 +123,11 @@
 		}
 		if l.Plugin != "" && l.Plugin != mysqlwire.NativePassword {
 			s.phase, s.user = awaitAuthSwitch, l.User
-			return s.writeNow(mysqlwire.SwitchAuth(seq+1, s.challenge))
+			return s.writeNow(mysqlwire.AuthSwitchRequest(seq+1, s.challenge))
 		}
 		return s.login(seq, l)
 	case awaitAuthSwitch:
-		return s.login(seq, mysqlwire.Login{User: s.user, Auth: body})
+		return s.login(seq, mysqlwire.Login{User: s.user, AuthResponse: body})
 	}
 	if len(body) == 0 {
 		return mysqlwire.ErrMalformed
@@ -136,7 +136,7 @@
 }
 
 func (s *clientConn) login(seq byte, l mysqlwire.Login) error {
-	if password, known := s.front.Accounts[l.User]; !known || !l.Matches(s.challenge, password) {
+	if password, known := s.front.Accounts[l.User]; !known || !l.VerifyPassword(s.challenge, password) {
 		s.session.Fatal(mysqlwire.Error{Code: 1045, State: "28000",
 			Message: fmt.Sprintf("Access denied for user '%s'", l.User)}.Packet(seq+1), "access denied")
 		return errAlreadyAnswered
@@ -199,15 +199,15 @@
 }
 
 // checkRoutable looks at a statement's text; what cannot be routed is answered here.
-func (s *clientConn) checkRoutable(sql string) (sqlcomment.Tag, bool) {
+func (s *clientConn) checkRoutable(sql string) (sqlcomment.Statement, bool) {
 	tag, err := sqlcomment.Parse(sql)
-	verb := mysqlwire.Verb(sql)
+	verb := mysqlwire.FirstKeyword(sql)
 	switch {
-	case err != nil && !errors.Is(err, sqlcomment.ErrNone):
+	case err != nil && !errors.Is(err, sqlcomment.ErrNoComment):
 		s.replyInvalid(err)
 	case verb == "":
 		s.replyError(1065, "42000", "Query was empty")
-	case mysqlwire.Several(sql):
+	case mysqlwire.HasMultipleStatements(sql):
 		s.replyError(1235, "42000", "multi-statements are not supported")
 	case transactionVerbs[verb]:
 		s.replyError(1235, "42000", "transactions are not supported: "+verb)
@@ -229,7 +229,7 @@
 	s.session.Enqueue(0, func(x *session.Slot) { x.Submit(request.Query{}, err, 0, s.front.encodeResponse) })
 }
 
-func (s *clientConn) submit(st *Statement, tag sqlcomment.Tag, form func(request.Final) []byte) {
+func (s *clientConn) submit(st *Statement, tag sqlcomment.Statement, form func(request.Response) []byte) {
 	arrived := s.front.Loop.Now()
 	q, err := s.front.buildQuery(tag, st)
 	s.session.Enqueue(st.size(), func(x *session.Slot) { x.Submit(q, err, arrived, form) })
@@ -239,7 +239,7 @@
 // for a write that is none only costs the primary some work.
 func isWrite(sql string) bool {
 	up := strings.ToUpper(sql)
-	return mysqlwire.Verb(sql) != "SELECT" || strings.Contains(up, "FOR UPDATE") || strings.Contains(up, "INTO ")
+	return mysqlwire.FirstKeyword(sql) != "SELECT" || strings.Contains(up, "FOR UPDATE") || strings.Contains(up, "INTO ")
 }
 
 // connectorSettings session settings are what every connector says first.
@@ -247,7 +247,7 @@
 
 // buildQuery reads the comment, with the configured defaults behind it. What is not
 // known to be a read counts as a write that must never run twice, whatever class it names.
-func (f *Front) buildQuery(tag sqlcomment.Tag, st *Statement) (request.Query, error) {
+func (f *Front) buildQuery(tag sqlcomment.Statement, st *Statement) (request.Query, error) {
 	class := f.Defaults.ReadClass
 	if isWrite(tag.SQL) {
 		class = f.Defaults.WriteClass
@@ -256,17 +256,17 @@
 	if f.Defaults.Tenant != "" {
 		v["t"] = f.Defaults.Tenant
 	}
-	for k, x := range tag.Values {
+	for k, x := range tag.Fields {
 		v[k] = x
 	}
-	tag.Values = v
+	tag.Fields = v
 	q, err := f.BuildQuery(tag, st)
 	if err != nil {
 		return q, err
 	}
 	switch {
 	case st.PrepareOnly: // runs nothing: any member will do
-		q.Name, q.Class, q.Auxiliary = "", f.ClassIndex(f.Defaults.ReadClass), true
+		q.ExternalID, q.Class, q.PrepareOnly = "", f.ClassIndex(f.Defaults.ReadClass), true
 	case isWrite(tag.SQL) && f.Settings.Classes[q.Class].Need != aspenshed.WriteToIt:
 		q.Class = f.ClassIndex(f.Defaults.WriteClass)
 	}
@@ -286,9 +286,9 @@
 	s.lastID++
 	id, st := s.lastID, &preparedStmt{tag: tag}
 	s.stmts[id] = st
-	s.submit(&Statement{Tag: tag, PrepareOnly: true}, tag, func(x request.Final) []byte {
+	s.submit(&Statement{Tag: tag, PrepareOnly: true}, tag, func(x request.Response) []byte {
 		b := s.front.encodeResponse(x)
-		if p, ok := mysqlwire.ParsePrepared(b[4:]); ok && x.Verdict == request.Served {
+		if p, ok := mysqlwire.ParsePrepareResponse(b[4:]); ok && x.Status == request.Served {
 			st.params.Store(int32(p.Params))
 			binary.LittleEndian.PutUint32(b[5:], id) // the client knows it by our name
 		}
@@ -332,17 +332,17 @@
 }
 
 // encodeResponse is a final encodeResponse in bytes.
-func (f *Front) encodeResponse(x request.Final) []byte {
+func (f *Front) encodeResponse(x request.Response) []byte {
 	switch e, known := x.Value.(mysqlwire.Error); {
-	case x.Verdict == request.Served:
+	case x.Status == request.Served:
 		return x.Value.([]byte)
-	case x.Verdict == request.Refused: // 40001 is the state on which clients try again by themselves
+	case x.Status == request.Refused: // 40001 is the state on which clients try again by themselves
 		m := "refused, nothing ran: " + x.Reason
-		if x.RetryIn > 0 && f.Settings.RetryAdvice {
-			m += fmt.Sprintf("; retry in %d ms", int64(x.RetryIn+999999)/1e6)
+		if x.RetryAfter > 0 && f.Settings.RetryAdvice {
+			m += fmt.Sprintf("; retry in %d ms", int64(x.RetryAfter+999999)/1e6)
 		}
 		return mysqlwire.Error{Code: 1213, State: "40001", Message: m}.Packet(1)
-	case x.Bad:
+	case x.Invalid:
 		return mysqlwire.Error{Code: 1210, State: "HY000", Message: x.Reason}.Packet(1)
 	case known:
 		return e.Packet(1)
--- a/internal/frontend/postgres/backend.go
+++ b/internal/frontend/postgres/backend.go
@@ -35,7 +35,7 @@
 // state, the loop what was sent; they meet in the loop's mailbox and in owed.
 type backendConn struct {
 	loop    *eventloop.Loop
-	events  request.LinkEvents
+	events  request.ConnectionEvents
 	conn    *netio.Conn
 	reader  pgwire.Reader
 	pending session.PendingResponses
@@ -80,8 +80,8 @@
 )
 
 // Open dials. The limit holds until the database is ready for a statement.
-func (b *Backend) Open(address string, limit aspenshed.Nanos, probe bool, ev request.LinkEvents) (request.Link, error) {
-	l := &backendConn{loop: b.Loop, events: ev, reader: pgwire.Reader{Max: maxResponse}, expected: 'R'}
+func (b *Backend) Open(address string, limit aspenshed.Nanos, probe bool, ev request.ConnectionEvents) (request.Connection, error) {
+	l := &backendConn{loop: b.Loop, events: ev, reader: pgwire.Reader{MaxSize: maxResponse}, expected: 'R'}
 	conn, err := b.Net.Dial(address, time.Duration(limit), probe, l)
 	if err != nil {
 		return nil, err
@@ -98,15 +98,15 @@
 // Send writes an empty query and the statement, only d in it changed, but for its last byte. The empty query's answer
 // shows that the link is alive and that nothing else came ahead of it: till then a break proves that nothing has run.
 func (l *backendConn) Send(statement any, wait aspenshed.Nanos) bool {
-	sql := pgwire.Query(statement.(sqlcomment.Tag).WithWait(int64(wait) / 1e6))
+	sql := pgwire.QueryMessage(statement.(sqlcomment.Statement).WithTimeout(int64(wait) / 1e6))
 	l.lastByte = sql[len(sql)-1:]
 	l.pending.Add(pendingCheck)
-	return l.conn.Write(append(pgwire.Query(""), sql[:len(sql)-1]...)) == nil
+	return l.conn.Write(append(pgwire.QueryMessage(""), sql[:len(sql)-1]...)) == nil
 }
 
 // sendLastByte lets the statement's last byte go.
 func (l *backendConn) sendLastByte() {
-	if !l.events.Leave() {
+	if !l.events.AllowSend() {
 		return
 	}
 	l.pending.Add(pendingStatement)
@@ -121,21 +121,23 @@
 func (l *backendConn) Probe() bool {
 	l.sent = true
 	l.pending.Add(pendingProbe)
-	return l.conn.Write(pgwire.Query("SHOW health")) == nil
+	return l.conn.Write(pgwire.QueryMessage("SHOW health")) == nil
 }
 
-// Out tells whether a statement may have left.
-func (l *backendConn) Out() bool { return l.sent }
+// MayHaveSent tells whether a statement may have left.
+func (l *backendConn) MayHaveSent() bool { return l.sent }
 
 // Close ends the connection without another event.
 func (l *backendConn) Close() {
 	l.closed = true
-	l.loop.Stop(l.timeout)
+	l.loop.StopTimer(l.timeout)
 	l.conn.Close()
 }
 
 // Up greets the database. It may run before Dial has returned.
-func (l *backendConn) Up() { l.loop.Post(func() { _ = l.conn.Write(pgwire.Startup("web", "orders")) }) }
+func (l *backendConn) Up() {
+	l.loop.Post(func() { _ = l.conn.Write(pgwire.StartupMessage("web", "orders")) })
+}
 
 // Closed is called when the connection ends by itself.
 func (l *backendConn) Closed(err error) { l.loop.Post(func() { l.down(err) }) }
@@ -145,14 +147,14 @@
 		return
 	}
 	l.Close()
-	l.events.Down(request.HowEnded(l.sent, errors.Is(err, netio.ErrRefused)), err)
+	l.events.Lost(request.ClassifyLoss(l.sent, errors.Is(err, netio.ErrRefused)), err)
 }
 
 // Data parses; only whole answers reach the loop. What can't be read ends the
 // link, and so does what comes unasked: it could be taken for the next answer.
 func (l *backendConn) Data(b []byte) {
 	err := l.reader.Feed(b, l.message)
-	if err == nil && l.ready && l.pending.Next() == 0 && l.reader.Partial() {
+	if err == nil && l.ready && l.pending.Next() == 0 && l.reader.HasPartial() {
 		err = errUnsolicited
 	}
 	whole := l.completed
@@ -162,8 +164,8 @@
 	}
 	l.loop.Post(func() {
 		for i, r := range whole {
-			r.Close = r.Close || err != nil && i == len(whole)-1 // the answer is good, the link is not
-			if err == nil || r.kind != pendingCheck {            // behind a spoilt check no statement leaves
+			r.CloseConnection = r.CloseConnection || err != nil && i == len(whole)-1 // the answer is good, the link is not
+			if err == nil || r.kind != pendingCheck {                                // behind a spoilt check no statement leaves
 				l.deliver(r)
 			}
 		}
@@ -187,7 +189,7 @@
 	switch {
 	case m.Type == 'N': // notices get passed over
 	case m.Type == 'S':
-		k, v, ok := pgwire.Parameter(m.Body)
+		k, v, ok := pgwire.ParseParameterStatus(m.Body)
 		if !ok {
 			return errMalformedResponse
 		}
@@ -222,12 +224,12 @@
 	case 'R':
 		l.expected, ok = 'Z', string(m.Body) == "\x00\x00\x00\x00"
 	case 'T':
-		l.expected, ok = 'D', pgwire.IsOneColumn(m.Body)
+		l.expected, ok = 'D', pgwire.IsSingleColumn(m.Body)
 	case 'D':
 		l.expected = 'C'
-		l.row, ok = pgwire.OneColumn(m.Body)
+		l.row, ok = pgwire.ParseSingleColumn(m.Body)
 	case 'C':
-		_, rest, whole := pgwire.CString(m.Body)
+		_, rest, whole := pgwire.ReadCString(m.Body)
 		l.expected, ok = 'Z', whole && len(rest) == 0
 	case 'I':
 		l.expected, ok = 'Z', len(m.Body) == 0
@@ -248,21 +250,21 @@
 		return errMalformedResponse
 	}
 	if what == pendingStatement {
-		l.rows = pgwire.Append(l.rows, m.Type, string(m.Body))
+		l.rows = pgwire.AppendMessage(l.rows, m.Type, string(m.Body))
 	}
 	return nil
 }
 
 func (l *backendConn) up() {
 	if !l.closed {
-		l.loop.Stop(l.timeout)
-		l.events.Up()
+		l.loop.StopTimer(l.timeout)
+		l.events.Ready()
 	}
 }
 
 // complete keeps a whole answer for the loop.
 func (l *backendConn) complete(what int, last bool) {
-	r := request.Result{Close: last, Outcome: aspenshed.Served, Value: l.rows}
+	r := request.Result{CloseConnection: last, Outcome: aspenshed.Served, Value: l.rows}
 	if e := l.serverError; e != nil {
 		r.Outcome, r.Detail, r.Value = outcomeForCode(e.Code, l.ready), e.Code+" "+e.Message, *e
 	}
@@ -274,7 +276,7 @@
 	}
 	now := l.loop.Now()
 	if ms, err := strconv.ParseInt(l.params["lsn_ms"], 10, 64); err == nil && ms > 0 && ms <= int64(now+maxClockAhead)/1e6 {
-		r.Position = eventloop.UnixMs(ms)
+		r.Position = eventloop.FromUnixMillis(ms)
 	}
 	health := l.params["health"]
 	if what == pendingProbe {
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -31,7 +31,7 @@
 
 // Accept makes a session for a new connection.
 func (f *Front) Accept(c *netio.Conn) netio.Handler {
-	return &clientConn{front: f, conn: c, session: f.Open(c), reader: pgwire.Reader{Startup: true, Max: maxQuery}, awaitStartup: true}
+	return &clientConn{front: f, conn: c, session: f.Open(c), reader: pgwire.Reader{Startup: true, MaxSize: maxQuery}, awaitStartup: true}
 }
 
 // Up has nothing to say: the client speaks first.
@@ -43,7 +43,7 @@
 // Data parses and posts.
 func (s *clientConn) Data(b []byte) {
 	err := s.reader.Feed(b, s.message)
-	s.session.SetPartial(s.reader.Partial())
+	s.session.SetPartial(s.reader.HasPartial())
 	switch {
 	case errors.Is(err, errClientClosed):
 		s.session.ClientClosed()
@@ -61,12 +61,12 @@
 	arrived := s.front.Loop.Now()
 	switch m.Type {
 	case 'Q':
-		sql, _, ok := pgwire.CString(m.Body)
+		sql, _, ok := pgwire.ReadCString(m.Body)
 		if !ok {
 			return pgwire.ErrMalformed
 		}
 		if strings.TrimSpace(sql) == "" {
-			s.session.Enqueue(len(m.Body), func(x *session.Slot) { x.SetResponse(pgwire.Ready(pgwire.Append(nil, 'I'))) })
+			s.session.Enqueue(len(m.Body), func(x *session.Slot) { x.SetResponse(pgwire.AppendReadyForQuery(pgwire.AppendMessage(nil, 'I'))) })
 			return nil
 		}
 		q, err := s.front.parseStatement(sql)
@@ -85,11 +85,11 @@
 		return s.writeNow([]byte{'N'})
 	case code == pgwire.CancelRequest:
 		return errClientClosed
-	case code>>16 != pgwire.Version3>>16:
+	case code>>16 != pgwire.ProtocolVersion3>>16:
 		return errors.New("protocol version not supported")
 	}
 	s.awaitStartup, s.reader.Startup = false, false
-	return s.writeNow(pgwire.Welcome())
+	return s.writeNow(pgwire.StartupResponse())
 }
 
 // writeNow answers without a slot. A client that can't be answered has gone: that is no bad input.
@@ -103,7 +103,7 @@
 // parseStatement turns a statement into a query.
 func (f *Front) parseStatement(sql string) (request.Query, error) {
 	tag, err := sqlcomment.Parse(sql)
-	if err == nil && tag.Values["id"] == "" {
+	if err == nil && tag.Fields["id"] == "" {
 		err = errors.New("comment names no id")
 	}
 	if err != nil {
@@ -113,21 +113,21 @@
 }
 
 // encodeResponse is a final encodeResponse in bytes.
-func (f *Front) encodeResponse(x request.Final) []byte {
+func (f *Front) encodeResponse(x request.Response) []byte {
 	e := pgwire.Error{Severity: "ERROR", Code: "XX000", Message: "failed: " + x.Reason}
 	own, known := x.Value.(pgwire.Error)
 	switch {
-	case x.Verdict == request.Served:
-		return pgwire.Ready(x.Value.([]byte))
-	case x.Verdict == request.Refused:
+	case x.Status == request.Served:
+		return pgwire.AppendReadyForQuery(x.Value.([]byte))
+	case x.Status == request.Refused:
 		e.Code, e.Message = "53300", "refused: "+x.Reason
-		if x.RetryIn > 0 && f.Settings.RetryAdvice {
-			e.Detail = strconv.FormatInt(int64(x.RetryIn+999999)/1e6, 10)
+		if x.RetryAfter > 0 && f.Settings.RetryAdvice {
+			e.Detail = strconv.FormatInt(int64(x.RetryAfter+999999)/1e6, 10)
 		}
 	case known && own.Code != "57P03": // a database's own error, where it does not read as a refusal
 		e.Code, e.Message = own.Code, own.Message
-	case x.Bad:
+	case x.Invalid:
 		e.Code, e.Message = "42601", x.Reason
 	}
-	return pgwire.Ready(pgwire.AppendError(nil, e))
+	return pgwire.AppendReadyForQuery(pgwire.AppendError(nil, e))
 }
