--- a/internal/controlplane/admission/admission_test.go
+++ b/internal/controlplane/admission/admission_test.go
@@ -48,7 +48,7 @@
 			if got, most := float64(admitted), burst+rate*elapsed+float64(size); got > most {
 				t.Fatalf("%.0f bytes after %.2f s, over %.0f", got, elapsed, most)
 			}
-			if limit := float64(herd*size)/rate*(1+jitterPart) + 0.5; elapsed > limit {
+			if limit := float64(herd*size)/rate*(1+jitterFraction) + 0.5; elapsed > limit {
 				t.Fatalf("%d still wait after %.2f s; the bytes take %.2f", left, elapsed, limit)
 			}
 		}
@@ -70,7 +70,7 @@
 	if _, again := b.Admit(second/2, "b", 1000, 0); first != second || again != second/2 || b.Tickets() != 1 {
 		t.Errorf("%v, then %v, %d tickets", first, again, b.Tickets())
 	}
-	b.Admit(second+ticketLife+2*second, "c", 1, 0)
+	b.Admit(second+ticketTTL+2*second, "c", 1, 0)
 	if b.Tickets() != 0 {
 		t.Errorf("%d tickets are kept", b.Tickets())
 	}
--- a/internal/controlplane/revision/log.go
+++ b/internal/controlplane/revision/log.go
@@ -8,22 +8,22 @@
 
 // CompactedError says that the log no longer reaches back to a revision.
 type CompactedError struct {
-	Asked  uint64
-	Oldest uint64 // the log has all changes after this revision
+	Requested uint64
+	Oldest    uint64 // the log has all changes after this revision
 }
 
 func (e *CompactedError) Error() string {
-	return fmt.Sprintf("changes after revision %d are no longer kept, only those after %d", e.Asked, e.Oldest)
+	return fmt.Sprintf("changes after revision %d are no longer kept, only those after %d", e.Requested, e.Oldest)
 }
 
 // FutureError says that the log has not come as far as a revision.
 type FutureError struct {
-	Asked uint64
-	Head  uint64
+	Requested uint64
+	Head      uint64
 }
 
 func (e *FutureError) Error() string {
-	return fmt.Sprintf("revision %d is ahead of the log's %d", e.Asked, e.Head)
+	return fmt.Sprintf("revision %d is ahead of the log's %d", e.Requested, e.Head)
 }
 
 // Log holds the newest changes, as many as fit its bytes. Whoever reads from it only needs to know how far it is.
@@ -42,8 +42,8 @@
 // NewLog holds at most so many bytes, counted by Size.
 func NewLog(maxBytes int) *Log { return &Log{maxBytes: maxBytes} }
 
-// Size is what a change counts for against the log's bound.
-func Size(c *Change) int {
+// ChangeSize is what a change counts for against the log's bound.
+func ChangeSize(c *Change) int {
 	n := changeOverhead + len(c.Key) + len(c.Value)
 	if c.Before != nil {
 		n += len(c.Before.Value)
@@ -59,7 +59,7 @@
 	}
 	l.head = revision
 	for i := range changes {
-		l.bytes += Size(&changes[i])
+		l.bytes += ChangeSize(&changes[i])
 	}
 	l.changes = append(l.changes, changes...)
 	l.compact()
@@ -71,7 +71,7 @@
 	for dropped < len(l.changes) && l.bytes > l.maxBytes {
 		l.oldest = l.changes[dropped].Revision
 		for dropped < len(l.changes) && l.changes[dropped].Revision == l.oldest {
-			l.bytes -= Size(&l.changes[dropped])
+			l.bytes -= ChangeSize(&l.changes[dropped])
 			dropped++
 		}
 	}
@@ -110,10 +110,10 @@
 // until its next Append or Reset and must not be changed.
 func (l *Log) Since(revision uint64) ([]Change, error) {
 	if revision < l.oldest {
-		return nil, &CompactedError{Asked: revision, Oldest: l.oldest}
+		return nil, &CompactedError{Requested: revision, Oldest: l.oldest}
 	}
 	if revision > l.head {
-		return nil, &FutureError{Asked: revision, Head: l.head}
+		return nil, &FutureError{Requested: revision, Head: l.head}
 	}
 	first := sort.Search(len(l.changes), func(i int) bool { return l.changes[i].Revision > revision })
 	return l.changes[first:len(l.changes):len(l.changes)], nil
--- a/internal/controlplane/revision/member.go
+++ b/internal/controlplane/revision/member.go
@@ -39,21 +39,21 @@
 	if !IsMember(key) {
 		return Placement{}, nil
 	}
-	p, err := memberPlacement(value)
+	p, err := parseMemberPlacement(value)
 	if err != nil {
 		return Placement{}, &ValueError{Key: key, Err: err}
 	}
 	return p, nil
 }
 
-func memberPlacement(value []byte) (p Placement, err error) {
+func parseMemberPlacement(value []byte) (p Placement, err error) {
 	found := false
-	err = eachField(value, func(field protowire.Number, _ uint64, bytes []byte) error {
+	err = forEachField(value, func(field protowire.Number, _ uint64, bytes []byte) error {
 		if field != memberEntryField {
 			return nil
 		}
 		found = true
-		p, err = entryPlacement(bytes)
+		p, err = parseEntryPlacement(bytes)
 		return err
 	})
 	if err == nil && !found {
@@ -62,8 +62,8 @@
 	return p, err
 }
 
-func entryPlacement(entry []byte) (p Placement, err error) {
-	err = eachField(entry, func(field protowire.Number, number uint64, bytes []byte) error {
+func parseEntryPlacement(entry []byte) (p Placement, err error) {
+	err = forEachField(entry, func(field protowire.Number, number uint64, bytes []byte) error {
 		switch field {
 		case entrySiteField:
 			p.Site = string(bytes)
@@ -84,8 +84,8 @@
 	return p, err
 }
 
-// eachField calls with each field of a message: a varint's number, or the bytes of a field that has a length.
-func eachField(message []byte, call func(field protowire.Number, number uint64, bytes []byte) error) error {
+// forEachField calls with each field of a message: a varint's number, or the bytes of a field that has a length.
+func forEachField(message []byte, call func(field protowire.Number, number uint64, bytes []byte) error) error {
 	for len(message) > 0 {
 		field, kind, n := protowire.ConsumeTag(message)
 		if n < 0 {
--- a/internal/controlplane/revision/scope.go
+++ b/internal/controlplane/revision/scope.go
@@ -12,15 +12,15 @@
 
 // Normalized is the same scope in its one form: sorted, each group and site once.
 func (s Scope) Normalized() Scope {
-	return Scope{Groups: sortedOnce(s.Groups, compareGroups), Sites: sortedOnce(s.Sites, cmp.Compare[string])}
+	return Scope{Groups: sortedUnique(s.Groups, compareGroups), Sites: sortedUnique(s.Sites, cmp.Compare[string])}
 }
 
 func compareGroups(a, b Group) int {
 	return cmp.Or(cmp.Compare(a.Wire, b.Wire), cmp.Compare(a.ID, b.ID))
 }
 
-// sortedOnce copies only what is not in order yet.
-func sortedOnce[T comparable](values []T, compare func(a, b T) int) []T {
+// sortedUnique copies only what is not in order yet.
+func sortedUnique[T comparable](values []T, compare func(a, b T) int) []T {
 	inOrder := true
 	for i := 1; i < len(values); i++ {
 		inOrder = inOrder && compare(values[i-1], values[i]) < 0
--- a/internal/controlplane/revision/scopedigest.go
+++ b/internal/controlplane/revision/scopedigest.go
@@ -4,23 +4,23 @@
 
 // scopeDigests are the sums that every scope's digest is made of. Only who serves scopes has them.
 type scopeDigests struct {
-	shared Digest // of the records that are not of members
-	groups map[uint32]Digest
-	sites  map[uint32]Digest
-	cells  map[cell]cellDigest
+	shared     Digest // of the records that are not of members
+	groups     map[uint32]Digest
+	sites      map[uint32]Digest
+	groupSites map[groupSite]groupSiteDigest
 }
 
-// cell is one group's members at one site, both by their interned numbers.
-type cell struct{ group, site uint32 }
+// groupSite is one group's members at one site, both by their interned numbers.
+type groupSite struct{ group, site uint32 }
 
-// cellDigest is kept until the last of its members goes.
-type cellDigest struct {
+// groupSiteDigest is kept until the last of its members goes.
+type groupSiteDigest struct {
 	digest  Digest
 	members int32
 }
 
 func newScopeDigests() *scopeDigests {
-	return &scopeDigests{groups: map[uint32]Digest{}, sites: map[uint32]Digest{}, cells: map[cell]cellDigest{}}
+	return &scopeDigests{groups: map[uint32]Digest{}, sites: map[uint32]Digest{}, groupSites: map[groupSite]groupSiteDigest{}}
 }
 
 // add counts a record in, or out.
@@ -35,15 +35,15 @@
 	}
 	d.groups[e.group] += hash
 	d.sites[e.site] += hash
-	at := cell{e.group, e.site}
-	c := d.cells[at]
+	at := groupSite{e.group, e.site}
+	c := d.groupSites[at]
 	c.digest += hash
 	c.members += members
 	if c.members == 0 {
-		delete(d.cells, at)
+		delete(d.groupSites, at)
 		return
 	}
-	d.cells[at] = c
+	d.groupSites[at] = c
 }
 
 // sum is a normalized scope's digest. Who is in one of its groups and at one of its sites is counted twice at first.
@@ -62,7 +62,7 @@
 		sum += d.sites[site]
 		for _, g := range scope.Groups {
 			if group, known := s.groups.numbers[g]; known {
-				sum -= d.cells[cell{group, site}].digest
+				sum -= d.groupSites[groupSite{group, site}].digest
 			}
 		}
 	}
--- a/internal/controlplane/revision/state.go
+++ b/internal/controlplane/revision/state.go
@@ -24,14 +24,14 @@
 // Apply sets or removes one record and brings the state to the change's revision, if that is newer.
 func (s *State) Apply(c Change) {
 	if before, p := s.records.find(c.Key); p.size > 0 {
-		s.count(before, false)
+		s.updateDigests(before, false)
 	}
 	if c.Removed {
 		s.records.remove(c.Key)
 	} else {
-		e := s.entry(&c.Record)
+		e := s.toEntry(&c.Record)
 		s.records.put(e)
-		s.count(e, true)
+		s.updateDigests(e, true)
 	}
 	s.Advance(c.Revision)
 }
@@ -67,7 +67,7 @@
 	if p.size == 0 {
 		return Record{}, false
 	}
-	return s.record(e), true
+	return s.toRecord(e), true
 }
 
 // Records yields those within a scope in the order of their keys; they are the caller's own. The state must not be
@@ -75,7 +75,7 @@
 func (s *State) Records(scope Scope) iter.Seq[Record] {
 	return func(yield func(Record) bool) {
 		s.records.each(func(e entry) bool {
-			r := s.record(e)
+			r := s.toRecord(e)
 			return !scope.Contains(r.Key, r.Placement) || yield(r)
 		})
 	}
@@ -105,7 +105,7 @@
 		c := &changes[i]
 		before, again := changed[c.Key]
 		if !again {
-			before = s.hash(c.Key)
+			before = s.recordHash(c.Key)
 		}
 		var after Digest
 		if !c.Removed {
@@ -117,8 +117,8 @@
 	return sum
 }
 
-// hash is a record's part of the digest; 0 where there is none.
-func (s *State) hash(key string) Digest {
+// recordHash is a record's part of the digest; 0 where there is none.
+func (s *State) recordHash(key string) Digest {
 	e, p := s.records.find(key)
 	if p.size == 0 {
 		return 0
@@ -126,8 +126,8 @@
 	return hashEntry(e)
 }
 
-// entry is a record as the table holds it.
-func (s *State) entry(r *Record) entry {
+// toEntry is a record as the table holds it.
+func (s *State) toEntry(r *Record) entry {
 	e := entry{key: []byte(r.Key), value: r.Value}
 	if IsMember(r.Key) {
 		e.group = s.groups.number(r.Placement.Group)
@@ -136,7 +136,7 @@
 	return e
 }
 
-func (s *State) record(e entry) Record {
+func (s *State) toRecord(e entry) Record {
 	r := Record{Key: string(e.key), Value: slices.Clone(e.value)}
 	if IsMember(r.Key) {
 		r.Placement = Placement{Group: s.groups.values[e.group], Site: s.sites.values[e.site]}
@@ -144,8 +144,8 @@
 	return r
 }
 
-// count adds a record to the digests, or takes it from them.
-func (s *State) count(e entry, add bool) {
+// updateDigests adds a record to the digests, or takes it from them.
+func (s *State) updateDigests(e entry, add bool) {
 	hash := hashEntry(e)
 	if add {
 		s.digest += hash
--- a/internal/controlplane/revision/state_test.go
+++ b/internal/controlplane/revision/state_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// history is random changes of a few keys, each with what was before it, one to three of them a revision.
-func history(t *rapid.T) (out []Change) {
+// drawChanges is random changes of a few keys, each with what was before it, one to three of them a revision.
+func drawChanges(t *rapid.T) (out []Change) {
 	current := map[string]Record{}
 	rev := uint64(0)
 	for i := range rapid.IntRange(0, 40).Draw(t, "changes") {
@@ -21,7 +21,7 @@
 			rev += rapid.Uint64Range(1, 3).Draw(t, "gap")
 		}
 		c := Change{Revision: rev, Binding: rapid.Bool().Draw(t, "binding")}
-		c.Record = anyRecord(t)
+		c.Record = drawRecord(t)
 		if before, known := current[c.Key]; known {
 			c.Before = &before
 		}
@@ -36,27 +36,27 @@
 	return out
 }
 
-func anyRecord(t *rapid.T) Record {
+func drawRecord(t *rapid.T) Record {
 	n := rapid.IntRange(0, 7).Draw(t, "key")
 	value := []byte(rapid.StringN(0, 6, -1).Draw(t, "value"))
 	if n == 7 {
 		return Record{Key: RulesKey, Value: value}
 	}
-	return Record{Key: fmt.Sprint(MemberPrefix, n), Value: value, Placement: anyPlacement(t)}
+	return Record{Key: fmt.Sprint(MemberPrefix, n), Value: value, Placement: drawPlacement(t)}
 }
 
-func anyPlacement(t *rapid.T) Placement {
+func drawPlacement(t *rapid.T) Placement {
 	wire := rapid.SampledFrom([]string{"mysql", "postgres"}).Draw(t, "wire")
 	site := rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "site")
 	return Placement{Group: Group{wire, int32(rapid.IntRange(0, 2).Draw(t, "group"))}, Site: site}
 }
 
-func anyScope(t *rapid.T) (s Scope) {
+func drawScope(t *rapid.T) (s Scope) {
 	for range rapid.IntRange(0, 3).Draw(t, "groups") {
-		s.Groups = append(s.Groups, anyPlacement(t).Group)
+		s.Groups = append(s.Groups, drawPlacement(t).Group)
 	}
 	for range rapid.IntRange(0, 2).Draw(t, "sites") {
-		s.Sites = append(s.Sites, anyPlacement(t).Site)
+		s.Sites = append(s.Sites, drawPlacement(t).Site)
 	}
 	return s
 }
@@ -65,7 +65,7 @@
 func TestStateIsWhatAWalkSays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, plain := NewState(), map[string]Record{}
-		changes := history(t)
+		changes := drawChanges(t)
 		want := s.DigestAfter(changes)
 		for _, c := range changes {
 			s.Apply(c)
@@ -79,7 +79,7 @@
 		}
 		again := NewState()
 		again.Reset(s.Revision(), slices.Collect(s.Records(Scope{})))
-		for _, scope := range []Scope{{}, anyScope(t)} {
+		for _, scope := range []Scope{{}, drawScope(t)} {
 			walk, n := Digest(0), 0
 			for key, r := range plain {
 				if scope.Contains(key, r.Placement) {
@@ -102,7 +102,7 @@
 // and sees every binding change.
 func TestProjectedChangesKeepAScope(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		changes, scope := history(t), anyScope(t)
+		changes, scope := drawChanges(t), drawScope(t)
 		all, part := NewState(), NewState()
 		seen, binding := 0, 0
 		for len(changes) > 0 {
@@ -154,7 +154,7 @@
 // Guards the log's bound and that a reader gets commits whole or an error.
 func TestLogGivesWholeCommitsOrAnError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		changes := history(t)
+		changes := drawChanges(t)
 		l := NewLog(rapid.IntRange(1, 20).Draw(t, "kept") * changeOverhead)
 		head := uint64(0)
 		for i := 0; i < len(changes); {
@@ -168,7 +168,7 @@
 			bytes := 0
 			held, err := l.Since(l.Oldest())
 			for k := range held {
-				bytes += Size(&held[k])
+				bytes += ChangeSize(&held[k])
 			}
 			if err != nil || bytes != l.Bytes() || bytes > l.maxBytes || l.Head() != head {
 				t.Fatalf("%v, %d bytes held, %d counted of %d", err, bytes, l.Bytes(), l.maxBytes)
@@ -180,11 +180,11 @@
 		var future *FutureError
 		switch {
 		case since > head:
-			if !errors.As(err, &future) || future.Asked != since || future.Head != head {
+			if !errors.As(err, &future) || future.Requested != since || future.Head != head {
 				t.Fatalf("since %d of %d: %v", since, head, err)
 			}
 		case errors.As(err, &compacted):
-			if since >= l.Oldest() || compacted.Asked != since || compacted.Oldest != l.Oldest() {
+			if since >= l.Oldest() || compacted.Requested != since || compacted.Oldest != l.Oldest() {
 				t.Fatalf("since %d, oldest %d: %v", since, l.Oldest(), err)
 			}
 		default:
--- a/internal/controlplane/revision/table.go
+++ b/internal/controlplane/revision/table.go
@@ -40,8 +40,8 @@
 	return append(b, e.value...)
 }
 
-// first reads the first entry of packed ones, and its size.
-func first(b []byte) (e entry, size int) {
+// decodeEntry reads the decodeEntry entry of packed ones, and its size.
+func decodeEntry(b []byte) (e entry, size int) {
 	var numbers [4]uint64
 	for i := range numbers {
 		n, width := binary.Uvarint(b[size:])
@@ -54,20 +54,20 @@
 	return e, end
 }
 
-// place is where an entry is, or would be: from offset on in a leaf. Its size there is 0 if there is none.
-type place struct{ leaf, offset, size int }
+// position is where an entry is, or would be: from offset on in a leaf. Its size there is 0 if there is none.
+type position struct{ leaf, offset, size int }
 
-func (t *table) find(key string) (entry, place) {
+func (t *table) find(key string) (entry, position) {
 	after := sort.Search(len(t.leaves), func(i int) bool {
-		e, _ := first(t.leaves[i])
+		e, _ := decodeEntry(t.leaves[i])
 		return string(e.key) > key
 	})
-	p := place{leaf: max(0, after-1)}
+	p := position{leaf: max(0, after-1)}
 	if len(t.leaves) == 0 {
 		return entry{}, p
 	}
 	for leaf := t.leaves[p.leaf]; p.offset < len(leaf); {
-		e, size := first(leaf[p.offset:])
+		e, size := decodeEntry(leaf[p.offset:])
 		if order := bytes.Compare(e.key, []byte(key)); order >= 0 {
 			if order == 0 {
 				p.size = size
@@ -99,11 +99,11 @@
 	}
 	t.count--
 	t.replace(p, nil)
-	t.join(p.leaf)
+	t.merge(p.leaf)
 }
 
 // replace puts packed bytes in the place of others. A leaf that has to grow gets exactly the memory that it needs.
-func (t *table) replace(p place, packed []byte) {
+func (t *table) replace(p position, packed []byte) {
 	leaf := t.leaves[p.leaf]
 	size := len(leaf) - p.size + len(packed)
 	if size > cap(leaf) {
@@ -122,9 +122,9 @@
 	if len(leaf) <= maxLeafBytes {
 		return
 	}
-	_, cut := first(leaf)
+	_, cut := decodeEntry(leaf)
 	for cut < len(leaf) {
-		_, size := first(leaf[cut:])
+		_, size := decodeEntry(leaf[cut:])
 		if cut+size > len(leaf)/2 {
 			break
 		}
@@ -140,8 +140,8 @@
 	t.split(i)
 }
 
-// join drops an empty leaf, and merges a small one with the next.
-func (t *table) join(i int) {
+// merge drops an empty leaf, and merges a small one with the next.
+func (t *table) merge(i int) {
 	switch {
 	case len(t.leaves[i]) == 0:
 		t.leaves = slices.Delete(t.leaves, i, i+1)
@@ -155,7 +155,7 @@
 func (t *table) each(call func(entry) bool) {
 	for _, leaf := range t.leaves {
 		for len(leaf) > 0 {
-			e, size := first(leaf)
+			e, size := decodeEntry(leaf)
 			if !call(e) {
 				return
 			}
--- a/internal/controlplane/revision/table_test.go
+++ b/internal/controlplane/revision/table_test.go
@@ -51,7 +51,7 @@
 			}
 		}
 		for _, leaf := range table.leaves {
-			if _, size := first(leaf); len(leaf) > maxLeafBytes && size < len(leaf) {
+			if _, size := decodeEntry(leaf); len(leaf) > maxLeafBytes && size < len(leaf) {
 				t.Fatalf("a leaf of %d bytes", len(leaf))
 			}
 		}
--- a/internal/controlplane/rollout/rollout.go
+++ b/internal/controlplane/rollout/rollout.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// maxLagging and maxReported are how many of those furthest behind, and of the newest refusals, an answer names.
-	maxLagging  = 20
-	maxReported = 20
+	// maxReportedLagging and maxReported are how many of those furthest behind, and of the newest refusals, an answer names.
+	maxReportedLagging  = 20
+	maxReportedRefusals = 20
 	// maxRefusals are kept over all revisions: each of the 480 subscribers of a server at the target may refuse one
 	// change and some of them a second one. The oldest goes first.
 	maxRefusals = 1024
@@ -29,14 +29,14 @@
 // NewTracker knows no subscribers.
 func NewTracker() *Tracker { return &Tracker{inForce: map[string]uint64{}} }
 
-// InForce takes note of what a subscriber has in force.
-func (t *Tracker) InForce(subscriber string, revision uint64) { t.inForce[subscriber] = revision }
+// SetInForce takes note of what a subscriber has in force.
+func (t *Tracker) SetInForce(subscriber string, revision uint64) { t.inForce[subscriber] = revision }
 
 // Remove forgets a subscriber that has left this server; its refusals stay.
 func (t *Tracker) Remove(subscriber string) { delete(t.inForce, subscriber) }
 
-// Refused takes note of a change that a subscriber does not go by.
-func (t *Tracker) Refused(subscriber string, revision uint64, key, reason string) {
+// AddRefusal takes note of a change that a subscriber does not go by.
+func (t *Tracker) AddRefusal(subscriber string, revision uint64, key, reason string) {
 	r := &pb.Refusal{Subscriber: subscriber, Revision: revision, Key: key, Reason: reason}
 	if len(t.refusals) < maxRefusals {
 		t.refusals = append(t.refusals, r)
@@ -61,16 +61,16 @@
 	slices.SortFunc(lagging, func(a, b *pb.Lagging) int {
 		return cmp.Or(cmp.Compare(a.InForce, b.InForce), cmp.Compare(a.Subscriber, b.Subscriber))
 	})
-	status.Lagging = lagging[:min(len(lagging), maxLagging)]
-	status.Refusals = t.refusalsOf(revision)
+	status.Lagging = lagging[:min(len(lagging), maxReportedLagging)]
+	status.Refusals = t.newestRefusals(revision)
 	return status
 }
 
-// refusalsOf is the newest of one revision, the newest first.
-func (t *Tracker) refusalsOf(revision uint64) (out []*pb.Refusal) {
+// newestRefusals is the newest of one revision, the newest first.
+func (t *Tracker) newestRefusals(revision uint64) (out []*pb.Refusal) {
 	for i := range t.refusals {
 		r := t.refusals[(t.oldest-1-i+2*len(t.refusals))%len(t.refusals)]
-		if r.Revision == revision && len(out) < maxReported {
+		if r.Revision == revision && len(out) < maxReportedRefusals {
 			out = append(out, r)
 		}
 	}
--- a/internal/controlplane/rollout/rollout_test.go
+++ b/internal/controlplane/rollout/rollout_test.go
@@ -8,14 +8,14 @@
 func TestStatusCountsAndNamesThoseFurthestBehind(t *testing.T) {
 	k := NewTracker()
 	for i := range 100 {
-		k.InForce(fmt.Sprintf("g%03d", i), uint64(i))
+		k.SetInForce(fmt.Sprintf("g%03d", i), uint64(i))
 	}
 	k.Remove("g000")
 	s := k.Status(60, 60)
-	if s.Subscribers != 99 || s.InForce != 40 || len(s.Lagging) != maxLagging {
+	if s.Subscribers != 99 || s.InForce != 40 || len(s.Lagging) != maxReportedLagging {
 		t.Fatalf("%v", s)
 	}
-	if first, last := s.Lagging[0], s.Lagging[maxLagging-1]; first.Subscriber != "g001" || last.InForce != 20 {
+	if first, last := s.Lagging[0], s.Lagging[maxReportedLagging-1]; first.Subscriber != "g001" || last.InForce != 20 {
 		t.Errorf("lagging from %v to %v", first, last)
 	}
 	if s := k.Status(60, 55); s.Revision != 60 || s.InForce != 45 {
@@ -29,13 +29,13 @@
 func TestRefusalsAreBoundedAndNewestFirst(t *testing.T) {
 	k := NewTracker()
 	for i := range maxRefusals + 50 {
-		k.Refused(fmt.Sprint("g", i), uint64(i%2), "config", "no such group")
+		k.AddRefusal(fmt.Sprint("g", i), uint64(i%2), "config", "no such group")
 	}
 	if len(k.refusals) != maxRefusals {
 		t.Errorf("%d kept", len(k.refusals))
 	}
 	s := k.Status(1, 1)
-	if len(s.Refusals) != maxReported || s.Refusals[0].Subscriber != fmt.Sprint("g", maxRefusals+49) ||
+	if len(s.Refusals) != maxReportedRefusals || s.Refusals[0].Subscriber != fmt.Sprint("g", maxRefusals+49) ||
 		s.Refusals[1].Subscriber != fmt.Sprint("g", maxRefusals+47) || s.Refusals[0].Reason != "no such group" {
 		t.Errorf("%v", s.Refusals)
 	}
@@ -48,6 +48,6 @@
 		names[i] = fmt.Sprint("gateway-", i)
 	}
 	for i := range b.N {
-		k.InForce(names[i%len(names)], uint64(i))
+		k.SetInForce(names[i%len(names)], uint64(i))
 	}
 }
--- a/internal/controlplane/stream/client.go
+++ b/internal/controlplane/stream/client.go
@@ -27,14 +27,14 @@
 	Network Network
 	Log     *logrus.Entry   // nil: nowhere
 	Clock   eventloop.Clock // nil: the wall's
-	// Applied hears of every new state, on the client's goroutine; nil: nobody does. It must not block.
-	Applied func(Update)
+	// OnUpdate hears of every new state, on the client's goroutine; nil: nobody does. It must not block.
+	OnUpdate func(Update)
 }
 
 // Update is a step of the state: changes, or a whole new one.
 type Update struct {
 	Revision uint64
-	Whole    bool // read State; there are no changes
+	Full     bool // read State; there are no changes
 	Changes  []revision.Change
 	State    *revision.State // valid during the call alone
 }
@@ -47,22 +47,22 @@
 	loop     *eventloop.Loop
 	counters counters
 	nextID   atomic.Uint64 // of submissions
-	ended    chan struct{}
-	stop     sync.Once
+	done     chan struct{}
+	stopOnce sync.Once
 
 	mu    sync.Mutex
 	stats ClientStats
 
 	// The loop's own.
-	machine *subscription.Client
-	conn    *serverConn // nil: neither connected nor dialling
-	timer   *eventloop.Timer
-	answers map[uint64]chan<- answer // of submissions; bounded by the machine
-	failed  bool
+	machine            *subscription.Client
+	conn               *serverConn // nil: neither connected nor dialling
+	timer              *eventloop.Timer
+	pendingSubmissions map[uint64]chan<- submitResult // of submissions; bounded by the machine
+	failed             bool
 }
 
-// answer is what came of a submission.
-type answer struct {
+// submitResult is what came of a submission.
+type submitResult struct {
 	reply *catalogpb.Reply
 	err   error
 }
@@ -72,16 +72,16 @@
 	if c.Clock == nil {
 		c.Clock = eventloop.NewClock()
 	}
-	if c.Applied == nil {
-		c.Applied = func(Update) {}
+	if c.OnUpdate == nil {
+		c.OnUpdate = func(Update) {}
 	}
-	x := &Client{config: c, log: orDiscard(c.Log), loop: eventloop.NewLoop(c.Clock), ended: make(chan struct{}),
-		machine: subscription.NewClient(c.Machine), answers: map[uint64]chan<- answer{}}
+	x := &Client{config: c, log: loggerOrDiscard(c.Log), loop: eventloop.NewLoop(c.Clock), done: make(chan struct{}),
+		machine: subscription.NewClient(c.Machine), pendingSubmissions: map[uint64]chan<- submitResult{}}
 	x.loop.AfterBatch = func() { x.step() }
 	x.loop.Panicked = x.fail
 	x.loop.Post(func() {})
 	go func() {
-		defer close(x.ended)
+		defer close(x.done)
 		x.loop.Run()
 	}()
 	return x
@@ -100,7 +100,7 @@
 // Submit has a batch carried to the leader and waits for the reply. Unless the error is one of subscription's
 // ErrNotConnected, ErrTooMany and ErrStopped, the batch may have been carried out.
 func (c *Client) Submit(b *catalogpb.Batch, limit time.Duration) (*catalogpb.Reply, error) {
-	id, got := c.nextID.Add(1), make(chan answer, 1)
+	id, got := c.nextID.Add(1), make(chan submitResult, 1)
 	c.loop.Post(func() { c.submit(id, b, got) })
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
@@ -108,19 +108,19 @@
 	case a := <-got:
 		return a.reply, a.err
 	case <-timer.C:
-		c.loop.Post(func() { delete(c.answers, id) })
+		c.loop.Post(func() { delete(c.pendingSubmissions, id) })
 		return nil, ErrTimeout
-	case <-c.ended:
+	case <-c.done:
 		return nil, subscription.ErrStopped
 	}
 }
 
-func (c *Client) submit(id uint64, b *catalogpb.Batch, got chan<- answer) {
+func (c *Client) submit(id uint64, b *catalogpb.Batch, got chan<- submitResult) {
 	if c.failed {
-		got <- answer{err: subscription.ErrStopped}
+		got <- submitResult{err: subscription.ErrStopped}
 		return
 	}
-	c.answers[id] = got
+	c.pendingSubmissions[id] = got
 	c.step(subscription.SubmitCommands{ID: id, Batch: b})
 }
 
@@ -135,12 +135,12 @@
 
 // Stop ends the connection and the client.
 func (c *Client) Stop() {
-	c.stop.Do(func() {
+	c.stopOnce.Do(func() {
 		c.loop.Post(func() {
 			c.step(subscription.Stop{})
 			c.loop.Quit()
 		})
-		<-c.ended
+		<-c.done
 	})
 }
 
@@ -151,15 +151,15 @@
 	}
 	actions, next := c.machine.Step(c.loop.Now(), events...)
 	for _, a := range actions {
-		c.do(a)
+		c.perform(a)
 	}
 	c.loop.Stop(c.timer)
 	c.timer = c.loop.At(next, func() {}) // a step follows every batch
-	c.note()
+	c.updateStats()
 }
 
-// note keeps what Stats tells.
-func (c *Client) note() {
+// updateStats keeps what Stats tells.
+func (c *Client) updateStats() {
 	state := c.machine.State()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,36 +167,36 @@
 	c.stats.Revision, c.stats.Digest, c.stats.Records = state.Revision(), state.Digest(revision.Scope{}), state.Len()
 }
 
-func (c *Client) do(a subscription.Action) {
+func (c *Client) perform(a subscription.Action) {
 	switch a := a.(type) {
 	case subscription.Dial:
 		c.dial(a.Server)
 	case subscription.Send:
 		c.send(a.Frame)
-	case subscription.HangUp:
-		c.hangUp()
+	case subscription.CloseConnection:
+		c.closeConnection()
 	case subscription.Apply:
 		c.apply(a)
 	case subscription.SubmitDone:
-		c.answer(a)
+		c.completeSubmission(a)
 	case subscription.Log:
-		writeLine(c.log, &a.LogLine)
+		writeLogLine(c.log, &a.LogLine)
 	}
 }
 
 func (c *Client) apply(a subscription.Apply) {
-	if a.Whole {
+	if a.Full {
 		c.mu.Lock()
 		c.stats.Snapshots++
 		c.mu.Unlock()
 	}
-	c.config.Applied(Update{Revision: a.Revision, Whole: a.Whole, Changes: a.Changes, State: c.machine.State()})
+	c.config.OnUpdate(Update{Revision: a.Revision, Full: a.Full, Changes: a.Changes, State: c.machine.State()})
 }
 
-func (c *Client) answer(a subscription.SubmitDone) {
-	if got := c.answers[a.ID]; got != nil {
-		got <- answer{a.Reply, a.Err}
-		delete(c.answers, a.ID)
+func (c *Client) completeSubmission(a subscription.SubmitDone) {
+	if got := c.pendingSubmissions[a.ID]; got != nil {
+		got <- submitResult{a.Reply, a.Err}
+		delete(c.pendingSubmissions, a.ID)
 	}
 }
 
@@ -211,7 +211,7 @@
 		err = c.conn.write(b)
 	}
 	if err != nil {
-		c.lose(c.conn, err)
+		c.connectionLost(c.conn, err)
 	}
 }
 
@@ -222,9 +222,9 @@
 	}
 	c.failed = true
 	c.log.WithFields(panicFields(cause)).Error(messageClientFailed)
-	c.hangUp()
-	for id, got := range c.answers {
-		got <- answer{err: subscription.ErrLost}
-		delete(c.answers, id)
+	c.closeConnection()
+	for id, got := range c.pendingSubmissions {
+		got <- submitResult{err: subscription.ErrConnectionLost}
+		delete(c.pendingSubmissions, id)
 	}
 }
--- a/internal/controlplane/stream/client_conn.go
+++ b/internal/controlplane/stream/client_conn.go
@@ -7,9 +7,9 @@
 	"aspenshed/internal/protocol/frame"
 )
 
-// maxServerBytes bounds what waits of a server for the client's loop: two of the longest frames, many times a server's
+// maxPendingServerBytes bounds what waits of a server for the client's loop: two of the longest frames, many times a server's
 // window. Beyond it the connection is closed.
-const maxServerBytes = 2 * frame.MaxSize
+const maxPendingServerBytes = 2 * frame.MaxSize
 
 // serverConn is the connection to a server, from its dial on. What comes of one that is no longer the client's is
 // dropped.
@@ -21,35 +21,35 @@
 
 func (c *Client) dial(server string) {
 	conn := &serverConn{client: c}
-	conn.receiver = receiver[*pb.ServerFrame]{make: func() *pb.ServerFrame { return &pb.ServerFrame{} },
-		counters: &c.counters, limit: maxServerBytes}
+	conn.receiver = receiver[*pb.ServerFrame]{newFrame: func() *pb.ServerFrame { return &pb.ServerFrame{} },
+		counters: &c.counters, maxPendingBytes: maxPendingServerBytes}
 	c.conn = conn
 	c.mu.Lock()
 	c.stats.Server = server
 	c.mu.Unlock()
 	socket, err := c.config.Network.Dial(server, conn)
 	if err != nil {
-		c.lose(conn, err)
+		c.connectionLost(conn, err)
 		return
 	}
 	conn.socket = socket
 }
 
-// hangUp closes the connection, or gives up the dial.
-func (c *Client) hangUp() {
+// closeConnection closes the connection, or gives up the dial.
+func (c *Client) closeConnection() {
 	if c.conn != nil && c.conn.socket != nil {
 		c.conn.socket.Close()
 	}
 	c.conn = nil
 }
 
-// lose tells the machine that a connection has ended. It may be called while the machine's actions are carried out.
-func (c *Client) lose(conn *serverConn, err error) {
+// connectionLost tells the machine that a connection has ended. It may be called while the machine's actions are carried out.
+func (c *Client) connectionLost(conn *serverConn, err error) {
 	c.loop.Post(func() {
 		if conn == nil || c.conn != conn {
 			return
 		}
-		c.hangUp()
+		c.closeConnection()
 		c.step(subscription.Disconnected{Err: err})
 	})
 }
@@ -57,7 +57,7 @@
 func (c *serverConn) write(b []byte) error {
 	err := c.socket.Write(b)
 	if err == nil {
-		c.client.counters.sent(len(b))
+		c.client.counters.countSent(len(b))
 	}
 	return err
 }
@@ -77,20 +77,20 @@
 
 // Data posts the frames that have come whole.
 func (c *serverConn) Data(b []byte) {
-	frames, err := c.receiver.feed(b)
+	frames, err := c.receiver.decode(b)
 	if len(frames) == 0 && err == nil {
 		return
 	}
-	c.client.loop.Post(func() { c.take(frames, err) })
+	c.client.loop.Post(func() { c.handleFrames(frames, err) })
 }
 
-// take hands frames to the machine, which may end the connection with any of them.
-func (c *serverConn) take(frames []received[*pb.ServerFrame], err error) {
+// handleFrames hands frames to the machine, which may end the connection with any of them.
+func (c *serverConn) handleFrames(frames []receivedFrame[*pb.ServerFrame], err error) {
 	for _, f := range frames {
 		if c.client.conn == c {
 			c.client.step(subscription.Received{Frame: f.frame, Bytes: f.bytes})
 		}
-		c.receiver.took(f)
+		c.receiver.release(f)
 	}
 	if err != nil && c.client.conn == c {
 		c.client.step(subscription.BadFrame{Err: err})
@@ -98,6 +98,6 @@
 }
 
 // Closed posts the connection's end, or that it never came up.
-func (c *serverConn) Closed(err error) { c.client.lose(c, err) }
+func (c *serverConn) Closed(err error) { c.client.connectionLost(c, err) }
 
 var _ netio.Handler = (*serverConn)(nil)
--- a/internal/controlplane/stream/feed.go
+++ b/internal/controlplane/stream/feed.go
@@ -6,29 +6,29 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// maxFeedBytes bounds the commits that wait for the server's loop. At an overflow they are dropped and the state is read
+// maxQueuedBytes bounds the commits that wait for the server's loop. At an overflow they are dropped and the state is read
 // anew: 21,000 members take some 5 MB, so it takes a loop that has stood still for several replacements of all of them.
-const maxFeedBytes = 64 << 20
+const maxQueuedBytes = 64 << 20
 
-// feed is the queue between the replicated log's goroutine and the server's loop.
-type feed struct {
-	mu         sync.Mutex
-	items      []feedItem
-	bytes      int
-	overflowed bool
-	count      uint64 // of overflows
+// commitQueue is the queue between the replicated log's goroutine and the server's loop.
+type commitQueue struct {
+	mu            sync.Mutex
+	items         []queuedCommit
+	bytes         int
+	overflowed    bool
+	overflowCount uint64 // of overflows
 }
 
-// feedItem is a commit, or a state that replaces what went before.
-type feedItem struct {
+// queuedCommit is a commit, or a state that replaces what went before.
+type queuedCommit struct {
 	revision uint64
 	changes  []revision.Change
 	reset    bool
 	records  []revision.Record
 }
 
-// publish reports whether the loop has to be told: it has nothing else to take.
-func (f *feed) publish(rev uint64, changes []revision.Change) bool {
+// push reports whether the loop has to be told: it has nothing else to take.
+func (f *commitQueue) push(rev uint64, changes []revision.Change) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.overflowed {
@@ -38,25 +38,25 @@
 	for i := range changes {
 		f.bytes += len(changes[i].Key) + len(changes[i].Value)
 	}
-	f.bytes += frameOverhead
-	f.items = append(f.items, feedItem{revision: rev, changes: changes})
-	if f.bytes > maxFeedBytes {
+	f.bytes += decodedFrameOverhead
+	f.items = append(f.items, queuedCommit{revision: rev, changes: changes})
+	if f.bytes > maxQueuedBytes {
 		f.items, f.bytes, f.overflowed = nil, 0, true
-		f.count++
+		f.overflowCount++
 	}
 	return idle
 }
 
 // reset drops what waits: the new state replaces it.
-func (f *feed) reset(rev uint64, records []revision.Record) bool {
+func (f *commitQueue) reset(rev uint64, records []revision.Record) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	idle := len(f.items) == 0 && !f.overflowed
-	f.items, f.bytes, f.overflowed = []feedItem{{revision: rev, reset: true, records: records}}, 0, false
+	f.items, f.bytes, f.overflowed = []queuedCommit{{revision: rev, reset: true, records: records}}, 0, false
 	return idle
 }
 
-func (f *feed) take() (items []feedItem, overflowed bool) {
+func (f *commitQueue) popAll() (items []queuedCommit, overflowed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	items, overflowed = f.items, f.overflowed
@@ -64,8 +64,8 @@
 	return items, overflowed
 }
 
-func (f *feed) overflows() uint64 {
+func (f *commitQueue) overflows() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.count
+	return f.overflowCount
 }
--- a/internal/controlplane/stream/harness_test.go
+++ b/internal/controlplane/stream/harness_test.go
@@ -83,7 +83,7 @@
 	t.Helper()
 	log, lines := newLogs()
 	x := &testServer{logs: lines, batches: make(chan *catalogpb.Batch, 1024)}
-	c := ServerConfig{Listen: listen, Cluster: "test", Log: log, Clock: clock, Carry: func(b *catalogpb.Batch) *catalogpb.Reply {
+	c := ServerConfig{Listen: listen, Cluster: "test", Log: log, Clock: clock, Forward: func(b *catalogpb.Batch) *catalogpb.Reply {
 		x.batches <- b
 		return &catalogpb.Reply{Results: make([]*catalogpb.Result, len(b.Commands))}
 	}}
@@ -116,7 +116,7 @@
 	}
 	log, lines := newLogs()
 	x := &testClient{logs: lines, updates: make(chan Update, 1024)}
-	c := ClientConfig{Network: NewNetwork(n), Log: log, Clock: clock, Applied: func(u Update) { x.updates <- u },
+	c := ClientConfig{Network: NewNetwork(n), Log: log, Clock: clock, OnUpdate: func(u Update) { x.updates <- u },
 		Machine: subscription.ClientConfig{Cluster: "test", Subscriber: name, Boot: "1", Servers: servers, Seed: 7}}
 	if change != nil {
 		change(&c)
--- a/internal/controlplane/stream/log.go
+++ b/internal/controlplane/stream/log.go
@@ -9,8 +9,8 @@
 	"aspenshed/internal/controlplane/subscription"
 )
 
-// writeLine hands a machine's line to the log.
-func writeLine(log *logrus.Entry, line *subscription.LogLine) {
+// writeLogLine hands a machine's line to the log.
+func writeLogLine(log *logrus.Entry, line *subscription.LogLine) {
 	fields := logrus.Fields{"revision": line.Revision}
 	for name, value := range map[string]string{"subscriber": line.Subscriber, "server": line.Server, "key": line.Key} {
 		if value != "" {
@@ -36,8 +36,8 @@
 	return logrus.Fields{"panic": p, "stack": string(debug.Stack())}
 }
 
-// orDiscard is the log, or one that goes nowhere.
-func orDiscard(log *logrus.Entry) *logrus.Entry {
+// loggerOrDiscard is the log, or one that goes nowhere.
+func loggerOrDiscard(log *logrus.Entry) *logrus.Entry {
 	if log != nil {
 		return log
 	}
--- a/internal/controlplane/stream/network.go
+++ b/internal/controlplane/stream/network.go
@@ -6,8 +6,8 @@
 	"aspenshed/internal/netio"
 )
 
-// dialLimit gives up a dial: no sooner than the machine does, whose limit is 3 s.
-const dialLimit = 5 * time.Second
+// dialTimeout gives up a dial: no sooner than the machine does, whose limit is 3 s.
+const dialTimeout = 5 * time.Second
 
 // Conn is a connection as a client uses it. Its methods may be called from any goroutine.
 type Conn interface {
@@ -21,11 +21,11 @@
 	Dial(address string, h netio.Handler) (Conn, error)
 }
 
-type sockets struct{ net *netio.Net }
+type socketNetwork struct{ net *netio.Net }
 
 // NewNetwork dials through n.
-func NewNetwork(n *netio.Net) Network { return sockets{n} }
+func NewNetwork(n *netio.Net) Network { return socketNetwork{n} }
 
-func (s sockets) Dial(address string, h netio.Handler) (Conn, error) {
-	return s.net.Dial(address, dialLimit, false, h)
+func (s socketNetwork) Dial(address string, h netio.Handler) (Conn, error) {
+	return s.net.Dial(address, dialTimeout, false, h)
 }
--- a/internal/controlplane/stream/server_conn.go
+++ b/internal/controlplane/stream/server_conn.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// maxSubscriberFrame bounds one frame of a subscriber: a batch of commands (512 kB, and one command beyond).
-	maxSubscriberFrame = 1 << 20
-	// maxSubscriberBytes bounds what waits of one subscriber for the loop: two such frames. Beyond it the connection is
+	// maxSubscriberFrameBytes bounds one frame of a subscriber: a batch of commands (512 kB, and one command beyond).
+	maxSubscriberFrameBytes = 1 << 20
+	// maxPendingSubscriberBytes bounds what waits of one subscriber for the loop: two such frames. Beyond it the connection is
 	// closed, as subscribers wait for answers and acknowledge ten times a second at most.
-	maxSubscriberBytes = 2 * maxSubscriberFrame
+	maxPendingSubscriberBytes = 2 * maxSubscriberFrameBytes
 )
 
 // subscriberConn is a connection of a subscriber.
@@ -28,8 +28,8 @@
 // accept is called before anything is read from the socket.
 func (s *Server) accept(socket *netio.Conn) netio.Handler {
 	c := &subscriberConn{server: s, id: subscription.SessionID(s.nextID.Add(1)), socket: socket}
-	c.receiver = receiver[*pb.SubscriberFrame]{make: func() *pb.SubscriberFrame { return &pb.SubscriberFrame{} },
-		counters: &s.counters, limit: maxSubscriberBytes, reader: frame.Reader{Limit: maxSubscriberFrame}}
+	c.receiver = receiver[*pb.SubscriberFrame]{newFrame: func() *pb.SubscriberFrame { return &pb.SubscriberFrame{} },
+		counters: &s.counters, maxPendingBytes: maxPendingSubscriberBytes, reader: frame.Reader{Limit: maxSubscriberFrameBytes}}
 	s.opened.Add(1)
 	s.loop.Post(func() {
 		if s.failed {
@@ -47,7 +47,7 @@
 
 // Data posts the frames that have come whole.
 func (c *subscriberConn) Data(b []byte) {
-	frames, err := c.receiver.feed(b)
+	frames, err := c.receiver.decode(b)
 	if len(frames) == 0 && err == nil {
 		return
 	}
@@ -55,7 +55,7 @@
 		now := c.server.loop.Now()
 		for _, f := range frames {
 			c.server.machine.Receive(now, c.id, f.frame)
-			c.receiver.took(f)
+			c.receiver.release(f)
 		}
 		if err != nil {
 			c.server.machine.BadFrame(now, c.id, err)
@@ -74,12 +74,12 @@
 // write sends a frame. One that can't be sent ends the connection, of which Closed tells.
 func (c *subscriberConn) write(b []byte) {
 	if err := c.socket.Write(b); err == nil {
-		c.server.counters.sent(len(b))
+		c.server.counters.countSent(len(b))
 	}
 }
 
-// finish closes the connection once what was written has left, or at the limit. What still comes is read and dropped.
-func (c *subscriberConn) finish(limit aspenshed.Nanos) {
+// closeAfterFlush closes the connection once what was written has left, or at the limit. What still comes is read and dropped.
+func (c *subscriberConn) closeAfterFlush(limit aspenshed.Nanos) {
 	s := c.server
 	switch {
 	case s.connections[c.id] != c:
@@ -91,6 +91,6 @@
 		delete(s.connections, c.id)
 		c.socket.Close()
 	default:
-		s.loop.At(s.loop.Now()+closePoll, func() { c.finish(limit) })
+		s.loop.At(s.loop.Now()+closePollInterval, func() { c.closeAfterFlush(limit) })
 	}
 }
--- a/internal/controlplane/stream/stats.go
+++ b/internal/controlplane/stream/stats.go
@@ -47,8 +47,8 @@
 		MessagesOut: c.messagesOut.Load()}
 }
 
-// sent counts one frame.
-func (c *counters) sent(bytes int) {
+// countSent counts one frame.
+func (c *counters) countSent(bytes int) {
 	c.bytesOut.Add(uint64(bytes))
 	c.messagesOut.Add(1)
 }
--- a/internal/controlplane/stream/stream_test.go
+++ b/internal/controlplane/stream/stream_test.go
@@ -26,12 +26,12 @@
 	server.Reset(5, []revision.Record{pair("a", "1"), pair("b", "1")})
 	client := startClient(t, clock, "g1", nil, server.Addr())
 	client.until(t, clock, 5)
-	if u := <-client.updates; !u.Whole || u.Revision != 5 {
+	if u := <-client.updates; !u.Full || u.Revision != 5 {
 		t.Errorf("first update %+v", u)
 	}
 	server.Publish(6, []revision.Change{set(6, "a", "2")})
 	client.until(t, clock, 6)
-	if u := <-client.updates; u.Whole || len(u.Changes) != 1 {
+	if u := <-client.updates; u.Full || len(u.Changes) != 1 {
 		t.Errorf("second update %+v", u)
 	}
 	if got := client.Stats().Digest; got != digestOf("a", "2", "b", "1") {
@@ -217,7 +217,7 @@
 	release := make(chan struct{})
 	var most, now atomic.Int64
 	server := startServer(t, clock, "127.0.0.1:0", func(c *ServerConfig) {
-		c.Carry = func(b *catalogpb.Batch) *catalogpb.Reply {
+		c.Forward = func(b *catalogpb.Batch) *catalogpb.Reply {
 			most.Store(max(most.Load(), now.Add(1)))
 			<-release
 			now.Add(-1)
@@ -237,14 +237,14 @@
 			}()
 		}
 	}
-	eventually(t, clock, "as many under way as may be", func() bool { return now.Load() == maxCarried })
+	eventually(t, clock, "as many under way as may be", func() bool { return now.Load() == maxConcurrentBatches })
 	close(release)
 	for range clients * each {
 		if err := <-errs; err != nil {
 			t.Error(err)
 		}
 	}
-	if most.Load() > maxCarried {
+	if most.Load() > maxConcurrentBatches {
 		t.Errorf("%d batches were under way at once", most.Load())
 	}
 }
@@ -271,7 +271,7 @@
 	if got := client.Stats().Digest; got != digestOf("a", "last") {
 		t.Errorf("digest %x", got)
 	}
-	if server.Stats().Overflows != 1 || server.logs.count(messageOverflow) != 1 {
+	if server.Stats().Overflows != 1 || server.logs.count(messageQueueOverflow) != 1 {
 		t.Errorf("%+v", server.Stats())
 	}
 	server.Publish(last+1, []revision.Change{set(last+1, "a", "after")})
--- a/internal/controlplane/subscriber/apply.go
+++ b/internal/controlplane/subscriber/apply.go
@@ -12,29 +12,29 @@
 	"aspenshed/internal/controlplane/stream"
 )
 
-// maxRefusals is the number of refused changes of one update that are told; further ones are counted in the last.
-const maxRefusals = 64
+// maxReportedRefusals is the number of refused changes of one update that are told; further ones are counted in the last.
+const maxReportedRefusals = 64
 
-const messageRefused = "control state: a change is refused, what was held stays"
+const messageChangeRefused = "control state: a change is refused, what was held stays"
 
 // apply takes an update over. What can't be taken is refused with its reason, and the rest still counts.
 func (s *Subscriber) apply(u stream.Update) {
 	var refused []*controlpb.RefusedChange
 	s.mu.Lock()
-	if u.Whole {
+	if u.Full {
 		refused = s.replaceAll(u)
 		s.changed.reset(u.Revision)
 	} else {
 		refused = s.applyChanges(u.Changes)
-		s.changed.note(u.Revision, u.Changes)
+		s.changed.add(u.Revision, u.Changes)
 	}
 	s.catalog.SetIndex(u.Revision)
 	s.mu.Unlock()
-	s.tellRefused(u.Revision, refused)
-	if rev, advanced := s.inForce.held(u.Revision); advanced {
+	s.reportRefused(u.Revision, refused)
+	if rev, advanced := s.inForce.catalogApplied(u.Revision); advanced {
 		s.client.InForce(rev, nil)
 	}
-	s.config.Changed()
+	s.config.OnChange()
 }
 
 func (s *Subscriber) applyChanges(changes []revision.Change) (refused []*controlpb.RefusedChange) {
@@ -50,7 +50,7 @@
 	if c.Removed {
 		return s.catalog.RemoveRecord(c.Key)
 	}
-	if err := s.check(c.Record); err != nil {
+	if err := s.checkRecord(c.Record); err != nil {
 		return err
 	}
 	return s.catalog.SetRecord(c.Record)
@@ -62,7 +62,7 @@
 	scratch := catalog.New(s.config.Cluster)
 	var good []revision.Record
 	for r := range u.State.Records(revision.Scope{}) {
-		err := s.check(r)
+		err := s.checkRecord(r)
 		if err == nil {
 			err = scratch.SetRecord(r)
 		}
@@ -90,30 +90,30 @@
 	return revision.Record{Key: revision.ConfigKey, Value: b}
 }
 
-// check says what this gateway has against a record, beside what the catalog itself finds.
-func (s *Subscriber) check(r revision.Record) error {
-	if r.Key != revision.ConfigKey || s.config.Check == nil {
+// checkRecord says what this gateway has against a record, beside what the catalog itself finds.
+func (s *Subscriber) checkRecord(r revision.Record) error {
+	if r.Key != revision.ConfigKey || s.config.CheckConfig == nil {
 		return nil
 	}
 	version := &pb.ConfigVersion{}
 	if err := proto.Unmarshal(r.Value, version); err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	return s.config.Check(version)
+	return s.config.CheckConfig(version)
 }
 
-// tellRefused logs the first refusal of an update and sends all of them back.
-func (s *Subscriber) tellRefused(rev uint64, refused []*controlpb.RefusedChange) {
+// reportRefused logs the first refusal of an update and sends all of them back.
+func (s *Subscriber) reportRefused(rev uint64, refused []*controlpb.RefusedChange) {
 	if len(refused) == 0 {
 		return
 	}
 	if s.config.Log != nil {
 		s.config.Log.WithField("revision", rev).WithField("key", refused[0].Key).WithField("reason", refused[0].Reason).
-			WithField("refused", len(refused)).Warn(messageRefused)
+			WithField("refused", len(refused)).Warn(messageChangeRefused)
 	}
-	if over := len(refused) - maxRefusals; over > 0 {
-		refused = refused[:maxRefusals]
-		refused[maxRefusals-1].Reason += fmt.Sprintf(" (and %d more)", over)
+	if over := len(refused) - maxReportedRefusals; over > 0 {
+		refused = refused[:maxReportedRefusals]
+		refused[maxReportedRefusals-1].Reason += fmt.Sprintf(" (and %d more)", over)
 	}
 	s.client.InForce(0, refused)
 }
--- a/internal/controlplane/subscriber/changed.go
+++ b/internal/controlplane/subscriber/changed.go
@@ -8,15 +8,15 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// maxChanged bounds the changes of members that are remembered; who has not looked for longer reads all members. It is
+// maxChangedMembers bounds the changes of members that are remembered; who has not looked for longer reads all members. It is
 // seven times the largest rollout that is planned for, 1,105 members.
-const maxChanged = 8192
+const maxChangedMembers = 8192
 
 // changedMembers remembers which members the newest updates have changed.
 type changedMembers struct {
-	mu    sync.Mutex
-	since uint64 // changes after this revision are all there
-	list  []changedMember
+	mu      sync.Mutex
+	since   uint64 // changes after this revision are all there
+	entries []changedMember
 }
 
 type changedMember struct {
@@ -24,18 +24,18 @@
 	id       string
 }
 
-// note takes the changes of an update that brought the state to rev.
-func (c *changedMembers) note(rev uint64, changes []revision.Change) {
+// add takes the changes of an update that brought the state to rev.
+func (c *changedMembers) add(rev uint64, changes []revision.Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i := range changes {
 		if id, isMember := strings.CutPrefix(changes[i].Key, revision.MemberPrefix); isMember {
-			c.list = append(c.list, changedMember{rev, id})
+			c.entries = append(c.entries, changedMember{rev, id})
 		}
 	}
-	if over := len(c.list) - maxChanged; over > 0 {
-		c.since = c.list[over-1].revision
-		c.list = append(c.list[:0], c.list[over:]...)
+	if over := len(c.entries) - maxChangedMembers; over > 0 {
+		c.since = c.entries[over-1].revision
+		c.entries = append(c.entries[:0], c.entries[over:]...)
 	}
 }
 
@@ -43,7 +43,7 @@
 func (c *changedMembers) reset(rev uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.since, c.list = rev, nil
+	c.since, c.entries = rev, nil
 }
 
 // after returns each member that has changed after a revision once; false: that is no longer known.
@@ -53,9 +53,9 @@
 	if rev < c.since {
 		return nil, false
 	}
-	first := sort.Search(len(c.list), func(i int) bool { return c.list[i].revision > rev })
+	first := sort.Search(len(c.entries), func(i int) bool { return c.entries[i].revision > rev })
 	seen := map[string]bool{}
-	for _, x := range c.list[first:] {
+	for _, x := range c.entries[first:] {
 		if !seen[x.id] {
 			seen[x.id] = true
 			ids = append(ids, x.id)
--- a/internal/controlplane/subscriber/inforce.go
+++ b/internal/controlplane/subscriber/inforce.go
@@ -2,23 +2,23 @@
 
 import "sync"
 
-// inForce works out the revision that all pipelines go by.
-type inForce struct {
-	mu        sync.Mutex
-	pipelines map[string]uint64 // what each has reported
-	told      uint64
+// inForceTracker works out the revision that all pipelines go by.
+type inForceTracker struct {
+	mu           sync.Mutex
+	pipelines    map[string]uint64 // what each has reported
+	lastReported uint64
 }
 
-func newInForce(pipelines []string) *inForce {
-	f := &inForce{pipelines: map[string]uint64{}}
+func newInForceTracker(pipelines []string) *inForceTracker {
+	f := &inForceTracker{pipelines: map[string]uint64{}}
 	for _, name := range pipelines {
 		f.pipelines[name] = 0
 	}
 	return f
 }
 
-// held takes note of a revision that the catalog has come to. Without pipelines it is in force.
-func (f *inForce) held(rev uint64) (uint64, bool) {
+// catalogApplied takes note of a revision that the catalog has come to. Without pipelines it is in force.
+func (f *inForceTracker) catalogApplied(rev uint64) (uint64, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.pipelines) > 0 {
@@ -27,8 +27,8 @@
 	return f.advance(rev)
 }
 
-// reported takes note of a revision that one pipeline has come to go by.
-func (f *inForce) reported(pipeline string, rev uint64) (uint64, bool) {
+// pipelineApplied takes note of a revision that one pipeline has come to go by.
+func (f *inForceTracker) pipelineApplied(pipeline string, rev uint64) (uint64, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.pipelines[pipeline] = max(f.pipelines[pipeline], rev)
@@ -40,15 +40,15 @@
 }
 
 // advance reports whether the servers have to be told.
-func (f *inForce) advance(rev uint64) (uint64, bool) {
-	advanced := rev > f.told
-	f.told = max(f.told, rev)
+func (f *inForceTracker) advance(rev uint64) (uint64, bool) {
+	advanced := rev > f.lastReported
+	f.lastReported = max(f.lastReported, rev)
 	return rev, advanced
 }
 
 // InForce takes note that a pipeline goes by a revision, and tells the servers once all do. It does not block.
 func (s *Subscriber) InForce(pipeline string, rev uint64) {
-	if rev, advanced := s.inForce.reported(pipeline, rev); advanced {
+	if rev, advanced := s.inForce.pipelineApplied(pipeline, rev); advanced {
 		s.client.InForce(rev, nil)
 	}
 }
--- a/internal/controlplane/subscriber/subscriber.go
+++ b/internal/controlplane/subscriber/subscriber.go
@@ -22,14 +22,14 @@
 	"aspenshed/internal/netio"
 )
 
-// submitLimit is for a batch to be agreed on: the leader's limit of 2 s, and the ways between regions.
-const submitLimit = 3 * time.Second
+// submitTimeout is for a batch to be agreed on: the leader's limit of 2 s, and the ways between regions.
+const submitTimeout = 3 * time.Second
 
 // maxDials are open at once: the connection, and ones that were given up and are not closed yet.
 const maxDials = 8
 
-// ErrNoVote is returned for what only an instance of the store can do.
-var ErrNoVote = errors.New("this instance subscribes to the store and has no vote, log or disk; ask a voter")
+// ErrNotVoter is returned for what only an instance of the store can do.
+var ErrNotVoter = errors.New("this instance subscribes to the store and has no vote, log or disk; ask a voter")
 
 // Config sets up a Subscriber.
 type Config struct {
@@ -39,10 +39,10 @@
 	Seed                               uint64
 	// Pipelines name those that report what is in force. Without any, what is held is in force.
 	Pipelines []string
-	// Check says what is wrong with a configuration; nil: nothing ever is. One that is refused is not taken over.
-	Check func(*pb.ConfigVersion) error
-	// Changed hears that the catalog has changed. It must not block; nil: nobody does.
-	Changed func()
+	// CheckConfig says what is wrong with a configuration; nil: nothing ever is. One that is refused is not taken over.
+	CheckConfig func(*pb.ConfigVersion) error
+	// OnChange hears that the catalog has changed. It must not block; nil: nobody does.
+	OnChange func()
 
 	Log     *logrus.Entry   // nil: nowhere
 	Clock   eventloop.Clock // nil: the wall's
@@ -51,20 +51,20 @@
 
 // Subscriber is one gateway's. Its methods may be called from any goroutine.
 type Subscriber struct {
-	config Config
-	boot   string
-	client *stream.Client
-	queue  *commandqueue.Queue
-	net    *netio.Net // nil: the network was given
-	end    chan struct{}
-	done   sync.WaitGroup
-	stop   sync.Once
+	config    Config
+	boot      string
+	client    *stream.Client
+	queue     *commandqueue.Queue
+	net       *netio.Net // nil: the network was given
+	closing   chan struct{}
+	workers   sync.WaitGroup
+	closeOnce sync.Once
 
 	mu      sync.RWMutex
 	catalog *catalog.Catalog
 
 	changed changedMembers
-	inForce *inForce
+	inForce *inForceTracker
 }
 
 // Open starts a subscriber. It waits for nobody.
@@ -73,10 +73,10 @@
 	if _, err := rand.Read(boot); err != nil {
 		return nil, err
 	}
-	s := &Subscriber{config: c, boot: hex.EncodeToString(boot), end: make(chan struct{}), catalog: catalog.New(c.Cluster),
-		inForce: newInForce(c.Pipelines)}
-	if s.config.Changed == nil {
-		s.config.Changed = func() {}
+	s := &Subscriber{config: c, boot: hex.EncodeToString(boot), closing: make(chan struct{}), catalog: catalog.New(c.Cluster),
+		inForce: newInForceTracker(c.Pipelines)}
+	if s.config.OnChange == nil {
+		s.config.OnChange = func() {}
 	}
 	if s.config.Network == nil {
 		var err error
@@ -89,15 +89,15 @@
 	machine := subscription.ClientConfig{Cluster: c.Cluster, Subscriber: c.ID, Boot: s.boot, Region: c.Region, Zone: c.Zone,
 		Release: c.Release, Scope: c.Scope, Servers: c.Servers, Seed: c.Seed}
 	s.client = stream.NewClient(stream.ClientConfig{Machine: machine, Network: s.config.Network, Log: c.Log, Clock: c.Clock,
-		Applied: func(u stream.Update) {
+		OnUpdate: func(u stream.Update) {
 			<-ready
 			s.apply(u)
 		}})
-	s.queue = commandqueue.New(c.ID+"/"+s.boot, s.carry, s.end)
+	s.queue = commandqueue.New(c.ID+"/"+s.boot, s.forward, s.closing)
 	close(ready)
-	s.done.Add(1)
+	s.workers.Add(1)
 	go func() {
-		defer s.done.Done()
+		defer s.workers.Done()
 		s.queue.Run()
 	}()
 	return s, nil
@@ -117,7 +117,7 @@
 }
 
 // ReadLatest is for instances that can ask the leader; a subscriber returns ErrNoVote.
-func (s *Subscriber) ReadLatest(time.Duration, func(*catalog.Catalog)) error { return ErrNoVote }
+func (s *Subscriber) ReadLatest(time.Duration, func(*catalog.Catalog)) error { return ErrNotVoter }
 
 // Offer has a command carried out some time; a later one with the same key takes the place of one that still waits.
 func (s *Subscriber) Offer(key string, c *pb.Command) { s.queue.Offer(key, c) }
@@ -138,19 +138,19 @@
 
 // Close ends the stream. Callers that wait get commandqueue.ErrClosed or ErrUnknown.
 func (s *Subscriber) Close() {
-	s.stop.Do(func() {
-		close(s.end)
+	s.closeOnce.Do(func() {
+		close(s.closing)
 		s.client.Stop()
-		s.done.Wait()
+		s.workers.Wait()
 		if s.net != nil {
 			s.net.Stop()
 		}
 	})
 }
 
-// carry takes a batch up to the server that the stream is with, which takes it to the leader.
-func (s *Subscriber) carry(b *pb.Batch) (results []*pb.Result, mayHaveRun bool, err error) {
-	reply, err := s.client.Submit(b, submitLimit)
+// forward takes a batch up to the server that the stream is with, which takes it to the leader.
+func (s *Subscriber) forward(b *pb.Batch) (results []*pb.Result, mayHaveRun bool, err error) {
+	reply, err := s.client.Submit(b, submitTimeout)
 	switch {
 	case err != nil:
 		return nil, !neverSent(err), err
@@ -162,5 +162,5 @@
 
 // neverSent reports whether a batch stayed here.
 func neverSent(err error) bool {
-	return errors.Is(err, subscription.ErrNotConnected) || errors.Is(err, subscription.ErrTooMany) || errors.Is(err, subscription.ErrStopped)
+	return errors.Is(err, subscription.ErrNotConnected) || errors.Is(err, subscription.ErrTooManySubmissions) || errors.Is(err, subscription.ErrStopped)
 }
--- a/internal/controlplane/subscriber/subscriber_test.go
+++ b/internal/controlplane/subscriber/subscriber_test.go
@@ -33,7 +33,7 @@
 	t.Helper()
 	v := &voter{t: t, catalog: catalog.New("test"), batches: make(chan *pb.Batch, 64)}
 	var err error
-	v.server, err = stream.NewServer(stream.ServerConfig{Listen: listen, Cluster: "test", Carry: func(b *pb.Batch) *pb.Reply {
+	v.server, err = stream.NewServer(stream.ServerConfig{Listen: listen, Cluster: "test", Forward: func(b *pb.Batch) *pb.Reply {
 		v.batches <- b
 		return &pb.Reply{Results: make([]*pb.Result, len(b.Commands))}
 	}})
@@ -170,7 +170,7 @@
 	if c := b.Commands[0]; c.Origin != "gw1/"+s.Boot() || c.Seq == 0 || c.GetDrain().GetMember() != "a" {
 		t.Errorf("went up: %v", c)
 	}
-	if err := s.ReadLatest(testLimit, func(*catalog.Catalog) {}); !errors.Is(err, ErrNoVote) {
+	if err := s.ReadLatest(testLimit, func(*catalog.Catalog) {}); !errors.Is(err, ErrNotVoter) {
 		t.Errorf("a read of the latest: %v", err)
 	}
 }
@@ -210,7 +210,7 @@
 func TestARefusedChangeGoesBackWithItsReason(t *testing.T) {
 	v := newVoter(t, "127.0.0.1:0")
 	check := func(c *Config) {
-		c.Check = func(v *pb.ConfigVersion) error {
+		c.CheckConfig = func(v *pb.ConfigVersion) error {
 			if strings.HasPrefix(v.Text, "bad") {
 				return errors.New("line 1: no mapping")
 			}
@@ -232,7 +232,7 @@
 		r := v.server.Rollout(rev).GetRefusals()
 		return len(r) == 1 && r[0].Subscriber == "gw1" && r[0].Key == "config" && strings.Contains(r[0].Reason, "no mapping")
 	})
-	if got := hook.LastEntry(); got == nil || got.Message != messageRefused {
+	if got := hook.LastEntry(); got == nil || got.Message != messageChangeRefused {
 		t.Errorf("logged %v", got)
 	}
 	other := newVoter(t, "127.0.0.1:0") // its snapshots hold the bad one alone
@@ -246,22 +246,22 @@
 
 // A revision is in force once every pipeline goes by it.
 func TestInForceOnceAllPipelinesHaveIt(t *testing.T) {
-	f := newInForce([]string{"mysql", "postgres"})
+	f := newInForceTracker([]string{"mysql", "postgres"})
 	type step struct {
 		pipeline string
 		rev      uint64
 		told     uint64 // 0: nothing new
 	}
 	for _, x := range []step{{"mysql", 5, 0}, {"postgres", 4, 4}, {"postgres", 7, 5}, {"mysql", 6, 6}, {"mysql", 6, 0}, {"mysql", 9, 7}} {
-		rev, advanced := f.reported(x.pipeline, x.rev)
+		rev, advanced := f.pipelineApplied(x.pipeline, x.rev)
 		if advanced != (x.told != 0) || advanced && rev != x.told {
 			t.Errorf("%+v: revision %d, advanced %v", x, rev, advanced)
 		}
 	}
-	if _, advanced := f.held(100); advanced {
+	if _, advanced := f.catalogApplied(100); advanced {
 		t.Error("in force without the pipelines")
 	}
-	if rev, advanced := newInForce(nil).held(3); rev != 3 || !advanced {
+	if rev, advanced := newInForceTracker(nil).catalogApplied(3); rev != 3 || !advanced {
 		t.Error("without pipelines what is held is in force")
 	}
 }
@@ -301,21 +301,21 @@
 		}
 		return append(out, revision.Change{Record: revision.Record{Key: "pair/x"}})
 	}
-	c.note(11, change("a", "b"))
-	c.note(15, change("b", "c"))
+	c.add(11, change("a", "b"))
+	c.add(15, change("b", "c"))
 	for rev, want := range map[uint64]string{9: "unknown", 10: "[a b c]", 11: "[b c]", 14: "[b c]", 15: "[]", 99: "[]"} {
 		ids, known := c.after(rev)
 		if got := fmt.Sprint(ids); known && got != want || !known && want != "unknown" {
 			t.Errorf("after %d: %s, %v", rev, got, known)
 		}
 	}
-	for rev := uint64(16); rev < 16+maxChanged; rev++ {
-		c.note(rev, change(fmt.Sprint("m", rev)))
+	for rev := uint64(16); rev < 16+maxChangedMembers; rev++ {
+		c.add(rev, change(fmt.Sprint("m", rev)))
 	}
 	if _, known := c.after(14); known {
 		t.Error("more than is remembered is said to be known")
 	}
-	if ids, known := c.after(15); !known || len(ids) != maxChanged {
+	if ids, known := c.after(15); !known || len(ids) != maxChangedMembers {
 		t.Errorf("%d of them, known %v", len(ids), known)
 	}
 }
--- a/internal/controlplane/subscription/absurd_test.go
+++ b/internal/controlplane/subscription/absurd_test.go
@@ -64,7 +64,7 @@
 		last := p.client.State().Revision()
 		for range rapid.IntRange(1, 12).Draw(t, "frames") {
 			f := anyServerFrame(t)
-			if f.Number = p.client.received + 1; rapid.IntRange(0, 9).Draw(t, "number fits") == 0 {
+			if f.Number = p.client.receivedFrames + 1; rapid.IntRange(0, 9).Draw(t, "number fits") == 0 {
 				f.Number = number(t)
 			}
 			actions, next := p.client.Step(p.now, Received{Frame: f, Bytes: proto.Size(f)})
--- a/internal/controlplane/subscription/acknowledge.go
+++ b/internal/controlplane/subscription/acknowledge.go
@@ -5,51 +5,51 @@
 	pb "aspenshed/internal/controlplane/controlpb"
 )
 
-// noteInForce has the server told what the data plane goes by.
-func (c *Client) noteInForce(now aspenshed.Nanos, e InForce) {
+// recordInForce has the server told what the data plane goes by.
+func (c *Client) recordInForce(now aspenshed.Nanos, e InForce) {
 	c.inForce = max(c.inForce, e.Revision)
-	c.refused = append(c.refused, e.Refused...)
-	if over := len(c.refused) - maxRefused; over > 0 {
-		c.refused = c.refused[over:]
+	c.pendingRefusals = append(c.pendingRefusals, e.Refused...)
+	if over := len(c.pendingRefusals) - maxPendingRefusals; over > 0 {
+		c.pendingRefusals = c.pendingRefusals[over:]
 	}
-	if c.phase == subscribed {
+	if c.phase == phaseConnected {
 		c.ackAt = min(c.ackAt, now+ackInterval)
 	}
 }
 
-// noteBytes has what was received acknowledged soon, or at once where it is much.
-func (c *Client) noteBytes(now aspenshed.Nanos, bytes int) {
-	c.unacked += bytes
+// scheduleAck has what was received acknowledged soon, or at once where it is much.
+func (c *Client) scheduleAck(now aspenshed.Nanos, bytes int) {
+	c.unackedBytes += bytes
 	c.ackAt = min(c.ackAt, now+ackInterval)
-	if c.unacked >= ackBytes {
+	if c.unackedBytes >= ackThresholdBytes {
 		c.ackAt = now
 	}
 }
 
-// acknowledge tells what was received and what is in force, as far as this connection has brought it.
-func (c *Client) acknowledge() {
-	ack := &pb.Ack{Received: c.received, InForce: min(c.inForce, c.position), Refused: c.refused}
-	c.refused, c.unacked, c.ackAt = nil, 0, never
-	c.do(Send{Frame: &pb.SubscriberFrame{Body: &pb.SubscriberFrame_Ack{Ack: ack}}})
+// sendAck tells what was received and what is in force, as far as this connection has brought it.
+func (c *Client) sendAck() {
+	ack := &pb.Ack{Received: c.receivedFrames, InForce: min(c.inForce, c.streamRevision), Refused: c.pendingRefusals}
+	c.pendingRefusals, c.unackedBytes, c.ackAt = nil, 0, never
+	c.emit(Send{Frame: &pb.SubscriberFrame{Body: &pb.SubscriberFrame_Ack{Ack: ack}}})
 }
 
 // submit sends a batch to the server, or answers at once where it can't.
 func (c *Client) submit(e SubmitCommands) {
 	switch {
 	case !c.Subscribed():
-		c.do(SubmitDone{ID: e.ID, Err: ErrNotConnected})
-	case len(c.unanswered) >= maxUnanswered:
-		c.do(SubmitDone{ID: e.ID, Err: ErrTooMany})
+		c.emit(SubmitDone{ID: e.ID, Err: ErrNotConnected})
+	case len(c.pendingSubmissions) >= maxClientSubmissions:
+		c.emit(SubmitDone{ID: e.ID, Err: ErrTooManySubmissions})
 	default:
-		c.unanswered[e.ID] = true
+		c.pendingSubmissions[e.ID] = true
 		submit := &pb.Submit{Id: e.ID, Batch: e.Batch}
-		c.do(Send{Frame: &pb.SubscriberFrame{Body: &pb.SubscriberFrame_Submit{Submit: submit}}})
+		c.emit(Send{Frame: &pb.SubscriberFrame{Body: &pb.SubscriberFrame_Submit{Submit: submit}}})
 	}
 }
 
-// refuseSubmit answers what comes after the end.
-func (c *Client) refuseSubmit(e Event) {
+// rejectSubmit answers what comes after the end.
+func (c *Client) rejectSubmit(e Event) {
 	if submit, is := e.(SubmitCommands); is {
-		c.do(SubmitDone{ID: submit.ID, Err: ErrStopped})
+		c.emit(SubmitDone{ID: submit.ID, Err: ErrStopped})
 	}
 }
--- a/internal/controlplane/subscription/badinput_test.go
+++ b/internal/controlplane/subscription/badinput_test.go
@@ -44,40 +44,40 @@
 	is     func(error) bool
 	key    string
 }{
-	"unknown kind":      {[]*pb.ServerFrame{{}}, func(err error) bool { return errors.Is(err, errUnknownKind) }, ""},
+	"unknown kind":      {[]*pb.ServerFrame{{}}, func(err error) bool { return errors.Is(err, errUnknownMessage) }, ""},
 	"repeated number":   {[]*pb.ServerFrame{{Number: 2}}, isError[*SequenceError], ""},
 	"skipped number":    {[]*pb.ServerFrame{{Number: 7}}, isError[*SequenceError], ""},
 	"gap":               {[]*pb.ServerFrame{changes(&pb.Changes{From: 11, Through: 12})}, isError[*GapError], ""},
 	"repeated step":     {[]*pb.ServerFrame{changes(&pb.Changes{From: 9, Through: 10})}, isError[*GapError], ""},
-	"revision backward": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 9})}, isError[*StaleError], ""},
+	"revision backward": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 9})}, isError[*StaleRevisionError], ""},
 	"wrong digest":      {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11, Digest: 5})}, isError[*DigestError], ""},
 	"empty key": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11, Changes: []*pb.Change{{Revision: 11}}})},
-		isError[*ContentError], ""},
+		isError[*InvalidMessageError], ""},
 	"long key": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11,
-		Changes: []*pb.Change{{Revision: 11, Key: strings.Repeat("k", maxKeyBytes+1)}}})}, isError[*ContentError], strings.Repeat("k", maxKeyBytes)},
+		Changes: []*pb.Change{{Revision: 11, Key: strings.Repeat("k", maxKeyBytes+1)}}})}, isError[*InvalidMessageError], strings.Repeat("k", maxKeyBytes)},
 	"negative time": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11,
-		Changes: []*pb.Change{{Revision: 11, Key: "rules", CommittedAt: -1}}})}, isError[*ContentError], "rules"},
+		Changes: []*pb.Change{{Revision: 11, Key: "rules", CommittedAt: -1}}})}, isError[*InvalidMessageError], "rules"},
 	"change outside its step": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11,
-		Changes: []*pb.Change{{Revision: 12, Key: "rules"}}})}, isError[*ContentError], "rules"},
+		Changes: []*pb.Change{{Revision: 12, Key: "rules"}}})}, isError[*InvalidMessageError], "rules"},
 	"changes out of order": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 13,
-		Changes: []*pb.Change{{Revision: 13, Key: "a"}, {Revision: 12, Key: "b"}}})}, isError[*ContentError], "b"},
+		Changes: []*pb.Change{{Revision: 13, Key: "a"}, {Revision: 12, Key: "b"}}})}, isError[*InvalidMessageError], "b"},
 	"removed with a value": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11,
-		Changes: []*pb.Change{{Revision: 11, Key: "a", Removed: true, Value: []byte("x")}}})}, isError[*ContentError], "a"},
+		Changes: []*pb.Change{{Revision: 11, Key: "a", Removed: true, Value: []byte("x")}}})}, isError[*InvalidMessageError], "a"},
 	"member that is none": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11,
-		Changes: []*pb.Change{{Revision: 11, Key: "member/a", Value: []byte{0xff}}}})}, isError[*ContentError], "member/a"},
+		Changes: []*pb.Change{{Revision: 11, Key: "member/a", Value: []byte{0xff}}}})}, isError[*InvalidMessageError], "member/a"},
 	"frame of another step": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 12, More: true}),
-		changes(&pb.Changes{From: 10, Through: 13})}, isError[*OutOfPlaceError], ""},
+		changes(&pb.Changes{From: 10, Through: 13})}, isError[*UnexpectedMessageError], ""},
 	"snapshot within a step": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 12, More: true}),
-		begin(&pb.SnapshotBegin{Revision: 12})}, isError[*OutOfPlaceError], ""},
-	"older snapshot":  {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 9})}, isError[*StaleError], ""},
-	"absurd counts":   {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Chunks: 1 << 31})}, isError[*ContentError], ""},
-	"absurd revision": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: maxRevision + 1})}, isError[*ContentError], ""},
-	"absurd snapshot": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: maxRevision + 1})}, isError[*ContentError], ""},
-	"chunk alone":     {[]*pb.ServerFrame{chunk(0)}, isError[*OutOfPlaceError], ""},
-	"end alone":       {[]*pb.ServerFrame{end(&pb.SnapshotEnd{Revision: 12})}, isError[*OutOfPlaceError], ""},
-	"second snapshot": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12}), begin(&pb.SnapshotBegin{Revision: 12})}, isError[*OutOfPlaceError], ""},
+		begin(&pb.SnapshotBegin{Revision: 12})}, isError[*UnexpectedMessageError], ""},
+	"older snapshot":  {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 9})}, isError[*StaleRevisionError], ""},
+	"absurd counts":   {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Chunks: 1 << 31})}, isError[*InvalidMessageError], ""},
+	"absurd revision": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: maxRevision + 1})}, isError[*InvalidMessageError], ""},
+	"absurd snapshot": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: maxRevision + 1})}, isError[*InvalidMessageError], ""},
+	"chunk alone":     {[]*pb.ServerFrame{chunk(0)}, isError[*UnexpectedMessageError], ""},
+	"end alone":       {[]*pb.ServerFrame{end(&pb.SnapshotEnd{Revision: 12})}, isError[*UnexpectedMessageError], ""},
+	"second snapshot": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12}), begin(&pb.SnapshotBegin{Revision: 12})}, isError[*UnexpectedMessageError], ""},
 	"changes within a snapshot": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12}),
-		changes(&pb.Changes{From: 10, Through: 12})}, isError[*OutOfPlaceError], ""},
+		changes(&pb.Changes{From: 10, Through: 12})}, isError[*UnexpectedMessageError], ""},
 	"missing chunk": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 2}),
 		chunk(1, pairRecord("a", ""))}, isError[*ChunkError], ""},
 	"repeated chunk": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 2}),
@@ -87,17 +87,17 @@
 	"end too early": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 2}),
 		chunk(0, pairRecord("a", "")), end(&pb.SnapshotEnd{Revision: 12})}, isError[*ChunkError], ""},
 	"truncated chunk": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 1}),
-		chunk(0, pairRecord("a", "")), end(&pb.SnapshotEnd{Revision: 12})}, isError[*ContentError], ""},
+		chunk(0, pairRecord("a", "")), end(&pb.SnapshotEnd{Revision: 12})}, isError[*InvalidMessageError], ""},
 	"key twice in a snapshot": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 1}),
-		chunk(0, pairRecord("a", ""), pairRecord("a", ""))}, isError[*ContentError], "pair/a"},
+		chunk(0, pairRecord("a", ""), pairRecord("a", ""))}, isError[*InvalidMessageError], "pair/a"},
 	"end of another revision": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 1, Chunks: 1}),
-		chunk(0, pairRecord("a", "")), end(&pb.SnapshotEnd{Revision: 13})}, isError[*ContentError], ""},
+		chunk(0, pairRecord("a", "")), end(&pb.SnapshotEnd{Revision: 13})}, isError[*InvalidMessageError], ""},
 	"wrong digest of a snapshot": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 1, Chunks: 1}),
 		chunk(0, pairRecord("a", "")), end(&pb.SnapshotEnd{Revision: 12})}, isError[*DigestError], ""},
 	"answer to nothing": {[]*pb.ServerFrame{{Body: &pb.ServerFrame_Submitted{Submitted: &pb.Submitted{Id: 3}}}},
-		isError[*OutOfPlaceError], ""},
+		isError[*UnexpectedMessageError], ""},
 	"negative retry": {[]*pb.ServerFrame{{Body: &pb.ServerFrame_Closing{Closing: &pb.Closing{RetryAfter: -1}}}},
-		isError[*ContentError], ""},
+		isError[*InvalidMessageError], ""},
 }
 
 // Guards that bad input is refused with a typed error that names peer, revision and key, is logged once, changes
@@ -112,7 +112,7 @@
 			var actions []Action
 			for _, f := range bad.frames {
 				if f.Number == 0 {
-					f.Number = p.client.received + 1
+					f.Number = p.client.receivedFrames + 1
 				}
 				if len(actions) > 0 {
 					t.Fatalf("refused too early: %+v", actions)
@@ -143,7 +143,7 @@
 	p.run(second)
 	actions, _ := p.client.Step(p.now, BadFrame{errors.New("over the limit")})
 	p.act(actions)
-	if p.session != 0 || len(p.lines) != 1 || p.lines[0].Message != messageBadInput {
+	if p.session != 0 || len(p.lines) != 1 || p.lines[0].Message != messageInvalidInput {
 		t.Errorf("session %d, logged %+v", p.session, p.lines)
 	}
 }
@@ -170,7 +170,7 @@
 		"no name":             {subscriberFrames(&pb.Subscribe{Cluster: "c"}), pb.Closing_BAD_FRAME},
 		"long name":           {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: long}), pb.Closing_BAD_FRAME},
 		"long site":           {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Scope: &pb.Scope{Sites: []string{long}}}), pb.Closing_BAD_FRAME},
-		"huge scope":          {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Scope: &pb.Scope{Sites: make([]string, maxScopeItems+1)}}), pb.Closing_BAD_FRAME},
+		"huge scope":          {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Scope: &pb.Scope{Sites: make([]string, maxScopeEntries+1)}}), pb.Closing_BAD_FRAME},
 		"future revision":     {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Revision: 1 << 60}), pb.Closing_FUTURE_REVISION},
 		"acknowledged first":  {[]*pb.SubscriberFrame{ack(&pb.Ack{})}, pb.Closing_BAD_FRAME},
 		"submitted first":     {[]*pb.SubscriberFrame{{Body: &pb.SubscriberFrame_Submit{Submit: &pb.Submit{}}}}, pb.Closing_BAD_FRAME},
--- a/internal/controlplane/subscription/bench_test.go
+++ b/internal/controlplane/subscription/bench_test.go
@@ -88,7 +88,7 @@
 		bytes += x.step()
 	}
 	b.ReportMetric(float64(bytes)/float64(b.N)/benchSessions, "bytes/session")
-	if x.step(); x.byName["gateway-7"].cursor != x.rev {
+	if x.step(); x.bySubscriber["gateway-7"].cursor != x.rev {
 		b.Fatal("not all was sent")
 	}
 }
@@ -110,7 +110,7 @@
 func BenchmarkEncodeSnapshot(b *testing.B) {
 	x := newBenchServer(b)
 	b.ReportAllocs()
-	scope := x.encoder.scope(revision.Scope{})
+	scope := x.encoder.internScope(revision.Scope{})
 	for range b.N {
 		b.SetBytes(int64(x.encoder.encodeSnapshot(scope.Scope).bytes))
 	}
@@ -154,8 +154,8 @@
 func BenchmarkClientSnapshot(b *testing.B) {
 	x := newBenchServer(b)
 	var frames []*pb.ServerFrame
-	for _, encoded := range x.encoder.snapshot(0, x.encoder.scope(revision.Scope{})).frames {
-		frames = append(frames, readFrame(b, encoded.number(uint64(len(frames)+1))))
+	for _, encoded := range x.encoder.snapshot(0, x.encoder.internScope(revision.Scope{})).frames {
+		frames = append(frames, readFrame(b, encoded.withNumber(uint64(len(frames)+1))))
 	}
 	b.ReportAllocs()
 	for range b.N {
--- a/internal/controlplane/subscription/client.go
+++ b/internal/controlplane/subscription/client.go
@@ -15,13 +15,13 @@
 	// ackInterval is how long an acknowledgement may wait for more to acknowledge, ns: small against the 11 s, and ten
 	// a second at most.
 	ackInterval = 100 * millisecond
-	// ackBytes of frames are acknowledged at once, so that a quarter of the window at a time opens again.
-	ackBytes = DefaultWindowBytes / 4
-	// maxUnanswered bounds the submissions of a client that wait for their answers; it is the server's bound.
-	maxUnanswered = maxSubmissions
-	// stableAfter is how long a connection has to last until a loss counts as the first again, ns. A server whose stream
+	// ackThresholdBytes of frames are acknowledged at once, so that a quarter of the window at a time opens again.
+	ackThresholdBytes = DefaultWindowBytes / 4
+	// maxClientSubmissions bounds the submissions of a client that wait for their answers; it is the server's bound.
+	maxClientSubmissions = maxSubmissions
+	// minStableDuration is how long a connection has to last until a loss counts as the first again, ns. A server whose stream
 	// goes wrong again and again, snapshots included, is thereby left alone for longer each time.
-	stableAfter = 10 * second
+	minStableDuration = 10 * second
 	// dialTimeout gives up a dial, ns: twice the round trip between the farthest regions and a lost SYN (1 s).
 	dialTimeout = 3 * second
 )
@@ -30,10 +30,10 @@
 type phase int
 
 const (
-	waiting    phase = iota // for the next dial
-	dialling                // for the connection
-	subscribed              // what comes is checked and applied
-	stopped
+	phaseWaiting   phase = iota // for the next dial
+	phaseDialing                // for the connection
+	phaseConnected              // what comes is checked and applied
+	phaseStopped
 )
 
 // Client keeps a copy of the state. What it holds stays as it is while there is no connection, and after bad input.
@@ -44,39 +44,39 @@
 	faults  faults
 	actions []Action
 
-	servers  []string // in the order of placement
-	server   int      // the one that is dialled, by its place there
-	failures int      // in a row
-	busy     bool     // the last server asked to come back later
-	backoff  admission.Backoff
-	lost     bool // the loss was logged, and its end will be
-	diverged bool // the state has to be replaced by a snapshot
+	servers      []string // in the order of placement
+	serverIndex  int      // the one that is dialled, by its place there
+	failures     int      // in a row
+	closedAsBusy bool     // the last server asked to come back later
+	backoff      admission.Backoff
+	lossLogged   bool // the loss was logged, and its end will be
+	diverged     bool // the state has to be replaced by a snapshot
 
 	phase       phase
 	dialAt      aspenshed.Nanos
 	dialledAt   aspenshed.Nanos
 	connectedAt aspenshed.Nanos
-	heard       aspenshed.Nanos // when something came last
+	lastHeard   aspenshed.Nanos // when something came last
 
-	received   uint64 // the number of the last frame
-	position   uint64 // the revision that this connection has brought us to
-	step       *stagedStep
-	snapshot   *stagedSnapshot
-	unacked    int // bytes received since the last acknowledgement
-	ackAt      aspenshed.Nanos
-	inForce    uint64
-	refused    []*pb.RefusedChange
-	unanswered map[uint64]bool
+	receivedFrames     uint64 // the number of the last frame
+	streamRevision     uint64 // the revision that this connection has brought us to
+	update             *partialUpdate
+	snapshot           *partialSnapshot
+	unackedBytes       int // bytes received since the last acknowledgement
+	ackAt              aspenshed.Nanos
+	inForce            uint64
+	pendingRefusals    []*pb.RefusedChange
+	pendingSubmissions map[uint64]bool
 }
 
-// maxRefused bounds the refusals that wait for a connection; the oldest go first.
-const maxRefused = 256
+// maxPendingRefusals bounds the refusals that wait for a connection; the oldest go first.
+const maxPendingRefusals = 256
 
 // NewClient has an empty state, and dials with the first Step.
 func NewClient(c ClientConfig) *Client {
 	c = c.withDefaults()
 	return &Client{config: c, state: revision.NewState(), random: random{c.Seed}, ackAt: never, dialAt: -never,
-		servers: placement.Order(c.Subscriber, c.Servers), unanswered: map[uint64]bool{},
+		servers: placement.Order(c.Subscriber, c.Servers), pendingSubmissions: map[uint64]bool{},
 		backoff: admission.Backoff{Min: c.MinBackoff, Max: c.MaxBackoff}}
 }
 
@@ -84,93 +84,93 @@
 func (c *Client) State() *revision.State { return c.state }
 
 // Subscribed reports whether a server serves the client.
-func (c *Client) Subscribed() bool { return c.phase == subscribed && c.received > 0 }
+func (c *Client) Subscribed() bool { return c.phase == phaseConnected && c.receivedFrames > 0 }
 
 // Step takes what happened and tells what to do, and when to be called again at the latest.
 func (c *Client) Step(now aspenshed.Nanos, events ...Event) (actions []Action, next aspenshed.Nanos) {
 	for _, e := range events {
-		c.take(now, e)
+		c.handleEvent(now, e)
 	}
-	c.checkTimes(now)
+	c.checkTimers(now)
 	actions, c.actions = c.actions, nil
-	return actions, max(now, c.next())
+	return actions, max(now, c.nextDeadline())
 }
 
-func (c *Client) take(now aspenshed.Nanos, e Event) {
-	if c.phase == stopped {
-		c.refuseSubmit(e)
+func (c *Client) handleEvent(now aspenshed.Nanos, e Event) {
+	if c.phase == phaseStopped {
+		c.rejectSubmit(e)
 		return
 	}
 	switch e := e.(type) {
 	case Connected:
-		c.connected(now)
+		c.onConnected(now)
 	case Disconnected:
-		c.disconnected(now, e.Err)
+		c.onDisconnected(now, e.Err)
 	case Received:
-		c.receivedFrame(now, e)
+		c.onFrame(now, e)
 	case BadFrame:
-		c.badInput(now, e.Err)
+		c.rejectInput(now, e.Err)
 	case InForce:
-		c.noteInForce(now, e)
+		c.recordInForce(now, e)
 	case SubmitCommands:
 		c.submit(e)
 	case SetServers:
 		c.setServers(now, e.Servers)
 	case Stop:
-		c.end(ErrStopped, true)
-		c.phase = stopped
+		c.closeConnection(ErrStopped, true)
+		c.phase = phaseStopped
 	}
 }
 
-func (c *Client) do(a Action) { c.actions = append(c.actions, a) }
+func (c *Client) emit(a Action) { c.actions = append(c.actions, a) }
 
-// checkTimes does what is due: a dial, the end of a silent connection, an acknowledgement.
-func (c *Client) checkTimes(now aspenshed.Nanos) {
+// checkTimers does what is due: a dial, the end of a silent connection, an acknowledgement.
+func (c *Client) checkTimers(now aspenshed.Nanos) {
 	switch {
-	case c.phase == waiting && now >= c.dialAt && len(c.servers) > 0:
-		c.phase, c.dialledAt = dialling, now
-		c.do(Dial{Server: c.servers[c.server]})
-	case c.phase == dialling && now >= c.dialledAt+dialTimeout:
-		c.fail(now, ErrSilence, true)
-	case c.phase == subscribed && now >= c.heard+c.config.Silence:
-		c.fail(now, ErrSilence, true)
-	case c.phase == subscribed && now >= c.ackAt:
-		c.acknowledge()
+	case c.phase == phaseWaiting && now >= c.dialAt && len(c.servers) > 0:
+		c.phase, c.dialledAt = phaseDialing, now
+		c.emit(Dial{Server: c.servers[c.serverIndex]})
+	case c.phase == phaseDialing && now >= c.dialledAt+dialTimeout:
+		c.handleFailure(now, ErrIdleTimeout, true)
+	case c.phase == phaseConnected && now >= c.lastHeard+c.config.IdleTimeout:
+		c.handleFailure(now, ErrIdleTimeout, true)
+	case c.phase == phaseConnected && now >= c.ackAt:
+		c.sendAck()
 	}
 }
 
-func (c *Client) next() aspenshed.Nanos {
+func (c *Client) nextDeadline() aspenshed.Nanos {
 	switch c.phase {
-	case waiting:
+	case phaseWaiting:
 		if len(c.servers) > 0 {
 			return c.dialAt
 		}
-	case dialling:
+	case phaseDialing:
 		return c.dialledAt + dialTimeout
-	case subscribed:
-		return min(c.heard+c.config.Silence, c.ackAt)
+	case phaseConnected:
+		return min(c.lastHeard+c.config.IdleTimeout, c.ackAt)
 	}
 	return never
 }
 
-// connected subscribes: with what the client has, or with nothing if it has to be replaced.
-func (c *Client) connected(now aspenshed.Nanos) {
-	if c.phase != dialling {
+// onConnected subscribes: with what the client has, or with nothing if it has to be replaced.
+func (c *Client) onConnected(now aspenshed.Nanos) {
+	if c.phase != phaseDialing {
 		return
 	}
-	c.phase, c.connectedAt, c.heard = subscribed, now, now
-	c.received, c.unacked, c.ackAt = 0, 0, never
-	c.step, c.snapshot = nil, nil
+	c.phase, c.connectedAt, c.lastHeard = phaseConnected, now, now
+	c.receivedFrames, c.unackedBytes, c.ackAt = 0, 0, never
+	c.update, c.snapshot = nil, nil
 	m := &pb.Subscribe{Cluster: c.config.Cluster, Subscriber: c.config.Subscriber, Boot: c.config.Boot,
-		Scope: wireScope(c.config.Scope), Region: c.config.Region, Zone: c.config.Zone, Release: c.config.Release}
+		Scope: scopeToProto(c.config.Scope), Region: c.config.Region, Zone: c.config.Zone, Release: c.config.Release}
 	if !c.diverged {
 		m.Revision, m.Digest = c.state.Revision(), uint64(c.state.Digest(revision.Scope{}))
 	}
-	c.position = m.Revision
-	c.do(Send{Frame: &pb.SubscriberFrame{Body: &pb.SubscriberFrame_Subscribe{Subscribe: m}}})
+	c.streamRevision = m.Revision
+	c.emit(Send{Frame: &pb.SubscriberFrame{Body: &pb.SubscriberFrame_Subscribe{Subscribe: m}}})
 }
 
-func wireScope(s revision.Scope) *pb.Scope {
+func scopeToProto(s revision.Scope) *pb.Scope {
 	m := &pb.Scope{Sites: s.Sites}
 	for _, g := range s.Groups {
 		m.Groups = append(m.Groups, &pb.GroupName{Wire: g.Wire, Group: g.ID})
@@ -178,43 +178,43 @@
 	return m
 }
 
-func (c *Client) disconnected(now aspenshed.Nanos, err error) {
-	if c.phase != dialling && c.phase != subscribed {
+func (c *Client) onDisconnected(now aspenshed.Nanos, err error) {
+	if c.phase != phaseDialing && c.phase != phaseConnected {
 		return
 	}
 	if err == nil {
-		err = ErrEnded
+		err = ErrConnectionEnded
 	}
-	c.fail(now, err, false)
+	c.handleFailure(now, err, false)
 }
 
-// badInput ends a connection on which something came that can't be right. Nothing of it was applied.
-func (c *Client) badInput(now aspenshed.Nanos, err error) {
-	if c.phase != subscribed {
+// rejectInput ends a connection on which something came that can't be right. Nothing of it was applied.
+func (c *Client) rejectInput(now aspenshed.Nanos, err error) {
+	if c.phase != phaseConnected {
 		return
 	}
 	var diverged *DigestError
 	if errors.As(err, &diverged) {
-		c.noteDiverged(err)
+		c.markDiverged(err)
 	} else {
-		c.log(Warn, messageBadInput, c.located(err))
+		c.log(Warn, messageInvalidInput, c.streamError(err))
 	}
-	c.lost = true // it has been logged
-	c.fail(now, err, true)
+	c.lossLogged = true // it has been logged
+	c.handleFailure(now, err, true)
 }
 
-// noteDiverged has the state replaced; it is logged once until that has been done.
-func (c *Client) noteDiverged(err error) {
+// markDiverged has the state replaced; it is logged once until that has been done.
+func (c *Client) markDiverged(err error) {
 	if !c.diverged {
-		c.log(Warn, messageDiverged, c.located(err))
+		c.log(Warn, messageDiverged, c.streamError(err))
 	}
 	c.diverged = true
 }
 
-// located is an error with its place.
-func (c *Client) located(err error) error {
+// streamError is an error with its place.
+func (c *Client) streamError(err error) error {
 	e := &StreamError{Server: c.serverName(), Revision: c.state.Revision(), Err: err}
-	var content *ContentError
+	var content *InvalidMessageError
 	if errors.As(err, &content) {
 		e.Key = content.Key
 	}
@@ -222,10 +222,10 @@
 }
 
 func (c *Client) serverName() string {
-	if c.server >= len(c.servers) {
+	if c.serverIndex >= len(c.servers) {
 		return ""
 	}
-	return c.servers[c.server]
+	return c.servers[c.serverIndex]
 }
 
 func (c *Client) log(level Level, message string, err error) {
@@ -235,46 +235,46 @@
 	if errors.As(err, &located) {
 		line.Key = located.Key
 	}
-	c.do(Log{line})
+	c.emit(Log{line})
 }
 
-// fail ends an attempt that went wrong, and has another server dialled after a backoff: the next in order, but the
+// handleFailure ends an attempt that went wrong, and has another server dialled after a backoff: the next in order, but the
 // client's own again after a subscription elsewhere, so that subscribers come back to a server that was away.
-func (c *Client) fail(now aspenshed.Nanos, err error, hangUp bool) {
-	if !c.lost {
-		c.log(Warn, messageLost, c.located(err))
-		c.lost = true
+func (c *Client) handleFailure(now aspenshed.Nanos, err error, hangUp bool) {
+	if !c.lossLogged {
+		c.log(Warn, messageLost, c.streamError(err))
+		c.lossLogged = true
 	}
-	stable := c.Subscribed() && now >= c.connectedAt+stableAfter
+	stable := c.Subscribed() && now >= c.connectedAt+minStableDuration
 	if stable {
 		c.failures = 0
 	}
-	away := c.server != 0 && stable
-	c.end(err, hangUp)
-	c.server = (c.server + 1) % max(1, len(c.servers))
+	away := c.serverIndex != 0 && stable
+	c.closeConnection(err, hangUp)
+	c.serverIndex = (c.serverIndex + 1) % max(1, len(c.servers))
 	if away {
-		c.server = 0
+		c.serverIndex = 0
 	}
-	c.retry(now)
+	c.scheduleDial(now)
 }
 
-// retry sets the instant of the next dial.
-func (c *Client) retry(now aspenshed.Nanos) {
+// scheduleDial sets the instant of the next dial.
+func (c *Client) scheduleDial(now aspenshed.Nanos) {
 	c.dialAt = now + c.backoff.Delay(c.failures, c.random.next())
 	c.failures++
 }
 
-// end forgets the connection and what was under way on it.
-func (c *Client) end(err error, hangUp bool) {
-	if hangUp && (c.phase == dialling || c.phase == subscribed) {
-		c.do(HangUp{})
+// closeConnection forgets the connection and what was under way on it.
+func (c *Client) closeConnection(err error, hangUp bool) {
+	if hangUp && (c.phase == phaseDialing || c.phase == phaseConnected) {
+		c.emit(CloseConnection{})
 	}
-	c.phase = waiting
-	c.step, c.snapshot, c.ackAt = nil, nil, never
-	for _, id := range sortedIDs(c.unanswered) {
-		c.do(SubmitDone{ID: id, Err: errors.Join(ErrLost, err)})
+	c.phase = phaseWaiting
+	c.update, c.snapshot, c.ackAt = nil, nil, never
+	for _, id := range sortedIDs(c.pendingSubmissions) {
+		c.emit(SubmitDone{ID: id, Err: errors.Join(ErrConnectionLost, err)})
 	}
-	clear(c.unanswered)
+	clear(c.pendingSubmissions)
 }
 
 func sortedIDs(ids map[uint64]bool) []uint64 {
@@ -290,9 +290,9 @@
 func (c *Client) setServers(now aspenshed.Nanos, servers []string) {
 	current := c.serverName()
 	c.servers = placement.Order(c.config.Subscriber, servers)
-	c.server = max(0, slices.Index(c.servers, current))
-	if c.phase != waiting && c.serverName() != current {
-		c.end(ErrNotConnected, true)
+	c.serverIndex = max(0, slices.Index(c.servers, current))
+	if c.phase != phaseWaiting && c.serverName() != current {
+		c.closeConnection(ErrNotConnected, true)
 		c.dialAt = now
 	}
 }
--- a/internal/controlplane/subscription/commits_test.go
+++ b/internal/controlplane/subscription/commits_test.go
@@ -119,7 +119,7 @@
 				c := w.commit(4)
 				p.server.Commit(c.revision, c.changes)
 			}
-			p.run(DefaultHeartbeat + second)
+			p.run(DefaultHeartbeatInterval + second)
 			p.equal(scope)
 			if got, want := p.client.State().Digest(revision.Scope{}), w.at(w.head()).digest(scope); got != want {
 				t.Fatalf("digest %x, by a walk %x", got, want)
--- a/internal/controlplane/subscription/config.go
+++ b/internal/controlplane/subscription/config.go
@@ -27,11 +27,11 @@
 	DefaultWindowBytes = 256 << 10
 	// DefaultMaxSessions is one server's share if it has to carry twice the target alone.
 	DefaultMaxSessions = 4800
-	// DefaultHeartbeat is the longest silence of a server, ns. Three of them fit into DefaultSilence.
-	DefaultHeartbeat = 2 * second
-	// DefaultFlush is how long a change that is not binding may wait for others, ns: a fiftieth of the 11 s in which it
+	// DefaultHeartbeatInterval is the longest silence of a server, ns. Three of them fit into DefaultSilence.
+	DefaultHeartbeatInterval = 2 * second
+	// DefaultFlushDelay is how long a change that is not binding may wait for others, ns: a fiftieth of the 11 s in which it
 	// has to be in force, while a burst of commits becomes five frames a second instead of one for each.
-	DefaultFlush = 200 * millisecond
+	DefaultFlushDelay = 200 * millisecond
 	// DefaultStallTimeout closes a session that acknowledges nothing though there is something to acknowledge, ns.
 	// Clients acknowledge within 0.1 s; several lost round trips are far below it.
 	DefaultStallTimeout = 10 * second
@@ -44,13 +44,13 @@
 
 // ServerConfig sets up a Server. Zero fields take the defaults above.
 type ServerConfig struct {
-	Cluster      string
-	LogBytes     int             // of changes kept, as revision.Size counts them
-	WindowBytes  int             // that may be under way to one subscriber
-	MaxSessions  int             // beyond it who comes is told to come back
-	Heartbeat    aspenshed.Nanos // the longest silence towards a subscriber
-	Flush        aspenshed.Nanos // the longest wait of a change that is not binding
-	StallTimeout aspenshed.Nanos // without any acknowledgement of what is under way
+	Cluster           string
+	LogBytes          int             // of changes kept, as revision.Size counts them
+	WindowBytes       int             // that may be under way to one subscriber
+	MaxSessions       int             // beyond it who comes is told to come back
+	HeartbeatInterval aspenshed.Nanos // the longest silence towards a subscriber
+	FlushDelay        aspenshed.Nanos // the longest wait of a change that is not binding
+	StallTimeout      aspenshed.Nanos // without any acknowledgement of what is under way
 	// SnapshotRate in bytes a second and SnapshotBurst in bytes ration the snapshots.
 	SnapshotRate  float64
 	SnapshotBurst float64
@@ -61,8 +61,8 @@
 	setDefault(&c.LogBytes, DefaultLogBytes)
 	setDefault(&c.WindowBytes, DefaultWindowBytes)
 	setDefault(&c.MaxSessions, DefaultMaxSessions)
-	setDefault(&c.Heartbeat, DefaultHeartbeat)
-	setDefault(&c.Flush, DefaultFlush)
+	setDefault(&c.HeartbeatInterval, DefaultHeartbeatInterval)
+	setDefault(&c.FlushDelay, DefaultFlushDelay)
 	setDefault(&c.StallTimeout, DefaultStallTimeout)
 	setDefault(&c.SnapshotRate, DefaultSnapshotRate)
 	setDefault(&c.SnapshotBurst, DefaultSnapshotBurst)
@@ -71,9 +71,9 @@
 
 // Defaults of ClientConfig.
 const (
-	// DefaultSilence ends a connection on which nothing came, ns: three heartbeats. With a reconnect it leaves half of
+	// DefaultIdleTimeout ends a connection on which nothing came, ns: three heartbeats. With a reconnect it leaves half of
 	// the 11 s for the changes.
-	DefaultSilence = 6 * second
+	DefaultIdleTimeout = 6 * second
 	// DefaultMinBackoff is the bound of the first delay before a reconnect, ns: 480 subscribers of a lost server come
 	// back over half a second, about one a millisecond.
 	DefaultMinBackoff = 500 * millisecond
@@ -83,22 +83,22 @@
 
 // ClientConfig sets up a Client. Zero fields take the defaults above.
 type ClientConfig struct {
-	Cluster    string
-	Subscriber string // this subscriber's id
-	Boot       string // new with each start of it
-	Region     string
-	Zone       string
-	Release    string
-	Scope      revision.Scope
-	Servers    []string
-	Seed       uint64
-	Silence    aspenshed.Nanos // ends a connection on which nothing came
-	MinBackoff aspenshed.Nanos
-	MaxBackoff aspenshed.Nanos
+	Cluster     string
+	Subscriber  string // this subscriber's id
+	Boot        string // new with each start of it
+	Region      string
+	Zone        string
+	Release     string
+	Scope       revision.Scope
+	Servers     []string
+	Seed        uint64
+	IdleTimeout aspenshed.Nanos // ends a connection on which nothing came
+	MinBackoff  aspenshed.Nanos
+	MaxBackoff  aspenshed.Nanos
 }
 
 func (c ClientConfig) withDefaults() ClientConfig {
-	setDefault(&c.Silence, DefaultSilence)
+	setDefault(&c.IdleTimeout, DefaultIdleTimeout)
 	setDefault(&c.MinBackoff, DefaultMinBackoff)
 	setDefault(&c.MaxBackoff, DefaultMaxBackoff)
 	c.Scope = c.Scope.Normalized()
--- a/internal/controlplane/subscription/encode.go
+++ b/internal/controlplane/subscription/encode.go
@@ -36,8 +36,8 @@
 	return b
 }
 
-// number makes a whole frame of a body: length prefix, number, body.
-func (b body) number(n uint64) []byte {
+// withNumber makes a whole frame of a body: length prefix, withNumber, body.
+func (b body) withNumber(n uint64) []byte {
 	size := protowire.SizeTag(frameNumberField) + protowire.SizeVarint(n) + len(b)
 	out := make([]byte, 0, lengthBytes+size)
 	out = binary.BigEndian.AppendUint32(out, uint32(size))
@@ -49,7 +49,7 @@
 // size is how large the frame of a body is at most.
 func (b body) size() int { return len(b) + frameOverhead }
 
-func sizeOf(bodies []body) (sum int) {
+func totalSize(bodies []body) (sum int) {
 	for _, b := range bodies {
 		sum += b.size()
 	}
@@ -59,13 +59,13 @@
 // encodeChanges makes the frames of one step; without changes it is one frame, a heartbeat.
 func (e *encoder) encodeChanges(from, through uint64, digest revision.Digest, changes []revision.Change) (out []body) {
 	for {
-		n := countThatFit(changes, e.frameBytes, func(c *revision.Change) int { return len(c.Key) + len(c.Value) })
+		n := countFitting(changes, e.frameBytes, func(c *revision.Change) int { return len(c.Key) + len(c.Value) })
 		message := &pb.Changes{From: from, Through: through, More: n < len(changes)}
 		if !message.More {
 			message.Digest = uint64(digest)
 		}
 		for _, c := range changes[:n] {
-			message.Changes = append(message.Changes, wireChange(c))
+			message.Changes = append(message.Changes, changeToProto(c))
 		}
 		out = append(out, encodeBody(&pb.ServerFrame{Body: &pb.ServerFrame_Changes{Changes: message}}))
 		if changes = changes[n:]; len(changes) == 0 {
@@ -74,7 +74,7 @@
 	}
 }
 
-func wireChange(c revision.Change) *pb.Change {
+func changeToProto(c revision.Change) *pb.Change {
 	w := &pb.Change{Revision: c.Revision, Key: c.Key, Removed: c.Removed, Binding: c.Binding, CommittedAt: c.CommittedAt}
 	if !c.Removed {
 		w.Value = c.Value
@@ -82,8 +82,8 @@
 	return w
 }
 
-// countThatFit is how many of the items go into one frame: at least one, if there is any.
-func countThatFit[T any](items []T, frameBytes int, size func(*T) int) int {
+// countFitting is how many of the items go into one frame: at least one, if there is any.
+func countFitting[T any](items []T, frameBytes int, size func(*T) int) int {
 	bytes := 0
 	for i := range items {
 		bytes += size(&items[i]) + recordOverhead
@@ -94,14 +94,14 @@
 	return len(items)
 }
 
-// snapshot is the state within a scope at a revision, encoded once.
-type snapshot struct {
+// encodedSnapshot is the state within a scope at a revision, encoded once.
+type encodedSnapshot struct {
 	revision uint64
 	frames   []body // begin, chunks, end
 	bytes    int
 }
 
-func (e *encoder) encodeSnapshot(scope revision.Scope) *snapshot {
+func (e *encoder) encodeSnapshot(scope revision.Scope) *encodedSnapshot {
 	s := e.state
 	var records []*pb.Record
 	for r := range s.Records(scope) {
@@ -110,17 +110,17 @@
 	total := uint64(len(records))
 	var chunks []body
 	for len(records) > 0 {
-		n := countThatFit(records, e.frameBytes, func(r **pb.Record) int { return len((*r).Key) + len((*r).Value) })
-		chunk := e.packer.chunk(uint32(len(chunks)), records[:n])
+		n := countFitting(records, e.frameBytes, func(r **pb.Record) int { return len((*r).Key) + len((*r).Value) })
+		chunk := e.compressor.encodeChunk(uint32(len(chunks)), records[:n])
 		chunks = append(chunks, encodeBody(&pb.ServerFrame{Body: &pb.ServerFrame_SnapshotChunk{SnapshotChunk: chunk}}))
 		records = records[n:]
 	}
 	begin := &pb.SnapshotBegin{Revision: s.Revision(), Records: total, Chunks: uint32(len(chunks))}
 	end := &pb.SnapshotEnd{Revision: s.Revision(), Digest: uint64(s.Digest(scope))}
-	out := &snapshot{revision: s.Revision()}
+	out := &encodedSnapshot{revision: s.Revision()}
 	out.frames = append(out.frames, encodeBody(&pb.ServerFrame{Body: &pb.ServerFrame_SnapshotBegin{SnapshotBegin: begin}}))
 	out.frames = append(out.frames, chunks...)
 	out.frames = append(out.frames, encodeBody(&pb.ServerFrame{Body: &pb.ServerFrame_SnapshotEnd{SnapshotEnd: end}}))
-	out.bytes = sizeOf(out.frames)
+	out.bytes = totalSize(out.frames)
 	return out
 }
--- a/internal/controlplane/subscription/encoder.go
+++ b/internal/controlplane/subscription/encoder.go
@@ -9,43 +9,43 @@
 )
 
 const (
-	// maxSteps are kept encoded, a window's bytes each at most: 16 MiB. Sessions that keep up are all at one or two
+	// maxCachedUpdates are kept encoded, a window's bytes each at most: 16 MiB. Sessions that keep up are all at one or two
 	// cursors; beyond the bound all are dropped and made again as they are needed.
-	maxSteps = 64
-	// maxScopes are remembered with their snapshots. Beyond it all are dropped, and sessions keep those that they hold.
-	maxScopes = 64
-	// maxSnapshotsKept bounds the snapshots that are kept for the next who asks, in bytes: 25 of the whole state. Beyond it
+	maxCachedUpdates = 64
+	// maxCachedScopes are remembered with their snapshots. Beyond it all are dropped, and sessions keep those that they hold.
+	maxCachedScopes = 64
+	// maxCachedSnapshotBytes bounds the snapshots that are kept for the next who asks, in bytes: 25 of the whole state. Beyond it
 	// all are dropped but those that sessions are being sent.
-	maxSnapshotsKept = 64 << 20
-	// snapshotReuse is how long a snapshot serves those who ask for one though commits have come since, ns: encoding one
+	maxCachedSnapshotBytes = 64 << 20
+	// snapshotReuseInterval is how long a snapshot serves those who ask for one though commits have come since, ns: encoding one
 	// of 21,000 members takes some 10 ms, so at one a second it stays at 1% of a core however many commits come.
-	snapshotReuse = second
+	snapshotReuseInterval = second
 )
 
 // encoder makes the frames that sessions are sent, each once for all sessions at the same cursor and scope.
 type encoder struct {
-	state      *revision.State
-	log        *revision.Log
-	stepBytes  int // how much one step may hold; a commit that alone is larger is a step of its own
-	frameBytes int // maxFrameBytes, less in tests
-	keptBytes  int // maxSnapshotsKept, less in tests
-	steps      map[stepKey]*step
-	scopes     map[string]*scopeOf
-	snapshotOf map[*scopeOf]*keptSnapshot
-	packer     packer
-	faults     *faults
-}
-
-// scopeOf is a scope that sessions share.
-type scopeOf struct{ revision.Scope }
-
-type stepKey struct {
+	state       *revision.State
+	log         *revision.Log
+	updateBytes int // how much one step may hold; a commit that alone is larger is a step of its own
+	frameBytes  int // maxFrameBytes, less in tests
+	cacheBytes  int // maxSnapshotsKept, less in tests
+	updates     map[updateKey]*encodedUpdate
+	scopes      map[string]*sharedScope
+	snapshots   map[*sharedScope]*cachedSnapshot
+	compressor  chunkCompressor
+	faults      *faults
+}
+
+// sharedScope is a scope that sessions share.
+type sharedScope struct{ revision.Scope }
+
+type updateKey struct {
 	cursor uint64
-	scope  *scopeOf
+	scope  *sharedScope
 }
 
-// step is encoded changes from one revision through another.
-type step struct {
+// encodedUpdate is encoded changes from one revision through another.
+type encodedUpdate struct {
 	through uint64
 	head    uint64 // of the log when it was made
 	changes int
@@ -53,42 +53,42 @@
 	bytes   int
 }
 
-func (p *step) empty() bool { return p.changes == 0 }
+func (p *encodedUpdate) empty() bool { return p.changes == 0 }
 
-type keptSnapshot struct {
-	*snapshot
-	madeAt aspenshed.Nanos
+type cachedSnapshot struct {
+	*encodedSnapshot
+	encodedAt aspenshed.Nanos
 }
 
 func newEncoder(state *revision.State, log *revision.Log, stepBytes int, f *faults) *encoder {
-	e := &encoder{state: state, log: log, stepBytes: stepBytes, frameBytes: maxFrameBytes, keptBytes: maxSnapshotsKept, faults: f,
-		scopes: map[string]*scopeOf{}}
+	e := &encoder{state: state, log: log, updateBytes: stepBytes, frameBytes: maxFrameBytes, cacheBytes: maxCachedSnapshotBytes, faults: f,
+		scopes: map[string]*sharedScope{}}
 	e.reset()
 	return e
 }
 
 // reset forgets everything encoded.
 func (e *encoder) reset() {
-	e.steps = map[stepKey]*step{}
-	e.snapshotOf = map[*scopeOf]*keptSnapshot{}
+	e.updates = map[updateKey]*encodedUpdate{}
+	e.snapshots = map[*sharedScope]*cachedSnapshot{}
 }
 
-// scope is the one value that stands for equal scopes.
-func (e *encoder) scope(s revision.Scope) *scopeOf {
-	name := scopeName(s)
+// internScope is the one value that stands for equal scopes.
+func (e *encoder) internScope(s revision.Scope) *sharedScope {
+	name := scopeKey(s)
 	if known := e.scopes[name]; known != nil {
 		return known
 	}
-	if len(e.scopes) >= maxScopes {
+	if len(e.scopes) >= maxCachedScopes {
 		clear(e.scopes)
-		clear(e.snapshotOf)
+		clear(e.snapshots)
 	}
-	made := &scopeOf{s}
+	made := &sharedScope{s}
 	e.scopes[name] = made
 	return made
 }
 
-func scopeName(s revision.Scope) string {
+func scopeKey(s revision.Scope) string {
 	var b strings.Builder
 	for _, g := range s.Groups {
 		fmt.Fprintf(&b, "%q ", g)
@@ -100,16 +100,16 @@
 }
 
 // digestAt is the scope's digest at a revision that the log still reaches back to: the newest without what came since.
-func (e *encoder) digestAt(rev uint64, scope *scopeOf) (revision.Digest, error) {
+func (e *encoder) digestAt(rev uint64, scope *sharedScope) (revision.Digest, error) {
 	changes, err := e.log.Since(rev)
 	if err != nil {
 		return 0, err
 	}
-	return e.state.Digest(scope.Scope) - digestOf(changes, scope.Scope), nil
+	return e.state.Digest(scope.Scope) - digestDelta(changes, scope.Scope), nil
 }
 
-// digestOf is by how much changes moved the digest of a scope.
-func digestOf(changes []revision.Change, scope revision.Scope) (sum revision.Digest) {
+// digestDelta is by how much changes moved the digest of a scope.
+func digestDelta(changes []revision.Change, scope revision.Scope) (sum revision.Digest) {
 	for i := range changes {
 		c := &changes[i]
 		if !c.Removed && scope.Contains(c.Key, c.Placement) {
@@ -122,44 +122,44 @@
 	return sum
 }
 
-// step is the next step of a session from its cursor: through the newest revision, or as many commits as fit one step.
-func (e *encoder) step(cursor uint64, scope *scopeOf) (*step, error) {
-	key := stepKey{cursor, scope}
-	if p := e.steps[key]; p != nil && (p.head == e.log.Head() || p.through < p.head) && cursor >= e.log.Oldest() {
+// update is the next update of a session from its cursor: through the newest revision, or as many commits as fit one update.
+func (e *encoder) update(cursor uint64, scope *sharedScope) (*encodedUpdate, error) {
+	key := updateKey{cursor, scope}
+	if p := e.updates[key]; p != nil && (p.head == e.log.Head() || p.through < p.head) && cursor >= e.log.Oldest() {
 		return p, nil
 	}
 	changes, err := e.log.Since(cursor)
 	if err != nil {
 		return nil, err
 	}
-	if e.faults.resumeOneTooLate && len(changes) > 0 {
-		changes = changes[endOfCommit(changes, 0):]
+	if e.faults.skipFirstCommit && len(changes) > 0 {
+		changes = changes[commitEnd(changes, 0):]
 	}
-	if e.faults.coalesceFirst {
+	if e.faults.coalesceBeforeProject {
 		changes = revision.Coalesce(changes)
 	}
-	seen, taken := e.take(changes, scope.Scope)
+	seen, taken := e.selectCommits(changes, scope.Scope)
 	through := e.log.Head()
 	if taken < len(changes) {
 		through = changes[taken-1].Revision
 	}
-	digest := e.state.Digest(scope.Scope) - digestOf(changes[taken:], scope.Scope)
-	p := &step{through: through, head: e.log.Head(), changes: len(seen)}
+	digest := e.state.Digest(scope.Scope) - digestDelta(changes[taken:], scope.Scope)
+	p := &encodedUpdate{through: through, head: e.log.Head(), changes: len(seen)}
 	p.frames = e.encodeChanges(cursor, through, digest, seen)
-	p.bytes = sizeOf(p.frames)
-	if len(e.steps) >= maxSteps {
-		clear(e.steps)
+	p.bytes = totalSize(p.frames)
+	if len(e.updates) >= maxCachedUpdates {
+		clear(e.updates)
 	}
-	e.steps[key] = p
+	e.updates[key] = p
 	return p, nil
 }
 
-// take selects whole commits whose changes, as the scope sees them and coalesced, fit one step, but at least one.
-func (e *encoder) take(changes []revision.Change, scope revision.Scope) (seen []revision.Change, taken int) {
+// selectCommits selects whole commits whose changes, as the scope sees them and coalesced, fit one step, but at least one.
+func (e *encoder) selectCommits(changes []revision.Change, scope revision.Scope) (seen []revision.Change, taken int) {
 	bytes := 0
 	newest := map[string]int{} // what each key's newest change that may yet be dropped counts for
 	for taken < len(changes) {
-		end := endOfCommit(changes, taken)
+		end := commitEnd(changes, taken)
 		visible := len(seen)
 		for _, c := range changes[taken:end] {
 			if c, within := scope.Project(c); within {
@@ -173,7 +173,7 @@
 				newest[c.Key] = 0
 			}
 		}
-		if bytes > e.stepBytes && taken > 0 {
+		if bytes > e.updateBytes && taken > 0 {
 			seen = seen[:visible]
 			break
 		}
@@ -182,8 +182,8 @@
 	return e.faults.coalesce(seen), taken
 }
 
-// endOfCommit is the index after the last change of the commit that begins at an index.
-func endOfCommit(changes []revision.Change, first int) int {
+// commitEnd is the index after the last change of the commit that begins at an index.
+func commitEnd(changes []revision.Change, first int) int {
 	end := first
 	for end < len(changes) && changes[end].Revision == changes[first].Revision {
 		end++
@@ -192,31 +192,31 @@
 }
 
 // snapshot is the newest of a scope, or one made within the last second from which the log goes on.
-func (e *encoder) snapshot(now aspenshed.Nanos, scope *scopeOf) *snapshot {
-	kept := e.snapshotOf[scope]
+func (e *encoder) snapshot(now aspenshed.Nanos, scope *sharedScope) *encodedSnapshot {
+	kept := e.snapshots[scope]
 	if kept != nil && kept.revision >= e.log.Oldest() &&
-		(kept.revision == e.state.Revision() || now < kept.madeAt+snapshotReuse) {
-		return kept.snapshot
+		(kept.revision == e.state.Revision() || now < kept.encodedAt+snapshotReuseInterval) {
+		return kept.encodedSnapshot
 	}
-	kept = &keptSnapshot{snapshot: e.encodeSnapshot(scope.Scope), madeAt: now}
-	e.keep(scope, kept)
-	return kept.snapshot
+	kept = &cachedSnapshot{encodedSnapshot: e.encodeSnapshot(scope.Scope), encodedAt: now}
+	e.cacheSnapshot(scope, kept)
+	return kept.encodedSnapshot
 }
 
-// keep remembers a scope's snapshot in place of an older one.
-func (e *encoder) keep(scope *scopeOf, made *keptSnapshot) {
-	delete(e.snapshotOf, scope)
+// cacheSnapshot remembers a scope's snapshot in place of an older one.
+func (e *encoder) cacheSnapshot(scope *sharedScope, made *cachedSnapshot) {
+	delete(e.snapshots, scope)
 	bytes := made.bytes
-	for _, other := range e.snapshotOf {
+	for _, other := range e.snapshots {
 		bytes += other.bytes
 	}
-	if bytes > e.keptBytes {
-		clear(e.snapshotOf)
+	if bytes > e.cacheBytes {
+		clear(e.snapshots)
 	}
-	e.snapshotOf[scope] = made
+	e.snapshots[scope] = made
 }
 
 // snapshotBytes is how much a snapshot of the scope would be.
-func (e *encoder) snapshotBytes(now aspenshed.Nanos, scope *scopeOf) int {
+func (e *encoder) snapshotBytes(now aspenshed.Nanos, scope *sharedScope) int {
 	return e.snapshot(now, scope).bytes
 }
--- a/internal/controlplane/subscription/errors.go
+++ b/internal/controlplane/subscription/errors.go
@@ -49,17 +49,17 @@
 }
 
 // GapError is changes that don't begin where the client is.
-type GapError struct{ From, Own uint64 }
+type GapError struct{ From, Current uint64 }
 
 func (e *GapError) Error() string {
-	return fmt.Sprintf("changes from revision %d do not fit revision %d", e.From, e.Own)
+	return fmt.Sprintf("changes from revision %d do not fit revision %d", e.From, e.Current)
 }
 
-// StaleError is a revision that goes backward.
-type StaleError struct{ Revision, Own uint64 }
+// StaleRevisionError is a revision that goes backward.
+type StaleRevisionError struct{ Revision, Current uint64 }
 
-func (e *StaleError) Error() string {
-	return fmt.Sprintf("revision %d is older than %d", e.Revision, e.Own)
+func (e *StaleRevisionError) Error() string {
+	return fmt.Sprintf("revision %d is older than %d", e.Revision, e.Current)
 }
 
 // DigestError is a state that would differ from the server's.
@@ -79,24 +79,24 @@
 	return fmt.Sprintf("chunk %d of a snapshot where %d was due", e.Got, e.Want)
 }
 
-// ContentError is a message whose content can't be true.
-type ContentError struct {
+// InvalidMessageError is a message whose content can't be true.
+type InvalidMessageError struct {
 	Message string // the message's type
 	Key     string
 	Problem string
 }
 
-func (e *ContentError) Error() string {
+func (e *InvalidMessageError) Error() string {
 	if e.Key != "" {
 		return fmt.Sprintf("%s, key %q: %s", e.Message, e.Key, e.Problem)
 	}
 	return fmt.Sprintf("%s: %s", e.Message, e.Problem)
 }
 
-// OutOfPlaceError is a message that may not come now, or is of no known kind.
-type OutOfPlaceError struct{ Message string }
+// UnexpectedMessageError is a message that may not come now, or is of no known kind.
+type UnexpectedMessageError struct{ Message string }
 
-func (e *OutOfPlaceError) Error() string { return fmt.Sprintf("%s is out of place", e.Message) }
+func (e *UnexpectedMessageError) Error() string { return fmt.Sprintf("%s is out of place", e.Message) }
 
 // ClosedError is a connection that the server ended with a reason.
 type ClosedError struct {
@@ -111,22 +111,22 @@
 
 // Errors without further content.
 var (
-	ErrSilence      = errors.New("nothing came in time")
-	ErrNotConnected = errors.New("not subscribed to a server")
-	ErrLost         = errors.New("the connection was lost before the answer")
-	ErrTooMany      = errors.New("too many submissions are unanswered")
-	ErrStopped      = errors.New("stopped")
-	ErrEnded        = errors.New("the connection ended")
-
-	errStalled     = errors.New("nothing acknowledged in time")
-	errNoSubscribe = errors.New("no subscription in time")
-	errNoState     = errors.New("no state yet")
-	errFull        = errors.New("too many sessions")
-	errAdmission   = errors.New("too many snapshots at once")
-	errStopping    = errors.New("the server stops")
-	errReplaced    = errors.New("subscribed again on another session")
-	errCluster     = errors.New("of another cluster")
-	errUnknownKind = errors.New("a frame of unknown kind")
-	errSubscribed  = errors.New("subscribed twice")
-	errNotFirst    = errors.New("not subscribed yet")
+	ErrIdleTimeout        = errors.New("nothing came in time")
+	ErrNotConnected       = errors.New("not subscribed to a server")
+	ErrConnectionLost     = errors.New("the connection was lost before the answer")
+	ErrTooManySubmissions = errors.New("too many submissions are unanswered")
+	ErrStopped            = errors.New("stopped")
+	ErrConnectionEnded    = errors.New("the connection ended")
+
+	errAckTimeout        = errors.New("nothing acknowledged in time")
+	errSubscribeTimeout  = errors.New("no subscription in time")
+	errNoState           = errors.New("no state yet")
+	errTooManySessions   = errors.New("too many sessions")
+	errTooManySnapshots  = errors.New("too many snapshots at once")
+	errStopping          = errors.New("the server stops")
+	errReplaced          = errors.New("subscribed again on another session")
+	errWrongCluster      = errors.New("of another cluster")
+	errUnknownMessage    = errors.New("a frame of unknown kind")
+	errAlreadySubscribed = errors.New("subscribed twice")
+	errNotSubscribed     = errors.New("not subscribed yet")
 )
--- a/internal/controlplane/subscription/faults.go
+++ b/internal/controlplane/subscription/faults.go
@@ -8,14 +8,14 @@
 
 // faults are planted by tests alone, to show that the simulation finds them. The zero value plants none.
 type faults struct {
-	coalesceBinding  bool // the server drops binding changes that a newer change of the key follows
-	ignoreWindow     bool // the server sends whatever there is
-	coalesceFirst    bool // the server coalesces before it projects changes into the scope
-	keepStalled      bool // the server doesn't close sessions that acknowledge nothing
-	resumeOneTooLate bool // the server leaves out the first commit after what the subscriber has
-	applyHalf        bool // the client takes a snapshot's first chunk for the whole
-	skipDigest       bool // the client doesn't compare digests
-	takeOlder        bool // the client takes a snapshot that is older than what it has
+	coalesceBinding       bool // the server drops binding changes that a newer change of the key follows
+	ignoreWindow          bool // the server sends whatever there is
+	coalesceBeforeProject bool // the server coalesces before it projects changes into the scope
+	keepStalledSessions   bool // the server doesn't close sessions that acknowledge nothing
+	skipFirstCommit       bool // the server leaves out the first commit after what the subscriber has
+	applyFirstChunk       bool // the client takes a snapshot's first chunk for the whole
+	skipDigestCheck       bool // the client doesn't compare digests
+	acceptOlderSnapshot   bool // the client takes a snapshot that is older than what it has
 }
 
 // coalesce is revision.Coalesce, or what a planted fault makes of it.
--- a/internal/controlplane/subscription/logline.go
+++ b/internal/controlplane/subscription/logline.go
@@ -23,12 +23,12 @@
 
 // The messages.
 const (
-	messageConnected     = "control stream established"
-	messageLost          = "control stream lost"
-	messageBadInput      = "control stream: bad input from the server, nothing changed"
-	messageDiverged      = "control state diverged from the server's, resynchronizing"
-	messageResynced      = "control state resynchronized"
-	messageSessionClosed = "subscriber closed"
-	messageBadSubscriber = "subscriber sent bad input, nothing changed"
-	messageServedOther   = "subscriber's state differs from ours at its revision, sending a snapshot"
+	messageConnected              = "control stream established"
+	messageLost                   = "control stream lost"
+	messageInvalidInput           = "control stream: bad input from the server, nothing changed"
+	messageDiverged               = "control state diverged from the server's, resynchronizing"
+	messageResynced               = "control state resynchronized"
+	messageSessionClosed          = "subscriber closed"
+	messageInvalidSubscriberInput = "subscriber sent bad input, nothing changed"
+	messageDigestMismatch         = "subscriber's state differs from ours at its revision, sending a snapshot"
 )
--- a/internal/controlplane/subscription/messages.go
+++ b/internal/controlplane/subscription/messages.go
@@ -21,16 +21,16 @@
 
 // SubscriberStatus is one session as an operator sees it.
 type SubscriberStatus struct {
-	Session     SessionID
-	Subscriber  string
-	Boot        string
-	Region      string
-	Zone        string
-	Release     string
-	Sent        uint64 // the revision that it was brought to
-	InForce     uint64
-	Outstanding int  // bytes that it has not acknowledged
-	Snapshot    bool // it is being sent one
+	Session            SessionID
+	Subscriber         string
+	Boot               string
+	Region             string
+	Zone               string
+	Release            string
+	SentRevision       uint64 // the revision that it was brought to
+	InForce            uint64
+	UnackedBytes       int  // bytes that it has not acknowledged
+	SnapshotInProgress bool // it is being sent one
 }
 
 // Event is what happened to a client: one of the types below. The events of a connection end with Disconnected or
@@ -82,12 +82,12 @@
 	Dial struct{ Server string }
 	// Send sends a frame on the connection.
 	Send struct{ Frame *pb.SubscriberFrame }
-	// HangUp closes the connection, or gives up the dial.
-	HangUp struct{}
+	// CloseConnection closes the connection, or gives up the dial.
+	CloseConnection struct{}
 	// Apply tells that Client.State has reached a revision by these changes, or was replaced whole.
 	Apply struct {
 		Revision uint64
-		Whole    bool // read Client.State; Changes is empty
+		Full     bool // read Client.State; Changes is empty
 		Changes  []revision.Change
 	}
 	// SubmitDone answers SubmitCommands. After an error the batch may still have been carried out; its origin and
@@ -101,12 +101,12 @@
 	Log struct{ LogLine }
 )
 
-func (Dial) action()       {}
-func (Send) action()       {}
-func (HangUp) action()     {}
-func (Apply) action()      {}
-func (SubmitDone) action() {}
-func (Log) action()        {}
+func (Dial) action()            {}
+func (Send) action()            {}
+func (CloseConnection) action() {}
+func (Apply) action()           {}
+func (SubmitDone) action()      {}
+func (Log) action()             {}
 
 // never is an instant that doesn't come.
 const never = aspenshed.Nanos(1<<63 - 1)
--- a/internal/controlplane/subscription/pack.go
+++ b/internal/controlplane/subscription/pack.go
@@ -7,17 +7,17 @@
 	pb "aspenshed/internal/controlplane/controlpb"
 )
 
-// maxUnpackedBytes bounds what one chunk may unpack to. A server packs maxFrameBytes into a chunk, or one record that
+// maxDecompressedBytes bounds what one chunk may unpack to. A server packs maxFrameBytes into a chunk, or one record that
 // alone is larger; the values of records are 64 KiB at most.
-const maxUnpackedBytes = 1 << 20
+const maxDecompressedBytes = 1 << 20
 
-// packer compresses the chunks of snapshots. Records are alike, so that a snapshot shrinks to a fraction: what a gateway
+// chunkCompressor compresses the chunks of snapshots. Records are alike, so that a snapshot shrinks to a fraction: what a gateway
 // receives when it starts is most of its traffic that day. Of 2.4 MB of records Zstandard's fastest level leaves 0.30 MB
 // in 7 ms, DEFLATE 0.39 MB in 98 ms.
-type packer struct{ encoder *zstd.Encoder }
+type chunkCompressor struct{ encoder *zstd.Encoder }
 
-// chunk makes a chunk of records, packed where that is smaller.
-func (p *packer) chunk(index uint32, records []*pb.Record) *pb.SnapshotChunk {
+// encodeChunk makes a encodeChunk of records, packed where that is smaller.
+func (p *chunkCompressor) encodeChunk(index uint32, records []*pb.Record) *pb.SnapshotChunk {
 	plain := &pb.SnapshotChunk{Index: index, Records: records}
 	message, err := proto.Marshal(&pb.Records{Records: records})
 	if err != nil { // a key that is not UTF-8: all were checked as they came in
@@ -30,7 +30,7 @@
 	return &pb.SnapshotChunk{Index: index, Packed: packed}
 }
 
-func (p *packer) compress(message []byte) ([]byte, error) {
+func (p *chunkCompressor) compress(message []byte) ([]byte, error) {
 	if p.encoder == nil {
 		encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 		if err != nil {
@@ -41,32 +41,32 @@
 	return p.encoder.EncodeAll(message, nil), nil
 }
 
-// unpacker decompresses the chunks of one snapshot.
-type unpacker struct{ decoder *zstd.Decoder }
+// chunkDecompressor decompresses the chunks of one snapshot.
+type chunkDecompressor struct{ decoder *zstd.Decoder }
 
-// records are those of a chunk, and how many bytes they unpacked to; 0: they were not packed.
-func (u *unpacker) records(m *pb.SnapshotChunk) (records []*pb.Record, size int, err error) {
+// decodeRecords are those of a chunk, and how many bytes they unpacked to; 0: they were not packed.
+func (u *chunkDecompressor) decodeRecords(m *pb.SnapshotChunk) (records []*pb.Record, size int, err error) {
 	if len(m.Packed) == 0 {
 		return m.Records, 0, nil
 	}
 	if len(m.Records) > 0 {
-		return nil, 0, &ContentError{Message: "SnapshotChunk", Problem: "records both packed and not"}
+		return nil, 0, &InvalidMessageError{Message: "SnapshotChunk", Problem: "records both packed and not"}
 	}
 	message, err := u.decompress(m.Packed)
 	if err != nil {
-		return nil, 0, &ContentError{Message: "SnapshotChunk", Problem: "it does not unpack: " + err.Error()}
+		return nil, 0, &InvalidMessageError{Message: "SnapshotChunk", Problem: "it does not unpack: " + err.Error()}
 	}
 	var unpacked pb.Records
 	if err := proto.Unmarshal(message, &unpacked); err != nil {
-		return nil, 0, &ContentError{Message: "SnapshotChunk", Problem: "it unpacks to no records"}
+		return nil, 0, &InvalidMessageError{Message: "SnapshotChunk", Problem: "it unpacks to no records"}
 	}
 	return unpacked.Records, len(message), nil
 }
 
-func (u *unpacker) decompress(packed []byte) ([]byte, error) {
+func (u *chunkDecompressor) decompress(packed []byte) ([]byte, error) {
 	if u.decoder == nil {
 		decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
-			zstd.WithDecoderMaxMemory(maxUnpackedBytes))
+			zstd.WithDecoderMaxMemory(maxDecompressedBytes))
 		if err != nil {
 			return nil, err
 		}
--- a/internal/controlplane/subscription/pack_test.go
+++ b/internal/controlplane/subscription/pack_test.go
@@ -14,7 +14,7 @@
 
 func packedChunk(t *testing.T, message []byte) *pb.SnapshotChunk {
 	t.Helper()
-	var p packer
+	var p chunkCompressor
 	packed, err := p.compress(message)
 	if err != nil {
 		t.Fatal(err)
@@ -23,18 +23,18 @@
 }
 
 func TestChunksComeBackAsTheyWerePacked(t *testing.T) {
-	var p packer
+	var p chunkCompressor
 	for _, count := range []int{1, 2, 500, 3} { // one packer makes many chunks
 		var want []*pb.Record
 		for i := range count {
 			want = append(want, pairRecord(fmt.Sprintf("key-%04d", i), "a value like the others"))
 		}
-		got, size, err := new(unpacker).records(p.chunk(0, want))
+		got, size, err := new(chunkDecompressor).decodeRecords(p.encodeChunk(0, want))
 		if err != nil || !proto.Equal(&pb.Records{Records: got}, &pb.Records{Records: want}) {
 			t.Errorf("%d records: %v, %d bytes, %v", count, len(got), size, err)
 		}
 	}
-	if random := p.chunk(0, []*pb.Record{{Key: "k", Value: []byte{1}}}); len(random.Packed) > 0 {
+	if random := p.encodeChunk(0, []*pb.Record{{Key: "k", Value: []byte{1}}}); len(random.Packed) > 0 {
 		t.Error("what does not shrink is packed")
 	}
 }
@@ -54,9 +54,9 @@
 		"truncated":      truncated,
 		"not compressed": {Packed: []byte{0xff, 0xff, 0xff}},
 		"no records":     packedChunk(t, []byte{0xff}),
-		"endless":        packedChunk(t, make([]byte, maxUnpackedBytes+1)),
+		"endless":        packedChunk(t, make([]byte, maxDecompressedBytes+1)),
 	} {
-		if _, _, err := new(unpacker).records(m); !isError[*ContentError](err) {
+		if _, _, err := new(chunkDecompressor).decodeRecords(m); !isError[*InvalidMessageError](err) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/controlplane/subscription/recovery_test.go
+++ b/internal/controlplane/subscription/recovery_test.go
@@ -31,7 +31,7 @@
 	if got := messages(p.lines); !slices.Equal(got, []string{messageDiverged, messageResynced, messageConnected}) {
 		t.Errorf("logged %q", got)
 	}
-	if last := p.applied[len(p.applied)-1]; !last.Whole {
+	if last := p.applied[len(p.applied)-1]; !last.Full {
 		t.Errorf("%+v", last)
 	}
 }
@@ -45,7 +45,7 @@
 	p.client.state.Apply(revision.Change{Revision: 10, Record: member("stray", 0, "z", "")})
 	p.run(5 * second)
 	p.equal(revision.Scope{})
-	if got := messages(p.lines); !slices.Contains(got, messageServedOther) {
+	if got := messages(p.lines); !slices.Contains(got, messageDigestMismatch) {
 		t.Errorf("logged %q", got)
 	}
 }
@@ -66,7 +66,7 @@
 	p.server.Commit(12, []revision.Change{{Revision: 12, Record: records(6)[5]}})
 	p.run(5 * second)
 	p.equal(revision.Scope{})
-	if n := len(p.applied); n != 2 || p.applied[1].Whole {
+	if n := len(p.applied); n != 2 || p.applied[1].Full {
 		t.Errorf("applied %+v", p.applied[1:])
 	}
 	if got := messages(p.lines); !slices.Equal(got, []string{messageLost, messageConnected}) {
@@ -129,11 +129,11 @@
 	c := NewClient(ClientConfig{Subscriber: "s", Servers: []string{"a:1"}})
 	c.Step(0)
 	_, next := c.Step(1, Connected{})
-	if next != 1+DefaultSilence {
+	if next != 1+DefaultIdleTimeout {
 		t.Fatalf("looks again at %d", next)
 	}
 	actions, _ := c.Step(next)
-	if _, is := actions[len(actions)-1].(HangUp); !is {
+	if _, is := actions[len(actions)-1].(CloseConnection); !is {
 		t.Errorf("%+v", actions)
 	}
 }
@@ -189,7 +189,7 @@
 	p.act(actions)
 	p.server.Stop(p.now)
 	p.settle()
-	if p.session != 0 || len(p.done) != 1 || !errors.Is(p.done[0].Err, ErrLost) {
+	if p.session != 0 || len(p.done) != 1 || !errors.Is(p.done[0].Err, ErrConnectionLost) {
 		t.Errorf("session %d, done %+v", p.session, p.done)
 	}
 	actions, next := p.client.Step(p.now, Stop{}, SubmitCommands{ID: 2})
@@ -270,7 +270,7 @@
 	}
 	bytes := 0
 	for _, x := range s.subscribers[10:] {
-		bytes += server.encoder.snapshotBytes(s.now, server.encoder.scope(x.scope.Normalized()))
+		bytes += server.encoder.snapshotBytes(s.now, server.encoder.internScope(x.scope.Normalized()))
 	}
 	began, limit := s.now, aspenshed.Nanos(float64(bytes)/simSnapshotRate*1.2*float64(second))+3*second
 	for !s.agreed() && s.problem == nil && s.now < began+limit {
--- a/internal/controlplane/subscription/sim_test.go
+++ b/internal/controlplane/subscription/sim_test.go
@@ -102,10 +102,10 @@
 // startServer gives it the state of a snapshot that it has, and the commits after that to hear again.
 func (s *simulation) startServer(x *simServer) {
 	x.machine = NewServer(ServerConfig{Cluster: "c", LogBytes: 300 * (3 + s.rng.IntN(30)), WindowBytes: simWindow,
-		Heartbeat: second / 5, Flush: second / 20, StallTimeout: second, SnapshotRate: simSnapshotRate, SnapshotBurst: 1500,
+		HeartbeatInterval: second / 5, FlushDelay: second / 20, StallTimeout: second, SnapshotRate: simSnapshotRate, SnapshotBurst: 1500,
 		Seed: s.rng.Uint64()})
-	x.machine.encoder.frameBytes, x.machine.maxOutput = simFrame, simOutput
-	x.machine.encoder.keptBytes = simKept
+	x.machine.encoder.frameBytes, x.machine.maxOutputBytes = simFrame, simOutput
+	x.machine.encoder.cacheBytes = simKept
 	x.machine.faults = s.planted
 	x.up, x.sides, x.due = true, map[SessionID]*connection{}, s.now
 	x.applied = s.rng.IntN(x.applied + 1)
@@ -122,7 +122,7 @@
 
 func (s *simulation) startSubscriber(x *simSubscriber, servers []string) {
 	x.machine = NewClient(ClientConfig{Cluster: "c", Subscriber: x.name, Boot: fmt.Sprint(s.rng.Uint32()), Scope: x.scope,
-		Servers: servers, Seed: s.rng.Uint64(), Silence: 7 * second / 10, MinBackoff: second / 20, MaxBackoff: second / 2})
+		Servers: servers, Seed: s.rng.Uint64(), IdleTimeout: 7 * second / 10, MinBackoff: second / 20, MaxBackoff: second / 2})
 	x.machine.faults = s.planted
 	x.due, x.revision, x.calm = s.now, 0, never
 }
@@ -230,7 +230,7 @@
 // noteServerLine fails on what no history without corruption may bring about.
 func (s *simulation) noteServerLine(l *LogLine) {
 	switch l.Message {
-	case messageServedOther, messageBadSubscriber:
+	case messageDigestMismatch, messageInvalidSubscriberInput:
 		s.fail("%s: %v", l.Message, l.Err)
 	case messageSessionClosed:
 		s.closed[l.Err.(*SubscriberError).Reason]++
@@ -256,7 +256,7 @@
 			return
 		}
 		s.send(x.link, &x.link.up, transit{frame: b})
-	case HangUp:
+	case CloseConnection:
 		if x.link != nil {
 			s.send(x.link, &x.link.up, transit{})
 			x.link.clientEnd = true
@@ -266,7 +266,7 @@
 		s.checkApply(x, a)
 		s.stepSubscriber(x, InForce{Revision: a.Revision})
 	case Log:
-		if (a.Message == messageDiverged || a.Message == messageBadInput) && s.corruptions == 0 {
+		if (a.Message == messageDiverged || a.Message == messageInvalidInput) && s.corruptions == 0 {
 			s.fail("%s: %s: %v", x.name, a.Message, a.Err)
 		}
 	}
--- a/internal/controlplane/subscription/simcheck_test.go
+++ b/internal/controlplane/subscription/simcheck_test.go
@@ -17,7 +17,7 @@
 	if got, want := state.Digest(revision.Scope{}), s.truth.at(a.Revision).digest(x.scope); got != want {
 		s.fail("%s: digest %x at revision %d, committed was %x", x.name, got, a.Revision, want)
 	}
-	if a.Whole {
+	if a.Full {
 		s.snapshots++
 		if x.link.applied || !x.link.wholeFits {
 			s.fail("%s: a snapshot though the log reached back to revision %d", x.name, x.revision)
@@ -84,12 +84,12 @@
 		if m.log.Bytes() > m.config.LogBytes {
 			s.fail("%s: a log of %d bytes", x.name, m.log.Bytes())
 		}
-		if len(m.encoder.steps) > maxSteps || len(m.encoder.scopes) > maxScopes || len(m.out) > 0 || x.up && len(m.touched) > 0 {
-			s.fail("%s: %d steps, %d scopes kept, %d outputs, %d sessions left", x.name, len(m.encoder.steps), len(m.encoder.scopes),
-				len(m.out), len(m.touched))
+		if len(m.encoder.updates) > maxCachedUpdates || len(m.encoder.scopes) > maxCachedScopes || len(m.outputs) > 0 || x.up && len(m.dirty) > 0 {
+			s.fail("%s: %d steps, %d scopes kept, %d outputs, %d sessions left", x.name, len(m.encoder.updates), len(m.encoder.scopes),
+				len(m.outputs), len(m.dirty))
 		}
 		kept, largest := 0, 0
-		for _, k := range m.encoder.snapshotOf {
+		for _, k := range m.encoder.snapshots {
 			kept += k.bytes
 			largest = max(largest, k.bytes)
 		}
@@ -98,13 +98,13 @@
 		}
 		for _, session := range m.sessions {
 			sum := 0
-			for _, bytes := range session.inFlight {
+			for _, bytes := range session.unackedSizes {
 				sum += bytes
 			}
-			if sum != session.outstanding || sum > simWindow {
-				s.fail("%s: %d bytes under way to %s, counted %d", x.name, sum, session.subscriber, session.outstanding)
+			if sum != session.unackedBytes || sum > simWindow {
+				s.fail("%s: %d bytes under way to %s, counted %d", x.name, sum, session.subscriber, session.unackedBytes)
 			}
-			if session.outstanding > 0 && s.now > session.progress+m.config.StallTimeout+scanInterval+second/5 && x.up {
+			if session.unackedBytes > 0 && s.now > session.lastProgress+m.config.StallTimeout+scanInterval+second/5 && x.up {
 				s.fail("%s: nothing acknowledged by %s for too long", x.name, session.subscriber)
 			}
 		}
--- a/internal/controlplane/subscription/simfaults_test.go
+++ b/internal/controlplane/subscription/simfaults_test.go
@@ -134,7 +134,7 @@
 		if s.rng.IntN(3) == 0 { // the compressed bytes themselves
 			flipByte(chunk.Packed, s.rng.IntN(1000))
 		} else {
-			chunk.Records, _, _ = new(unpacker).records(chunk)
+			chunk.Records, _, _ = new(chunkDecompressor).decodeRecords(chunk)
 			chunk.Packed = nil
 		}
 	}
@@ -147,7 +147,7 @@
 	}
 	number := f.Number
 	f.Number = 0
-	return encodeBody(f).number(number)
+	return encodeBody(f).withNumber(number)
 }
 
 func flipByte(value []byte, at int) {
--- a/internal/controlplane/subscription/simulation_test.go
+++ b/internal/controlplane/subscription/simulation_test.go
@@ -91,12 +91,12 @@
 	for name, plant := range map[string]func(*profile){
 		"binding changes coalesced":        func(p *profile) { p.planted.coalesceBinding = true },
 		"window ignored":                   func(p *profile) { p.planted.ignoreWindow = true },
-		"resumed one commit too late":      func(p *profile) { p.planted.resumeOneTooLate = true },
-		"half a snapshot applied":          func(p *profile) { p.planted.applyHalf = true },
-		"digest skipped, frames corrupted": func(p *profile) { p.planted.skipDigest, p.corruptions = true, 200 },
-		"older snapshot taken":             func(p *profile) { p.planted.takeOlder, p.corruptions = true, 200 },
-		"coalesced before projected":       func(p *profile) { p.planted.coalesceFirst = true },
-		"stalled sessions kept":            func(p *profile) { p.planted.keepStalled = true },
+		"resumed one commit too late":      func(p *profile) { p.planted.skipFirstCommit = true },
+		"half a snapshot applied":          func(p *profile) { p.planted.applyFirstChunk = true },
+		"digest skipped, frames corrupted": func(p *profile) { p.planted.skipDigestCheck, p.corruptions = true, 200 },
+		"older snapshot taken":             func(p *profile) { p.planted.acceptOlderSnapshot, p.corruptions = true, 200 },
+		"coalesced before projected":       func(p *profile) { p.planted.coalesceBeforeProject = true },
+		"stalled sessions kept":            func(p *profile) { p.planted.keepStalledSessions = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/controlplane/subscription/stream_test.go
+++ b/internal/controlplane/subscription/stream_test.go
@@ -133,7 +133,7 @@
 			p.act(more)
 		case Send:
 			p.server.Receive(p.now, p.session, proto.Clone(a.Frame).(*pb.SubscriberFrame))
-		case HangUp:
+		case CloseConnection:
 			p.server.Disconnected(p.session)
 			p.session = 0
 		case Apply:
@@ -172,7 +172,7 @@
 	p.server.Reset(7, records(3000))
 	p.run(second)
 	p.equal(revision.Scope{})
-	if len(p.applied) != 1 || !p.applied[0].Whole || p.applied[0].Revision != 7 {
+	if len(p.applied) != 1 || !p.applied[0].Full || p.applied[0].Revision != 7 {
 		t.Fatalf("applied %+v", p.applied)
 	}
 	changed := member("m00003", 0, "z3", "draining")
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -114,7 +114,7 @@
 func (a *admin) do(q Ask) (any, error) {
 	st := a.d.Store
 	if st == nil && slices.Contains(needVote, q.Do) {
-		return nil, subscriber.ErrNoVote
+		return nil, subscriber.ErrNotVoter
 	}
 	switch q.Do {
 	case "status":
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -79,7 +79,7 @@
 func (d *Daemon) newServer(listen, cluster string) (*stream.Server, error) {
 	return stream.NewServer(stream.ServerConfig{Listen: listen, Cluster: cluster, Log: d.log, Clock: d.cfg.Clock,
 		Machine: subscription.ServerConfig{Seed: d.cfg.Seed},
-		Carry: func(b *pb.Batch) *pb.Reply {
+		Forward: func(b *pb.Batch) *pb.Reply {
 			if <-d.opened; d.Store == nil {
 				return &pb.Reply{Refused: "the store did not open", Retry: true}
 			}
@@ -98,7 +98,7 @@
 	section := &d.cfg.Deploy.Store
 	d.Subscriber, err = subscriber.Open(subscriber.Config{Cluster: section.Cluster, ID: section.ID, Region: section.Region, Zone: section.Zone,
 		Release: d.cfg.Release, Scope: section.Scope.Revisions(), Servers: section.Subscribe, Seed: d.cfg.Seed, Pipelines: wiresOf(d.cfg.Deploy),
-		Check: checkAgreed, Changed: d.changed, Log: d.log, Clock: d.cfg.Clock, Network: d.cfg.Network})
+		CheckConfig: checkAgreed, OnChange: d.changed, Log: d.log, Clock: d.cfg.Clock, Network: d.cfg.Network})
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/scale/gateway.go
+++ b/internal/experiment/scale/gateway.go
@@ -60,7 +60,7 @@
 		Machine: subscription.ClientConfig{Cluster: c.Cluster, Subscriber: GatewayID(g.number), Boot: fmt.Sprint(g.boot),
 			Region: RegionName(zone.Region), Zone: zone.Name, Release: "scale", Servers: c.Servers,
 			Seed: c.Seed + uint64(g.number)<<16 + uint64(g.boot)},
-		Network: g.fleet.links.From(g.zone), Log: g.fleet.log, Clock: g.fleet.clock, Applied: g.applied,
+		Network: g.fleet.links.From(g.zone), Log: g.fleet.log, Clock: g.fleet.clock, OnUpdate: g.applied,
 	})
 }
 
@@ -110,11 +110,11 @@
 		return
 	}
 	now := time.Now()
-	if u.Revision < g.revision && !u.Whole {
+	if u.Revision < g.revision && !u.Full {
 		g.backward++
 	}
 	g.revision = u.Revision
-	if u.Whole {
+	if u.Full {
 		g.tookWhole(u, now)
 	}
 	for _, c := range u.Changes {
--- a/internal/experiment/scale/observer.go
+++ b/internal/experiment/scale/observer.go
@@ -41,7 +41,7 @@
 	o.client = stream.NewClient(stream.ClientConfig{
 		Machine: subscription.ClientConfig{Cluster: c.Cluster, Subscriber: "observer", Boot: "1", Region: RegionName(0),
 			Zone: zones[0].Name, Release: "scale", Servers: c.Servers, Seed: c.Seed},
-		Network: stream.NewNetwork(n), Log: logrus.NewEntry(silent), Clock: eventloop.NewClock(), Applied: o.applied,
+		Network: stream.NewNetwork(n), Log: logrus.NewEntry(silent), Clock: eventloop.NewClock(), OnUpdate: o.applied,
 	})
 	return o, nil
 }
@@ -55,7 +55,7 @@
 func (o *Observer) applied(u stream.Update) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if u.Whole {
+	if u.Full {
 		clear(o.records)
 		for r := range u.State.Records(revision.Scope{}) {
 			o.records[r.Key] = bytes.Clone(r.Value)
