--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -114,7 +114,7 @@
 func (a *admin) do(q AdminRequest) (any, error) {
 	st := a.d.Store
 	if st == nil && slices.Contains(voterOnly, q.Command) {
-		return nil, subscriber.ErrNoVote
+		return nil, subscriber.ErrNotVoter
 	}
 	switch q.Command {
 	case "status":
