--- a/api.go
+++ b/api.go
@@ -11,52 +11,52 @@
 // nanoseconds. The clock may start anywhere; it must only move forward.
 type Nanos int64
 
-// Effect says what a repeat of a request may do.
-type Effect int
+// RetrySafety says what a repeat of a request may do.
+type RetrySafety int
 
-// The effects. Safe requests may be repeated freely, Keyed ones where their
+// The effects. Safe requests may be repeated freely, Deduplicated ones where their
 // repeats are dropped, Unsafe ones only once it is proved that nothing ran.
 const (
-	Safe Effect = iota + 1
-	Keyed
+	Safe RetrySafety = iota + 1
+	Deduplicated
 	Unsafe
 )
 
-// Need says what a request needs of the member that serves it.
-type Need int
+// Consistency says what a request needs of the member that serves it.
+type Consistency int
 
 // The needs, from the most lenient.
 const (
-	AnyData    Need = iota + 1 // every member will do
-	Bounded                    // data no older than Class.Bound at the send
-	OwnWrites                  // everything the session has written
-	AllWrites                  // everything written before the request arrived
-	WriteToIt                  // a write: the primary only
-	needsCount = int(WriteToIt)
+	Eventual         Consistency = iota + 1 // every member will do
+	BoundedStaleness                        // data no older than Class.Bound at the send
+	ReadYourWrites                          // everything the session has written
+	Linearizable                            // everything written before the request arrived
+	Write                                   // a write: the primary only
+	consistencyCount = int(Write)
 )
 
-// Scope names the members that drop the repeats of a Keyed request.
-type Scope int
+// DedupScope names the members that drop the repeats of a Keyed request.
+type DedupScope int
 
 // The scopes: every member, those of the first member's zone, or its group.
 const (
-	ScopeAll Scope = iota
-	ScopeZone
-	ScopeGroup
+	DedupAll DedupScope = iota
+	DedupZone
+	DedupGroup
 )
 
 // Class describes one class of request.
 type Class struct {
-	Name         string
-	Need         Need
-	Bound        Nanos // Bounded only: how old the data may be
-	Aim          Nanos // an answer within this is worth Worth
-	GiveUp       Nanos // how long a client waits over all its tries
-	Worth        float64
-	LateWorth    float64 // part of Worth that a late answer still earns
-	Effect       Effect
-	RepeatScope  Scope // Keyed only
-	RepeatWindow Nanos // Keyed only, from the first attempt that may have run
+	Name          string
+	Consistency   Consistency
+	MaxStaleness  Nanos // Bounded only: how old the data may be
+	LatencyTarget Nanos // an answer within this is worth Worth
+	ClientTimeout Nanos // how long a client waits over all its tries
+	Value         float64
+	LateValue     float64 // part of Worth that a late answer still earns
+	RetrySafety   RetrySafety
+	DedupScope    DedupScope // Keyed only
+	DedupWindow   Nanos      // Keyed only, from the first attempt that may have run
 }
 
 // Tenant is a customer with a share of the service.
@@ -68,42 +68,42 @@
 // Settings is what a router is told at its start.
 type Settings struct {
 	Routers, Rank, Zone int
-	Quantum             Nanos // least time between two Steps
+	MinStepInterval     Nanos // least time between two Steps
 	Classes             []Class
 	Tenants             []Tenant
-	OverShareWorth      float64 // part of the worth left beyond a tenant's share
-
-	AskDiscovery    bool  // the member list comes only when asked for
-	AskWithin       Nanos // rule 3: the list counts as told after this long
-	ListTellsRole   bool  // the list names a primary, late or as at the start
-	PositionZero    Nanos // the instant that positions are counted from
-	AnswersPosition bool  // every answer carries a position
-	AnswersReport   bool  // answers carry load reports, not only probes
-	Remember        bool  // the router remembers sessions' writes (else told)
-	MembersCheck    bool  // members turn away reads they are too old for
-	CheckWait       Nanos // after waiting this long to catch up
-
-	MayProbe, MayCancel, MayCopy, RetryAdvice bool
-	MaxAttempts                               int
-	MaxRetryIn                                Nanos // the longest advice that clients follow
-	ConnectTimeout                            Nanos
-	IdleClose                                 Nanos // idle connections are closed after this long; 0: never
-
-	AnswerSlack    Nanos   // how late past the deadline a final answer may be
-	DrainGrace     Nanos   // after news of a drain
-	RemovalIsSoft  bool    // only a drain binds; absence from the list does not
-	StartCapacity  float64 // the least share of capacity of a fresh member
-	ColdFor        Nanos   // warm after this at the latest
-	FallMultiple   float64 // work over this multiple of present capacity ...
-	FallFor        Nanos   // ... for this long topples a cold member
-	SafeShare      float64 // of a cold member's budget: what this router may use without a lease. 0: no leases here
-	ColdLongest    Nanos   // with leases: a start without an agreed word is cold for this long from when it was heard of
-	PriceProbe     float64 // points for one probe a request
-	PriceCrossZone float64 // points for one zone crossing a request
-	PriceWaste     float64 // points for as much wasted work as was asked for
-	PriceLateFail  float64 // points for failing all after the aim
-
-	Unknown []string // settings keys and report columns that were not understood
+	OverQuotaValue      float64 // part of the worth left beyond a tenant's share
+
+	WatchDiscovery        bool  // the member list comes only when asked for
+	NotifiedAfter         Nanos // rule 3: the list counts as told after this long
+	ListHasRoles          bool  // the list names a primary, late or as at the start
+	PositionEpoch         Nanos // the instant that positions are counted from
+	ResponsesHavePosition bool  // every answer carries a position
+	ResponsesHaveReport   bool  // answers carry load reports, not only probes
+	TrackSessionWrites    bool  // the router remembers sessions' writes (else told)
+	MembersCheckStaleness bool  // members turn away reads they are too old for
+	StalenessCheckWait    Nanos // after waiting this long to catch up
+
+	MayProbe, MayCancel, MayHedge, SendRetryAfter bool
+	MaxAttempts                                   int
+	MaxRetryAfter                                 Nanos // the longest advice that clients follow
+	ConnectTimeout                                Nanos
+	IdleTimeout                                   Nanos // idle connections are closed after this long; 0: never
+
+	ResponseSlack     Nanos   // how late past the deadline a final answer may be
+	DrainGrace        Nanos   // after news of a drain
+	RemovalIsAdvisory bool    // only a drain binds; absence from the list does not
+	InitialCapacity   float64 // the least share of capacity of a fresh member
+	WarmUpTime        Nanos   // warm after this at the latest
+	OverloadFactor    float64 // work over this multiple of present capacity ...
+	OverloadWindow    Nanos   // ... for this long topples a cold member
+	UnleasedShare     float64 // of a cold member's budget: what this router may use without a lease. 0: no leases here
+	MaxWarmUpTime     Nanos   // with leases: a start without an agreed word is cold for this long from when it was heard of
+	ProbeCost         float64 // points for one probe a request
+	CrossZoneCost     float64 // points for one zone crossing a request
+	WastedWorkCost    float64 // points for as much wasted work as was asked for
+	LateFailureCost   float64 // points for failing all after the aim
+
+	UnknownKeys []string // settings keys and report columns that were not understood
 }
 
 // MemberState is what the member list says of a member.
@@ -113,7 +113,7 @@
 const (
 	Up MemberState = iota + 1
 	Draining
-	Gone
+	Removed
 )
 
 // Member is one entry of the member list.
@@ -121,7 +121,7 @@
 	ID        string
 	Group     int
 	Zone      int
-	Size      float64 // comparable between members; 1 where unknown
+	Weight    float64 // comparable between members; 1 where unknown
 	StartedAt Nanos   // 0: long ago
 	State     MemberState
 	Primary   bool // the list's view of its role
@@ -129,50 +129,52 @@
 
 // Report is what a member says of itself; each value may be absent.
 type Report struct {
-	HasPosition, HasRole, HasWaiting, HasHeld bool
-	Position                                  Nanos // instant up to which all commits are applied, as of the report
-	Primary                                   bool
-	Waiting                                   float64 // requests queued
-	Held                                      float64 // requests in progress
+	HasPosition, HasRole, HasQueued, HasInFlight bool
+	Position                                     Nanos // instant up to which all commits are applied, as of the report
+	Primary                                      bool
+	Queued                                       float64 // requests queued
+	InFlight                                     float64 // requests in progress
 }
 
 // Outcome says how an attempt or a probe ended.
 type Outcome int
 
-// The outcomes. Turned, Full, NoLink and NotSent prove that nothing ran.
+// The outcomes. Ineligible, Overloaded, ConnectFailed and NotSent prove that nothing ran.
 const (
-	Served  Outcome = iota + 1 // answered
-	Errored                    // the member answered with an error; may have run
-	Full                       // turned away unseen
+	Served        Outcome = iota + 1 // answered
+	ErrorResponse                    // the member answered with an error; may have run
+	Overloaded                       // turned away unseen
 	TimedOut
-	NoLink    // no connection came about
-	LinkBroke // the connection broke while the attempt was out
+	ConnectFailed  // no connection came about
+	ConnectionLost // the connection broke while the attempt was out
 	Cancelled
 	NotSent
-	Turned   // untouched: not the primary, or too far behind for the read
-	Rejected // the statement itself is at fault: its error is the answer, and says nothing of the member
-	Unknown  // an outcome this release does not know; treated as may have run
+	Ineligible     // untouched: not the primary, or too far behind for the read
+	StatementError // the statement itself is at fault: its error is the answer, and says nothing of the member
+	UnknownOutcome // an outcome this release does not know; treated as may have run
 )
 
-// neverRan tells whether the outcome proves that nothing ran.
-func (o Outcome) neverRan() bool { return o == Full || o == NoLink || o == NotSent || o == Turned }
+// notExecuted tells whether the outcome proves that nothing ran.
+func (o Outcome) notExecuted() bool {
+	return o == Overloaded || o == ConnectFailed || o == NotSent || o == Ineligible
+}
 
 // Event is something a router is told. The types below are the only ones.
 type Event interface{ isEvent() }
 
 // MemberList is news of the members: a change, or the whole list.
 type MemberList struct {
-	Whole   bool // members that are not in it are gone
-	Remnant bool // the list as last held, maybe out of date; comes at the start
-	Members []Member
+	Complete bool // members that are not in it are gone
+	Cached   bool // the list as last held, maybe out of date; comes at the start
+	Members  []Member
 }
 
-// DiscoveryBroke says that a Watch or Fetch failed or that the watch ended.
-type DiscoveryBroke struct {
-	// Heard is since when a watch that ended, or a call that fell silent, has told nothing, not even that nothing had
+// DiscoveryFailed says that a Watch or Fetch failed or that the watch ended.
+type DiscoveryFailed struct {
+	// LastHeard is since when a watch that ended, or a call that fell silent, has told nothing, not even that nothing had
 	// changed; 0: discovery has turned the call down, or it is not known.
-	Heard     Nanos
-	Unreached bool // the call never came to discovery
+	LastHeard   Nanos
+	Unreachable bool // the call never came to discovery
 }
 
 // Request is a request that a client has handed to this router.
@@ -184,17 +186,17 @@
 	Session     string
 	Remaining   Nanos // until the client gives this try up
 	SinceCommit Nanos // OwnWrites, told tokens: age of the session's last commit at arrival; 0: none
-	Repeat      bool  // the client says that it asks again
+	IsRetry     bool  // the client says that it asks again
 }
 
-// Answer ends one attempt. Over is set once the request needs nothing more.
-type Answer struct {
+// AttemptResult ends one attempt. Over is set once the request needs nothing more.
+type AttemptResult struct {
 	ID       string
 	Attempt  int
 	Member   string
 	Outcome  Outcome
-	Over     bool
-	Took     Nanos
+	Final    bool
+	Duration Nanos
 	Role     Role
 	Position Nanos // 0: not told. For a served write its commit, rounded up
 	Report   Report
@@ -210,38 +212,38 @@
 	RoleReplica
 )
 
-// Left says that a request has ended without the router: nothing is owed.
-type Left struct{ ID string }
+// RequestWithdrawn says that a request has ended without the router: nothing is owed.
+type RequestWithdrawn struct{ ID string }
 
-// Woke is the answer to a Wake.
-type Woke struct{ Label string }
+// TimerFired is the answer to a Wake.
+type TimerFired struct{ Label string }
 
-// Probed ends a probe.
-type Probed struct {
-	Member  string
-	Outcome Outcome
-	Took    Nanos
-	Report  Report
+// ProbeResult ends a probe.
+type ProbeResult struct {
+	Member   string
+	Outcome  Outcome
+	Duration Nanos
+	Report   Report
 }
 
-// ColdShare is what the routers have agreed on for one start of a member, where Settings.SafeShare is set.
-type ColdShare struct {
-	Member    string
-	StartedAt Nanos
-	Warm      bool    // it is no longer cold
-	Part      float64 // of its budget that this router may use on top of SafeShare, until Until
-	Until     Nanos
-	Rate      float64 // work a second and size that its group's warm members answer for all routers; 0: not known
+// SlowStartShare is what the routers have agreed on for one start of a member, where Settings.SafeShare is set.
+type SlowStartShare struct {
+	Member      string
+	StartedAt   Nanos
+	WarmedUp    bool    // it is no longer cold
+	LeasedShare float64 // of its budget that this router may use on top of SafeShare, until Until
+	Until       Nanos
+	WorkRate    float64 // work a second and size that its group's warm members answer for all routers; 0: not known
 }
 
-func (MemberList) isEvent()     {}
-func (DiscoveryBroke) isEvent() {}
-func (Request) isEvent()        {}
-func (Answer) isEvent()         {}
-func (Left) isEvent()           {}
-func (Woke) isEvent()           {}
-func (Probed) isEvent()         {}
-func (ColdShare) isEvent()      {}
+func (MemberList) isEvent()       {}
+func (DiscoveryFailed) isEvent()  {}
+func (Request) isEvent()          {}
+func (AttemptResult) isEvent()    {}
+func (RequestWithdrawn) isEvent() {}
+func (TimerFired) isEvent()       {}
+func (ProbeResult) isEvent()      {}
+func (SlowStartShare) isEvent()   {}
 
 // Action is something a router wants done. The types below are the only ones.
 type Action interface{ isAction() }
@@ -250,14 +252,14 @@
 type Send struct {
 	ID, Member string
 	Attempt    int
-	GiveUpAt   Nanos // 0: when the client gives up
-	LeaveBy    Nanos // it must leave by then or not at all: later the data may be too old; 0: no matter
+	Deadline   Nanos // 0: when the client gives up
+	SendBy     Nanos // it must leave by then or not at all: later the data may be too old; 0: no matter
 }
 
 // Refuse is a final answer: nothing ran, trying again is harmless.
 type Refuse struct {
-	ID      string
-	RetryIn Nanos // advice to the client; 0: none
+	ID         string
+	RetryAfter Nanos // advice to the client; 0: none
 }
 
 // Fail is a final answer that promises nothing.
@@ -269,8 +271,8 @@
 	Attempt int
 }
 
-// Wake asks for a Woke after a while.
-type Wake struct {
+// SetTimer asks for a Woke after a while.
+type SetTimer struct {
 	After Nanos
 	Label string
 }
@@ -278,21 +280,21 @@
 // Probe asks a member for its report.
 type Probe struct{ Member string }
 
-// ClosePool closes this router's idle connections to a member.
-type ClosePool struct{ Member string }
+// CloseIdleConnections closes this router's idle connections to a member.
+type CloseIdleConnections struct{ Member string }
 
 // Watch asks discovery for changes from now on.
 type Watch struct{}
 
-// Note is a line for the embedder's log.
-type Note struct{ Text string }
-
-func (Send) isAction()      {}
-func (Refuse) isAction()    {}
-func (Fail) isAction()      {}
-func (Cancel) isAction()    {}
-func (Wake) isAction()      {}
-func (Probe) isAction()     {}
-func (ClosePool) isAction() {}
-func (Watch) isAction()     {}
-func (Note) isAction()      {}
+// LogMessage is a line for the embedder's log.
+type LogMessage struct{ Text string }
+
+func (Send) isAction()                 {}
+func (Refuse) isAction()               {}
+func (Fail) isAction()                 {}
+func (Cancel) isAction()               {}
+func (SetTimer) isAction()             {}
+func (Probe) isAction()                {}
+func (CloseIdleConnections) isAction() {}
+func (Watch) isAction()                {}
+func (LogMessage) isAction()           {}
--- a/bench_test.go
+++ b/bench_test.go
@@ -18,12 +18,12 @@
 			now := 100 * sec
 			var list []Member
 			for i := range size.members {
-				list = append(list, Member{ID: fmt.Sprint("m", i), Group: i / 5, Size: 1, State: Up})
+				list = append(list, Member{ID: fmt.Sprint("m", i), Group: i / 5, Weight: 1, State: Up})
 			}
-			r.Step(now, []Event{MemberList{Whole: true, Members: list}})
+			r.Step(now, []Event{MemberList{Complete: true, Members: list}})
 			for i, m := range list { // the first of each group leads; all are fresh
 				p := now - ms
-				r.Step(now, []Event{Probed{Member: m.ID, Outcome: Served, Took: ms,
+				r.Step(now, []Event{ProbeResult{Member: m.ID, Outcome: Served, Duration: ms,
 					Report: Report{HasPosition: true, Position: p, HasRole: true, Primary: i%5 == 0}}})
 			}
 			n := 0
@@ -45,7 +45,7 @@
 				if len(out) > 0 {
 					x := out[0]
 					out = out[1:]
-					events = append(events, Answer{ID: x.ID, Member: x.Member, Outcome: Served, Over: true, Took: 20 * ms, Role: RoleReplica})
+					events = append(events, AttemptResult{ID: x.ID, Member: x.Member, Outcome: Served, Final: true, Duration: 20 * ms, Role: RoleReplica})
 				}
 				out = append(out, sends(r.Step(now, events))...)
 			}
--- a/cmd/aspenshed/gateway.go
+++ b/cmd/aspenshed/gateway.go
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	g.watcher = &discovery.Watcher{Loop: g.loop, Log: log, Net: g.net, Address: node.Discovery, Zones: node.Zones,
-		Index: node.Known.Generation, Keep: !node.Settings.AskDiscovery}
+		Index: node.Known.Generation, Keep: !node.Settings.WatchDiscovery}
 	g.watcher.Report(log.WithField("version", node.Known.Generation), faults)
 	held := mostHeld
 	if node.MostHeld > 0 {
@@ -78,7 +78,7 @@
 	g.watcher.Changed = func(u discovery.Update) { g.pipeline.Members(u.List, u.Addresses) }
 	g.watcher.Broke = g.pipeline.DiscoveryBroke
 	g.front.Take, g.front.Leave, g.front.Rejected = g.pipeline.Accept.Take, g.pipeline.Leave, g.pipeline.Accounting.Rejected
-	known.List.Whole, known.List.Remnant = true, true
+	known.List.Complete, known.List.Cached = true, true
 	if err := g.pipeline.Start(known.List, known.Addresses); err != nil {
 		return nil, err
 	}
@@ -139,7 +139,7 @@
 // is longer, and 0.7 s.
 func (g *gateway) killAfter() (after aspenshed.Nanos) {
 	for _, c := range g.node.Settings.Classes {
-		after = max(after, c.GiveUp)
+		after = max(after, c.ClientTimeout)
 	}
 	return min(after, 3e9) + 700e6
 }
--- a/discovery_calls_test.go
+++ b/discovery_calls_test.go
@@ -36,13 +36,13 @@
 func (k failureKind) failure(calledAt Nanos) (after Nanos, event Event) {
 	switch k {
 	case refusedLate:
-		return callTimeout, DiscoveryBroke{}
+		return callTimeout, DiscoveryFailed{}
 	case neverAnswered:
-		return silenceTimeout, DiscoveryBroke{Heard: calledAt}
+		return silenceTimeout, DiscoveryFailed{LastHeard: calledAt}
 	case unreached:
-		return connectTimeout, DiscoveryBroke{Unreached: true}
+		return connectTimeout, DiscoveryFailed{Unreachable: true}
 	}
-	return 0, DiscoveryBroke{}
+	return 0, DiscoveryFailed{}
 }
 
 // fleetRouter is one router of the fleet with what it waits for.
@@ -65,7 +65,7 @@
 func newCallingFleet(t *testing.T, size int) *callingFleet {
 	t.Helper()
 	s := fleetSettings()
-	s.AskDiscovery, s.Routers, s.DrainGrace = true, size, 2*sec
+	s.WatchDiscovery, s.Routers, s.DrainGrace = true, size, 2*sec
 	f := &callingFleet{start: 100 * sec, now: 100 * sec}
 	for rank := range size {
 		s.Rank = rank
@@ -73,7 +73,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		list := MemberList{Whole: true, Remnant: true, Members: []Member{up("a"), up("b")}}
+		list := MemberList{Complete: true, Cached: true, Members: []Member{up("a"), up("b")}}
 		f.routers = append(f.routers, &fleetRouter{router: r, pending: list, due: f.now})
 	}
 	return f
@@ -91,12 +91,12 @@
 		if len(events) == 0 && f.now < x.wakeAt {
 			continue
 		}
-		for _, action := range x.router.Step(f.now, append(events, Woke{})) {
+		for _, action := range x.router.Step(f.now, append(events, TimerFired{})) {
 			switch action := action.(type) {
 			case Watch:
 				x.calls = append(x.calls, f.now-f.start)
 				f.called = append(f.called, x)
-			case Wake:
+			case SetTimer:
 				x.wakeAt = f.now + action.After
 			}
 		}
@@ -193,11 +193,11 @@
 
 func TestRetriesStayInTimeWithAnyNumberOfRouters(t *testing.T) {
 	s := fleetSettings()
-	s.AskDiscovery, s.Routers, s.DrainGrace = true, 1<<40, 2*sec
+	s.WatchDiscovery, s.Routers, s.DrainGrace = true, 1<<40, 2*sec
 	g := newRig(t, s)
-	g.step(0, MemberList{Whole: true, Remnant: true, Members: []Member{up("a")}})
+	g.step(0, MemberList{Complete: true, Cached: true, Members: []Member{up("a")}})
 	for range 50 {
-		g.step(0, Woke{}, DiscoveryBroke{})
+		g.step(0, TimerFired{}, DiscoveryFailed{})
 		if wait := g.r.callAt - g.now; wait <= 0 || wait > longestGap {
 			t.Fatalf("a call %d ms after one that failed", wait/ms)
 		}
@@ -210,9 +210,9 @@
 	for len(router.calls) == 0 {
 		f.tick()
 	}
-	router.pending, router.due = DiscoveryBroke{}, f.now
+	router.pending, router.due = DiscoveryFailed{}, f.now
 	f.tick()
-	router.pending, router.due = MemberList{Remnant: true, Members: []Member{up("a")}}, f.now
+	router.pending, router.due = MemberList{Cached: true, Members: []Member{up("a")}}, f.now
 	for range int(longestGap / fleetTick) {
 		f.tick()
 	}
@@ -238,7 +238,7 @@
 func (o *overbooked) tick(now Nanos, called []*fleetRouter) {
 	for _, x := range called {
 		o.queue = append(o.queue, &queuedCall{x, now})
-		x.pending, x.due = DiscoveryBroke{}, now+callTimeout
+		x.pending, x.due = DiscoveryFailed{}, now+callTimeout
 	}
 	if len(o.queue) > 0 { // an idle service saves no time up
 		o.credit += o.callsPerSecond * float64(fleetTick) / float64(sec)
--- a/drain_test.go
+++ b/drain_test.go
@@ -75,7 +75,7 @@
 
 // knownByLastCall is the same by the clocks that run from the last call, or from the silence of a watch, alone.
 func (d *drains) knownByLastCall(m string) Nanos {
-	at, within := d.drainsFrom[m], d.s.AskWithin
+	at, within := d.drainsFrom[m], d.s.NotifiedAfter
 	switch {
 	case d.heard[m]: // the router knows
 		return at
@@ -109,22 +109,22 @@
 	well := outage == ""
 	switch {
 	case d.state == "cut" && now >= d.calledAt+500*ms:
-		d.callFails(DiscoveryBroke{Unreached: true})
+		d.callFails(DiscoveryFailed{Unreachable: true})
 	case d.state == "refused" && now >= d.due, d.state == "called" && outage == "down":
 		d.lastRefused, d.silentSince = true, 0
-		d.callFails(DiscoveryBroke{})
+		d.callFails(DiscoveryFailed{})
 	case d.state == "open" && outage == "down":
-		d.callFails(DiscoveryBroke{Heard: d.lastHeard})
+		d.callFails(DiscoveryFailed{LastHeard: d.lastHeard})
 	case (d.state == "called" || d.state == "open") && !well:
 		d.state, d.silentSince = "silent", cmp.Or(d.silentSince, now)
 	case d.state == "silent" && now >= d.lastHeard+3*sec:
-		d.callFails(DiscoveryBroke{Heard: d.lastHeard})
+		d.callFails(DiscoveryFailed{LastHeard: d.lastHeard})
 	case d.state == "called" && now >= d.due, d.state == "open":
 		var l MemberList
 		for _, m := range slices.Sorted(maps.Keys(d.drainsFrom)) {
 			if d.drainsFrom[m] <= now && !d.heard[m] {
 				d.heard[m] = true
-				l.Members = append(l.Members, Member{ID: m, Group: 1, Size: 1, State: Draining})
+				l.Members = append(l.Members, Member{ID: m, Group: 1, Weight: 1, State: Draining})
 			}
 		}
 		if d.lastHeard, d.silentSince, d.callFailed = now, 0, false; d.state == "called" || len(l.Members) > 0 {
@@ -134,7 +134,7 @@
 	}
 }
 
-func (d *drains) callFails(b DiscoveryBroke) {
+func (d *drains) callFails(b DiscoveryFailed) {
 	d.state, d.callFailed = "", true
 	d.events = append(d.events, b)
 }
@@ -147,7 +147,7 @@
 	}
 	d.g.r, d.heard, d.startedAt = r, map[string]bool{}, d.g.now
 	d.state, d.calledAt, d.silentSince, d.lastRefused, d.callFailed = "", 0, 0, false, false
-	l := MemberList{Whole: true, Remnant: true}
+	l := MemberList{Complete: true, Cached: true}
 	for _, id := range []string{"a", "b", "c", "d", "e", "f"} {
 		m := up(id)
 		if at, leaves := d.drainsFrom[id]; leaves && at <= known {
@@ -161,7 +161,7 @@
 func TestNothingIsSentTwoSecondsAfterADrainWasTold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := fleetSettings()
-		s.AskDiscovery, s.DrainGrace, s.Quantum = true, 2*sec, ms
+		s.WatchDiscovery, s.DrainGrace, s.MinStepInterval = true, 2*sec, ms
 		s.Routers = rapid.SampledFrom([]int{1, 8, 80, 300, 1024}).Draw(t, "routers")
 		s.Rank = rapid.IntRange(0, s.Routers-1).Draw(t, "rank")
 		d := &drains{t: t, s: s, drainsFrom: map[string]Nanos{}, g: &rig{now: 100 * sec}}
@@ -183,7 +183,7 @@
 			if d.g.now >= restart && d.startedAt < restart {
 				d.begin(d.g.now - at("list is older by", 0, 300))
 			}
-			d.events = append(d.events, Woke{}, d.g.requestNamed(fmt.Sprint("q", n)))
+			d.events = append(d.events, TimerFired{}, d.g.requestNamed(fmt.Sprint("q", n)))
 			events := d.events
 			d.events = nil
 			acts := d.g.step(tick, events...)
@@ -193,7 +193,7 @@
 					if at, leaves := d.drainsFrom[m]; leaves && at <= d.g.now && d.g.now > d.knownSince(m)+2*sec+50*ms+tick {
 						t.Fatalf("%v: sent to %s, which drains since %v and counts as known since %v", d.g.now, m, at, d.knownSince(m))
 					}
-					d.events = append(d.events, Answer{ID: send.ID, Member: m, Outcome: Served, Over: true, Took: 20 * ms, Role: RoleReplica})
+					d.events = append(d.events, AttemptResult{ID: send.ID, Member: m, Outcome: Served, Final: true, Duration: 20 * ms, Role: RoleReplica})
 				}
 			}
 			d.discovery(count[Watch](acts) > 0)
--- a/example_test.go
+++ b/example_test.go
@@ -10,12 +10,12 @@
 func Example() {
 	const ms = 1_000_000 // in Nanos
 	r, err := aspenshed.New(aspenshed.Settings{
-		Quantum: ms, MayProbe: true, MaxAttempts: 4,
+		MinStepInterval: ms, MayProbe: true, MaxAttempts: 4,
 		Classes: []aspenshed.Class{
-			{Name: "lookup", Need: aspenshed.Bounded, Bound: 1000 * ms, Aim: 200 * ms, GiveUp: 1000 * ms,
-				Worth: 1, Effect: aspenshed.Safe},
-			{Name: "save", Need: aspenshed.WriteToIt, Aim: 500 * ms, GiveUp: 5000 * ms, Worth: 2,
-				Effect: aspenshed.Unsafe},
+			{Name: "lookup", Consistency: aspenshed.BoundedStaleness, MaxStaleness: 1000 * ms, LatencyTarget: 200 * ms, ClientTimeout: 1000 * ms,
+				Value: 1, RetrySafety: aspenshed.Safe},
+			{Name: "save", Consistency: aspenshed.Write, LatencyTarget: 500 * ms, ClientTimeout: 5000 * ms, Value: 2,
+				RetrySafety: aspenshed.Unsafe},
 		},
 	}, 1)
 	if err != nil {
@@ -34,13 +34,13 @@
 	}
 	now := aspenshed.Nanos(1000 * ms)
 	members := []aspenshed.Member{
-		{ID: "db1", Size: 1, State: aspenshed.Up},
-		{ID: "db2", Size: 1, State: aspenshed.Up},
+		{ID: "db1", Weight: 1, State: aspenshed.Up},
+		{ID: "db2", Weight: 1, State: aspenshed.Up},
 	}
-	show(r.Step(now, []aspenshed.Event{aspenshed.MemberList{Whole: true, Remnant: true, Members: members}}))
+	show(r.Step(now, []aspenshed.Event{aspenshed.MemberList{Complete: true, Cached: true, Members: members}}))
 	show(r.Step(now, []aspenshed.Event{aspenshed.Request{ID: "w1", Class: 1, Remaining: 5000 * ms}}))
 	now += 2 * ms
-	show(r.Step(now, []aspenshed.Event{aspenshed.Probed{Member: "db1", Outcome: aspenshed.Served,
+	show(r.Step(now, []aspenshed.Event{aspenshed.ProbeResult{Member: "db1", Outcome: aspenshed.Served,
 		Report: aspenshed.Report{HasRole: true, Primary: true, HasPosition: true, Position: now - ms}}}))
 	// Output:
 	// probe db1
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -13,8 +13,8 @@
 
 func fleetSettings() Settings {
 	s := testSettings()
-	s.Routers, s.PriceProbe, s.Quantum = fleetSize, 0.08, ms
-	s.ColdFor, s.StartCapacity, s.FallMultiple, s.FallFor = 16*sec, 0.15, 2.5, 1500*ms
+	s.Routers, s.ProbeCost, s.MinStepInterval = fleetSize, 0.08, ms
+	s.WarmUpTime, s.InitialCapacity, s.OverloadFactor, s.OverloadWindow = 16*sec, 0.15, 2.5, 1500*ms
 	return s
 }
 
@@ -36,7 +36,7 @@
 
 // drive has clients make rps requests a second of all routers, by chance, and tells each router a tick later what came of
 // its sends and probes.
-func drive(rs []*rig, span Nanos, rps float64, ask func(*rig) Request, sent func(Nanos, Send) Answer, probed func(string, Nanos) Report) {
+func drive(rs []*rig, span Nanos, rps float64, ask func(*rig) Request, sent func(Nanos, Send) AttemptResult, probed func(string, Nanos) Report) {
 	const tick = 50 * ms
 	rng, told := rand.New(rand.NewSource(int64(len(rs)))), map[*rig][]Event{}
 	for at := Nanos(0); at < span; at += tick {
@@ -45,16 +45,16 @@
 			told[g] = append(told[g], ask(g))
 		}
 		for _, g := range rs {
-			acts := g.step(tick, append(told[g], Woke{})...)
+			acts := g.step(tick, append(told[g], TimerFired{})...)
 			told[g] = nil
 			for _, x := range acts {
 				switch x := x.(type) {
 				case Send:
 					a := sent(at, x)
-					a.ID, a.Member, a.Attempt, a.Over = x.ID, x.Member, len(g.r.reqs[x.ID].tries)-1, a.Outcome == Served
+					a.ID, a.Member, a.Attempt, a.Final = x.ID, x.Member, len(g.r.reqs[x.ID].tries)-1, a.Outcome == Served
 					told[g] = append(told[g], a)
 				case Probe:
-					told[g] = append(told[g], Probed{Member: x.Member, Outcome: Served, Took: ms, Report: probed(x.Member, g.now)})
+					told[g] = append(told[g], ProbeResult{Member: x.Member, Outcome: Served, Duration: ms, Report: probed(x.Member, g.now)})
 				}
 			}
 		}
@@ -65,7 +65,7 @@
 func (g *rig) served(after Nanos, class int, took Nanos, role Role) (member string) {
 	for _, x := range sends(g.step(after, g.request(class))) {
 		member = x.Member
-		g.step(0, Answer{ID: x.ID, Member: member, Outcome: Served, Over: true, Took: took, Role: role})
+		g.step(0, AttemptResult{ID: x.ID, Member: member, Outcome: Served, Final: true, Duration: took, Role: role})
 	}
 	return member
 }
@@ -80,7 +80,7 @@
 // although the list names it, and no write left before an answer came.
 func TestListedPrimaryServesAFleetThatStarts(t *testing.T) {
 	list := whole(primary("a"), up("b"), up("c"))
-	list.Remnant = true
+	list.Cached = true
 	sent, asked := 0, 0
 	for _, g := range fleet(t, fleetSettings(), list) {
 		acts := g.step(ms, g.request(writeClass))
@@ -96,7 +96,7 @@
 	g := newRig(t, fleetSettings())
 	q := g.request(writeClass)
 	g.step(0, whole(primary("a"), up("b"), up("c")), q)
-	acts := g.step(ms, Answer{ID: q.ID, Member: "a", Outcome: Turned, Role: RoleReplica, Took: ms})
+	acts := g.step(ms, AttemptResult{ID: q.ID, Member: "a", Outcome: Ineligible, Role: RoleReplica, Duration: ms})
 	if len(sends(acts)) != 0 || count[Probe](acts) != 1 || count[Refuse](acts) != 0 {
 		t.Errorf("after the write was turned away: %v", acts)
 	}
@@ -109,7 +109,7 @@
 	const seconds = 4
 	for _, g := range fleet(t, fleetSettings(), list) {
 		for i := range seconds * 100 {
-			events := []Event{Woke{}}
+			events := []Event{TimerFired{}}
 			if i%25 == 0 {
 				events = append(events, g.request(writeClass))
 			}
@@ -118,7 +118,7 @@
 				for _, a := range acts {
 					if p, ok := a.(Probe); ok {
 						asked++
-						told = append(told, Probed{Member: p.Member, Outcome: Served, Took: ms, Report: Report{HasRole: true}})
+						told = append(told, ProbeResult{Member: p.Member, Outcome: Served, Duration: ms, Report: Report{HasRole: true}})
 					}
 				}
 				if acts = nil; told != nil {
@@ -140,12 +140,12 @@
 	g := newRig(t, s)
 	q := g.request(writeClass)
 	g.step(0, whole(primary("a"), up("b")), q)
-	g.step(ms, Answer{ID: q.ID, Member: "a", Outcome: NoLink, Took: ms})
+	g.step(ms, AttemptResult{ID: q.ID, Member: "a", Outcome: ConnectFailed, Duration: ms})
 	for range 100 {
 		var told []Event
-		for _, a := range g.step(100*ms, Woke{}, g.request(writeClass)) {
+		for _, a := range g.step(100*ms, TimerFired{}, g.request(writeClass)) {
 			if p, ok := a.(Probe); ok {
-				told = append(told, Probed{Member: p.Member, Outcome: Served, Took: ms, Report: Report{HasRole: true,
+				told = append(told, ProbeResult{Member: p.Member, Outcome: Served, Duration: ms, Report: Report{HasRole: true,
 					Primary: p.Member == "a", HasPosition: true, Position: g.now}})
 			} else if x, ok := a.(Send); ok && x.Member == "a" {
 				return
@@ -167,7 +167,7 @@
 		from, to float64 // share of reads that go to the primary unasked
 	}{{0.08, 20 * ms, 1, 1}, {0.08, 120 * ms, 0.3, 0.7}, {0.08, 300 * ms, 0, 0}, {0.01, 20 * ms, 0, 0}} {
 		s := fleetSettings()
-		s.PriceProbe = c.price
+		s.ProbeCost = c.price
 		direct := 0
 		for _, g := range fleet(t, s, whole(primary("a"), up("b"), up("c"))) {
 			for range 20 {
@@ -212,7 +212,7 @@
 		s, list := fleetSettings(), whole()
 		s.Routers = routers
 		for i := range 3 * groups {
-			list.Members = append(list.Members, Member{ID: fmt.Sprint(i), Group: i / 3, Primary: i%3 == 0, Size: 1, State: Up})
+			list.Members = append(list.Members, Member{ID: fmt.Sprint(i), Group: i / 3, Primary: i%3 == 0, Weight: 1, State: Up})
 		}
 		rs, who, total := fleetOf(t, routers, s, list), "0", 0.0
 		run := func(span Nanos) (cold [15]float64) {
@@ -220,14 +220,14 @@
 				q := g.request(class)
 				q.Group = g.n % groups
 				return q
-			}, func(at Nanos, x Send) Answer {
+			}, func(at Nanos, x Send) AttemptResult {
 				if x.Member == "n" {
-					cold[at/s.FallFor]++
+					cold[at/s.OverloadWindow]++
 				}
 				if class == writeClass && x.Member != who {
-					return Answer{Outcome: Turned, Role: RoleReplica}
+					return AttemptResult{Outcome: Ineligible, Role: RoleReplica}
 				}
-				return Answer{Outcome: Served, Took: 100 * ms, Role: []Role{RoleReplica, RolePrimary}[c[2]]}
+				return AttemptResult{Outcome: Served, Duration: 100 * ms, Role: []Role{RoleReplica, RolePrimary}[c[2]]}
 			}, func(m string, now Nanos) Report {
 				return Report{HasRole: true, Primary: m == who, HasPosition: true, Position: now}
 			})
@@ -235,15 +235,15 @@
 		}
 		run(20 * sec)
 		for _, g := range rs {
-			g.step(0, MemberList{Members: []Member{{ID: "n", Size: 1, State: Up, StartedAt: g.now}, {ID: "0", State: Gone}}[:1+c[2]]})
+			g.step(0, MemberList{Members: []Member{{ID: "n", Weight: 1, State: Up, StartedAt: g.now}, {ID: "0", State: Removed}}[:1+c[2]]})
 		}
 		age := Nanos(3*c[2]) * sec // until the new one is primary, where the old one has left
 		who = []string{"0", ""}[c[2]]
 		run(age)
 		who = []string{"0", "n"}[c[2]]
 		for w, got := range run(12 * sec) {
-			part := min(0.15+0.85*float64(age+Nanos(w+1)*s.FallFor)/float64(s.ColdFor), 1) * warm * 1.5
-			if total += got; got > part*s.FallMultiple {
+			part := min(0.15+0.85*float64(age+Nanos(w+1)*s.OverloadWindow)/float64(s.WarmUpTime), 1) * warm * 1.5
+			if total += got; got > part*s.OverloadFactor {
 				t.Errorf("%+v, window %d: %.0f requests topple the cold member", c, w, got)
 			}
 		}
@@ -260,7 +260,7 @@
 	for _, g := range rs {
 		next := first
 		for at := Nanos(0); at < span; at += 20 * ms {
-			events := []Event{Woke{}}
+			events := []Event{TimerFired{}}
 			if next != nil {
 				events, next = append(events, next), nil
 			}
@@ -290,7 +290,7 @@
 			silent, most Nanos // since when nothing was heard; how long the last call may take to begin
 		}{"start": {-1, 1500 * ms}, "a watch that ended": {0, 6 * sec}, "a silent watch": {3 * sec, 3 * sec}} {
 			s := fleetSettings()
-			s.AskDiscovery, s.Routers, s.DrainGrace = true, n, 2*sec
+			s.WatchDiscovery, s.Routers, s.DrainGrace = true, n, 2*sec
 			var rs []*rig
 			for i := range n {
 				s.Rank = i
@@ -300,9 +300,9 @@
 					g.step(0, list)
 				}
 			}
-			var first Event = MemberList{Whole: true, Remnant: true, Members: list.Members}
+			var first Event = MemberList{Complete: true, Cached: true, Members: list.Members}
 			if c.silent >= 0 {
-				first = DiscoveryBroke{Heard: rs[0].now + 20*ms - c.silent}
+				first = DiscoveryFailed{LastHeard: rs[0].now + 20*ms - c.silent}
 			}
 			by := calls(rs, 40*sec, first)
 			even := float64(n) / min(max(float64(n-smallFleet), 1)*float64(callSpacing), float64(c.most)) * float64(100*ms) // in a tenth of a second
@@ -372,7 +372,7 @@
 		if count[Probe](g.step(ms, events...)) != 1 || g.r.roundWait() > 4*sec {
 			t.Errorf("%d routers: no round, or one only each %d ms", routers, g.r.roundWait()/ms)
 		}
-		acts := g.step(10*ms, Probed{Member: "a", Outcome: Served, Took: ms, Report: Report{HasRole: true, Primary: true, HasPosition: true, Position: g.now}})
+		acts := g.step(10*ms, ProbeResult{Member: "a", Outcome: Served, Duration: ms, Report: Report{HasRole: true, Primary: true, HasPosition: true, Position: g.now}})
 		if n := len(sends(acts)); n != most {
 			t.Errorf("%d routers: %d writes at once at the primary just found, want %d", routers, n, most)
 		}
@@ -423,8 +423,8 @@
 		drive(rs, 20*sec, 5, func(g *rig) Request {
 			g.r.suspect(g.r.members["b"])
 			return g.request(anyClass)
-		}, func(_ Nanos, x Send) Answer {
-			return Answer{Outcome: map[string]Outcome{"b": TimedOut, "c": Served}[x.Member], Took: 20 * ms}
+		}, func(_ Nanos, x Send) AttemptResult {
+			return AttemptResult{Outcome: map[string]Outcome{"b": TimedOut, "c": Served}[x.Member], Duration: 20 * ms}
 		}, func(string, Nanos) Report { return Report{} })
 		if got := rs[0].r.gs[0].strain; (got > easy) != want {
 			t.Errorf("with %q: strain %.2f", others, got)
@@ -436,9 +436,9 @@
 // got every bounded read of the group on top of its writes.
 func TestPrimaryThatStopsAnsweringTakesFewReads(t *testing.T) {
 	rs, reads := fleet(t, fleetSettings(), whole(primary("a"), up("b"))), 0
-	drive(rs, 50*sec, 0.2*fleetSize, func(g *rig) Request { return g.request(boundedClass) }, func(Nanos, Send) Answer {
+	drive(rs, 50*sec, 0.2*fleetSize, func(g *rig) Request { return g.request(boundedClass) }, func(Nanos, Send) AttemptResult {
 		reads++
-		return Answer{Outcome: TimedOut, Took: 250 * ms}
+		return AttemptResult{Outcome: TimedOut, Duration: 250 * ms}
 	}, func(m string, now Nanos) Report { // it still tells its role beside the queue
 		return Report{HasRole: true, Primary: m == "a", HasPosition: m == "a", Position: now}
 	})
@@ -456,7 +456,7 @@
 		g.r.typ[anyClass], g.r.typ[writeClass] = float64(sec), float64(sec) // what answers take with their queues
 		g.served(100*ms, writeClass, 50*ms, RolePrimary)
 	}
-	g.step(0, MemberList{Members: []Member{{ID: "n", Group: 1, Size: 1, State: Up, StartedAt: g.now}}})
+	g.step(0, MemberList{Members: []Member{{ID: "n", Group: 1, Weight: 1, State: Up, StartedAt: g.now}}})
 	if w, most := g.r.gs[0].warm, 0.1; w > 12*most || g.r.members["n"].coldBudget >= most {
 		t.Errorf("10 requests of %.2f a second count as %.2f; a new member has %.2f", most, w, g.r.members["n"].coldBudget)
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n.Listen != "127.0.0.9:9" || n.Zones[1] != "b" || n.MostHeld != 7 || n.SeedNumber() != 0x8c1f || n.Settings.Classes[0].Need != aspenshed.AnyData {
+	if n.Listen != "127.0.0.9:9" || n.Zones[1] != "b" || n.MostHeld != 7 || n.SeedNumber() != 0x8c1f || n.Settings.Classes[0].Consistency != aspenshed.Eventual {
 		t.Errorf("%+v", n)
 	}
 	for want, change := range map[string][2]string{
@@ -93,7 +93,7 @@
 		t.Fatalf("%v: %+v", err, d)
 	}
 	// Nothing proves a position here: bounded reads are for the primary alone.
-	if c := d.MySQL.Settings.Classes[0]; c.Name != "point-read" || c.Need != aspenshed.AllWrites {
+	if c := d.MySQL.Settings.Classes[0]; c.Name != "point-read" || c.Consistency != aspenshed.Linearizable {
 		t.Errorf("bounded class without a position: %+v", c)
 	}
 	for want, change := range map[string][2]string{
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -164,10 +164,10 @@
 		m.Password = string(bytes.TrimRight(data, "\r\n"))
 	}
 	byName := m.Service.check(c, "mysql", dir, m.Probe.Position != "")
-	if k := byName[m.Defaults.ReadClass]; k.Need != aspenshed.AnyData || k.Effect != aspenshed.Safe {
+	if k := byName[m.Defaults.ReadClass]; k.Consistency != aspenshed.Eventual || k.RetrySafety != aspenshed.Safe {
 		c.bad("mysql.defaults.read_class", "%q is no safe class that any member answers", m.Defaults.ReadClass)
 	}
-	if k := byName[m.Defaults.WriteClass]; k.Need != aspenshed.WriteToIt {
+	if k := byName[m.Defaults.WriteClass]; k.Consistency != aspenshed.Write {
 		c.bad("mysql.defaults.write_class", "%q is no class of writes", m.Defaults.WriteClass)
 	}
 }
@@ -188,33 +188,33 @@
 	} {
 		c.need(at+"."+f.name, f.ok)
 	}
-	s.Settings = aspenshed.Settings{Routers: 1, Quantum: 1e6, MayProbe: true, MayCancel: true, MaxAttempts: s.Attempts,
-		RetryAdvice: s.RetryAdvice, MaxRetryIn: 1e9, ConnectTimeout: aspenshed.Nanos(s.ConnectTimeout), IdleClose: aspenshed.Nanos(s.IdleClose),
-		AnswerSlack: 20e6, DrainGrace: 2e9, StartCapacity: 0.15, ColdFor: 16e9, FallMultiple: 2.5, FallFor: 1500e6, PriceProbe: 0.021}
-	needs := map[string]aspenshed.Need{"any": aspenshed.AnyData, "bounded": aspenshed.Bounded, "fresh": aspenshed.AllWrites, "write": aspenshed.WriteToIt}
-	effects := map[string]aspenshed.Effect{"safe": aspenshed.Safe, "unsafe": aspenshed.Unsafe}
+	s.Settings = aspenshed.Settings{Routers: 1, MinStepInterval: 1e6, MayProbe: true, MayCancel: true, MaxAttempts: s.Attempts,
+		SendRetryAfter: s.RetryAdvice, MaxRetryAfter: 1e9, ConnectTimeout: aspenshed.Nanos(s.ConnectTimeout), IdleTimeout: aspenshed.Nanos(s.IdleClose),
+		ResponseSlack: 20e6, DrainGrace: 2e9, InitialCapacity: 0.15, WarmUpTime: 16e9, OverloadFactor: 2.5, OverloadWindow: 1500e6, ProbeCost: 0.021}
+	needs := map[string]aspenshed.Consistency{"any": aspenshed.Eventual, "bounded": aspenshed.BoundedStaleness, "fresh": aspenshed.Linearizable, "write": aspenshed.Write}
+	effects := map[string]aspenshed.RetrySafety{"safe": aspenshed.Safe, "unsafe": aspenshed.Unsafe}
 	byName := map[string]aspenshed.Class{}
 	for i, x := range s.Classes {
-		k := aspenshed.Class{Name: x.Name, Need: needs[x.Read], Bound: aspenshed.Nanos(x.Bound), Aim: aspenshed.Nanos(x.Aim), GiveUp: aspenshed.Nanos(x.GiveUp),
-			Worth: x.Worth, LateWorth: x.LateWorth, Effect: effects[x.Effect]}
+		k := aspenshed.Class{Name: x.Name, Consistency: needs[x.Read], MaxStaleness: aspenshed.Nanos(x.Bound), LatencyTarget: aspenshed.Nanos(x.Aim), ClientTimeout: aspenshed.Nanos(x.GiveUp),
+			Value: x.Worth, LateValue: x.LateWorth, RetrySafety: effects[x.Effect]}
 		where := fmt.Sprintf("%s.classes[%d].", at, i)
 		if x.Name == "" || byName[x.Name].Name != "" {
 			c.bad(where+"name", "missing or named twice")
 		}
-		if k.Need == 0 {
+		if k.Consistency == 0 {
 			c.bad(where+"read", "%q is none of any, bounded, fresh, write", x.Read)
 		}
-		if k.Effect == 0 || k.Need == aspenshed.WriteToIt && k.Effect != aspenshed.Unsafe {
+		if k.RetrySafety == 0 || k.Consistency == aspenshed.Write && k.RetrySafety != aspenshed.Unsafe {
 			c.bad(where+"effect", "%q is not safe or unsafe, or a write that is not unsafe", x.Effect)
 		}
-		if k.Aim <= 0 || k.GiveUp < k.Aim {
+		if k.LatencyTarget <= 0 || k.ClientTimeout < k.LatencyTarget {
 			c.bad(where+"give_up", "aim must be positive and not beyond it")
 		}
-		if k.Need == aspenshed.Bounded && k.Bound <= 0 {
+		if k.Consistency == aspenshed.BoundedStaleness && k.MaxStaleness <= 0 {
 			c.bad(where+"bound", "missing")
 		}
-		if k.Need == aspenshed.Bounded && !positions {
-			k.Need = aspenshed.AllWrites // no position can be proved: the primary alone is known to be fresh
+		if k.Consistency == aspenshed.BoundedStaleness && !positions {
+			k.Consistency = aspenshed.Linearizable // no position can be proved: the primary alone is known to be fresh
 		}
 		byName[x.Name] = k
 		s.Settings.Classes = append(s.Settings.Classes, k)
--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -30,7 +30,7 @@
 type Pipeline interface {
 	Members(aspenshed.MemberList, map[string]string)
 	Tell(aspenshed.Event)
-	Learned() (aspenshed.Learned, bool)
+	Learned() (aspenshed.LearnedState, bool)
 }
 
 // Store is what an agent needs of the control plane: an instance's own replica, or a subscriber's copy.
@@ -68,15 +68,15 @@
 	mu         sync.Mutex
 	merger     *roster.Merger
 	holder     *lease.Holder
-	learned    aspenshed.Learned
+	learned    aspenshed.LearnedState
 	ownNew     bool
-	had        bool                           // the catalog has named members of this wire
-	seen       [3]uint64                      // versions of the catalog that the four below were taken at
-	cold       []*pb.Member                   // copies
-	starts     map[string]aspenshed.ColdShare // of all members that have told a start: whether it is warm
+	had        bool                                // the catalog has named members of this wire
+	seen       [3]uint64                           // versions of the catalog that the four below were taken at
+	cold       []*pb.Member                        // copies
+	starts     map[string]aspenshed.SlowStartShare // of all members that have told a start: whether it is warm
 	groups     map[catalog.Group]catalog.GroupSummary
-	primary    map[string]bool                // as told
-	shares     map[string]aspenshed.ColdShare // as told
+	primary    map[string]bool                     // as told
+	shares     map[string]aspenshed.SlowStartShare // as told
 	reportedAt map[string]aspenshed.Nanos
 	learntAt   aspenshed.Nanos
 	revision   uint64 // of the catalog, when it was last looked at
@@ -86,7 +86,7 @@
 // Start begins; own is the instance's own list, as far as it has one.
 func Start(c Config, own []roster.Told) *Agent {
 	a := &Agent{cfg: c, wake: make(chan struct{}, 1), done: make(chan struct{}), end: make(chan struct{}), merger: roster.New(),
-		shares: map[string]aspenshed.ColdShare{}, primary: map[string]bool{}, starts: map[string]aspenshed.ColdShare{}, reportedAt: map[string]aspenshed.Nanos{},
+		shares: map[string]aspenshed.SlowStartShare{}, primary: map[string]bool{}, starts: map[string]aspenshed.SlowStartShare{}, reportedAt: map[string]aspenshed.Nanos{},
 		holder: lease.NewHolder(c.Store.ID(), c.Store.Boot(), c.Lease)}
 	if own != nil {
 		a.Own(own)
@@ -189,17 +189,17 @@
 func (a *Agent) want(group int32) float64 {
 	for _, g := range a.learned.Groups {
 		if g.Group == int(group) {
-			return g.Warm
+			return g.WorkRate
 		}
 	}
 	return 0
 }
 
 // alike tells whether two shares differ in nothing but a rate that has changed by less than a tenth.
-func alike(a, b aspenshed.ColdShare) bool {
-	d := a.Rate - b.Rate
-	a.Rate = b.Rate
-	return a == b && max(d, -d) < b.Rate/10
+func alike(a, b aspenshed.SlowStartShare) bool {
+	d := a.WorkRate - b.WorkRate
+	a.WorkRate = b.WorkRate
+	return a == b && max(d, -d) < b.WorkRate/10
 }
 
 func (a *Agent) reportDrains(now aspenshed.Nanos) {
--- a/internal/controlplane/agent/learn.go
+++ b/internal/controlplane/agent/learn.go
@@ -20,7 +20,7 @@
 
 // Learn takes what the Router knows. Starts and changes of primary go to the store at once, rates and times as a
 // summary.
-func (a *Agent) Learn(l aspenshed.Learned) {
+func (a *Agent) Learn(l aspenshed.LearnedState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.learned = l
@@ -28,18 +28,18 @@
 		a.cfg.Store.Offer("learn "+a.cfg.Wire, &pb.Command{Body: &pb.Command_Learn{Learn: a.summary(l)}})
 	}
 	a.cfg.Store.Read(func(c *catalog.Catalog) {
-		a.reportStarts(c, l.Back)
+		a.reportStarts(c, l.Restarts)
 		a.reportPrimaries(c, l.Groups)
 	})
 }
 
 // summary is what the others hear of rates and times.
-func (a *Agent) summary(l aspenshed.Learned) *pb.Learn {
+func (a *Agent) summary(l aspenshed.LearnedState) *pb.Learn {
 	x := &pb.Learn{Instance: a.cfg.Store.ID(), Wire: a.cfg.Wire}
 	for _, g := range l.Groups {
-		x.Groups = append(x.Groups, &pb.GroupWord{Group: int32(g.Group), Primary: g.Primary, PrimaryAt: int64(g.PrimaryAt), WarmRate: g.Warm})
+		x.Groups = append(x.Groups, &pb.GroupWord{Group: int32(g.Group), Primary: g.Primary, PrimaryAt: int64(g.PrimarySeenAt), WarmRate: g.WorkRate})
 	}
-	for i, t := range l.Typical {
+	for i, t := range l.TypicalLatency {
 		if i < len(a.cfg.Classes) {
 			x.Classes = append(x.Classes, &pb.ClassWord{Name: a.cfg.Classes[i].Name, Typical: int64(t)})
 		}
@@ -48,10 +48,10 @@
 }
 
 // reportStarts tells of members that have come back; another instance may have told of that start already.
-func (a *Agent) reportStarts(c *catalog.Catalog, back []aspenshed.Back) {
+func (a *Agent) reportStarts(c *catalog.Catalog, back []aspenshed.ObservedRestart) {
 	for _, b := range back {
-		if m := c.Member(b.Member); m != nil && m.Start < int64(b.Gone) {
-			a.cfg.Store.Offer("start "+b.Member, &pb.Command{Body: &pb.Command_Start{Start: &pb.Start{Member: b.Member, Start: int64(b.Seen)}}})
+		if m := c.Member(b.Member); m != nil && m.Start < int64(b.UnreachableAt) {
+			a.cfg.Store.Offer("start "+b.Member, &pb.Command{Body: &pb.Command_Start{Start: &pb.Start{Member: b.Member, Start: int64(b.ReachableAt)}}})
 		}
 	}
 }
@@ -62,10 +62,10 @@
 	for _, g := range groups {
 		group := catalog.Group{Wire: a.cfg.Wire, ID: int32(g.Group)}
 		known := c.Primary(group)
-		if g.Primary == "" || known.GetMember() == g.Primary || known.GetAt() >= int64(g.PrimaryAt) {
+		if g.Primary == "" || known.GetMember() == g.Primary || known.GetAt() >= int64(g.PrimarySeenAt) {
 			continue
 		}
-		report := &pb.ReportPrimary{Wire: group.Wire, Group: group.ID, Member: g.Primary, At: int64(g.PrimaryAt)}
+		report := &pb.ReportPrimary{Wire: group.Wire, Group: group.ID, Member: g.Primary, At: int64(g.PrimarySeenAt)}
 		a.cfg.Store.Offer("primary "+group.String(), &pb.Command{Body: &pb.Command_ReportPrimary{ReportPrimary: report}})
 	}
 }
--- a/internal/controlplane/agent/members.go
+++ b/internal/controlplane/agent/members.go
@@ -77,11 +77,11 @@
 		version = 0
 	}
 	a.merger.Catalog(version, members)
-	a.starts = map[string]aspenshed.ColdShare{}
+	a.starts = map[string]aspenshed.SlowStartShare{}
 	for _, m := range members {
 		a.noteStart(m)
 	}
-	maps.DeleteFunc(a.shares, func(id string, _ aspenshed.ColdShare) bool { _, here := a.starts[id]; return !here })
+	maps.DeleteFunc(a.shares, func(id string, _ aspenshed.SlowStartShare) bool { _, here := a.starts[id]; return !here })
 }
 
 // takeChanges brings what follows from single members up to date.
@@ -119,7 +119,7 @@
 // noteStart remembers whether a member's start is warm.
 func (a *Agent) noteStart(m *pb.Member) {
 	if m.Start > 0 {
-		a.starts[m.Entry.Id] = aspenshed.ColdShare{Member: m.Entry.Id, StartedAt: aspenshed.Nanos(m.Start), Warm: !catalog.Cold(m)}
+		a.starts[m.Entry.Id] = aspenshed.SlowStartShare{Member: m.Entry.Id, StartedAt: aspenshed.Nanos(m.Start), WarmedUp: !catalog.Cold(m)}
 	}
 }
 
@@ -150,7 +150,7 @@
 
 // post has the loop take a list, or a part of it.
 func (a *Agent) post(whole bool, list []roster.Told) {
-	l, addresses := aspenshed.MemberList{Whole: whole}, map[string]string{}
+	l, addresses := aspenshed.MemberList{Complete: whole}, map[string]string{}
 	for _, t := range list {
 		t.Primary = t.Primary || a.primary[t.ID]
 		l.Members = append(l.Members, t.Member)
@@ -162,8 +162,8 @@
 // tellShares tells what is new of each start: that it is warm, or what may be sent to it while it is cold. It comes
 // after the list that names the start.
 func (a *Agent) tellShares(now aspenshed.Nanos, n news) {
-	var updates []aspenshed.ColdShare
-	tell := func(x aspenshed.ColdShare) {
+	var updates []aspenshed.SlowStartShare
+	tell := func(x aspenshed.SlowStartShare) {
 		if old, told := a.shares[x.Member]; !told || old != x && !alike(old, x) {
 			a.shares[x.Member] = x
 			updates = append(updates, x)
@@ -171,8 +171,8 @@
 	}
 	for _, m := range a.cold {
 		x := a.starts[m.Entry.Id]
-		x.Part, x.Until = a.holder.Share(now, x.Member, m.Start)
-		x.Rate = a.groups[catalog.GroupOf(m.Entry)].WarmRate
+		x.LeasedShare, x.Until = a.holder.Share(now, x.Member, m.Start)
+		x.WorkRate = a.groups[catalog.GroupOf(m.Entry)].WarmRate
 		tell(x)
 	}
 	a.eachWarm(n, tell)
@@ -186,16 +186,16 @@
 }
 
 // eachWarm calls f for warm starts that may be new: thousands are not looked at at each tick.
-func (a *Agent) eachWarm(n news, f func(aspenshed.ColdShare)) {
+func (a *Agent) eachWarm(n news, f func(aspenshed.SlowStartShare)) {
 	if n.whole {
 		for _, x := range a.starts {
-			if x.Warm {
+			if x.WarmedUp {
 				f(x)
 			}
 		}
 	}
 	for _, id := range n.changed {
-		if x, here := a.starts[id]; here && x.Warm {
+		if x, here := a.starts[id]; here && x.WarmedUp {
 			f(x)
 		}
 	}
--- a/internal/controlplane/agent/members_test.go
+++ b/internal/controlplane/agent/members_test.go
@@ -77,26 +77,28 @@
 
 func (silentPipeline) Members(aspenshed.MemberList, map[string]string) {}
 func (silentPipeline) Tell(aspenshed.Event)                            {}
-func (silentPipeline) Learned() (aspenshed.Learned, bool)              { return aspenshed.Learned{}, false }
+func (silentPipeline) Learned() (aspenshed.LearnedState, bool) {
+	return aspenshed.LearnedState{}, false
+}
 
 // tablePipeline keeps what a pipeline would go by.
 type tablePipeline struct {
 	silentPipeline
 	members   map[string]aspenshed.Member
 	addresses map[string]string
-	shares    map[string]aspenshed.ColdShare
+	shares    map[string]aspenshed.SlowStartShare
 	parts     int // lists that were not whole
 }
 
 func (p *tablePipeline) Members(l aspenshed.MemberList, addresses map[string]string) {
-	if l.Whole || p.members == nil {
+	if l.Complete || p.members == nil {
 		p.members, p.addresses = map[string]aspenshed.Member{}, map[string]string{}
 	}
-	if !l.Whole {
+	if !l.Complete {
 		p.parts++
 	}
 	for _, m := range l.Members {
-		if m.State == aspenshed.Gone {
+		if m.State == aspenshed.Removed {
 			delete(p.members, m.ID)
 			delete(p.addresses, m.ID)
 			continue
@@ -106,9 +108,9 @@
 }
 
 func (p *tablePipeline) Tell(e aspenshed.Event) {
-	if x, is := e.(aspenshed.ColdShare); is {
+	if x, is := e.(aspenshed.SlowStartShare); is {
 		if p.shares == nil {
-			p.shares = map[string]aspenshed.ColdShare{}
+			p.shares = map[string]aspenshed.SlowStartShare{}
 		}
 		p.shares[x.Member] = x
 	}
@@ -116,9 +118,9 @@
 
 // equal compares what counts: members, and the shares of those that are there.
 func (p *tablePipeline) equal(q *tablePipeline) bool {
-	there := func(t *tablePipeline) map[string]aspenshed.ColdShare {
+	there := func(t *tablePipeline) map[string]aspenshed.SlowStartShare {
 		out := maps.Clone(t.shares)
-		maps.DeleteFunc(out, func(id string, x aspenshed.ColdShare) bool {
+		maps.DeleteFunc(out, func(id string, x aspenshed.SlowStartShare) bool {
 			m, here := t.members[id]
 			return !here || x.StartedAt != m.StartedAt
 		})
@@ -132,8 +134,8 @@
 	log, _ := logtest.NewNullLogger()
 	return &Agent{cfg: Config{Store: s, Loop: eventloop.NewLoop(eventloop.NewClock()), Log: logrus.NewEntry(log), Pipeline: p, Wire: "mysql",
 		KeepLearned: true, InForce: func(uint64) {}},
-		wake: make(chan struct{}, 1), merger: roster.New(), shares: map[string]aspenshed.ColdShare{}, primary: map[string]bool{},
-		starts: map[string]aspenshed.ColdShare{}, reportedAt: map[string]aspenshed.Nanos{}, holder: lease.NewHolder("gw1", "1", 0)}
+		wake: make(chan struct{}, 1), merger: roster.New(), shares: map[string]aspenshed.SlowStartShare{}, primary: map[string]bool{},
+		starts: map[string]aspenshed.SlowStartShare{}, reportedAt: map[string]aspenshed.Nanos{}, holder: lease.NewHolder("gw1", "1", 0)}
 }
 
 func (a *Agent) tickOnce() {
--- a/internal/controlplane/roster/changes.go
+++ b/internal/controlplane/roster/changes.go
@@ -42,7 +42,7 @@
 	held, there := m.catalog[id]
 	if !there {
 		delete(m.last, id)
-		was.State = aspenshed.Gone
+		was.State = aspenshed.Removed
 		return was, known
 	}
 	t = m.merge(held, m.own)
--- a/internal/controlplane/roster/roster.go
+++ b/internal/controlplane/roster/roster.go
@@ -113,7 +113,7 @@
 
 // setCatalog takes one member of the catalog.
 func (m *Merger) setCatalog(x *pb.Member) {
-	t := Told{Member: aspenshed.Member{ID: x.Entry.Id, Group: int(x.Entry.Group), Zone: m.Zone(x.Entry.Site), Size: 1,
+	t := Told{Member: aspenshed.Member{ID: x.Entry.Id, Group: int(x.Entry.Group), Zone: m.Zone(x.Entry.Site), Weight: 1,
 		StartedAt: aspenshed.Nanos(x.Start), State: aspenshed.Up}, Address: x.Entry.Address, Site: x.Entry.Site}
 	if x.DrainedAt != 0 {
 		t.State = aspenshed.Draining
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -126,9 +126,9 @@
 // followRules has a Router hold cold members by what the instances agree on: its leases and the safe share, or the safe
 // share alone where it gets no leases.
 func (c *Control) followRules(s *aspenshed.Settings, rules *pb.Rules) {
-	s.ListTellsRole = true
+	s.ListHasRoles = true
 	if c.Lease == 0 && !c.Subscriber {
 		return
 	}
-	s.SafeShare, s.ColdFor, s.ColdLongest = catalog.SafeShare(rules), aspenshed.Nanos(rules.ColdFor), aspenshed.Nanos(rules.ColdLongest)
+	s.UnleasedShare, s.WarmUpTime, s.MaxWarmUpTime = catalog.SafeShare(rules), aspenshed.Nanos(rules.ColdFor), aspenshed.Nanos(rules.ColdLongest)
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -185,7 +185,7 @@
 	for _, f := range d.Fronts {
 		live += f.Pipeline.Response.Live()
 		for _, c := range f.cfg.Settings.Classes {
-			grace = max(grace, c.GiveUp)
+			grace = max(grace, c.ClientTimeout)
 		}
 	}
 	d.log.WithField("live", live).Info("draining")
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -100,7 +100,7 @@
 	f.Pipeline = pipeline.New(pipeline.Config{Loop: loop, Log: f.log, Settings: c.Settings, Seed: seed, MostHeld: mostHeld,
 		Backend: backend(f.Net), Watch: func() {}})
 	f.Manager.Take, f.Manager.Leave, f.Manager.Rejected = f.Pipeline.Accept.Take, f.Pipeline.Leave, f.Pipeline.Accounting.Rejected
-	list, addresses := aspenshed.MemberList{Whole: true}, map[string]string{}
+	list, addresses := aspenshed.MemberList{Complete: true}, map[string]string{}
 	if f.control == nil {
 		list, addresses = inventory.List(own)
 	}
--- a/internal/daemon/fronts_test.go
+++ b/internal/daemon/fronts_test.go
@@ -117,7 +117,7 @@
 	x.primary(x.mysql, "my-a")
 	x.primary(x.postgres, "po-a")
 	mysql, postgres := x.state(x.mysql), x.state(x.postgres)
-	if a, b := mysql.settings.Classes, postgres.settings.Classes; a[0].Name != b[0].Name || a[0].Need == b[0].Need || a[2].GiveUp == b[2].GiveUp {
+	if a, b := mysql.settings.Classes, postgres.settings.Classes; a[0].Name != b[0].Name || a[0].Consistency == b[0].Consistency || a[2].ClientTimeout == b[2].ClientTimeout {
 		t.Fatalf("the fronts' classes are %+v and %+v", a, b)
 	}
 
--- a/internal/dataplane/accept/accept.go
+++ b/internal/dataplane/accept/accept.go
@@ -59,7 +59,7 @@
 		// Guards "one attempt out per request": a member can't tell this one from a second copy of the first.
 		return "id of a request that is still open"
 	}
-	q.Wait = min(q.Wait, s.Settings.Classes[q.Class].GiveUp)
+	q.Wait = min(q.Wait, s.Settings.Classes[q.Class].ClientTimeout)
 	return ""
 }
 
--- a/internal/dataplane/accounting/accounting.go
+++ b/internal/dataplane/accounting/accounting.go
@@ -19,7 +19,7 @@
 type Counts struct {
 	Taken, Served, Refused, Failed, Left, Rejected uint64
 	Auxiliary, Attempts, Probes                    uint64
-	Outcomes, ProbeOutcomes                        [aspenshed.Unknown + 1]uint64
+	Outcomes, ProbeOutcomes                        [aspenshed.UnknownOutcome + 1]uint64
 }
 
 // Stage counts. All of it runs on the loop.
@@ -42,9 +42,9 @@
 	return Stage{Loop: loop, Log: log, logRejected: rate.Sometimes{First: 10, Interval: time.Second}}
 }
 
-var outcomeNames = [...]string{aspenshed.Served: "served", aspenshed.Errored: "errored", aspenshed.Full: "full", aspenshed.TimedOut: "timed_out",
-	aspenshed.NoLink: "no_link", aspenshed.LinkBroke: "link_broke", aspenshed.Cancelled: "cancelled", aspenshed.NotSent: "not_sent",
-	aspenshed.Turned: "turned", aspenshed.Rejected: "rejected", aspenshed.Unknown: "unknown"}
+var outcomeNames = [...]string{aspenshed.Served: "served", aspenshed.ErrorResponse: "errored", aspenshed.Overloaded: "full", aspenshed.TimedOut: "timed_out",
+	aspenshed.ConnectFailed: "no_link", aspenshed.ConnectionLost: "link_broke", aspenshed.Cancelled: "cancelled", aspenshed.NotSent: "not_sent",
+	aspenshed.Ineligible: "turned", aspenshed.StatementError: "rejected", aspenshed.UnknownOutcome: "unknown"}
 
 var verdictNames = [...]string{request.Served: "served", request.Refused: "refused", request.Failed: "failed", request.Left: "left"}
 
@@ -129,7 +129,7 @@
 	f := logrus.Fields{"live": live, "taken": c.Taken - s.last.Taken, "served": c.Served - s.last.Served,
 		"refused": c.Refused - s.last.Refused, "failed": c.Failed - s.last.Failed, "left": c.Left - s.last.Left,
 		"rejected": c.Rejected - s.last.Rejected}
-	add := func(prefix string, now, old [aspenshed.Unknown + 1]uint64) {
+	add := func(prefix string, now, old [aspenshed.UnknownOutcome + 1]uint64) {
 		for i, n := range now {
 			if n > old[i] {
 				f[prefix+outcomeNames[i]] = n - old[i]
--- a/internal/dataplane/dispatch/attempt.go
+++ b/internal/dataplane/dispatch/attempt.go
@@ -30,7 +30,7 @@
 	r, p := s.Get(id), s.pools[member]
 	if r == nil { // its client left while the module decided, in the same batch: what that counted is given back
 		s.Loop.Post(func() {
-			s.Tell(aspenshed.Answer{ID: id, Attempt: n, Member: member, Outcome: aspenshed.NotSent, Over: true})
+			s.Tell(aspenshed.AttemptResult{ID: id, Attempt: n, Member: member, Outcome: aspenshed.NotSent, Final: true})
 		})
 		return
 	}
@@ -92,7 +92,7 @@
 		s.carry(a)
 		return
 	}
-	s.endLater(a, request.Result{Outcome: aspenshed.NoLink, Detail: detail})
+	s.endLater(a, request.Result{Outcome: aspenshed.ConnectFailed, Detail: detail})
 }
 
 // Cancel gives one attempt up.
@@ -105,7 +105,7 @@
 // giveUp closes the attempt's connection before anything else may be sent for its request.
 func (s *Stage) giveUp(a *attempt, o aspenshed.Outcome) {
 	if o == aspenshed.TimedOut && (a.l == nil || !a.l.up || !a.l.c.Out()) {
-		o = aspenshed.NoLink // the statement never left: no connection came up in time
+		o = aspenshed.ConnectFailed // the statement never left: no connection came up in time
 	}
 	if a.l != nil {
 		a.l.close()
@@ -163,7 +163,7 @@
 	if a.p != nil {
 		member = a.p.id
 	}
-	neverRan := res.Outcome == aspenshed.Full || res.Outcome == aspenshed.NoLink || res.Outcome == aspenshed.NotSent || res.Outcome == aspenshed.Turned
+	neverRan := res.Outcome == aspenshed.Overloaded || res.Outcome == aspenshed.ConnectFailed || res.Outcome == aspenshed.NotSent || res.Outcome == aspenshed.Ineligible
 	a.r.Out = false
 	res.Took, res.Lay = s.Loop.Now()-a.at, a.idleFor
 	a.r.MayHaveRun = a.r.MayHaveRun || !neverRan
@@ -171,12 +171,12 @@
 	if a.r.Final {
 		s.Settled(a.r)
 	}
-	answered := res.Outcome == aspenshed.Served || res.Outcome == aspenshed.Rejected
+	answered := res.Outcome == aspenshed.Served || res.Outcome == aspenshed.StatementError
 	if answered {
 		s.Answered(a.r, res)
-	} else if a.r.LastError = nil; res.Outcome == aspenshed.Errored {
+	} else if a.r.LastError = nil; res.Outcome == aspenshed.ErrorResponse {
 		a.r.LastError = res.Value
 	}
-	s.Tell(aspenshed.Answer{ID: a.r.ID, Attempt: a.n, Member: member, Outcome: res.Outcome, Over: answered || a.r.Final,
-		Took: s.Loop.Now() - a.at, Role: res.Role, Position: res.Position, Report: res.Report})
+	s.Tell(aspenshed.AttemptResult{ID: a.r.ID, Attempt: a.n, Member: member, Outcome: res.Outcome, Final: answered || a.r.Final,
+		Duration: s.Loop.Now() - a.at, Role: res.Role, Position: res.Position, Report: res.Report})
 }
--- a/internal/dataplane/dispatch/connection.go
+++ b/internal/dataplane/dispatch/connection.go
@@ -51,7 +51,7 @@
 	case l.probing:
 		if !l.c.Probe() {
 			l.close()
-			s.Loop.Post(func() { s.probed(l, request.Result{Outcome: aspenshed.NoLink}) })
+			s.Loop.Post(func() { s.probed(l, request.Result{Outcome: aspenshed.ConnectFailed}) })
 		}
 	}
 }
@@ -82,7 +82,7 @@
 	a := l.a
 	l.a = nil
 	l.close()
-	l.s.endLater(a, request.Result{Outcome: aspenshed.Turned, Detail: why})
+	l.s.endLater(a, request.Result{Outcome: aspenshed.Ineligible, Detail: why})
 }
 
 // Up is called when the member is ready for a statement.
@@ -137,9 +137,9 @@
 	if err != nil {
 		detail = err.Error()
 	}
-	r := request.Result{Outcome: aspenshed.NoLink, Detail: detail}
+	r := request.Result{Outcome: aspenshed.ConnectFailed, Detail: detail}
 	if how == request.CutAfter {
-		r.Outcome = aspenshed.LinkBroke
+		r.Outcome = aspenshed.ConnectionLost
 	}
 	switch a := l.a; {
 	case a != nil && how == request.CutAfter:
--- a/internal/dataplane/dispatch/dispatch_test.go
+++ b/internal/dataplane/dispatch/dispatch_test.go
@@ -50,7 +50,7 @@
 	clock   *clock
 	links   []*fake
 	live    map[string]*request.Request
-	ends    []aspenshed.Answer
+	ends    []aspenshed.AttemptResult
 	most    int // links open at once
 	lag     int // closed links whose descriptors have yet to be given back
 	leaveBy aspenshed.Nanos
@@ -79,12 +79,12 @@
 	g.Stage = &Stage{Loop: eventloop.NewLoop(g.clock), Log: logrus.NewEntry(log), Backend: g, ConnectTimeout: 250 * ms, IdleClose: 15000 * ms,
 		Get: func(id string) *request.Request { return g.live[id] }, Answered: func(*request.Request, request.Result) {}, Settled: func(*request.Request) {}, Attempted: func(*request.Request, string, request.Result) {}, Probed: none,
 		Tell: func(e aspenshed.Event) {
-			if a, ok := e.(aspenshed.Answer); ok {
+			if a, ok := e.(aspenshed.AttemptResult); ok {
 				g.ends = append(g.ends, a)
 			}
 		}}
 	g.Start()
-	g.Members(aspenshed.MemberList{Whole: true, Members: []aspenshed.Member{{ID: "a", State: aspenshed.Up}}}, map[string]string{"a": "h:1"})
+	g.Members(aspenshed.MemberList{Complete: true, Members: []aspenshed.Member{{ID: "a", State: aspenshed.Up}}}, map[string]string{"a": "h:1"})
 	return g
 }
 
@@ -128,12 +128,12 @@
 		do   func(*rig, *fake)
 		want aspenshed.Outcome
 	}{
-		"the member refuses":               {func(_ *rig, f *fake) { f.ev.Down(request.Unreachable, io.EOF) }, aspenshed.NoLink},
-		"cut before the statement leaves":  {func(g *rig, f *fake) { g.cutAll(f) }, aspenshed.NoLink},
-		"cut after the statement has left": {func(_ *rig, f *fake) { f.up(); f.alive(); f.ev.Down(request.CutAfter, io.EOF) }, aspenshed.LinkBroke},
-		"no sign of life":                  {func(g *rig, f *fake) { f.up(); g.pass(250 * ms) }, aspenshed.NoLink},
+		"the member refuses":               {func(_ *rig, f *fake) { f.ev.Down(request.Unreachable, io.EOF) }, aspenshed.ConnectFailed},
+		"cut before the statement leaves":  {func(g *rig, f *fake) { g.cutAll(f) }, aspenshed.ConnectFailed},
+		"cut after the statement has left": {func(_ *rig, f *fake) { f.up(); f.alive(); f.ev.Down(request.CutAfter, io.EOF) }, aspenshed.ConnectionLost},
+		"no sign of life":                  {func(g *rig, f *fake) { f.up(); g.pass(250 * ms) }, aspenshed.ConnectFailed},
 		"no answer by the deadline":        {func(g *rig, f *fake) { f.up(); f.alive(); g.pass(900 * ms) }, aspenshed.TimedOut},
-		"no link by the deadline":          {func(g *rig, f *fake) { g.pass(900 * ms) }, aspenshed.NoLink},
+		"no link by the deadline":          {func(g *rig, f *fake) { g.pass(900 * ms) }, aspenshed.ConnectFailed},
 		"given up by the module":           {func(g *rig, f *fake) { f.up(); f.alive(); g.Cancel("q", 0) }, aspenshed.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -147,7 +147,7 @@
 			if f.ev.Done(request.Result{Outcome: aspenshed.Served}); len(g.ends) > 0 {
 				t.Error("an answer after the end counted")
 			}
-			ran := c.want != aspenshed.NoLink
+			ran := c.want != aspenshed.ConnectFailed
 			if g.live["q"].MayHaveRun != ran || g.live["q"].Out {
 				t.Errorf("may have run: %t, want %t", !ran, ran)
 			}
@@ -194,12 +194,12 @@
 	}
 	g.attempt("s").up()
 	g.pass(250 * ms)
-	g.ended(aspenshed.NoLink)
+	g.ended(aspenshed.ConnectFailed)
 }
 
 // Guards the age of data: a read whose link was slow to come up does not leave.
 func TestTooLateToLeave(t *testing.T) {
-	for wait, want := range map[aspenshed.Nanos]aspenshed.Outcome{20 * ms: aspenshed.Served, 21 * ms: aspenshed.Turned} {
+	for wait, want := range map[aspenshed.Nanos]aspenshed.Outcome{20 * ms: aspenshed.Served, 21 * ms: aspenshed.Ineligible} {
 		g := newRig(t)
 		g.leaveBy = g.clock.now + 20*ms
 		f := g.attempt("q")
@@ -225,10 +225,10 @@
 		soft bool
 		want aspenshed.Outcome // 0: it leaves
 	}{
-		"draining":     {aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Draining}}}, true, aspenshed.Turned},
-		"gone":         {aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Gone}}}, false, aspenshed.Turned},
-		"absent":       {aspenshed.MemberList{Whole: true}, false, aspenshed.Turned},
-		"only absent":  {aspenshed.MemberList{Whole: true}, true, 0},
+		"draining":     {aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Draining}}}, true, aspenshed.Ineligible},
+		"gone":         {aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Removed}}}, false, aspenshed.Ineligible},
+		"absent":       {aspenshed.MemberList{Complete: true}, false, aspenshed.Ineligible},
+		"only absent":  {aspenshed.MemberList{Complete: true}, true, 0},
 		"another word": {aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Up}}}, false, 0},
 	} {
 		g := newRig(t)
@@ -295,7 +295,7 @@
 		t.Errorf("%d links opened", len(g.links))
 	}
 	g.Loop.Turn()
-	if len(g.ends) != 1 || g.ends[0] != (aspenshed.Answer{ID: "gone", Attempt: 3, Member: "a", Outcome: aspenshed.NotSent, Over: true}) {
+	if len(g.ends) != 1 || g.ends[0] != (aspenshed.AttemptResult{ID: "gone", Attempt: 3, Member: "a", Outcome: aspenshed.NotSent, Final: true}) {
 		t.Errorf("the module heard %+v of the request whose client had left: it would count the attempt for ever", g.ends)
 	}
 }
@@ -340,7 +340,7 @@
 
 // Guards drains: the member's state is asked again before the first byte, of a statement as of a probe.
 func TestNoByteLeavesForALeavingMember(t *testing.T) {
-	for _, state := range []aspenshed.MemberState{aspenshed.Draining, aspenshed.Gone} {
+	for _, state := range []aspenshed.MemberState{aspenshed.Draining, aspenshed.Removed} {
 		g := newRig(t)
 		statement := g.attempt("q")
 		g.Probe("a")
@@ -351,7 +351,7 @@
 		if statement.asked || probe.sent || !statement.closed || !probe.closed {
 			t.Errorf("state %d: statement asked %t, probe sent %t", state, statement.asked, probe.sent)
 		}
-		g.ended(aspenshed.Turned)
+		g.ended(aspenshed.Ineligible)
 		if g.Busy() != 0 {
 			t.Errorf("%d are busy", g.Busy())
 		}
@@ -390,10 +390,10 @@
 
 func TestSilentProbeEndsAndTheNextUsesANewLink(t *testing.T) {
 	g := newRig(t)
-	var got []aspenshed.Probed
+	var got []aspenshed.ProbeResult
 	tell := g.Tell
 	g.Tell = func(e aspenshed.Event) {
-		if p, ok := e.(aspenshed.Probed); ok {
+		if p, ok := e.(aspenshed.ProbeResult); ok {
 			got = append(got, p)
 		}
 		tell(e)
@@ -422,9 +422,9 @@
 	for i := range 100 {
 		id := fmt.Sprint("n", i)
 		g.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, State: aspenshed.Up}}}, map[string]string{id: "h:2"})
-		g.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, State: aspenshed.Gone}}}, nil)
+		g.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, State: aspenshed.Removed}}}, nil)
 	}
-	g.Members(aspenshed.MemberList{Whole: true, Members: []aspenshed.Member{{ID: "b", State: aspenshed.Up}}}, map[string]string{"b": "h:3"})
+	g.Members(aspenshed.MemberList{Complete: true, Members: []aspenshed.Member{{ID: "b", State: aspenshed.Up}}}, map[string]string{"b": "h:3"})
 	if len(g.pools) != 1 {
 		t.Errorf("%d pools, want that of the one member", len(g.pools))
 	}
--- a/internal/dataplane/dispatch/pool.go
+++ b/internal/dataplane/dispatch/pool.go
@@ -34,11 +34,11 @@
 		if p.wanted = !p.draining; p.draining {
 			s.ClosePool(p.id)
 		}
-		if m.State == aspenshed.Gone {
+		if m.State == aspenshed.Removed {
 			delete(s.pools, m.ID)
 		}
 	}
-	if !l.Whole {
+	if !l.Complete {
 		return
 	}
 	for _, p := range s.pools {
--- a/internal/dataplane/dispatch/probe.go
+++ b/internal/dataplane/dispatch/probe.go
@@ -21,7 +21,7 @@
 		var err error
 		if l, err = s.open(p, true); err != nil {
 			s.Loop.Post(func() {
-				s.probed(&connection{s: s, p: p, began: s.Loop.Now()}, request.Result{Outcome: aspenshed.NoLink})
+				s.probed(&connection{s: s, p: p, began: s.Loop.Now()}, request.Result{Outcome: aspenshed.ConnectFailed})
 			})
 			return
 		}
@@ -41,5 +41,5 @@
 	l.probing = false
 	s.Loop.Stop(l.timer)
 	s.Probed(l.p.id, r)
-	s.Tell(aspenshed.Probed{Member: l.p.id, Outcome: r.Outcome, Took: s.Loop.Now() - l.began, Report: r.Report})
+	s.Tell(aspenshed.ProbeResult{Member: l.p.id, Outcome: r.Outcome, Duration: s.Loop.Now() - l.began, Report: r.Report})
 }
--- a/internal/dataplane/pipeline/pipeline.go
+++ b/internal/dataplane/pipeline/pipeline.go
@@ -44,10 +44,10 @@
 
 // New wires an pipeline.
 func New(c Config) *Pipeline {
-	c.Settings.MayCopy = false // send carries one attempt of a request at a time, wherever more are allowed
+	c.Settings.MayHedge = false // send carries one attempt of a request at a time, wherever more are allowed
 	e := &Pipeline{Loop: c.Loop, cfg: c}
 	e.Accounting = accounting.New(c.Loop, c.Log)
-	e.Response = response.Stage{Loop: c.Loop, Grace: c.Settings.AnswerSlack / 2, Ended: func(r *request.Request, f request.Final) {
+	e.Response = response.Stage{Loop: c.Loop, Grace: c.Settings.ResponseSlack / 2, Ended: func(r *request.Request, f request.Final) {
 		e.Accounting.Ended(r, f)
 		e.Dispatch.Withdraw(r)
 		if !e.Dispatch.Holds(r) {
@@ -55,13 +55,13 @@
 		}
 	}, Overdue: func(r *request.Request) {
 		c.Log.WithFields(logrus.Fields{"request": r.ID, "class": r.Class}).Warn("request answered at its deadline without the decision module")
-		e.Routing.Tell(aspenshed.Left{ID: r.ID})
+		e.Routing.Tell(aspenshed.RequestWithdrawn{ID: r.ID})
 	}}
 	e.Dispatch = dispatch.Stage{Loop: c.Loop, Log: c.Log, Backend: c.Backend, ConnectTimeout: c.Settings.ConnectTimeout,
-		IdleClose: c.Settings.IdleClose, SoftRemoval: c.Settings.RemovalIsSoft, Get: e.Response.Get, Tell: e.Routing.Tell,
+		IdleClose: c.Settings.IdleTimeout, SoftRemoval: c.Settings.RemovalIsAdvisory, Get: e.Response.Get, Tell: e.Routing.Tell,
 		Answered: func(r *request.Request, res request.Result) {
 			f := request.Final{Verdict: request.Served, Value: res.Value}
-			if res.Outcome == aspenshed.Rejected {
+			if res.Outcome == aspenshed.StatementError {
 				f.Verdict, f.Reason = request.Failed, res.Detail
 			}
 			e.Response.Finish(r, f)
@@ -114,16 +114,16 @@
 func (e *Pipeline) Tell(x aspenshed.Event) { e.Routing.Tell(x) }
 
 // Learned is what the module has learned, where it is one that tells.
-func (e *Pipeline) Learned() (aspenshed.Learned, bool) { return e.Routing.Learned() }
+func (e *Pipeline) Learned() (aspenshed.LearnedState, bool) { return e.Routing.Learned() }
 
 // DiscoveryBroke says that the list cannot be had just now.
-func (e *Pipeline) DiscoveryBroke(b aspenshed.DiscoveryBroke) { e.Routing.Tell(b) }
+func (e *Pipeline) DiscoveryBroke(b aspenshed.DiscoveryFailed) { e.Routing.Tell(b) }
 
 // Leave says that a request's client has gone.
 func (e *Pipeline) Leave(r *request.Request) {
 	if !r.Final {
 		e.Response.Finish(r, request.Final{Verdict: request.Left})
-		e.Routing.Tell(aspenshed.Left{ID: r.ID})
+		e.Routing.Tell(aspenshed.RequestWithdrawn{ID: r.ID})
 	}
 }
 
@@ -131,7 +131,7 @@
 func (e *Pipeline) FailAll(reason string) {
 	for _, r := range e.Response.All() {
 		e.Response.Finish(r, e.Response.Honest(r, reason))
-		e.Routing.Tell(aspenshed.Left{ID: r.ID})
+		e.Routing.Tell(aspenshed.RequestWithdrawn{ID: r.ID})
 	}
 }
 
--- a/internal/dataplane/pipeline/pipeline_test.go
+++ b/internal/dataplane/pipeline/pipeline_test.go
@@ -55,14 +55,14 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	e := New(Config{Loop: eventloop.NewLoop(c), Log: logrus.NewEntry(log), MostHeld: most, Backend: silent{}, Watch: func() {}, Settings: aspenshed.Settings{
-		MayProbe: true, MaxAttempts: 3, AnswerSlack: 20 * ms, Classes: []aspenshed.Class{{Name: "booking", Need: aspenshed.WriteToIt, Aim: 400 * ms,
-			GiveUp: 2000 * ms, Worth: 1, LateWorth: 0.5, Effect: aspenshed.Unsafe}}}})
+		MayProbe: true, MaxAttempts: 3, ResponseSlack: 20 * ms, Classes: []aspenshed.Class{{Name: "booking", Consistency: aspenshed.Write, LatencyTarget: 400 * ms,
+			ClientTimeout: 2000 * ms, Value: 1, LateValue: 0.5, RetrySafety: aspenshed.Unsafe}}}})
 	var fail bool
 	e.Routing.Make = func(s aspenshed.Settings, seed uint64) (routing.Decider, error) {
 		r, err := aspenshed.New(s, seed)
 		return brittle{r, &fail}, err
 	}
-	if err := e.Start(aspenshed.MemberList{Whole: true, Members: []aspenshed.Member{{ID: "a", Group: 1, State: aspenshed.Up}}}, map[string]string{"a": "h:1"}); err != nil {
+	if err := e.Start(aspenshed.MemberList{Complete: true, Members: []aspenshed.Member{{ID: "a", Group: 1, State: aspenshed.Up}}}, map[string]string{"a": "h:1"}); err != nil {
 		t.Fatal(err)
 	}
 	return e, c, &fail
@@ -148,7 +148,7 @@
 	for i := range 50 {
 		id := fmt.Sprint("n", i)
 		e.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, Group: 1, State: aspenshed.Up}}}, map[string]string{id: "h:2"})
-		e.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, Group: 1, State: aspenshed.Gone}}}, nil)
+		e.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, Group: 1, State: aspenshed.Removed}}}, nil)
 	}
 	if got := e.Routing.Last(); len(got) != 1 || got[0].ID != "a" {
 		t.Errorf("kept %+v", got)
@@ -160,12 +160,12 @@
 func TestTheModuleAsksForNoCopies(t *testing.T) {
 	var told []aspenshed.Settings
 	e := New(Config{Loop: eventloop.NewLoop(&clock{1000 * ms}), Log: logrus.NewEntry(logrus.New()), Backend: silent{}, Watch: func() {},
-		Settings: aspenshed.Settings{MayCopy: true, MayCancel: true, Classes: []aspenshed.Class{{Name: "x", Need: aspenshed.AnyData, Aim: ms, GiveUp: ms, Effect: aspenshed.Safe}}}})
+		Settings: aspenshed.Settings{MayHedge: true, MayCancel: true, Classes: []aspenshed.Class{{Name: "x", Consistency: aspenshed.Eventual, LatencyTarget: ms, ClientTimeout: ms, RetrySafety: aspenshed.Safe}}}})
 	e.Routing.Make = func(s aspenshed.Settings, seed uint64) (routing.Decider, error) {
 		told = append(told, s)
 		return aspenshed.New(s, seed)
 	}
-	if err := e.Start(aspenshed.MemberList{}, nil); err != nil || len(told) != 1 || told[0].MayCopy || !told[0].MayCancel {
+	if err := e.Start(aspenshed.MemberList{}, nil); err != nil || len(told) != 1 || told[0].MayHedge || !told[0].MayCancel {
 		t.Errorf("%v: the module was told %+v", err, told)
 	}
 }
--- a/internal/dataplane/routing/routing.go
+++ b/internal/dataplane/routing/routing.go
@@ -56,7 +56,7 @@
 	if err := s.renew(); err != nil {
 		return err
 	}
-	s.Members(aspenshed.MemberList{Whole: true, Remnant: true, Members: known})
+	s.Members(aspenshed.MemberList{Complete: true, Cached: true, Members: known})
 	return nil
 }
 
@@ -76,18 +76,18 @@
 // Request asks the module about a request.
 func (s *Stage) Request(r *request.Request) {
 	s.Tell(aspenshed.Request{ID: r.ID, Class: r.Class, Group: r.Group, Tenant: r.Tenant, Session: r.Session,
-		Remaining: max(r.Deadline-s.Loop.Now(), 1), SinceCommit: r.SinceCommit, Repeat: r.Repeat})
+		Remaining: max(r.Deadline-s.Loop.Now(), 1), SinceCommit: r.SinceCommit, IsRetry: r.Repeat})
 }
 
 // Members takes news of the member list.
 func (s *Stage) Members(l aspenshed.MemberList) {
-	if l.Whole {
+	if l.Complete {
 		s.members, s.order = map[string]aspenshed.Member{}, nil
 	}
 	for _, m := range l.Members {
 		_, old := s.members[m.ID]
 		switch s.groups[m.Group] = true; {
-		case m.State == aspenshed.Gone: // ids are always new: those that left must not be kept
+		case m.State == aspenshed.Removed: // ids are always new: those that left must not be kept
 			delete(s.members, m.ID)
 			s.order = slices.DeleteFunc(s.order, func(id string) bool { return id == m.ID })
 			continue
@@ -100,11 +100,11 @@
 }
 
 // Learned is what the Router has learned; false: another Decider is in its place.
-func (s *Stage) Learned() (aspenshed.Learned, bool) {
+func (s *Stage) Learned() (aspenshed.LearnedState, bool) {
 	if r, ok := s.router.(*aspenshed.Router); ok {
 		return r.Learned(), true
 	}
-	return aspenshed.Learned{}, false
+	return aspenshed.LearnedState{}, false
 }
 
 // Tell keeps an event for the next Step.
@@ -143,7 +143,7 @@
 		return
 	}
 	s.events = nil
-	s.Tell(aspenshed.MemberList{Whole: true, Remnant: true, Members: s.Last()})
+	s.Tell(aspenshed.MemberList{Complete: true, Cached: true, Members: s.Last()})
 	s.Loop.Post(func() {})
 }
 
@@ -159,22 +159,22 @@
 func (s *Stage) do(a aspenshed.Action) {
 	switch a := a.(type) {
 	case aspenshed.Send:
-		s.Do.Send(a.ID, a.Member, a.Attempt, a.GiveUpAt, a.LeaveBy)
+		s.Do.Send(a.ID, a.Member, a.Attempt, a.Deadline, a.SendBy)
 	case aspenshed.Cancel:
 		s.Do.Cancel(a.ID, a.Attempt)
 	case aspenshed.Probe:
 		s.Do.Probe(a.Member)
-	case aspenshed.ClosePool:
+	case aspenshed.CloseIdleConnections:
 		s.Do.ClosePool(a.Member)
 	case aspenshed.Refuse:
-		s.Do.Refuse(a.ID, a.RetryIn)
+		s.Do.Refuse(a.ID, a.RetryAfter)
 	case aspenshed.Fail:
 		s.Do.Fail(a.ID)
 	case aspenshed.Watch:
 		s.Do.Watch()
-	case aspenshed.Wake:
-		s.Loop.At(s.Loop.Now()+a.After, func() { s.Tell(aspenshed.Woke{Label: a.Label}) })
-	case aspenshed.Note:
+	case aspenshed.SetTimer:
+		s.Loop.At(s.Loop.Now()+a.After, func() { s.Tell(aspenshed.TimerFired{Label: a.Label}) })
+	case aspenshed.LogMessage:
 		s.Log.WithField("note", a.Text).Info("decision module")
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -74,7 +74,7 @@
 // understood, with its place; the good part of the list stands beside it. A member of which it is not clear that it
 // is up and where takes nothing new: to send it something might break a drain.
 func Convert(l List, zones []string) (Update, error) {
-	u := Update{List: aspenshed.MemberList{Whole: l.Reset}, Addresses: map[string]string{}}
+	u := Update{List: aspenshed.MemberList{Complete: l.Reset}, Addresses: map[string]string{}}
 	var faults []error
 	at := map[string]int{}
 	for i, x := range l.Instances {
@@ -84,10 +84,10 @@
 		if x.fault != nil {
 			fault(": %v", x.fault)
 		}
-		m := aspenshed.Member{ID: x.ID, Group: x.Cell, Zone: max(slices.Index(zones, x.Zone), 0), Size: 1,
+		m := aspenshed.Member{ID: x.ID, Group: x.Cell, Zone: max(slices.Index(zones, x.Zone), 0), Weight: 1,
 			Primary: x.Recovery == "off"}
 		if x.Weight != nil && *x.Weight > 0 {
-			m.Size = *x.Weight
+			m.Weight = *x.Weight
 		}
 		if x.StartedAtMs > 0 {
 			m.StartedAt = eventloop.UnixMs(x.StartedAtMs)
@@ -98,7 +98,7 @@
 		case "terminating":
 			m.State = aspenshed.Draining
 		case "terminated":
-			m.State = aspenshed.Gone
+			m.State = aspenshed.Removed
 		case "":
 			fault(".lifecycle missing: taken as draining")
 			m.State = aspenshed.Draining
@@ -163,7 +163,7 @@
 	Zones   []string
 	Index   int64 // the version that the gateway has
 	Changed func(Update)
-	Broke   func(aspenshed.DiscoveryBroke)
+	Broke   func(aspenshed.DiscoveryFailed)
 	// Keep: lists are pushed. An agent on this machine has them at no cost, and what it has counts as told: the watch
 	// is opened at once, and again whenever it breaks, and nobody else is asked.
 	Keep bool
@@ -260,12 +260,12 @@
 	w := x.w
 	w.Log.WithError(err).WithFields(logrus.Fields{"told": x.told, "reached": x.up}).Warn("discovery watch broke")
 	if !w.Keep {
-		b := aspenshed.DiscoveryBroke{Unreached: !x.up}
+		b := aspenshed.DiscoveryFailed{Unreachable: !x.up}
 		if x.told || x.up && err == errSilent { // else discovery itself has turned the call down
-			b.Heard = x.heard
+			b.LastHeard = x.heard
 		}
 		if x.moved > 0 {
-			b.Heard = x.moved - movedEarly
+			b.LastHeard = x.moved - movedEarly
 		}
 		if next := x.began + leastGap; x.told && w.Loop.Now() < next {
 			w.Loop.At(next, func() { w.Broke(b) })
@@ -324,13 +324,13 @@
 	}
 	if !empty { // an empty line first: nothing has changed since
 		w.told(version, u, faults)
-		if !u.List.Whole && version < w.Index && version >= x.version {
+		if !u.List.Complete && version < w.Index && version >= x.version {
 			return // known already, from the other of two watches
 		}
 		w.Index, x.version = version, version
 		w.leaving(version, &u)
 	}
-	u.List.Remnant = x == w.old // it may be behind, and the call that is planned to the new address stands
+	u.List.Cached = x == w.old // it may be behind, and the call that is planned to the new address stands
 	w.Changed(u)
 }
 
@@ -347,7 +347,7 @@
 				off = append(off, m.ID)
 			}
 		}
-		log.WithFields(logrus.Fields{"whole": u.List.Whole, "up": strings.Join(up, " "), "leaving": strings.Join(off, " ")}).Debug("discovery told")
+		log.WithFields(logrus.Fields{"whole": u.List.Complete, "up": strings.Join(up, " "), "leaving": strings.Join(off, " ")}).Debug("discovery told")
 	}
 }
 
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -54,8 +54,8 @@
 func TestConvert(t *testing.T) {
 	x := Instance{ID: "s-1", HostPort: "h:1", Zone: "b", Cell: 3, Lifecycle: "terminating", StartedAtMs: 5, Recovery: "off"}
 	u, err := Convert(List{Reset: true, Instances: []Instance{x}}, []string{"a", "b"})
-	want := aspenshed.Member{ID: "s-1", Group: 3, Zone: 1, Size: 1, StartedAt: 5e6, State: aspenshed.Draining, Primary: true}
-	if err != nil || !u.List.Whole || u.List.Members[0] != want || u.Addresses["s-1"] != "h:1" {
+	want := aspenshed.Member{ID: "s-1", Group: 3, Zone: 1, Weight: 1, StartedAt: 5e6, State: aspenshed.Draining, Primary: true}
+	if err != nil || !u.List.Complete || u.List.Members[0] != want || u.Addresses["s-1"] != "h:1" {
 		t.Errorf("%v: %+v", err, u)
 	}
 }
@@ -76,7 +76,7 @@
 		`{"instanceId":7,"hostPort":"h:1","lifecycle":"in_service"}`:                   {0, "instances[1]: json"},
 		`7`: {0, "instances[1]: json"},
 		`{"instanceId":"x","hostPort":"h:1","lifecycle":"terminated"},{"instanceId":"x","hostPort":"h:1","lifecycle":"in_service"}`: {
-			aspenshed.Gone, `instances[2].instanceId: "x" stands there already`},
+			aspenshed.Removed, `instances[2].instanceId: "x" stands there already`},
 	} {
 		var l List
 		text := `{"generation":1,"instances":[{"instanceId":"a","hostPort":"h:1","lifecycle":"terminating"},` + entry + `,{"instanceId":"b","hostPort":"h:1","lifecycle":"in_service"}]}`
@@ -122,7 +122,7 @@
 	versions []string
 	states   map[string]aspenshed.MemberState
 	broke    int
-	last     aspenshed.DiscoveryBroke
+	last     aspenshed.DiscoveryFailed
 }
 
 func newRig(t *testing.T) *rig {
@@ -130,9 +130,9 @@
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
 	n := g.service()
-	g.Watcher = &Watcher{Loop: eventloop.NewLoop(g.clock), Log: logrus.NewEntry(log), Net: n, Address: n.Addr(), Index: 41, Broke: func(b aspenshed.DiscoveryBroke) { g.broke, g.last = g.broke+1, b },
+	g.Watcher = &Watcher{Loop: eventloop.NewLoop(g.clock), Log: logrus.NewEntry(log), Net: n, Address: n.Addr(), Index: 41, Broke: func(b aspenshed.DiscoveryFailed) { g.broke, g.last = g.broke+1, b },
 		Changed: func(u Update) {
-			g.versions = append(g.versions, fmt.Sprint(u.List.Whole, len(u.List.Members)))
+			g.versions = append(g.versions, fmt.Sprint(u.List.Complete, len(u.List.Members)))
 			for _, m := range u.List.Members {
 				g.states[m.ID] = m.State
 			}
@@ -208,7 +208,7 @@
 		t.Error("broke too early")
 	}
 	g.clock.now++
-	if g.Loop.Turn(); g.broke != 1 || g.last != (aspenshed.DiscoveryBroke{Heard: g.clock.now - silence}) {
+	if g.Loop.Turn(); g.broke != 1 || g.last != (aspenshed.DiscoveryFailed{LastHeard: g.clock.now - silence}) {
 		t.Errorf("silence broke the watch %d times: %+v", g.broke, g.last)
 	}
 	g.Watch()
@@ -216,13 +216,13 @@
 		t.Errorf("asked %q", s.line)
 	}
 	g.clock.now += silence
-	if g.Loop.Turn(); g.broke != 2 || g.last != (aspenshed.DiscoveryBroke{Heard: g.clock.now - silence}) {
+	if g.Loop.Turn(); g.broke != 2 || g.last != (aspenshed.DiscoveryFailed{LastHeard: g.clock.now - silence}) {
 		t.Errorf("a silent call broke %d times: %+v", g.broke, g.last)
 	}
 	g.Watch()
 	_ = g.asked().conn.Write([]byte("HTTP/1.1 503 Service Unavailable\r\n\r\n"))
 	g.until("the refusal", func() bool { return g.broke == 3 })
-	if g.last != (aspenshed.DiscoveryBroke{}) {
+	if g.last != (aspenshed.DiscoveryFailed{}) {
 		t.Errorf("a call turned down: %+v", g.last)
 	}
 }
@@ -276,8 +276,8 @@
 	next.tell(44)
 	g.until("a list from the new address", func() bool { return len(lists) == 3 })
 	for i, outdated := range []bool{false, true, false} {
-		if lists[i].Remnant != outdated {
-			t.Errorf("list %d: marked as maybe out of date: %t, want %t", i, lists[i].Remnant, outdated)
+		if lists[i].Cached != outdated {
+			t.Errorf("list %d: marked as maybe out of date: %t, want %t", i, lists[i].Cached, outdated)
 		}
 	}
 	if g.old != nil {
@@ -331,7 +331,7 @@
 		t.Errorf("moved at %d, the call is of %d and %d", moved, g.cur.began, g.cur.moved)
 	}
 	g.clock.now += silence
-	if g.Loop.Turn(); g.broke != 1 || g.last.Heard != moved-movedEarly {
+	if g.Loop.Turn(); g.broke != 1 || g.last.LastHeard != moved-movedEarly {
 		t.Errorf("broke %d times: %+v", g.broke, g.last)
 	}
 	if len(g.asks) > 0 {
@@ -406,7 +406,7 @@
 			t.Errorf("%q: %v, broke %d times at once", answer, g.states, g.broke)
 		}
 		g.clock.now += leastGap
-		if g.Loop.Turn(); g.broke != i+1 || g.last.Heard != began {
+		if g.Loop.Turn(); g.broke != i+1 || g.last.LastHeard != began {
 			t.Errorf("%q: broke %d times, last %+v", answer, g.broke, g.last)
 		}
 	}
@@ -448,7 +448,7 @@
 	s.member(43, true, false, "drains", "in_service")
 	s.member(44, false, false, "gone", "in_service")
 	g.until("the older lists", func() bool { return len(g.versions) == 4 })
-	if g.states["drains"] != aspenshed.Draining || g.states["gone"] != aspenshed.Gone {
+	if g.states["drains"] != aspenshed.Draining || g.states["gone"] != aspenshed.Removed {
 		t.Errorf("an older list: %v", g.states)
 	}
 	s.member(47, false, false, "gone", "in_service")
@@ -482,7 +482,7 @@
 	g.Watcher.Address = "127.0.0.1:1"
 	g.Watch()
 	g.until("the refusal", func() bool { return g.broke == 1 })
-	if !g.last.Unreached {
+	if !g.last.Unreachable {
 		t.Error("a refused call seems to have come there")
 	}
 }
--- a/internal/discovery/dribble_test.go
+++ b/internal/discovery/dribble_test.go
@@ -156,7 +156,7 @@
 func (g *rig) brokenOnce(t *testing.T, moved aspenshed.Nanos) {
 	t.Helper()
 	if !g.Keep {
-		if g.broke != 1 || g.last.Heard != moved-movedEarly || g.cur != nil {
+		if g.broke != 1 || g.last.LastHeard != moved-movedEarly || g.cur != nil {
 			t.Errorf("broke %d times, last %+v, want it heard at %d", g.broke, g.last, moved-movedEarly)
 		}
 		return
--- a/internal/experiment/datapath/cold.go
+++ b/internal/experiment/datapath/cold.go
@@ -23,7 +23,7 @@
 		change     func(s *aspenshed.Settings, gateways int)
 	}{
 		{"safe-share", "each with a safe share of (1-0.5)/N of a cold database, the agreed rate and no lease", func(s *aspenshed.Settings, n int) {
-			s.SafeShare, s.ColdLongest = (1-leasePool)/float64(n), coldLongest
+			s.UnleasedShare, s.MaxWarmUpTime = (1-leasePool)/float64(n), coldLongest
 		}},
 		{"no-leases", "no leases, " + toldOne, func(*aspenshed.Settings, int) {}},
 	} {
@@ -42,7 +42,7 @@
 			d := w.databases[len(w.databases)-1]
 			rate := w.warmRate()
 			w.restart(d)
-			if s.SafeShare > 0 {
+			if s.UnleasedShare > 0 {
 				w.agree(d, rate)
 			}
 			before := d.statements
@@ -65,7 +65,7 @@
 func (w *world) warmRate() (rate float64) {
 	for _, g := range w.gateways {
 		if l := g.router.Learned(); len(l.Groups) > 0 {
-			rate += l.Groups[0].Warm
+			rate += l.Groups[0].WorkRate
 		}
 	}
 	return rate
@@ -74,6 +74,6 @@
 // agree tells all gateways what the store holds of a database that has just started.
 func (w *world) agree(d *database, rate float64) {
 	for _, g := range w.gateways {
-		g.pipeline.Tell(aspenshed.ColdShare{Member: d.id, StartedAt: w.clock.now, Rate: rate})
+		g.pipeline.Tell(aspenshed.SlowStartShare{Member: d.id, StartedAt: w.clock.now, WorkRate: rate})
 	}
 }
--- a/internal/experiment/datapath/database.go
+++ b/internal/experiment/datapath/database.go
@@ -40,11 +40,11 @@
 
 // member is the list's entry of a database.
 func (d *database) member(startedAt aspenshed.Nanos) aspenshed.Member {
-	return aspenshed.Member{ID: d.id, Group: d.group, Size: 1, State: aspenshed.Up, StartedAt: startedAt, Primary: d.model.Primary}
+	return aspenshed.Member{ID: d.id, Group: d.group, Weight: 1, State: aspenshed.Up, StartedAt: startedAt, Primary: d.model.Primary}
 }
 
 func (w *world) list() (l aspenshed.MemberList, addresses map[string]string) {
-	l.Whole, addresses = true, map[string]string{}
+	l.Complete, addresses = true, map[string]string{}
 	for _, d := range w.databases {
 		l.Members = append(l.Members, d.member(0))
 		addresses[d.id] = d.id
--- a/internal/experiment/datapath/link.go
+++ b/internal/experiment/datapath/link.go
@@ -88,8 +88,8 @@
 	})
 }
 
-var outcomes = map[standin.Verdict]aspenshed.Outcome{standin.Served: aspenshed.Served, standin.Full: aspenshed.Full,
-	standin.Miss: aspenshed.Turned}
+var outcomes = map[standin.Verdict]aspenshed.Outcome{standin.Served: aspenshed.Served, standin.Full: aspenshed.Overloaded,
+	standin.Miss: aspenshed.Ineligible}
 
 // Probe asks for role, position and load.
 func (l *link) Probe() bool {
@@ -100,7 +100,7 @@
 			now := int64(l.gateway.loop.Now())
 			l.answer(request.Result{Outcome: aspenshed.Served, Report: aspenshed.Report{
 				HasPosition: true, Position: toMilliseconds(d.model.Position(now)), HasRole: true, Primary: d.model.Primary,
-				HasWaiting: true, Waiting: float64(d.model.Waiting(now))}})
+				HasQueued: true, Queued: float64(d.model.Waiting(now))}})
 		}
 	})
 	return !l.closed
--- a/internal/experiment/datapath/settings.go
+++ b/internal/experiment/datapath/settings.go
@@ -54,7 +54,7 @@
 	if len(s.Classes) != len(classNames) {
 		return s, errNoFront
 	}
-	s.ListTellsRole = true
+	s.ListHasRoles = true
 	s.Routers = routers
 	return s, nil
 }
--- a/internal/experiment/datapath/step.go
+++ b/internal/experiment/datapath/step.go
@@ -91,9 +91,9 @@
 	}
 	var list []aspenshed.Member
 	for i := range members {
-		list = append(list, aspenshed.Member{ID: fmt.Sprint("m", i), Group: i / stepGroup, Size: 1, State: aspenshed.Up, Primary: i%stepGroup == 0})
+		list = append(list, aspenshed.Member{ID: fmt.Sprint("m", i), Group: i / stepGroup, Weight: 1, State: aspenshed.Up, Primary: i%stepGroup == 0})
 	}
-	d.router.Step(d.now, []aspenshed.Event{aspenshed.MemberList{Whole: true, Members: list}})
+	d.router.Step(d.now, []aspenshed.Event{aspenshed.MemberList{Complete: true, Members: list}})
 	for tries := 0; len(d.out) < inFlight && tries < 4*inFlight; tries++ {
 		d.take([]aspenshed.Event{d.request()})
 	}
@@ -114,7 +114,7 @@
 	if len(d.out) > 0 {
 		x := d.out[0]
 		d.out = d.out[1:]
-		events = append(events, aspenshed.Answer{ID: x.ID, Member: x.Member, Outcome: aspenshed.Served, Over: true, Took: stepAnswer,
+		events = append(events, aspenshed.AttemptResult{ID: x.ID, Member: x.Member, Outcome: aspenshed.Served, Final: true, Duration: stepAnswer,
 			Role: aspenshed.RoleReplica})
 	}
 	d.take(events)
--- a/internal/experiment/loganalysis/loganalysis_test.go
+++ b/internal/experiment/loganalysis/loganalysis_test.go
@@ -30,7 +30,7 @@
 		return &request.Request{Query: request.Query{Name: id, Class: class}, Attempts: attempts, Arrived: arrived, Deadline: 160e6}
 	}
 	q := ask("q1", 1, 2, 35e6)
-	b.Attempt(q, "s-1", request.Result{Outcome: aspenshed.Full, Detail: `53300 no "room"`})
+	b.Attempt(q, "s-1", request.Result{Outcome: aspenshed.Overloaded, Detail: `53300 no "room"`})
 	b.Attempt(q, "s-2", request.Result{Outcome: aspenshed.Served, Took: 40e6})
 	b.Ended(q, request.Final{Verdict: request.Served})
 	b.Ended(ask("q2", 0, 0, 0), request.Final{Verdict: request.Refused, Reason: "try again"})
--- a/internal/experiment/scenario/platform_test.go
+++ b/internal/experiment/scenario/platform_test.go
@@ -123,7 +123,7 @@
 func TestRefusalCarriesItsWait(t *testing.T) {
 	for allowed, want := range map[bool]string{true: "EERROR53300250 Z ", false: "EERROR53300 Z "} {
 		s := Settings()
-		s.RetryAdvice = allowed
+		s.SendRetryAfter = allowed
 		var f *postgres.Front
 		p := newPlayer(t, pgKit{}, []string{"a=primary"})
 		f = &postgres.Front{Manager: session.Manager{Loop: p.loop, Settings: &s, Rejected: func(string) {}, Take: func(q request.Query, _ aspenshed.Nanos) *request.Request {
--- a/internal/experiment/scenario/scenario.go
+++ b/internal/experiment/scenario/scenario.go
@@ -118,14 +118,14 @@
 
 // Settings are those of the scenarios: the classes of a booking service.
 func Settings() aspenshed.Settings {
-	class := func(name string, n aspenshed.Need, e aspenshed.Effect, aim, giveUp aspenshed.Nanos, late float64) aspenshed.Class {
-		return aspenshed.Class{Name: name, Need: n, Bound: 300 * ms, Aim: aim * ms, GiveUp: giveUp * ms, Worth: 1, LateWorth: late, Effect: e}
+	class := func(name string, n aspenshed.Consistency, e aspenshed.RetrySafety, aim, giveUp aspenshed.Nanos, late float64) aspenshed.Class {
+		return aspenshed.Class{Name: name, Consistency: n, MaxStaleness: 300 * ms, LatencyTarget: aim * ms, ClientTimeout: giveUp * ms, Value: 1, LateValue: late, RetrySafety: e}
 	}
-	return aspenshed.Settings{Routers: 1, Quantum: tick, ListTellsRole: true, MayProbe: true, MayCancel: true, MayCopy: true, MaxAttempts: 10,
-		ConnectTimeout: 250 * ms, IdleClose: 15000 * ms, AnswerSlack: 20 * ms, DrainGrace: 2000 * ms, StartCapacity: 0.15,
-		ColdFor: 16000 * ms, FallMultiple: 2.5, FallFor: 1500 * ms, PriceProbe: 0.021, Classes: []aspenshed.Class{
-			class("seat-check", aspenshed.Bounded, aspenshed.Safe, 400, 1000, 0.2), class("timetable", aspenshed.AnyData, aspenshed.Safe, 750, 2000, 0),
-			class("booking", aspenshed.WriteToIt, aspenshed.Unsafe, 750, 5000, 0.5)}}
+	return aspenshed.Settings{Routers: 1, MinStepInterval: tick, ListHasRoles: true, MayProbe: true, MayCancel: true, MayHedge: true, MaxAttempts: 10,
+		ConnectTimeout: 250 * ms, IdleTimeout: 15000 * ms, ResponseSlack: 20 * ms, DrainGrace: 2000 * ms, InitialCapacity: 0.15,
+		WarmUpTime: 16000 * ms, OverloadFactor: 2.5, OverloadWindow: 1500 * ms, ProbeCost: 0.021, Classes: []aspenshed.Class{
+			class("seat-check", aspenshed.BoundedStaleness, aspenshed.Safe, 400, 1000, 0.2), class("timetable", aspenshed.Eventual, aspenshed.Safe, 750, 2000, 0),
+			class("booking", aspenshed.Write, aspenshed.Unsafe, 750, 5000, 0.5)}}
 }
 
 // player plays one script.
@@ -184,7 +184,7 @@
 		p.t.Cleanup(n.Stop)
 		return n
 	}
-	known := aspenshed.MemberList{Whole: true}
+	known := aspenshed.MemberList{Complete: true}
 	addresses := map[string]string{}
 	for _, spec := range members {
 		name, role, _ := strings.Cut(spec, "=")
@@ -193,7 +193,7 @@
 		p.members[name] = m
 		n := must(netio.New(netio.Config{Name: name, Listen: "127.0.0.1:0", Clients: 100,
 			Accept: func(c *netio.Conn) netio.Handler { return p.kit.Member(m, c) }}))
-		known.Members = append(known.Members, aspenshed.Member{ID: name, Group: 1, Size: 1, State: aspenshed.Up})
+		known.Members = append(known.Members, aspenshed.Member{ID: name, Group: 1, Weight: 1, State: aspenshed.Up})
 		addresses[name] = n.Addr()
 	}
 	log := logrus.New()
--- a/internal/frontend/mysql/backend.go
+++ b/internal/frontend/mysql/backend.go
@@ -251,7 +251,7 @@
 	if errors.As(err, &e) && (e.Code == 1040 || e.Code == 1203) {
 		l.b.Loop.Post(func() {
 			if !l.closed {
-				l.ev.Done(request.Result{Outcome: aspenshed.Full, Close: true, Detail: e.Message})
+				l.ev.Done(request.Result{Outcome: aspenshed.Overloaded, Close: true, Detail: e.Message})
 			}
 		})
 		return nil
@@ -345,14 +345,14 @@
 // outcomeOf maps a server's error. What the statement itself got wrong is the
 // answer, as no server would do better; what the server got wrong may be tried elsewhere.
 func outcomeOf(e mysqlwire.Error) request.Result {
-	r := request.Result{Outcome: aspenshed.Errored, Value: e, Detail: strconv.Itoa(int(e.Code)) + " " + e.Message}
+	r := request.Result{Outcome: aspenshed.ErrorResponse, Value: e, Detail: strconv.Itoa(int(e.Code)) + " " + e.Message}
 	switch {
 	case e.Code == 1290 || e.Code == 1836: // read-only: untouched
-		r.Outcome, r.Role = aspenshed.Turned, aspenshed.RoleReplica
+		r.Outcome, r.Role = aspenshed.Ineligible, aspenshed.RoleReplica
 	case e.Code == 1040 || e.Code == 1203:
-		r.Outcome = aspenshed.Full
+		r.Outcome = aspenshed.Overloaded
 	case len(e.State) == 5 && e.State >= "21" && e.State < "45":
-		r.Outcome = aspenshed.Rejected
+		r.Outcome = aspenshed.StatementError
 	}
 	return r
 }
@@ -385,7 +385,7 @@
 func (l *link) probed(a *mysqlwire.Answer) {
 	r := request.Result{Outcome: aspenshed.Served, Report: l.report}
 	if a.Err != nil {
-		r = request.Result{Outcome: aspenshed.Errored, Detail: a.Err.Message}
+		r = request.Result{Outcome: aspenshed.ErrorResponse, Detail: a.Err.Message}
 	}
 	l.sent, r.Close = false, l.extra
 	l.ev.Done(r)
--- a/internal/frontend/mysql/front.go
+++ b/internal/frontend/mysql/front.go
@@ -263,7 +263,7 @@
 	switch {
 	case st.Prepare: // runs nothing: any member will do
 		q.Name, q.Class, q.Auxiliary = "", f.Class(f.Defaults.ReadClass), true
-	case isWrite(tag.SQL) && f.Settings.Classes[q.Class].Need != aspenshed.WriteToIt:
+	case isWrite(tag.SQL) && f.Settings.Classes[q.Class].Consistency != aspenshed.Write:
 		q.Class = f.Class(f.Defaults.WriteClass)
 	}
 	return q, nil
@@ -334,7 +334,7 @@
 		return x.Value.([]byte)
 	case x.Verdict == request.Refused: // 40001 is the state on which clients try again by themselves
 		m := "refused, nothing ran: " + x.Reason
-		if x.RetryIn > 0 && f.Settings.RetryAdvice {
+		if x.RetryIn > 0 && f.Settings.SendRetryAfter {
 			m += fmt.Sprintf("; retry in %d ms", int64(x.RetryIn+999999)/1e6)
 		}
 		return mysqlwire.Error{Code: 1213, State: "40001", Message: m}.Packet(1)
--- a/internal/frontend/postgres/backend.go
+++ b/internal/frontend/postgres/backend.go
@@ -300,15 +300,15 @@
 func outcomeOf(code string, ready bool) aspenshed.Outcome {
 	switch {
 	case code == "53300":
-		return aspenshed.Full
+		return aspenshed.Overloaded
 	case !ready:
-		return aspenshed.NoLink
+		return aspenshed.ConnectFailed
 	case code == "25006" || code == "72000":
-		return aspenshed.Turned
+		return aspenshed.Ineligible
 	case code[:2] == "42" || code[:2] == "22" || code[:2] == "23" || code == "08P01": // no member would do better
-		return aspenshed.Rejected
+		return aspenshed.StatementError
 	}
-	return aspenshed.Errored // XX000 and whatever else: it may have run
+	return aspenshed.ErrorResponse // XX000 and whatever else: it may have run
 }
 
 // parseReport reads a load report: x0=1767225600.123,x1=1,queue=3. One that can't be read, or speaks of what
@@ -329,9 +329,9 @@
 		case "x1":
 			r.HasRole, r.Primary = true, f == 1
 		case "queue", "backlog":
-			r.HasWaiting, r.Waiting = true, f
+			r.HasQueued, r.Queued = true, f
 		case "inflight", "outstanding":
-			r.HasHeld, r.Held = true, f
+			r.HasInFlight, r.InFlight = true, f
 		}
 	}
 	return r
--- a/internal/frontend/postgres/backend_test.go
+++ b/internal/frontend/postgres/backend_test.go
@@ -127,7 +127,7 @@
 
 // Guards against a report that makes a member seem fresh, or a primary, which it is not.
 func TestUnreadableReportCountsAsNone(t *testing.T) {
-	if r := parseReport("x0=1767225599.250,x1=1,queue=3", now.Now()); !r.HasPosition || r.Position != 1767225599250e6 || !r.Primary || r.Waiting != 3 {
+	if r := parseReport("x0=1767225599.250,x1=1,queue=3", now.Now()); !r.HasPosition || r.Position != 1767225599250e6 || !r.Primary || r.Queued != 3 {
 		t.Errorf("read as %+v", r)
 	}
 	for _, s := range []string{"", "x0=1767225599.250,x1=", "x0=1767225599.250,x1=1,queue=\xff", "x0=1767225599.250,x1=7", "x0=1767225599.2.5",
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -121,7 +121,7 @@
 		return pgwire.Ready(x.Value.([]byte))
 	case x.Verdict == request.Refused:
 		e.Code, e.Message = "53300", "refused: "+x.Reason
-		if x.RetryIn > 0 && f.Settings.RetryAdvice {
+		if x.RetryIn > 0 && f.Settings.SendRetryAfter {
 			e.Detail = strconv.FormatInt(int64(x.RetryIn+999999)/1e6, 10)
 		}
 	case known && own.Code != "57P03": // a database's own error, where it does not read as a refusal
--- a/internal/frontend/session/session.go
+++ b/internal/frontend/session/session.go
@@ -325,7 +325,7 @@
 			return q, errors.New("unknown tenant " + sqlcomment.Short(t))
 		}
 	}
-	if n := d.Settings.Classes[q.Class].Need; n == aspenshed.OwnWrites || n == aspenshed.WriteToIt {
+	if n := d.Settings.Classes[q.Class].Consistency; n == aspenshed.ReadYourWrites || n == aspenshed.Write {
 		q.Session = sessionKey(tag.SQL)
 	}
 	wait, err := tag.Int("d", 0)
--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -35,7 +35,7 @@
 var Fields = []string{"id", "address", "site", "group", "kind", "state"}
 
 // States are the values of the field state, as discovery words them.
-var States = map[string]aspenshed.MemberState{"in_service": aspenshed.Up, "terminating": aspenshed.Draining, "terminated": aspenshed.Gone}
+var States = map[string]aspenshed.MemberState{"in_service": aspenshed.Up, "terminating": aspenshed.Draining, "terminated": aspenshed.Removed}
 
 // FieldError says where a file is wrong.
 type FieldError struct {
@@ -277,12 +277,12 @@
 
 // List turns members into a router's list and their addresses. Sites are numbered as they first appear.
 func List(ms []Member) (aspenshed.MemberList, map[string]string) {
-	l, addresses, sites := aspenshed.MemberList{Whole: true}, map[string]string{}, map[string]int{}
+	l, addresses, sites := aspenshed.MemberList{Complete: true}, map[string]string{}, map[string]int{}
 	for _, m := range ms {
 		if _, seen := sites[m.Site]; !seen {
 			sites[m.Site] = len(sites)
 		}
-		l.Members = append(l.Members, aspenshed.Member{ID: m.ID, Group: m.Group, Zone: sites[m.Site], Size: 1, State: States[m.State]})
+		l.Members = append(l.Members, aspenshed.Member{ID: m.ID, Group: m.Group, Zone: sites[m.Site], Weight: 1, State: States[m.State]})
 		addresses[m.ID] = m.Address
 	}
 	return l, addresses
--- a/internal/protocol/simwire/encode.go
+++ b/internal/protocol/simwire/encode.go
@@ -40,15 +40,15 @@
 		case aspenshed.Send:
 			open("attempt", d.Driver)
 			text("ticket", a.ID)
-			if a.GiveUpAt != 0 {
-				number("abandonAtNs", int64(a.GiveUpAt))
+			if a.Deadline != 0 {
+				number("abandonAtNs", int64(a.Deadline))
 			}
 			text("member", a.Member)
 		case aspenshed.Refuse:
 			open("bounce", d.Driver)
 			text("ticket", a.ID)
-			if a.RetryIn > 0 {
-				number("retryInNs", int64(a.RetryIn))
+			if a.RetryAfter > 0 {
+				number("retryInNs", int64(a.RetryAfter))
 			}
 		case aspenshed.Fail:
 			open("finishError", d.Driver)
@@ -57,20 +57,20 @@
 			open("undoSend", d.Driver)
 			text("ticket", a.ID)
 			number("seqNo", int64(a.Attempt))
-		case aspenshed.Wake:
+		case aspenshed.SetTimer:
 			open("arm", d.Driver)
 			number("waitNs", int64(a.After))
 			text("label", a.Label)
 		case aspenshed.Probe:
 			open("probe", d.Driver)
 			text("member", a.Member)
-		case aspenshed.ClosePool:
+		case aspenshed.CloseIdleConnections:
 			open("closeIdle", d.Driver)
 			text("member", a.Member)
 		case aspenshed.Watch:
 			open("subscribe", d.Driver)
 			buf = append(buf, `,"on":true`...)
-		case aspenshed.Note:
+		case aspenshed.LogMessage:
 			open("trace", d.Driver)
 			text("msg", a.Text)
 		default:
--- a/internal/protocol/simwire/wire.go
+++ b/internal/protocol/simwire/wire.go
@@ -234,13 +234,13 @@
 		if err != nil {
 			return nil, err
 		}
-		d.zero[*e.Driver] = s.PositionZero
+		d.zero[*e.Driver] = s.PositionEpoch
 		it.Start = &Start{seed, s}
 	case "down":
 		it.Stop = true
 	case "sync":
 		if *e.Scope == "broken" {
-			it.Event = aspenshed.DiscoveryBroke{}
+			it.Event = aspenshed.DiscoveryFailed{}
 			break
 		}
 		if e.List == nil {
@@ -255,27 +255,27 @@
 		default:
 			return nil, &FieldError{where + "scope", "unknown value"}
 		}
-		it.Event = aspenshed.MemberList{Whole: *e.Scope != "patch", Remnant: *e.Scope == "stale_copy", Members: ms}
+		it.Event = aspenshed.MemberList{Complete: *e.Scope != "patch", Cached: *e.Scope == "stale_copy", Members: ms}
 	case "order":
 		it.Event = aspenshed.Request{ID: *e.Ticket, Class: *e.Qos, Group: int(*e.Cluster), Tenant: e.Owner,
 			Session: e.ConnKey, Remaining: aspenshed.Nanos(*e.RemainingNs),
-			SinceCommit: aspenshed.Nanos(math.Floor(e.SinceWriteMs * 1e6)), Repeat: e.IsRetry}
+			SinceCommit: aspenshed.Nanos(math.Floor(e.SinceWriteMs * 1e6)), IsRetry: e.IsRetry}
 	case "flowing": // no class streams here; its answer follows
 		return nil, nil
 	case "answer":
-		a := aspenshed.Answer{ID: *e.Ticket, Attempt: *e.SeqNo, Member: *e.Member, Outcome: outcome(*e.StateCode),
-			Over: e.Complete, Took: aspenshed.Nanos(*e.RttNs), Report: d.report(*e.Driver, e.Load)}
+		a := aspenshed.AttemptResult{ID: *e.Ticket, Attempt: *e.SeqNo, Member: *e.Member, Outcome: outcome(*e.StateCode),
+			Final: e.Complete, Duration: aspenshed.Nanos(*e.RttNs), Report: d.report(*e.Driver, e.Load)}
 		a.Role = aspenshed.Role(e.Stand & 3)
 		if p := e.Stand >> 2; p > 0 {
 			a.Position = d.zero[*e.Driver] + aspenshed.Nanos(p)*1e6
 		}
 		it.Event = a
 	case "abandoned":
-		it.Event = aspenshed.Left{ID: *e.Ticket}
+		it.Event = aspenshed.RequestWithdrawn{ID: *e.Ticket}
 	case "timer":
-		it.Event = aspenshed.Woke{Label: *e.Label}
+		it.Event = aspenshed.TimerFired{Label: *e.Label}
 	case "statusBack":
-		it.Event = aspenshed.Probed{Member: *e.Member, Outcome: outcome(*e.StateCode), Took: aspenshed.Nanos(*e.RttNs),
+		it.Event = aspenshed.ProbeResult{Member: *e.Member, Outcome: outcome(*e.StateCode), Duration: aspenshed.Nanos(*e.RttNs),
 			Report: d.report(*e.Driver, e.Load)}
 	}
 	return it, nil
@@ -300,10 +300,10 @@
 		if e.State == nil {
 			return nil, missing(at + "state")
 		}
-		m := aspenshed.Member{ID: *e.Member, Group: e.Cluster, Zone: e.Az, Size: 1,
+		m := aspenshed.Member{ID: *e.Member, Group: e.Cluster, Zone: e.Az, Weight: 1,
 			StartedAt: aspenshed.Nanos(e.UpSinceNs), Primary: e.Leader == 1}
 		if e.Units != nil && *e.Units > 0 {
-			m.Size = *e.Units
+			m.Weight = *e.Units
 		}
 		switch *e.State {
 		case "U":
@@ -311,7 +311,7 @@
 		case "L":
 			m.State = aspenshed.Draining
 		case "D":
-			m.State = aspenshed.Gone
+			m.State = aspenshed.Removed
 		default:
 			return nil, &FieldError{at + "state", "unknown value"}
 		}
@@ -321,16 +321,16 @@
 }
 
 var outcomes = map[string]aspenshed.Outcome{
-	"delivered": aspenshed.Served, "app_error": aspenshed.Errored, "shed": aspenshed.Full, "expired": aspenshed.TimedOut,
-	"dial_failed": aspenshed.NoLink, "dropped": aspenshed.LinkBroke, "revoked": aspenshed.Cancelled, "unused": aspenshed.NotSent,
-	"empty": aspenshed.Turned,
+	"delivered": aspenshed.Served, "app_error": aspenshed.ErrorResponse, "shed": aspenshed.Overloaded, "expired": aspenshed.TimedOut,
+	"dial_failed": aspenshed.ConnectFailed, "dropped": aspenshed.ConnectionLost, "revoked": aspenshed.Cancelled, "unused": aspenshed.NotSent,
+	"empty": aspenshed.Ineligible,
 }
 
 func outcome(code string) aspenshed.Outcome {
 	if o, ok := outcomes[code]; ok {
 		return o
 	}
-	return aspenshed.Unknown
+	return aspenshed.UnknownOutcome
 }
 
 func (d *Decoder) report(driver int64, load map[string]*float64) aspenshed.Report {
@@ -343,10 +343,10 @@
 		r.HasRole, r.Primary = true, *v == 1
 	}
 	if v := load["backlog"]; v != nil {
-		r.HasWaiting, r.Waiting = true, *v
+		r.HasQueued, r.Queued = true, *v
 	}
 	if v := load["outstanding"]; v != nil {
-		r.HasHeld, r.Held = true, *v
+		r.HasInFlight, r.InFlight = true, *v
 	}
 	return r
 }
@@ -450,43 +450,43 @@
 	}
 	l, f, ru := w.Limits, w.FamilyInfo, w.Rules
 	s := aspenshed.Settings{
-		Routers: max(w.Balancers, 1), Rank: w.Rank, Zone: w.Zone, Quantum: aspenshed.Nanos(w.QuantumNs),
-		OverShareWorth: w.OverShareWorth, AskDiscovery: w.Discovery == "on_request",
-		AskWithin: aspenshed.Nanos(ru.AskWithinNs), ListTellsRole: f.ListRole == "late" || f.ListRole == "start",
-		PositionZero: aspenshed.Nanos(f.BaseTimeNs), AnswersPosition: f.TellsPosition,
-		AnswersReport: w.Telemetry.Source == "answers", Remember: f.TokenMode == "remembered",
-		MembersCheck: f.Checks == "wait" || f.Checks == "refuse", CheckWait: aspenshed.Nanos(f.WaitNs),
-		MayProbe: l.Probes, MayCancel: l.Cancelling, MayCopy: l.ParallelTries, RetryAdvice: l.RetryAfter,
-		MaxAttempts: l.SendCap, MaxRetryIn: aspenshed.Nanos(l.MaxRetryAfterNs),
-		ConnectTimeout: aspenshed.Nanos(l.ConnectTimeoutNs), IdleClose: aspenshed.Nanos(l.IdleCloseNs), AnswerSlack: aspenshed.Nanos(ru.AnswerSlackNs),
-		DrainGrace: aspenshed.Nanos(ru.DrainGraceNs), RemovalIsSoft: ru.RemovalNotBinding,
-		StartCapacity: ru.StartCapacity, ColdFor: aspenshed.Nanos(ru.ColdNs), FallMultiple: ru.FallMultiple,
-		FallFor: aspenshed.Nanos(ru.FallNs), PriceProbe: w.Prices["probe"], PriceCrossZone: w.Prices["crossZone"],
-		PriceWaste: w.Prices["waste"], PriceLateFail: w.Prices["lateFail"],
-		Unknown: unknownKeys(tree, reflect.TypeOf(w), ""),
+		Routers: max(w.Balancers, 1), Rank: w.Rank, Zone: w.Zone, MinStepInterval: aspenshed.Nanos(w.QuantumNs),
+		OverQuotaValue: w.OverShareWorth, WatchDiscovery: w.Discovery == "on_request",
+		NotifiedAfter: aspenshed.Nanos(ru.AskWithinNs), ListHasRoles: f.ListRole == "late" || f.ListRole == "start",
+		PositionEpoch: aspenshed.Nanos(f.BaseTimeNs), ResponsesHavePosition: f.TellsPosition,
+		ResponsesHaveReport: w.Telemetry.Source == "answers", TrackSessionWrites: f.TokenMode == "remembered",
+		MembersCheckStaleness: f.Checks == "wait" || f.Checks == "refuse", StalenessCheckWait: aspenshed.Nanos(f.WaitNs),
+		MayProbe: l.Probes, MayCancel: l.Cancelling, MayHedge: l.ParallelTries, SendRetryAfter: l.RetryAfter,
+		MaxAttempts: l.SendCap, MaxRetryAfter: aspenshed.Nanos(l.MaxRetryAfterNs),
+		ConnectTimeout: aspenshed.Nanos(l.ConnectTimeoutNs), IdleTimeout: aspenshed.Nanos(l.IdleCloseNs), ResponseSlack: aspenshed.Nanos(ru.AnswerSlackNs),
+		DrainGrace: aspenshed.Nanos(ru.DrainGraceNs), RemovalIsAdvisory: ru.RemovalNotBinding,
+		InitialCapacity: ru.StartCapacity, WarmUpTime: aspenshed.Nanos(ru.ColdNs), OverloadFactor: ru.FallMultiple,
+		OverloadWindow: aspenshed.Nanos(ru.FallNs), ProbeCost: w.Prices["probe"], CrossZoneCost: w.Prices["crossZone"],
+		WastedWorkCost: w.Prices["waste"], LateFailureCost: w.Prices["lateFail"],
+		UnknownKeys: unknownKeys(tree, reflect.TypeOf(w), ""),
 	}
 	for _, c := range w.Telemetry.Columns {
 		if !columns[c] {
-			s.Unknown = append(s.Unknown, "report column "+c)
+			s.UnknownKeys = append(s.UnknownKeys, "report column "+c)
 		}
 	}
-	effects := map[string]aspenshed.Effect{"free": aspenshed.Safe, "guarded": aspenshed.Keyed, "single_shot": aspenshed.Unsafe}
-	needs := map[string]aspenshed.Need{"any": aspenshed.AnyData, "bounded": aspenshed.Bounded, "session": aspenshed.OwnWrites,
-		"fresh": aspenshed.AllWrites, "write": aspenshed.WriteToIt}
-	scopes := map[string]aspenshed.Scope{"all": aspenshed.ScopeAll, "zone": aspenshed.ScopeZone, "cell": aspenshed.ScopeGroup}
+	effects := map[string]aspenshed.RetrySafety{"free": aspenshed.Safe, "guarded": aspenshed.Deduplicated, "single_shot": aspenshed.Unsafe}
+	needs := map[string]aspenshed.Consistency{"any": aspenshed.Eventual, "bounded": aspenshed.BoundedStaleness, "session": aspenshed.ReadYourWrites,
+		"fresh": aspenshed.Linearizable, "write": aspenshed.Write}
+	scopes := map[string]aspenshed.DedupScope{"all": aspenshed.DedupAll, "zone": aspenshed.DedupZone, "cell": aspenshed.DedupGroup}
 	for i, c := range w.Classes {
-		k := aspenshed.Class{Name: c.Name, Aim: aspenshed.Nanos(c.AimNs), GiveUp: aspenshed.Nanos(c.GiveUpNs), Worth: c.Worth,
-			LateWorth: c.LateWorth, Effect: effects[c.Effect], RepeatWindow: aspenshed.Nanos(c.RepeatWindowNs)}
+		k := aspenshed.Class{Name: c.Name, LatencyTarget: aspenshed.Nanos(c.AimNs), ClientTimeout: aspenshed.Nanos(c.GiveUpNs), Value: c.Worth,
+			LateValue: c.LateWorth, RetrySafety: effects[c.Effect], DedupWindow: aspenshed.Nanos(c.RepeatWindowNs)}
 		if sc, ok := scopes[c.Group]; ok {
-			k.RepeatScope = sc
+			k.DedupScope = sc
 		} else if c.Effect == "guarded" {
-			k.Effect = 0
+			k.RetrySafety = 0
 		}
 		if i < len(f.ReadLevel) {
-			k.Need = needs[f.ReadLevel[i]]
+			k.Consistency = needs[f.ReadLevel[i]]
 		}
 		if i < len(f.LagAllowedNs) {
-			k.Bound = aspenshed.Nanos(f.LagAllowedNs[i])
+			k.MaxStaleness = aspenshed.Nanos(f.LagAllowedNs[i])
 		}
 		s.Classes = append(s.Classes, k)
 	}
--- a/internal/protocol/simwire/wire_test.go
+++ b/internal/protocol/simwire/wire_test.go
@@ -31,11 +31,11 @@
 		t.Fatalf("%+v", b)
 	}
 	s := st.Settings
-	if s.Classes[0].Need != aspenshed.Bounded || s.Classes[0].Bound != 7 || s.Classes[1].Effect != aspenshed.Unsafe || !s.Remember ||
-		!s.MembersCheck || !s.AskDiscovery || s.MaxAttempts != 3 || !s.MayProbe || s.PositionZero != 1000 {
+	if s.Classes[0].Consistency != aspenshed.BoundedStaleness || s.Classes[0].MaxStaleness != 7 || s.Classes[1].RetrySafety != aspenshed.Unsafe || !s.TrackSessionWrites ||
+		!s.MembersCheckStaleness || !s.WatchDiscovery || s.MaxAttempts != 3 || !s.MayProbe || s.PositionEpoch != 1000 {
 		t.Errorf("%+v", s)
 	}
-	got := strings.Join(s.Unknown, ",")
+	got := strings.Join(s.UnknownKeys, ",")
 	if got != "brandNew,familyInfo.novel,report column heat" {
 		t.Errorf("unknown: %s", got)
 	}
@@ -52,12 +52,12 @@
 {"op":"abandoned","driver":0,"ticket":"t"},{"op":"timer","driver":0,"label":"s"},{"op":"sync","driver":0,"scope":"broken"},
 {"op":"down","driver":0}]}`)
 	want := []aspenshed.Event{
-		aspenshed.Request{ID: "t", Class: 1, Group: 11, Tenant: 2, Session: "k", Remaining: 9, SinceCommit: 412500000, Repeat: true},
-		aspenshed.Answer{ID: "t", Attempt: 1, Member: "m", Outcome: aspenshed.Turned, Over: true, Took: 8, Role: aspenshed.RoleReplica,
+		aspenshed.Request{ID: "t", Class: 1, Group: 11, Tenant: 2, Session: "k", Remaining: 9, SinceCommit: 412500000, IsRetry: true},
+		aspenshed.AttemptResult{ID: "t", Attempt: 1, Member: "m", Outcome: aspenshed.Ineligible, Final: true, Duration: 8, Role: aspenshed.RoleReplica,
 			Position: 1000 + 6371*1e6, Report: aspenshed.Report{HasPosition: true, Position: 1000 + 6204000000, HasRole: true,
-				HasWaiting: true, Waiting: 3}},
-		aspenshed.Probed{Member: "m", Outcome: aspenshed.Unknown, Took: 4},
-		aspenshed.Left{ID: "t"}, aspenshed.Woke{Label: "s"}, aspenshed.DiscoveryBroke{}, nil,
+				HasQueued: true, Queued: 3}},
+		aspenshed.ProbeResult{Member: "m", Outcome: aspenshed.UnknownOutcome, Duration: 4},
+		aspenshed.RequestWithdrawn{ID: "t"}, aspenshed.TimerFired{Label: "s"}, aspenshed.DiscoveryFailed{}, nil,
 	}
 	if len(b.Items) != len(want) {
 		t.Fatalf("%d items, want %d", len(b.Items), len(want))
@@ -80,10 +80,10 @@
 {"op":"list","list":0,"entries":[{"member":"b","state":"L"},{"member":"c","state":"D"}]},
 {"op":"sync","driver":1,"scope":"patch","gen":2,"list":0}]}`)
 	first, second := b.Items[0].Event.(aspenshed.MemberList), b.Items[1].Event.(aspenshed.MemberList)
-	if first.Members[0] != (aspenshed.Member{ID: "a", State: aspenshed.Up, Size: 2, Primary: true, Group: 3, Zone: 1, StartedAt: 4}) || !first.Remnant || !first.Whole {
+	if first.Members[0] != (aspenshed.Member{ID: "a", State: aspenshed.Up, Weight: 2, Primary: true, Group: 3, Zone: 1, StartedAt: 4}) || !first.Cached || !first.Complete {
 		t.Errorf("%+v", first)
 	}
-	if len(second.Members) != 2 || second.Members[0].State != aspenshed.Draining || second.Members[1].State != aspenshed.Gone || second.Whole {
+	if len(second.Members) != 2 || second.Members[0].State != aspenshed.Draining || second.Members[1].State != aspenshed.Removed || second.Complete {
 		t.Errorf("%+v", second)
 	}
 }
@@ -116,9 +116,9 @@
 
 func TestReplies(t *testing.T) {
 	got := string(AppendReply(nil, []Directed{
-		{3, aspenshed.Send{ID: "t", Member: "m:1", GiveUpAt: 9}}, {3, aspenshed.Refuse{ID: "t", RetryIn: 5}}, {3, aspenshed.Fail{ID: "t"}},
-		{3, aspenshed.Cancel{ID: "t", Attempt: 2}}, {3, aspenshed.Wake{After: 7, Label: "s"}}, {3, aspenshed.Probe{Member: "m"}},
-		{3, aspenshed.ClosePool{Member: "m"}}, {3, aspenshed.Watch{}}, {3, aspenshed.Note{Text: "a \"b\"\n"}},
+		{3, aspenshed.Send{ID: "t", Member: "m:1", Deadline: 9}}, {3, aspenshed.Refuse{ID: "t", RetryAfter: 5}}, {3, aspenshed.Fail{ID: "t"}},
+		{3, aspenshed.Cancel{ID: "t", Attempt: 2}}, {3, aspenshed.SetTimer{After: 7, Label: "s"}}, {3, aspenshed.Probe{Member: "m"}},
+		{3, aspenshed.CloseIdleConnections{Member: "m"}}, {3, aspenshed.Watch{}}, {3, aspenshed.LogMessage{Text: "a \"b\"\n"}},
 	}, []Fault{{4, "boom"}}))
 	want := `{"do":[{"op":"attempt","driver":3,"ticket":"t","abandonAtNs":9,"member":"m:1"},` +
 		`{"op":"bounce","driver":3,"ticket":"t","retryInNs":5},{"op":"finishError","driver":3,"ticket":"t"},` +
--- a/random_test.go
+++ b/random_test.go
@@ -41,7 +41,7 @@
 	t.Helper()
 	rnd := rand.New(rand.NewSource(seed))
 	s := shapes[seed/2%2]()
-	s.MayCopy, s.Remember = seed%2 == 0, seed%3 == 0
+	s.MayHedge, s.TrackSessionWrites = seed%2 == 0, seed%3 == 0
 	r, err := New(s, uint64(seed))
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +58,7 @@
 	}
 	for g := 1; g <= 2; g++ {
 		for i := 0; i < 4; i++ {
-			add(Member{ID: fmt.Sprintf("m%d%d", g, i), Group: g, Zone: i % 2, Size: 1 + float64(i%2), State: Up})
+			add(Member{ID: fmt.Sprintf("m%d%d", g, i), Group: g, Zone: i % 2, Weight: 1 + float64(i%2), State: Up})
 		}
 	}
 	primary := map[int]*fake{1: fakes["m11"], 2: fakes["m20"]}
@@ -69,14 +69,14 @@
 	var told []*fake
 	commits := map[string]Nanos{}
 	now := 50 * sec
-	events := []Event{MemberList{Whole: true, Remnant: true}}
+	events := []Event{MemberList{Complete: true, Cached: true}}
 	for _, n := range names {
 		l := events[0].(MemberList)
 		l.Members = append(l.Members, fakes[n].Member)
 		events[0] = l
 	}
 	report := func(f *fake) Report {
-		return Report{HasPosition: true, Position: f.pos, HasRole: true, Primary: primary[f.Group] == f, HasWaiting: true}
+		return Report{HasPosition: true, Position: f.pos, HasRole: true, Primary: primary[f.Group] == f, HasQueued: true}
 	}
 	for tick := 0; tick < 4000; tick++ {
 		now += 5 * ms
@@ -116,11 +116,11 @@
 		for i := rnd.Intn(4); i > 0; i-- {
 			q := Request{ID: fmt.Sprint("r", len(clients)), Class: rnd.Intn(6), Group: 1 + rnd.Intn(2),
 				Session: fmt.Sprint("s", rnd.Intn(5)), Remaining: Nanos(100+rnd.Intn(1500)) * ms}
-			if rnd.Intn(2) == 0 && !s.Remember {
+			if rnd.Intn(2) == 0 && !s.TrackSessionWrites {
 				q.SinceCommit = Nanos(rnd.Intn(800)) * ms
 			}
 			c := &client{Request: q, at: now}
-			if s.Remember {
+			if s.TrackSessionWrites {
 				c.commitBy = commits[fmt.Sprint(q.Group, q.Session)]
 			} else if q.SinceCommit > 0 {
 				c.commitBy = now - q.SinceCommit
@@ -136,8 +136,8 @@
 				continue
 			}
 			f.ended = true
-			a := Answer{ID: f.id, Attempt: f.n, Member: f.m.ID, Outcome: f.outcome, Took: now - f.at}
-			if f.outcome == Served || f.outcome == Turned || f.outcome == Full || f.outcome == Errored {
+			a := AttemptResult{ID: f.id, Attempt: f.n, Member: f.m.ID, Outcome: f.outcome, Duration: now - f.at}
+			if f.outcome == Served || f.outcome == Ineligible || f.outcome == Overloaded || f.outcome == ErrorResponse {
 				a.Role, a.Report = RoleReplica, report(f.m)
 				if primary[f.m.Group] == f.m {
 					a.Role = RolePrimary
@@ -146,17 +146,17 @@
 				}
 			}
 			if f.outcome == Served {
-				a.Over = true
-				if s.Classes[c.Class].Need == WriteToIt {
+				a.Final = true
+				if s.Classes[c.Class].Consistency == Write {
 					a.Position = now
 					commits[fmt.Sprint(c.Group, c.Session)] = now
 				}
-				if !s.MayCopy || c.final == 0 { // of two copies answered in one batch the client gets the first
+				if !s.MayHedge || c.final == 0 { // of two copies answered in one batch the client gets the first
 					c.final++
 				}
 			}
 			if c.final > 0 {
-				a.Over = true
+				a.Final = true
 			}
 			events = append(events, a)
 		}
@@ -174,18 +174,18 @@
 					if !x.ended {
 						out++
 					}
-					proved := x.ended && x.outcome.neverRan()
-					if k.Effect == Unsafe && !proved {
+					proved := x.ended && x.outcome.notExecuted()
+					if k.RetrySafety == Unsafe && !proved {
 						t.Fatalf("seed %d: unsafe %s sent again", seed, a.ID)
 					}
-					if k.Effect == Keyed && !proved && (now >= x.at+k.RepeatWindow || x.m.Group != f.Group) {
+					if k.RetrySafety == Deduplicated && !proved && (now >= x.at+k.DedupWindow || x.m.Group != f.Group) {
 						t.Fatalf("seed %d: keyed %s sent outside its window", seed, a.ID)
 					}
 				}
 				switch {
 				case c.final > 0:
 					t.Fatalf("seed %d: %s sent after its final answer", seed, a.ID)
-				case out > 0 && !s.MayCopy:
+				case out > 0 && !s.MayHedge:
 					t.Fatalf("seed %d: two attempts of %s out", seed, a.ID)
 				case f.Group != c.Group:
 					t.Fatalf("seed %d: %s left its group", seed, a.ID)
@@ -195,14 +195,14 @@
 					t.Fatalf("seed %d: too many attempts", seed)
 				}
 				excused := primary[f.Group] == f || (f.wasPrimary && !f.toldReplic)
-				stale := k.Need == Bounded && !excused && f.pos < now-k.Bound || k.Need == OwnWrites && !excused && f.pos < c.commitBy
-				if stale && (!s.MembersCheck || f.StartedAt > 0 && now < f.StartedAt+s.ColdFor) {
+				stale := k.Consistency == BoundedStaleness && !excused && f.pos < now-k.MaxStaleness || k.Consistency == ReadYourWrites && !excused && f.pos < c.commitBy
+				if stale && (!s.MembersCheckStaleness || f.StartedAt > 0 && now < f.StartedAt+s.WarmUpTime) {
 					t.Fatalf("seed %d: read of class %s from %s, %d ms old, needs %d", seed, k.Name, f.ID, (now-f.pos)/ms, (now-c.commitBy)/ms)
 				}
-				if k.Need == AllWrites && !excused {
+				if k.Consistency == Linearizable && !excused {
 					t.Fatalf("seed %d: fresh read from replica %s at tick %d, %+v", seed, f.ID, tick, r.members[f.ID])
 				}
-				if f.StartedAt > 0 && now < f.StartedAt+s.FallFor {
+				if f.StartedAt > 0 && now < f.StartedAt+s.OverloadWindow {
 					if f.load = append(f.load, now); float64(len(f.load)) > 60 {
 						t.Fatalf("seed %d: %d sends in the first second of cold %s", seed, len(f.load), f.ID)
 					}
@@ -211,10 +211,10 @@
 				switch {
 				case f.hung:
 					x.due, x.outcome = c.at+c.Remaining, TimedOut
-				case stale, k.Need == WriteToIt && primary[f.Group] != f:
-					x.due, x.outcome = now+ms, Turned
+				case stale, k.Consistency == Write && primary[f.Group] != f:
+					x.due, x.outcome = now+ms, Ineligible
 				case rnd.Intn(12) == 0:
-					x.outcome = []Outcome{Full, NoLink, LinkBroke, Errored}[rnd.Intn(4)]
+					x.outcome = []Outcome{Overloaded, ConnectFailed, ConnectionLost, ErrorResponse}[rnd.Intn(4)]
 				}
 				if x.due >= c.at+c.Remaining {
 					x.due, x.outcome = c.at+c.Remaining, TimedOut
@@ -224,7 +224,7 @@
 				c := clients[a.ID]
 				c.final++
 				for _, x := range c.flights {
-					if s.Classes[c.Class].Effect != Safe && !(x.ended && x.outcome.neverRan()) {
+					if s.Classes[c.Class].RetrySafety != Safe && !(x.ended && x.outcome.notExecuted()) {
 						t.Fatalf("seed %d: %s refused though it may have run", seed, a.ID)
 					}
 				}
@@ -238,9 +238,9 @@
 				}
 			case Probe:
 				if f := fakes[a.Member]; f.hung {
-					events = append(events, Probed{Member: f.ID, Outcome: TimedOut})
+					events = append(events, ProbeResult{Member: f.ID, Outcome: TimedOut})
 				} else {
-					events = append(events, Probed{Member: f.ID, Outcome: Served, Report: report(f)})
+					events = append(events, ProbeResult{Member: f.ID, Outcome: Served, Report: report(f)})
 				}
 			}
 		}
@@ -253,7 +253,7 @@
 			if c.final > 1 {
 				t.Fatalf("seed %d: %s got %d final answers", seed, c.ID, c.final)
 			}
-			if now > c.at+c.Remaining+s.AnswerSlack && c.final == 0 {
+			if now > c.at+c.Remaining+s.ResponseSlack && c.final == 0 {
 				t.Fatalf("seed %d: %s got no answer in time", seed, c.ID)
 			}
 			if now <= c.at+c.Remaining+sec {
--- a/router.go
+++ b/router.go
@@ -70,16 +70,16 @@
 	r := &Router{s: s, rng: seed*2 + 1, members: map[string]*member{}, groups: map[int]*group{},
 		reqs: map[string]*request{}, minBound: 400 * ms, budget: 2, dropped: -0.5,
 		firstTry: make([]patience, len(s.Classes)), seen: make([]float64, len(s.Classes))}
-	r.s.Quantum, r.s.IdleClose = max(r.s.Quantum, ms), cmp.Or(s.IdleClose, 3600*1000*ms)
-	r.safeIdle = r.s.IdleClose
+	r.s.MinStepInterval, r.s.IdleTimeout = max(r.s.MinStepInterval, ms), cmp.Or(s.IdleTimeout, 3600*1000*ms)
+	r.safeIdle = r.s.IdleTimeout
 	for i, c := range s.Classes {
-		if c.Effect < Safe || c.Effect > Unsafe || c.Need < AnyData || c.Need > WriteToIt {
+		if c.RetrySafety < Safe || c.RetrySafety > Unsafe || c.Consistency < Eventual || c.Consistency > Write {
 			return nil, errors.New("aspenshed: class " + c.Name + ": unknown effect or need")
 		}
-		if c.Need == Bounded {
-			r.minBound = min(r.minBound, c.Bound)
+		if c.Consistency == BoundedStaleness {
+			r.minBound = min(r.minBound, c.MaxStaleness)
 		}
-		r.typ, r.seen[i] = append(r.typ, float64(c.Aim)/4), 1/learn // one quick answer is not typical
+		r.typ, r.seen[i] = append(r.typ, float64(c.LatencyTarget)/4), 1/learn // one quick answer is not typical
 	}
 	if len(s.Classes) == 0 {
 		return nil, errors.New("aspenshed: no classes")
@@ -95,28 +95,28 @@
 	if !r.born {
 		r.born = true
 		r.callAt = r.turn(r.s.DrainGrace * 3 / 4) // what an old list lacks may count as known
-		for _, u := range r.s.Unknown {
-			r.do(Note{"setting not understood: " + u})
+		for _, u := range r.s.UnknownKeys {
+			r.do(LogMessage{"setting not understood: " + u})
 		}
 	}
 	for _, e := range events {
 		switch e := e.(type) {
 		case MemberList:
 			r.list(e)
-		case DiscoveryBroke:
+		case DiscoveryFailed:
 			r.callFailed(e)
 		case Request:
 			r.arrive(e)
-		case Answer:
+		case AttemptResult:
 			r.answer(e)
-		case Left:
+		case RequestWithdrawn:
 			r.over(r.reqs[e.ID])
-		case Probed:
+		case ProbeResult:
 			r.probed(e)
-		case ColdShare:
+		case SlowStartShare:
 			r.agreed(e)
-		case Woke: // maybe a little early, as timers are rounded
-			if r.wakeAt <= r.now+r.s.Quantum {
+		case TimerFired: // maybe a little early, as timers are rounded
+			if r.wakeAt <= r.now+r.s.MinStepInterval {
 				r.wakeAt = 0
 			}
 		}
@@ -128,7 +128,7 @@
 // ---- discovery ----
 
 func (r *Router) list(e MemberList) {
-	if !e.Remnant {
+	if !e.Cached {
 		r.callAt, r.retryCycle = 0, 0
 	}
 	seen := map[string]bool{}
@@ -136,7 +136,7 @@
 		seen[x.ID] = true
 		m := r.members[x.ID]
 		if m == nil {
-			if x.State == Gone {
+			if x.State == Removed {
 				continue
 			}
 			g := r.group(x.Group)
@@ -150,10 +150,10 @@
 		}
 		was := m.Primary
 		m.Member = x
-		m.Size = max(x.Size, 0.01)
+		m.Weight = max(x.Weight, 0.01)
 		m.g.trusted = m.g.trusted && (x.State == Up || m != m.g.primary)
 		// The list's word on roles is old: it only says whom to ask first.
-		if r.s.ListTellsRole && x.Primary && (!was || m.g.primary == nil) && m.g.primary != m {
+		if r.s.ListHasRoles && x.Primary && (!was || m.g.primary == nil) && m.g.primary != m {
 			m.g.toHead(m)
 			if m.g.primary == nil && m.State == Up {
 				// Nothing better is known. A write at the wrong one is turned away untouched, and costs less
@@ -166,8 +166,8 @@
 		}
 	}
 	for _, m := range r.all {
-		if e.Whole && !seen[m.ID] && m.State != Gone && !(r.s.RemovalIsSoft && m.State == Up) {
-			m.State, m.g.trusted = Gone, m.g.trusted && m.g.primary != m
+		if e.Complete && !seen[m.ID] && m.State != Removed && !(r.s.RemovalIsAdvisory && m.State == Up) {
+			m.State, m.g.trusted = Removed, m.g.trusted && m.g.primary != m
 		}
 	}
 	r.forgetGone()
@@ -175,20 +175,20 @@
 
 // callFailed plans the next call to discovery after one that failed or a watch that ended. However it failed,
 // a change counts as known knownAfter later and binds DrainGrace after that: the next call is over by then.
-func (r *Router) callFailed(e DiscoveryBroke) {
+func (r *Router) callFailed(e DiscoveryFailed) {
 	switch {
-	case e.Unreached:
+	case e.Unreachable:
 		r.callAt = r.now + Nanos(float64(leastRetry)*(1+2*r.random()))
 	case r.callAt == 0: // a watch ended, as it may for a whole fleet at once
-		r.callAt = r.turn(cmp.Or(e.Heard, r.now) + r.callWithin() - r.now)
+		r.callAt = r.turn(cmp.Or(e.LastHeard, r.now) + r.callWithin() - r.now)
 	default:
-		r.callAt = r.retryAt(cmp.Or(e.Heard, r.calledAt) + r.callWithin())
+		r.callAt = r.retryAt(cmp.Or(e.LastHeard, r.calledAt) + r.callWithin())
 	}
 }
 
 // callWithin is the time from a call, or from a watch's last line, within which the next call has to begin.
 func (r *Router) callWithin() Nanos {
-	return max(min(knownAfter, r.s.AskWithin)+r.s.DrainGrace-callDuration, leastRetry)
+	return max(min(knownAfter, r.s.NotifiedAfter)+r.s.DrainGrace-callDuration, leastRetry)
 }
 
 // retryAt is when this router's slot comes in a cycle that the fleet shares, as all clocks agree: few calls,
@@ -281,7 +281,7 @@
 	}
 	if p != m {
 		if p != nil {
-			r.do(ClosePool{p.ID})
+			r.do(CloseIdleConnections{p.ID})
 		}
 		g.primary = m
 		// Of its cold budget nothing: what all routers may send to a replica would now come at once.
@@ -299,15 +299,15 @@
 	r.do(Probe{m.ID})
 }
 
-func (r *Router) probed(e Probed) {
+func (r *Router) probed(e ProbeResult) {
 	m := r.members[e.Member]
 	if m == nil {
 		return
 	}
 	m.probing = false
-	r.probeTime += Nanos(learn * float64(e.Took-r.probeTime))
+	r.probeTime += Nanos(learn * float64(e.Duration-r.probeTime))
 	switch {
-	case m.cuts == 1 && e.Outcome == LinkBroke: // the probe was cut too: still no word from the member
+	case m.cuts == 1 && e.Outcome == ConnectionLost: // the probe was cut too: still no word from the member
 		m.cuts, m.g.askedAt = 2, r.now
 		r.probe(m)
 		return
@@ -335,13 +335,13 @@
 
 // fresh tells whether m is known to hold all that q needs, if sent now.
 func (r *Router) fresh(q *request, m *member) bool {
-	switch q.c.Need {
-	case Bounded:
-		return m.pos >= r.now-q.c.Bound+safetyGap
-	case OwnWrites:
+	switch q.c.Consistency {
+	case BoundedStaleness:
+		return m.pos >= r.now-q.c.MaxStaleness+safetyGap
+	case ReadYourWrites:
 		return q.need == 0 || m.pos >= q.need
 	}
-	return q.c.Need == AnyData
+	return q.c.Consistency == Eventual
 }
 
 // ---- member health ----
@@ -373,20 +373,20 @@
 	m.lastReply, m.ban, m.bannedTill, m.cuts = r.now, 0, 0, 0
 	r.seen[c] = min(r.seen[c]+1, 2/learn)
 	r.typ[c] += (took - r.typ[c]) / r.seen[c]
-	m.lately += r.weight(m) * (took/float64(r.s.Classes[c].Aim) - m.lately)
+	m.lately += r.weight(m) * (took/float64(r.s.Classes[c].LatencyTarget) - m.lately)
 	r.paced(m, took/r.typ[c])
 	m.failing -= learn * m.failing
 	if g := m.g; m == g.primary { // sparing the primary: reads join its own work only while that stays quick
-		if g.spill = min(1, g.spill+spillUp); took >= spillPart*float64(r.s.Classes[c].Aim) {
+		if g.spill = min(1, g.spill+spillUp); took >= spillPart*float64(r.s.Classes[c].LatencyTarget) {
 			g.spill = max(spillUp, (g.spill-spillUp)*(1-3*spillUp))
 		}
 	}
 	r.losing -= learn / 2 * r.losing
-	m.strain += learn * (took/float64(r.s.Classes[c].Aim) - m.strain)
+	m.strain += learn * (took/float64(r.s.Classes[c].LatencyTarget) - m.strain)
 	if m.ease = min(m.ease*easeUp, easeMost); m.lately > spillPart {
 		m.ease = 1
 	}
-	r.feel(m, took/float64(r.s.Classes[c].Aim))
+	r.feel(m, took/float64(r.s.Classes[c].LatencyTarget))
 	switch {
 	case m.strain > aimPart:
 		r.narrow(m, shrink)
@@ -417,7 +417,7 @@
 // room is the chance of a bounded read to go to the primary before a replica is asked how far it is: where
 // probes are dear, as far as the primary is quick.
 func (r *Router) room(g *group) float64 {
-	if r.s.PriceProbe < dearProbe {
+	if r.s.ProbeCost < dearProbe {
 		return 0
 	}
 	return (roomUpTo - g.primary.lately) / (roomUpTo - roomFrom)
@@ -436,15 +436,15 @@
 
 // cost compares members: expected crowding for their size, slowness, failures and the zone.
 func (r *Router) cost(m *member, q *request) float64 {
-	c := (1 + max(float64(m.out), m.waiting)) / m.Size * m.pace / math.Pow(1.05-m.failing, 2)
-	if q.c.Need != AnyData { // the nearer to the primary's data, the sooner fresh
+	c := (1 + max(float64(m.out), m.waiting)) / m.Weight * m.pace / math.Pow(1.05-m.failing, 2)
+	if q.c.Consistency != Eventual { // the nearer to the primary's data, the sooner fresh
 		c *= 1 + float64(m.heardAt-m.pos)/float64(r.minBound)
 		if m.heardAt == 0 && r.cold(m) { // a copy that is seconds old
 			c *= 5
 		}
 	}
 	if m.Zone != r.s.Zone {
-		c *= 1 + farCost*r.s.PriceCrossZone
+		c *= 1 + farCost*r.s.CrossZoneCost
 	}
 	if slices.ContainsFunc(q.tries, func(a *attempt) bool { return a.m == m }) {
 		c *= 4
@@ -472,7 +472,7 @@
 // listed among equals: they may stop its log, so all routers leave the others fresh, and crowd no single one.
 func (r *Router) longOnes(q *request, from []*member) []*member {
 	few := max(1, (len(q.g.order)-1)/2) // of all: where most are cold, not all on the one that is warm
-	if q.c.Need != AnyData || r.typ[q.Class] < longRead*slices.Min(r.typ) || len(from) <= few {
+	if q.c.Consistency != Eventual || r.typ[q.Class] < longRead*slices.Min(r.typ) || len(from) <= few {
 		return from
 	}
 	from = slices.Clone(from)
@@ -487,7 +487,7 @@
 	if r.now < q.notBefore {
 		return nil
 	}
-	if q.c.Need >= AllWrites {
+	if q.c.Consistency >= Linearizable {
 		if g.trusted && p != nil && float64(p.out) < p.win && r.mayAttempt(q, p) {
 			return p
 		}
@@ -510,7 +510,7 @@
 			suspects = append(suspects, m)
 		case float64(m.out) >= m.win: // full for now, but well
 			full = true
-		case q.c.Need == Bounded && m.heardAt-m.pos > q.c.Bound && r.now < m.heardAt+r.minBound/4: // behind
+		case q.c.Consistency == BoundedStaleness && m.heardAt-m.pos > q.c.MaxStaleness && r.now < m.heardAt+r.minBound/4: // behind
 		case r.fresh(q, m):
 			known = append(known, m)
 		default:
@@ -519,11 +519,11 @@
 	}
 	spare := g.trusted && p != nil && float64(p.out) < p.win/2 && !r.banned(p) && !r.cold(p) &&
 		p.lately < roomUpTo && r.mayAttempt(q, p)
-	if q.c.Need == Bounded && len(known) == 0 && spare && q.roll < r.room(g) {
+	if q.c.Consistency == BoundedStaleness && len(known) == 0 && spare && q.roll < r.room(g) {
 		return p
-	} else if q.c.Need != AnyData {
+	} else if q.c.Consistency != Eventual {
 		most := 1 - len(known)
-		if r.askMore >= 1 && len(known) < 2 && r.s.PriceProbe < dearProbe { // a choice of two, if not dear
+		if r.askMore >= 1 && len(known) < 2 && r.s.ProbeCost < dearProbe { // a choice of two, if not dear
 			r.askMore--
 			most++
 		}
@@ -535,14 +535,14 @@
 	if len(known) > 0 {
 		return r.twoChoices(q, r.longOnes(q, known))
 	}
-	if asked && r.now < q.arrived+q.c.Aim/8 {
+	if asked && r.now < q.arrived+q.c.LatencyTarget/8 {
 		return nil // an answer is on its way that may show a fresh replica
 	}
 	g.wantedAt = r.now
 	if spare && q.roll < g.spill {
 		return p
 	}
-	if len(other) == 0 && !full && q.c.Need == AnyData { // never all members out at once
+	if len(other) == 0 && !full && q.c.Consistency == Eventual { // never all members out at once
 		other = suspects
 	}
 	return r.twoChoices(q, other)
@@ -578,7 +578,7 @@
 	asks := mostAsks
 	if !q.g.trusted { // all positions stand still until there is a primary
 		asks = 1
-	} else if r.s.PriceProbe >= dearProbe {
+	} else if r.s.ProbeCost >= dearProbe {
 		asks--
 	}
 	for ; most > 0 && len(from) > 0 && q.asks < asks && r.s.MayProbe; most-- {
@@ -599,25 +599,25 @@
 	case q.done || r.now >= q.deadline, // rule 1: nothing after the final answer
 		m.g != q.g, m.State != Up, // the group; rule 3: drains and the gone
 		r.s.MaxAttempts > 0 && len(q.tries) >= r.s.MaxAttempts,
-		q.out > 0 && (!r.s.MayCopy || q.c.Effect == Unsafe), // no second copy
-		r.cold(m) && !r.coldRoom(q, m):                      // rule 4
+		q.out > 0 && (!r.s.MayHedge || q.c.RetrySafety == Unsafe), // no second copy
+		r.cold(m) && !r.coldRoom(q, m):                            // rule 4
 		return false
 	}
 	if slices.ContainsFunc(q.tries, func(a *attempt) bool { return a.m == m && !a.ended }) {
 		return false
 	}
 	for _, a := range q.mayHaveRun { // rule 2
-		if q.c.Effect == Unsafe || q.c.Effect == Keyed && (r.now >= a.at+q.c.RepeatWindow ||
-			q.c.RepeatScope == ScopeZone && a.m.Zone != m.Zone) {
+		if q.c.RetrySafety == Unsafe || q.c.RetrySafety == Deduplicated && (r.now >= a.at+q.c.DedupWindow ||
+			q.c.DedupScope == DedupZone && a.m.Zone != m.Zone) {
 			return false
 		}
 	}
 	primary := m == m.g.primary && m.g.trusted
-	switch q.c.Need { // rule 5
-	case WriteToIt, AllWrites:
+	switch q.c.Consistency { // rule 5
+	case Write, Linearizable:
 		return primary
-	case Bounded, OwnWrites: // what a cold member turns away pushes it over too: it must be known as fresh
-		return primary || r.fresh(q, m) || r.s.MembersCheck && !r.cold(m)
+	case BoundedStaleness, ReadYourWrites: // what a cold member turns away pushes it over too: it must be known as fresh
+		return primary || r.fresh(q, m) || r.s.MembersCheckStaleness && !r.cold(m)
 	}
 	return true
 }
@@ -631,7 +631,7 @@
 	for _, g := range r.gs {
 		w := r.answered(g)
 		if p := g.primary; p != nil && p.State == Up && !r.cold(p) { // the busiest, and members are alike
-			w = max(w, r.rateOf(p)/p.Size)
+			w = max(w, r.rateOf(p)/p.Weight)
 			g.warm *= 1 - dt/coldMemory // without one there is nothing newer to go by
 		}
 		if g.warm = max(w, g.warm); g.warm > 0 {
@@ -642,10 +642,10 @@
 	least := r.rate / (rateOver*r.known + 1e-9) * r.usual / r.size()
 	for _, m := range r.all {
 		if r.cold(m) {
-			part := r.s.StartCapacity + (1-r.s.StartCapacity)*float64(r.now-m.coldFrom)/float64(r.s.ColdFor)
-			part = min(max(part, r.s.StartCapacity), 1) * m.Size * r.coldPart(m)
-			part *= coldShare * r.s.FallMultiple * max(m.g.warm, m.agreed.Rate, otherWarm*common/known, least)
-			if most := part * float64(r.s.FallFor) / 1e9; most >= r.usual { // enough for whole requests
+			part := r.s.InitialCapacity + (1-r.s.InitialCapacity)*float64(r.now-m.coldFrom)/float64(r.s.WarmUpTime)
+			part = min(max(part, r.s.InitialCapacity), 1) * m.Weight * r.coldPart(m)
+			part *= coldShare * r.s.OverloadFactor * max(m.g.warm, m.agreed.WorkRate, otherWarm*common/known, least)
+			if most := part * float64(r.s.OverloadWindow) / 1e9; most >= r.usual { // enough for whole requests
 				m.coldBudget, m.coldChance = min(m.coldBudget+dt*part, most), 0
 			} else { // saved up, parts of one would be one of every router at once: a chance at each draw
 				m.coldBudget, m.coldChance = 0, part/r.wantedOf(m)
@@ -663,11 +663,11 @@
 	}
 	c, g := &r.s.Classes[e.Class], r.group(e.Group)
 	q := &request{Request: e, c: c, g: g, roll: r.random(), arrived: r.now,
-		deadline: r.now + e.Remaining, aimAt: r.now + c.Aim}
+		deadline: r.now + e.Remaining, aimAt: r.now + c.LatencyTarget}
 	r.rate++
 	r.usual += learn / 2 * (r.work(q) - r.usual)
 	r.draw(q)
-	r.askMore = min(r.askMore+morePoints/max(r.s.PriceProbe, 1e-3), 3)
+	r.askMore = min(r.askMore+morePoints/max(r.s.ProbeCost, 1e-3), 3)
 	r.budget = min(retryBurst, 2+retryShare*r.rate, r.budget+retryShare) // quiet routers must save up little
 	if q.need = g.tokens[e.Session]; q.need == 0 {
 		q.need = g.floor
@@ -682,10 +682,10 @@
 	} else if u.votes -= 0.5; u.votes < 0 {
 		*u = patience{e.Remaining, 1}
 	} else if u.votes >= 3 {
-		q.aimAt -= max(c.GiveUp-e.Remaining, 0)
+		q.aimAt -= max(c.ClientTimeout-e.Remaining, 0)
 	}
 	r.reqs[e.ID] = q
-	if c.LateWorth == 0 && r.now >= q.aimAt-c.Aim/8 || r.lucky(q) == nil && r.random() >= r.admit(q) {
+	if c.LateValue == 0 && r.now >= q.aimAt-c.LatencyTarget/8 || r.lucky(q) == nil && r.random() >= r.admit(q) {
 		r.finish(q)
 		return
 	}
@@ -697,7 +697,7 @@
 // near the aim whatever the excess: at n times the capacity they settle at the cube root of n.
 func (r *Router) admit(q *request) float64 {
 	strain := (q.g.strain + r.strain) / 2
-	if q.c.Need >= AllWrites && q.g.primary != nil {
+	if q.c.Consistency >= Linearizable && q.g.primary != nil {
 		strain = min(q.g.primary.strain, q.g.primary.lately)
 	}
 	quick := easy + 0.1*min(1, r.rate/rateOver/busy) // busy routers have their windows
@@ -722,11 +722,11 @@
 	}
 	r.flying = append(r.flying, a)
 	x := Send{ID: q.ID, Member: m.ID, Attempt: a.n} // rules 5 and 2 bind when it leaves
-	if q.c.Need == Bounded && m != q.g.primary && !r.s.MembersCheck {
-		x.LeaveBy = m.pos + q.c.Bound - safetyGap
+	if q.c.Consistency == BoundedStaleness && m != q.g.primary && !r.s.MembersCheckStaleness {
+		x.SendBy = m.pos + q.c.MaxStaleness - safetyGap
 	}
-	if q.c.Effect == Keyed && len(q.mayHaveRun) > 1 { // the first is the oldest
-		x.LeaveBy = min(cmp.Or(x.LeaveBy, math.MaxInt64), q.mayHaveRun[0].at+q.c.RepeatWindow-safetyGap)
+	if q.c.RetrySafety == Deduplicated && len(q.mayHaveRun) > 1 { // the first is the oldest
+		x.SendBy = min(cmp.Or(x.SendBy, math.MaxInt64), q.mayHaveRun[0].at+q.c.DedupWindow-safetyGap)
 	}
 	r.do(x)
 }
@@ -740,7 +740,7 @@
 	}
 	if idle = max(r.now-m.free[n-1], 1); idle > r.safeIdle && m.setup <= slowSetup*r.typ[0] {
 		m.free = nil
-		r.do(ClosePool{m.ID})
+		r.do(CloseIdleConnections{m.ID})
 		return 0
 	}
 	m.free = m.free[:n-1]
@@ -752,11 +752,11 @@
 func (r *Router) silent(a *attempt) {
 	if a.m.doubt = a.idle; a.idle > 0 && a.m.setup <= slowSetup*r.typ[0] {
 		a.m.doubtAt, a.m.free = r.now, nil
-		r.do(ClosePool{a.m.ID})
+		r.do(CloseIdleConnections{a.m.ID})
 	}
 }
 
-func (r *Router) answer(e Answer) {
+func (r *Router) answer(e AttemptResult) {
 	q := r.reqs[e.ID]
 	if q == nil || e.Attempt < 0 || e.Attempt >= len(q.tries) || q.tries[e.Attempt].ended {
 		return
@@ -766,70 +766,70 @@
 	if !a.lost {
 		a.m.out--
 	}
-	idle := e.Outcome.neverRan()
+	idle := e.Outcome.notExecuted()
 	if idle {
 		q.mayHaveRun = slices.DeleteFunc(q.mayHaveRun, func(x *attempt) bool { return x == a })
 	}
-	if e.Outcome == Unknown {
-		r.do(Note{"outcome not understood: taken as one that may have run"})
+	if e.Outcome == UnknownOutcome {
+		r.do(LogMessage{"outcome not understood: taken as one that may have run"})
 	}
 	r.observe(a, e)
-	if q.done || e.Over || e.Outcome == Served {
+	if q.done || e.Final || e.Outcome == Served {
 		r.over(q)
 		return
 	} else if q.out > 0 {
 		return
 	}
-	if e.Outcome == NotSent || r.now >= q.deadline-r.s.Quantum || !idle && q.c.Effect == Unsafe ||
-		e.Outcome != Turned && r.budget < 1 || r.s.MaxAttempts > 0 && len(q.tries) >= r.s.MaxAttempts {
+	if e.Outcome == NotSent || r.now >= q.deadline-r.s.MinStepInterval || !idle && q.c.RetrySafety == Unsafe ||
+		e.Outcome != Ineligible && r.budget < 1 || r.s.MaxAttempts > 0 && len(q.tries) >= r.s.MaxAttempts {
 		r.finish(q)
 		return
 	}
 	if !idle {
 		r.budget--
-	} else if e.Outcome != Turned { // a connection and a rejection cost work too
+	} else if e.Outcome != Ineligible { // a connection and a rejection cost work too
 		r.budget -= 0.5
 	}
-	if len(q.tries) > 1 || e.Outcome == Full {
+	if len(q.tries) > 1 || e.Outcome == Overloaded {
 		q.notBefore = r.now + Nanos(float64(len(q.tries))*(0.5+r.random())*float64(10*ms))
 	}
 	r.place(q)
 }
 
 // observe learns from an attempt's end.
-func (r *Router) observe(a *attempt, e Answer) {
+func (r *Router) observe(a *attempt, e AttemptResult) {
 	m, q := a.m, a.q
 	r.report(m, e.Report)
 	if e.Role != RoleUnknown { // answered: its connection is free
 		m.free = append(m.free, r.now)
 		r.role(m, e.Role == RolePrimary, r.now)
 	}
-	if q.c.Need != WriteToIt {
+	if q.c.Consistency != Write {
 		m.pos = max(m.pos, e.Position-safetyGap)
 	}
 	if (e.Outcome == TimedOut || e.Outcome == Cancelled) && (a.idle == 0 || r.dropped < 0) && // no dead link,
 		!a.lost && (!r.banned(m) || !r.well(q.g)) { // nor one sick member of a group that has others
 		r.feel(m, 1)
 	}
-	if (e.Outcome == TimedOut || e.Outcome == Cancelled || e.Outcome == Full) && !a.lost {
-		r.late(m, max(1, float64(e.Took)/float64(q.c.Aim)))
+	if (e.Outcome == TimedOut || e.Outcome == Cancelled || e.Outcome == Overloaded) && !a.lost {
+		r.late(m, max(1, float64(e.Duration)/float64(q.c.LatencyTarget)))
 	}
 	switch e.Outcome {
 	case Served:
-		r.linkShown(a, e.Took)
-		if r.s.Remember && q.Session != "" && q.c.Need == WriteToIt {
+		r.linkShown(a, e.Duration)
+		if r.s.TrackSessionWrites && q.Session != "" && q.c.Consistency == Write {
 			q.g.remember(q.Session, cmp.Or(e.Position, r.now))
 		}
 		m.served += a.work
-		r.healthy(m, float64(e.Took), q.Class)
-	case Turned:
+		r.healthy(m, float64(e.Duration), q.Class)
+	case Ineligible:
 		m.lastReply = r.now
-		if q.c.Need == WriteToIt && m == m.g.primary {
+		if q.c.Consistency == Write && m == m.g.primary {
 			m.g.denied = r.now
 			r.distrust(m)
 		}
-	case Full, Errored: // a hung member turns work away at its door: that is no sign of life
-		if r.narrow(m, overflow); e.Outcome == Errored {
+	case Overloaded, ErrorResponse: // a hung member turns work away at its door: that is no sign of life
+		if r.narrow(m, overflow); e.Outcome == ErrorResponse {
 			m.lastReply = r.now
 		} else {
 			r.feel(m, 1.5)
@@ -837,16 +837,16 @@
 		if m.failing += learn * (1 - m.failing); m.failing > 0.4 {
 			r.suspect(m)
 		}
-	case NoLink, LinkBroke, TimedOut, Unknown:
+	case ConnectFailed, ConnectionLost, TimedOut, UnknownOutcome:
 		if e.Outcome == TimedOut {
 			r.silent(a)
 		}
-		if e.Outcome == NoLink {
-			m.setup = max(m.setup, float64(e.Took))
+		if e.Outcome == ConnectFailed {
+			m.setup = max(m.setup, float64(e.Duration))
 		}
 		m.failing += learn * (1 - m.failing)
 		r.distrust(m)
-		if e.Outcome == LinkBroke {
+		if e.Outcome == ConnectionLost {
 			r.broke(m)
 			break
 		}
@@ -854,7 +854,7 @@
 			r.losing += learn / 2 * (1 - r.losing) // others were answered meanwhile: lost, if many are so
 		}
 		if e.Outcome == TimedOut && !a.lost && r.s.Routers > smallFleet {
-			r.paced(m, float64(e.Took)/r.typ[q.Class])
+			r.paced(m, float64(e.Duration)/r.typ[q.Class])
 		}
 		if r.losing < lossShare && !a.lost {
 			m.strain += learn * (2 - m.strain)
@@ -862,7 +862,7 @@
 		if m.strain > aimPart && !a.lost {
 			r.narrow(m, overflow)
 		}
-		if e.Outcome == NoLink && e.Took < r.s.ConnectTimeout/2 && r.s.MayProbe && !m.gone {
+		if e.Outcome == ConnectFailed && e.Duration < r.s.ConnectTimeout/2 && r.s.MayProbe && !m.gone {
 			m.gone, m.goneAt = true, r.now
 		}
 		if e.Outcome != TimedOut {
@@ -873,10 +873,10 @@
 
 // finish gives the final answer: a refusal where a repeat does no harm, else a failure.
 func (r *Router) finish(q *request) {
-	if q.c.Effect == Safe || len(q.mayHaveRun) == 0 || q.c.Effect == Keyed && q.c.RepeatScope == ScopeAll {
+	if q.c.RetrySafety == Safe || len(q.mayHaveRun) == 0 || q.c.RetrySafety == Deduplicated && q.c.DedupScope == DedupAll {
 		x := Refuse{ID: q.ID}
-		if r.s.RetryAdvice {
-			x.RetryIn = Nanos(float64(r.s.MaxRetryIn) * (0.5 + r.random()/2)) // not all at once
+		if r.s.SendRetryAfter {
+			x.RetryAfter = Nanos(float64(r.s.MaxRetryAfter) * (0.5 + r.random()/2)) // not all at once
 		}
 		r.do(x)
 	} else {
@@ -892,7 +892,7 @@
 	}
 	q.done = true
 	for _, a := range q.tries {
-		if !a.ended && !a.cancelled && r.s.MayCancel && q.c.Effect == Safe {
+		if !a.ended && !a.cancelled && r.s.MayCancel && q.c.RetrySafety == Safe {
 			a.cancelled = true
 			r.do(Cancel{q.ID, a.n})
 		}
@@ -907,7 +907,7 @@
 func (r *Router) sweep() {
 	r.next = r.now + idleWake
 	r.fade()
-	if r.s.AskDiscovery && r.callAt > 0 {
+	if r.s.WatchDiscovery && r.callAt > 0 {
 		if r.now >= r.callAt {
 			r.calledAt, r.callAt = r.now, r.now+r.callWithin() // if nothing comes of this one
 			r.do(Watch{})
@@ -921,7 +921,7 @@
 	r.release()
 	if r.wakeAt <= r.now || r.next < r.wakeAt {
 		r.wakeAt = r.next
-		r.do(Wake{r.next - r.now, "sweep"})
+		r.do(SetTimer{r.next - r.now, "sweep"})
 	}
 }
 
@@ -949,14 +949,14 @@
 		if !r.banned(a.m) { // a lone attempt without an answer, at a member that answers others
 			patience *= silentAfter / 2 * max(1, a.m.pace)
 		}
-		if q.done || a.cancelled || q.c.Effect != Safe || r.now >= q.aimAt || q.out > 1 || r.budget < 1 ||
+		if q.done || a.cancelled || q.c.RetrySafety != Safe || r.now >= q.aimAt || q.out > 1 || r.budget < 1 ||
 			!r.banned(a.m) && !a.lost && r.losing < lossShare {
 			continue
 		}
 		if r.wake(max(a.at+Nanos(patience), r.now+holdEvery)); float64(r.now-a.at) < patience {
 			continue
 		}
-		if r.s.MayCopy {
+		if r.s.MayHedge {
 			if m := r.pick(q); m != nil && m != a.m {
 				r.budget--
 				r.send(q, m)
@@ -973,19 +973,19 @@
 	now := r.held
 	r.held = nil
 	for _, q := range now { // worth for expected work
-		if q.worth = q.c.Worth / r.typ[q.Class]; r.now > q.aimAt {
-			q.worth *= q.c.LateWorth
+		if q.worth = q.c.Value / r.typ[q.Class]; r.now > q.aimAt {
+			q.worth *= q.c.LateValue
 		}
 	}
 	slices.SortStableFunc(now, func(a, b *request) int { return cmp.Compare(b.worth, a.worth) })
 	for _, q := range now {
 		q.held = false
 		last := q.deadline
-		if q.c.LateWorth == 0 {
+		if q.c.LateValue == 0 {
 			last = min(last, q.aimAt)
 		}
-		last -= max(2*r.s.Quantum, Nanos(r.typ[q.Class]))  // later it would only be wasted work
-		if q.c.LateWorth < heldBack && len(q.tries) == 0 { // a client left waiting for nothing costs that
+		last -= max(2*r.s.MinStepInterval, Nanos(r.typ[q.Class])) // later it would only be wasted work
+		if q.c.LateValue < heldBack && len(q.tries) == 0 {        // a client left waiting for nothing costs that
 			last = min(last, q.arrived+q.Remaining/2-2*holdEvery)
 		}
 		switch {
@@ -993,7 +993,7 @@
 		case r.now >= last && q.out == 0:
 			r.finish(q)
 		default:
-			if r.now >= q.drawn+r.s.FallFor {
+			if r.now >= q.drawn+r.s.OverloadWindow {
 				r.draw(q)
 			}
 			if r.place(q); q.held {
--- a/router_test.go
+++ b/router_test.go
@@ -20,16 +20,16 @@
 const sec = 1000 * ms
 
 func testSettings() Settings {
-	class := func(name string, n Need, e Effect) Class {
-		return Class{Name: name, Need: n, Effect: e, Bound: 300 * ms, Aim: 400 * ms, GiveUp: 2 * sec, Worth: 1,
-			LateWorth: 0.5, RepeatWindow: 500 * ms, RepeatScope: ScopeGroup}
+	class := func(name string, n Consistency, e RetrySafety) Class {
+		return Class{Name: name, Consistency: n, RetrySafety: e, MaxStaleness: 300 * ms, LatencyTarget: 400 * ms, ClientTimeout: 2 * sec, Value: 1,
+			LateValue: 0.5, DedupWindow: 500 * ms, DedupScope: DedupGroup}
 	}
 	return Settings{
-		Routers: 3, Quantum: 5 * ms, ListTellsRole: true, MayProbe: true, MayCancel: true, RetryAdvice: true,
-		MaxAttempts: 4, MaxRetryIn: sec, AnswerSlack: 10 * ms, DrainGrace: 250 * ms, StartCapacity: 0.2,
-		ColdFor: 10 * sec, FallMultiple: 2, FallFor: sec, AskWithin: 10 * sec, PriceProbe: 0.01,
-		Classes: []Class{class("any", AnyData, Safe), class("bounded", Bounded, Safe), class("session", OwnWrites, Safe),
-			class("fresh", AllWrites, Safe), class("write", WriteToIt, Unsafe), class("keyed", AnyData, Keyed)},
+		Routers: 3, MinStepInterval: 5 * ms, ListHasRoles: true, MayProbe: true, MayCancel: true, SendRetryAfter: true,
+		MaxAttempts: 4, MaxRetryAfter: sec, ResponseSlack: 10 * ms, DrainGrace: 250 * ms, InitialCapacity: 0.2,
+		WarmUpTime: 10 * sec, OverloadFactor: 2, OverloadWindow: sec, NotifiedAfter: 10 * sec, ProbeCost: 0.01,
+		Classes: []Class{class("any", Eventual, Safe), class("bounded", BoundedStaleness, Safe), class("session", ReadYourWrites, Safe),
+			class("fresh", Linearizable, Safe), class("write", Write, Unsafe), class("keyed", Eventual, Deduplicated)},
 	}
 }
 
@@ -50,9 +50,9 @@
 	return &rig{t: t, r: r, now: 100 * sec}
 }
 
-func up(id string) Member { return Member{ID: id, Group: 1, Size: 1, State: Up} }
+func up(id string) Member { return Member{ID: id, Group: 1, Weight: 1, State: Up} }
 
-func whole(ms ...Member) MemberList { return MemberList{Whole: true, Members: ms} }
+func whole(ms ...Member) MemberList { return MemberList{Complete: true, Members: ms} }
 
 func (g *rig) step(after Nanos, events ...Event) []Action {
 	g.now += after
@@ -62,15 +62,15 @@
 // settled starts a router whose group 1 has primary a and replicas b and c, all heard of just now.
 func settled(t *testing.T, s Settings) *rig {
 	g := newRig(t, s)
-	g.step(0, MemberList{Whole: true, Remnant: true, Members: []Member{up("a"), up("b"), up("c")}})
+	g.step(0, MemberList{Complete: true, Cached: true, Members: []Member{up("a"), up("b"), up("c")}})
 	g.hear(0)
 	return g
 }
 
 // hear gives a report of each member: a is the primary, the replicas lag behind by lag.
 func (g *rig) hear(lag Nanos) []Action {
-	rep := func(id string, primary bool, at Nanos) Probed {
-		return Probed{Member: id, Outcome: Served, Took: ms,
+	rep := func(id string, primary bool, at Nanos) ProbeResult {
+		return ProbeResult{Member: id, Outcome: Served, Duration: ms,
 			Report: Report{HasPosition: true, Position: at, HasRole: true, Primary: primary}}
 	}
 	return g.step(ms, rep("a", true, g.now+ms), rep("b", false, g.now+ms-lag), rep("c", false, g.now+ms-lag))
@@ -111,8 +111,8 @@
 func TestNewRejectsSettingsItCannotServe(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"no classes":     func(s *Settings) { s.Classes = nil },
-		"unknown effect": func(s *Settings) { s.Classes[0].Effect = 0 },
-		"unknown need":   func(s *Settings) { s.Classes[0].Need = 99 },
+		"unknown effect": func(s *Settings) { s.Classes[0].RetrySafety = 0 },
+		"unknown need":   func(s *Settings) { s.Classes[0].Consistency = 99 },
 	} {
 		s := testSettings()
 		spoil(&s)
@@ -133,7 +133,7 @@
 
 func TestRoundGoesInListOrderAndFoundPrimaryHeads(t *testing.T) {
 	g := newRig(t, testSettings())
-	acts := g.step(0, MemberList{Whole: true, Remnant: true, Members: []Member{up("a"), up("b"), up("c")}})
+	acts := g.step(0, MemberList{Complete: true, Cached: true, Members: []Member{up("a"), up("b"), up("c")}})
 	if count[Probe](acts) != 0 {
 		t.Fatalf("probed though nothing wants the primary: %v", acts)
 	}
@@ -144,7 +144,7 @@
 	if n := len(sends(acts)); n != 0 {
 		t.Fatal("a write went out before a primary was found")
 	}
-	acts = g.step(ms, Probed{Member: "a", Outcome: Served, Report: Report{HasRole: true, HasPosition: true, Position: g.now}})
+	acts = g.step(ms, ProbeResult{Member: "a", Outcome: Served, Report: Report{HasRole: true, HasPosition: true, Position: g.now}})
 	if count[Probe](acts) != 1 || acts[0] != (Probe{"b"}) {
 		t.Fatalf("second probe: %v", acts)
 	}
@@ -154,7 +154,7 @@
 	if acts = g.step(100 * ms); count[Probe](acts) != 1 {
 		t.Fatalf("third member not asked after the time-out: %v", acts)
 	}
-	acts = g.step(ms, Probed{Member: "c", Outcome: Served, Report: Report{HasRole: true, Primary: true, HasPosition: true, Position: g.now}})
+	acts = g.step(ms, ProbeResult{Member: "c", Outcome: Served, Report: Report{HasRole: true, Primary: true, HasPosition: true, Position: g.now}})
 	if got := g.sentTo(acts); got != "c" {
 		t.Fatalf("held write went to %s", got)
 	}
@@ -164,20 +164,20 @@
 }
 
 func TestBrokenLinkDistrustsHoldsAndClosesOldPool(t *testing.T) {
-	for _, o := range []Outcome{LinkBroke, NoLink, TimedOut, Turned} {
+	for _, o := range []Outcome{ConnectionLost, ConnectFailed, TimedOut, Ineligible} {
 		g := settled(t, testSettings())
 		q := g.request(writeClass)
 		g.sentTo(g.step(0, q))
-		acts := g.step(ms, Answer{ID: q.ID, Member: "a", Outcome: o, Role: map[Outcome]Role{Turned: RoleReplica}[o]})
+		acts := g.step(ms, AttemptResult{ID: q.ID, Member: "a", Outcome: o, Role: map[Outcome]Role{Ineligible: RoleReplica}[o]})
 		if count[Probe](acts) == 0 {
 			t.Errorf("outcome %d: no round began", o)
 		}
 		if n := len(sends(g.step(0, g.request(writeClass)))); n != 0 {
 			t.Errorf("outcome %d: a write was not held", o)
 		}
-		acts = g.step(ms, Probed{Member: "b", Outcome: Served,
+		acts = g.step(ms, ProbeResult{Member: "b", Outcome: Served,
 			Report: Report{HasRole: true, Primary: true, HasPosition: true, Position: g.now + ms}})
-		if count[ClosePool](acts) != 1 {
+		if count[CloseIdleConnections](acts) != 1 {
 			t.Errorf("outcome %d: old pool not closed: %v", o, acts)
 		}
 		for _, s := range sends(acts) {
@@ -190,13 +190,13 @@
 
 // Rule 2, over every outcome and effect: what may follow the first attempt.
 func TestOutcomesAndEffects(t *testing.T) {
-	proved := map[Outcome]bool{Full: true, NoLink: true, NotSent: true, Turned: true}
-	for class, effect := range map[int]Effect{anyClass: Safe, writeClass: Unsafe, keyedClass: Keyed} {
-		for o := Served; o <= Unknown; o++ {
+	proved := map[Outcome]bool{Overloaded: true, ConnectFailed: true, NotSent: true, Ineligible: true}
+	for class, effect := range map[int]RetrySafety{anyClass: Safe, writeClass: Unsafe, keyedClass: Deduplicated} {
+		for o := Served; o <= UnknownOutcome; o++ {
 			g := settled(t, testSettings())
 			q := g.request(class)
 			first := g.sentTo(g.step(0, q))
-			acts := g.step(10*ms, Answer{ID: q.ID, Member: first, Outcome: o, Over: o == Served, Took: 10 * ms})
+			acts := g.step(10*ms, AttemptResult{ID: q.ID, Member: first, Outcome: o, Final: o == Served, Duration: 10 * ms})
 			for i := 0; i < 500 && count[Fail](acts)+count[Refuse](acts) == 0; i++ {
 				acts = append(acts, g.step(5*ms)...)
 			}
@@ -210,7 +210,7 @@
 				if again+refused != 0 || failed != 1 {
 					t.Errorf("unsafe after outcome %d: %d sends, %d refusals, %d failures", o, again, refused, failed)
 				}
-			case effect == Keyed && !proved[o]:
+			case effect == Deduplicated && !proved[o]:
 				if refused != 0 {
 					t.Errorf("keyed after outcome %d: refused outside its scope", o)
 				}
@@ -226,7 +226,7 @@
 	g := settled(t, testSettings())
 	q := g.request(keyedClass)
 	first := g.sentTo(g.step(0, q))
-	acts := g.step(600*ms, Answer{ID: q.ID, Member: first, Outcome: LinkBroke})
+	acts := g.step(600*ms, AttemptResult{ID: q.ID, Member: first, Outcome: ConnectionLost})
 	for i := 0; i < 400; i++ {
 		acts = append(acts, g.step(5*ms)...)
 	}
@@ -237,7 +237,7 @@
 
 func TestOneFinalAnswerInTimeWithoutAPrimary(t *testing.T) {
 	g := newRig(t, testSettings())
-	g.step(0, MemberList{Whole: true, Remnant: true, Members: []Member{up("a"), up("b")}})
+	g.step(0, MemberList{Complete: true, Cached: true, Members: []Member{up("a"), up("b")}})
 	q := g.request(writeClass)
 	acts := g.step(0, q)
 	for i := 0; i < 500; i++ {
@@ -257,7 +257,7 @@
 	drain.State = Draining
 	for name, news := range map[string]MemberList{
 		"draining": {Members: []Member{drain}},
-		"gone":     {Members: []Member{{ID: "b", Group: 1, State: Gone}}},
+		"gone":     {Members: []Member{{ID: "b", Group: 1, State: Removed}}},
 		"absent":   whole(up("a"), up("c")),
 	} {
 		g := settled(t, testSettings())
@@ -304,11 +304,11 @@
 	})
 	t.Run("remembered", func(t *testing.T) {
 		s := testSettings()
-		s.Remember = true
+		s.TrackSessionWrites = true
 		g := settled(t, s)
 		w := g.request(writeClass)
 		g.step(0, w)
-		g.step(10*ms, Answer{ID: w.ID, Member: "a", Outcome: Served, Over: true, Took: 10 * ms, Role: RolePrimary, Position: g.now + 8*ms})
+		g.step(10*ms, AttemptResult{ID: w.ID, Member: "a", Outcome: Served, Final: true, Duration: 10 * ms, Role: RolePrimary, Position: g.now + 8*ms})
 		for _, x := range sends(append(g.step(ms, g.request(sessionClass)), g.step(30*ms)...)) {
 			if x.Member != "a" {
 				t.Errorf("went to %s before it was known to have the write", x.Member)
@@ -335,7 +335,7 @@
 		q := g.request(anyClass)
 		for _, s := range sends(g.step(5*ms, q)) {
 			n[s.Member]++
-			g.step(0, Answer{ID: s.ID, Member: s.Member, Outcome: Served, Over: true, Took: 20 * ms, Role: RoleReplica})
+			g.step(0, AttemptResult{ID: s.ID, Member: s.Member, Outcome: Served, Final: true, Duration: 20 * ms, Role: RoleReplica})
 		}
 		if i == 199 && n["d"] > n["b"]/2 {
 			t.Errorf("in its first second the cold member got %d, a warm one %d", n["d"], n["b"])
@@ -354,7 +354,7 @@
 			if s.Member == "b" {
 				n++
 			} else {
-				g.step(0, Answer{ID: s.ID, Member: s.Member, Outcome: Served, Over: true, Took: 20 * ms, Role: RoleReplica})
+				g.step(0, AttemptResult{ID: s.ID, Member: s.Member, Outcome: Served, Final: true, Duration: 20 * ms, Role: RoleReplica})
 			}
 		}
 	}
@@ -372,7 +372,7 @@
 		m := up(to)
 		m.State = state
 		g.step(ms, MemberList{Members: []Member{m}})
-		acts := g.step(ms, Answer{ID: q.ID, Member: to, Outcome: LinkBroke})
+		acts := g.step(ms, AttemptResult{ID: q.ID, Member: to, Outcome: ConnectionLost})
 		if n := count[Probe](acts); n > 0 != (state == Up) {
 			t.Errorf("state %d: %d probes of a member whose link broke", state, n)
 		}
@@ -388,7 +388,7 @@
 		tried bool
 	}{{true, 2 * sec, false}, {true, 100 * ms, true}, {false, 2 * sec, true}} {
 		s := testSettings()
-		s.MembersCheck, s.AnswersReport = true, true
+		s.MembersCheckStaleness, s.ResponsesHaveReport = true, true
 		g := newRig(t, s)
 		m := up("b")
 		if c.cold {
@@ -398,12 +398,12 @@
 		g.served(0, writeClass, 20*ms, RolePrimary)
 		n := 0
 		for range 40 {
-			g.step(50*ms, Probed{Member: "b", Outcome: Served, Took: ms, Report: Report{HasPosition: true, Position: g.now - c.age}})
+			g.step(50*ms, ProbeResult{Member: "b", Outcome: Served, Duration: ms, Report: Report{HasPosition: true, Position: g.now - c.age}})
 			for _, x := range sends(g.step(110*ms, g.request(boundedClass))) {
 				if x.Member == "b" {
 					n++
 				}
-				g.step(0, Answer{ID: x.ID, Member: x.Member, Outcome: Served, Over: true, Took: 10 * ms})
+				g.step(0, AttemptResult{ID: x.ID, Member: x.Member, Outcome: Served, Final: true, Duration: 10 * ms})
 			}
 		}
 		if n > 0 != c.tried {
@@ -414,12 +414,12 @@
 
 func TestDiscoveryIsAskedAgainAfterABreak(t *testing.T) {
 	s := testSettings()
-	s.AskDiscovery = true
+	s.WatchDiscovery = true
 	g := newRig(t, s)
-	if count[Watch](g.step(0, MemberList{Whole: true, Remnant: true})) != 1 {
+	if count[Watch](g.step(0, MemberList{Complete: true, Cached: true})) != 1 {
 		t.Fatal("did not subscribe at once")
 	}
-	acts := g.step(ms, DiscoveryBroke{})
+	acts := g.step(ms, DiscoveryFailed{})
 	if count[Watch](acts) != 0 {
 		t.Error("asked again without a pause")
 	}
@@ -433,16 +433,16 @@
 
 func TestUnknownThingsAreNoted(t *testing.T) {
 	s := testSettings()
-	s.Unknown = []string{"rules.brandNew"}
+	s.UnknownKeys = []string{"rules.brandNew"}
 	g := newRig(t, s)
-	if count[Note](g.step(0, whole(up("a"), up("b")))) != 1 {
+	if count[LogMessage](g.step(0, whole(up("a"), up("b")))) != 1 {
 		t.Error("an unknown settings key was not noted")
 	}
 	g = settled(t, testSettings())
 	q := g.request(writeClass)
 	g.step(0, q)
-	acts := g.step(ms, Answer{ID: q.ID, Member: "a", Outcome: Unknown})
-	if count[Note](acts) != 1 || count[Fail](acts) != 1 || count[Refuse](acts) != 0 {
+	acts := g.step(ms, AttemptResult{ID: q.ID, Member: "a", Outcome: UnknownOutcome})
+	if count[LogMessage](acts) != 1 || count[Fail](acts) != 1 || count[Refuse](acts) != 0 {
 		t.Errorf("an unknown outcome of a write: %v", acts)
 	}
 }
@@ -461,7 +461,7 @@
 		for i := 0; i < n; i++ {
 			for _, s := range sends(g.step(5*ms, g.request(anyClass))) {
 				served++
-				g.step(0, Answer{ID: s.ID, Member: s.Member, Outcome: Served, Over: true, Took: 20 * ms, Role: RoleReplica})
+				g.step(0, AttemptResult{ID: s.ID, Member: s.Member, Outcome: Served, Final: true, Duration: 20 * ms, Role: RoleReplica})
 			}
 		}
 		return
@@ -500,19 +500,19 @@
 				if g.n%6 == 0 {
 					late[a.ID] = g.now
 				} else {
-					done = append(done, Answer{ID: a.ID, Attempt: len(g.r.reqs[a.ID].tries) - 1, Member: a.Member,
-						Outcome: Served, Over: true, Took: 20 * ms, Role: RoleReplica})
+					done = append(done, AttemptResult{ID: a.ID, Attempt: len(g.r.reqs[a.ID].tries) - 1, Member: a.Member,
+						Outcome: Served, Final: true, Duration: 20 * ms, Role: RoleReplica})
 				}
 			case Cancel:
 				delete(late, a.ID)
-				done = append(done, Answer{ID: a.ID, Attempt: a.Attempt, Outcome: Cancelled})
+				done = append(done, AttemptResult{ID: a.ID, Attempt: a.Attempt, Outcome: Cancelled})
 			case Refuse:
 				delete(late, a.ID)
 			}
 		}
 		for id, at := range late {
 			if g.now >= at+1900*ms {
-				done = append(done, Answer{ID: id, Attempt: len(g.r.reqs[id].tries) - 1, Outcome: TimedOut})
+				done = append(done, AttemptResult{ID: id, Attempt: len(g.r.reqs[id].tries) - 1, Outcome: TimedOut})
 				delete(late, id)
 			}
 		}
@@ -530,7 +530,7 @@
 		for i := 0; i < 60; i++ {
 			q := g.request(writeClass)
 			for _, s := range sends(g.step(0, q)) {
-				g.step(ms, Answer{ID: s.ID, Member: s.Member, Outcome: Served, Over: true, Took: took, Role: RolePrimary})
+				g.step(ms, AttemptResult{ID: s.ID, Member: s.Member, Outcome: Served, Final: true, Duration: took, Role: RolePrimary})
 			}
 		}
 		g.step(sec) // nothing is known fresh any more
@@ -539,7 +539,7 @@
 			q := g.request(boundedClass)
 			for _, s := range sends(append(g.step(0, q), g.step(20*ms)...)) {
 				n++
-				g.step(0, Answer{ID: s.ID, Member: s.Member, Outcome: Served, Over: true, Took: took, Role: RolePrimary})
+				g.step(0, AttemptResult{ID: s.ID, Member: s.Member, Outcome: Served, Final: true, Duration: took, Role: RolePrimary})
 			}
 		}
 		if (n > 50) != want {
@@ -574,12 +574,12 @@
 		"after the deadline":    {anyClass, "b", func(g *rig, q *request) { q.deadline = g.now }, false},
 		"other group":           {anyClass, "b", func(g *rig, q *request) { q.g = g.r.group(9) }, false},
 		"draining":              {anyClass, "b", func(g *rig, _ *request) { g.r.members["b"].State = Draining }, false},
-		"gone":                  {anyClass, "b", func(g *rig, _ *request) { g.r.members["b"].State = Gone }, false},
+		"gone":                  {anyClass, "b", func(g *rig, _ *request) { g.r.members["b"].State = Removed }, false},
 		"attempts spent":        {anyClass, "b", func(g *rig, q *request) { q.tries = endedTries(g, 4) }, false},
 		"attempts left":         {anyClass, "b", func(g *rig, q *request) { q.tries = endedTries(g, 3) }, true},
 		"one already out":       {anyClass, "b", func(_ *rig, q *request) { q.out = 1 }, false},
-		"copy where allowed":    {anyClass, "b", func(g *rig, q *request) { g.r.s.MayCopy, q.out = true, 1 }, true},
-		"copy of a write":       {writeClass, "a", func(g *rig, q *request) { g.r.s.MayCopy, q.out = true, 1 }, false},
+		"copy where allowed":    {anyClass, "b", func(g *rig, q *request) { g.r.s.MayHedge, q.out = true, 1 }, true},
+		"copy of a write":       {writeClass, "a", func(g *rig, q *request) { g.r.s.MayHedge, q.out = true, 1 }, false},
 		"write may have run":    {writeClass, "a", func(g *rig, q *request) { q.mayHaveRun = endedTries(g, 1) }, false},
 		"read may have run":     {anyClass, "b", func(g *rig, q *request) { q.mayHaveRun = endedTries(g, 1) }, true},
 		"keyed in its window":   {keyedClass, "b", func(g *rig, q *request) { q.mayHaveRun = endedTries(g, 1) }, true},
@@ -611,7 +611,7 @@
 // Long reads hold up the log of the replica that has them: all go to one, the one furthest behind.
 func TestLongReadsKeepTogether(t *testing.T) {
 	s := testSettings()
-	s.Classes[anyClass].Aim = 6 * sec // expected to be long
+	s.Classes[anyClass].LatencyTarget = 6 * sec // expected to be long
 	g := settled(t, s)
 	for i := 0; i < 4; i++ {
 		if got := g.sentTo(g.step(0, g.request(anyClass))); got != "c" {
@@ -636,7 +636,7 @@
 	for {
 		all = append(all, acts...)
 		for _, a := range acts {
-			if w, ok := a.(Wake); ok {
+			if w, ok := a.(SetTimer); ok {
 				due[g.now+max(w.After, 1000)] = true
 			}
 		}
@@ -649,7 +649,7 @@
 		}
 		delete(due, next)
 		steps++
-		acts = g.step((next-g.now)/1000*1000, Woke{}) // timers are rounded down
+		acts = g.step((next-g.now)/1000*1000, TimerFired{}) // timers are rounded down
 	}
 }
 
@@ -661,7 +661,7 @@
 		q := g.request(anyClass)
 		q.Remaining = left
 		m := g.sentTo(g.step(0, q))
-		acts, _ := g.asleep(g.step(ms, Answer{ID: q.ID, Member: m, Outcome: Full}), left+5*ms)
+		acts, _ := g.asleep(g.step(ms, AttemptResult{ID: q.ID, Member: m, Outcome: Overloaded}), left+5*ms)
 		if n := count[Refuse](acts) + len(sends(acts)); n == 0 {
 			t.Errorf("%d ms left: no answer and no further attempt", left/ms)
 		}
@@ -680,7 +680,7 @@
 	g := settled(t, testSettings())
 	q := g.request(anyClass)
 	m := g.sentTo(g.step(0, q))
-	g.step(5*ms, Answer{ID: q.ID, Member: m, Outcome: Served, Over: true, Took: 5 * ms, Role: RoleReplica})
+	g.step(5*ms, AttemptResult{ID: q.ID, Member: m, Outcome: Served, Final: true, Duration: 5 * ms, Role: RoleReplica})
 	acts := g.step(5*ms, g.request(anyClass))
 	g.sentTo(acts)
 	if acts, _ = g.asleep(acts, 200*ms); count[Cancel](acts) != 0 {
@@ -695,7 +695,7 @@
 		for i := 0; i < 200; i++ {
 			for _, s := range sends(g.step(200*ms, g.request(anyClass))) {
 				n++
-				g.step(took, Answer{ID: s.ID, Member: s.Member, Outcome: outcome, Over: outcome == Served, Took: took, Role: RoleReplica})
+				g.step(took, AttemptResult{ID: s.ID, Member: s.Member, Outcome: outcome, Final: outcome == Served, Duration: took, Role: RoleReplica})
 			}
 		}
 		return
@@ -710,14 +710,14 @@
 
 func TestLateTryThatEarnsNothingIsRefusedAtOnce(t *testing.T) {
 	s := testSettings()
-	s.Classes[anyClass].LateWorth = 0
+	s.Classes[anyClass].LateValue = 0
 	g := settled(t, s)
 	var q Request
 	for _, left := range []Nanos{800 * ms, 1900 * ms, 800 * ms, 810 * ms, 790 * ms, 795 * ms, 1900 * ms, 800 * ms} {
 		q = g.request(anyClass) // first tries, and later ones that come back at once
 		q.Remaining = left
 		m := g.sentTo(g.step(0, q))
-		g.step(ms, Answer{ID: q.ID, Member: m, Outcome: Served, Over: true, Took: ms, Role: RoleReplica})
+		g.step(ms, AttemptResult{ID: q.ID, Member: m, Outcome: Served, Final: true, Duration: ms, Role: RoleReplica})
 	}
 	q = g.request(anyClass)
 	q.Remaining = sec // of two: its client has waited for a second, past the aim
@@ -729,7 +729,7 @@
 // Probes have a price: an idle group is not asked, and a read that finds nobody fresh asks one replica, not all.
 func TestProbesOnlyWhatIsWanted(t *testing.T) {
 	g := newRig(t, testSettings())
-	acts := g.step(0, MemberList{Whole: true, Remnant: true, Members: []Member{up("a"), up("b"), up("c"), up("d")}})
+	acts := g.step(0, MemberList{Complete: true, Cached: true, Members: []Member{up("a"), up("b"), up("c"), up("d")}})
 	acts, _ = g.asleep(acts, 10*sec)
 	if n := count[Probe](acts); n != 0 {
 		t.Errorf("%d probes of an idle group", n)
@@ -746,7 +746,7 @@
 func TestColdMemberUnderHundredsOfRouters(t *testing.T) {
 	const routers, members, rate = 300, 5, 3 // requests a second at each router
 	s := testSettings()
-	s.FallMultiple, s.Routers = 2.5, routers
+	s.OverloadFactor, s.Routers = 2.5, routers
 	ids := []string{"a", "b", "c", "d", "e"}
 	var list []Member
 	for _, id := range ids {
@@ -759,7 +759,7 @@
 			t.Fatal(err)
 		}
 		rs = append(rs, &rig{t: t, r: r, now: 100 * sec})
-		rs[i].step(0, MemberList{Whole: true, Remnant: true, Members: list})
+		rs[i].step(0, MemberList{Complete: true, Cached: true, Members: list})
 		rs[i].hear(0)
 	}
 	back := rs[0].now + 10*sec
@@ -778,14 +778,14 @@
 				if x.Member == "b" && now >= back {
 					at = append(at, now)
 				}
-				g.step(0, Answer{ID: x.ID, Member: x.Member, Outcome: Served, Over: true, Took: 100 * ms, Role: RoleReplica})
+				g.step(0, AttemptResult{ID: x.ID, Member: x.Member, Outcome: Served, Final: true, Duration: 100 * ms, Role: RoleReplica})
 			}
 		}
 	}
 	capacity := float64(routers*rate) / (members - 1) / 0.8 // requests a second of a warm member
-	limit := int(s.FallMultiple * s.StartCapacity * capacity * float64(s.FallFor) / 1e9)
+	limit := int(s.OverloadFactor * s.InitialCapacity * capacity * float64(s.OverloadWindow) / 1e9)
 	for i, from := 0, 0; i < len(at); i++ {
-		for at[from] < at[i]-s.FallFor {
+		for at[from] < at[i]-s.OverloadWindow {
 			from++
 		}
 		if n := i - from + 1; at[i] < back+sec && n > limit {
@@ -804,11 +804,11 @@
 	g := settled(t, s)
 	q := g.request(anyClass)
 	m := g.sentTo(g.step(0, q))
-	g.step(ms, Answer{ID: q.ID, Member: m, Outcome: NoLink, Took: ms})
+	g.step(ms, AttemptResult{ID: q.ID, Member: m, Outcome: ConnectFailed, Duration: ms})
 	for i := 0; i < 100 && !g.r.cold(g.r.members[m]); i++ {
 		for _, a := range g.step(100*ms, g.request(anyClass)) {
 			if p, ok := a.(Probe); ok && p.Member == m {
-				g.step(ms, Probed{Member: m, Outcome: Served, Took: ms})
+				g.step(ms, ProbeResult{Member: m, Outcome: Served, Duration: ms})
 			}
 		}
 	}
@@ -824,13 +824,13 @@
 		q := g.request(writeClass)
 		acts := g.step(ms, q)
 		for i := 0; i < 40 && len(sends(acts)) == 0; i++ { // a distrusted primary is asked first
-			acts = append(acts, g.step(5*ms, Probed{Member: "a", Outcome: Served,
+			acts = append(acts, g.step(5*ms, ProbeResult{Member: "a", Outcome: Served,
 				Report: Report{HasRole: true, Primary: true, HasPosition: true, Position: g.now}})...)
 		}
 		g.sentTo(acts)
-		g.step(50*ms, Answer{ID: q.ID, Member: "a", Outcome: outcome, Over: outcome == Served, Took: 50 * ms,
+		g.step(50*ms, AttemptResult{ID: q.ID, Member: "a", Outcome: outcome, Final: outcome == Served, Duration: 50 * ms,
 			Role: map[Outcome]Role{Served: RolePrimary}[outcome]})
-		return count[ClosePool](acts)
+		return count[CloseIdleConnections](acts)
 	}
 	for range 3 { // idle for 2 s: lost; on the new connection after it: answered
 		write(Served)
@@ -853,10 +853,10 @@
 	var list []Member
 	for n := range 10 {
 		for _, id := range []string{"a", "b", "c"} {
-			list = append(list, Member{ID: fmt.Sprint(id, n), Group: n, Size: 1, State: Up})
+			list = append(list, Member{ID: fmt.Sprint(id, n), Group: n, Weight: 1, State: Up})
 		}
 	}
-	g.step(0, MemberList{Whole: true, Remnant: true, Members: list})
+	g.step(0, MemberList{Complete: true, Cached: true, Members: list})
 	refused := 0
 	for i := range 60 {
 		q := g.request(anyClass)
@@ -864,7 +864,7 @@
 		acts := g.step(sec, q)
 		refused += count[Refuse](acts)
 		for _, s := range sends(acts) {
-			g.step(800*ms, Answer{ID: s.ID, Member: s.Member, Outcome: Served, Over: true, Took: 800 * ms, Role: RoleReplica})
+			g.step(800*ms, AttemptResult{ID: s.ID, Member: s.Member, Outcome: Served, Final: true, Duration: 800 * ms, Role: RoleReplica})
 		}
 	}
 	if refused < 10 {
@@ -876,13 +876,13 @@
 // client can still turn elsewhere. A write whose late answer earns more than that costs is held on.
 func TestUnsentReadIsRefusedBeforeHalfItsTime(t *testing.T) {
 	s := testSettings()
-	s.Classes[freshClass].LateWorth, s.Classes[writeClass].LateWorth = 0.2, 0.5
+	s.Classes[freshClass].LateValue, s.Classes[writeClass].LateValue = 0.2, 0.5
 	g := settled(t, s)
-	g.step(ms, MemberList{Whole: true, Members: []Member{{ID: "m1", Group: 1, Size: 1, State: Draining}}})
+	g.step(ms, MemberList{Complete: true, Members: []Member{{ID: "m1", Group: 1, Weight: 1, State: Draining}}})
 	g.step(ms, g.request(freshClass), g.request(writeClass))
 	acts, refused := []Action{}, Nanos(0)
 	for past := Nanos(0); past < sec; past += 5 * ms {
-		acts = append(acts, g.step(5*ms, Woke{"sweep"})...)
+		acts = append(acts, g.step(5*ms, TimerFired{"sweep"})...)
 		if refused == 0 && count[Refuse](acts) > 0 {
 			refused = past + 5*ms
 		}
@@ -901,18 +901,18 @@
 	for _, c := range []struct {
 		probes []Outcome
 		banned bool
-	}{{[]Outcome{Served}, false}, {[]Outcome{LinkBroke, Served}, false}, {[]Outcome{LinkBroke, LinkBroke}, true},
-		{[]Outcome{NoLink}, true}, {[]Outcome{TimedOut}, true}} {
+	}{{[]Outcome{Served}, false}, {[]Outcome{ConnectionLost, Served}, false}, {[]Outcome{ConnectionLost, ConnectionLost}, true},
+		{[]Outcome{ConnectFailed}, true}, {[]Outcome{TimedOut}, true}} {
 		g := settled(t, testSettings())
 		q := g.request(anyClass)
 		first := g.sentTo(g.step(ms, q))
 		m := g.r.members[first]
-		acts := g.step(ms, Answer{ID: q.ID, Member: first, Outcome: LinkBroke, Took: ms})
+		acts := g.step(ms, AttemptResult{ID: q.ID, Member: first, Outcome: ConnectionLost, Duration: ms})
 		for _, o := range c.probes {
 			if g.r.banned(m) || count[Probe](acts) != 1 {
 				t.Errorf("%v: banned %t, %d probes", c, g.r.banned(m), count[Probe](acts))
 			}
-			acts = g.step(ms, Probed{Member: first, Outcome: o})
+			acts = g.step(ms, ProbeResult{Member: first, Outcome: o})
 		}
 		if g.r.banned(m) != c.banned {
 			t.Errorf("%v: banned %t", c, g.r.banned(m))
@@ -927,13 +927,13 @@
 		g := settled(t, testSettings())
 		q := g.request(writeClass)
 		g.step(ms, q)
-		g.step(ms, Answer{ID: q.ID, Member: "a", Outcome: Served, Over: true, Took: ms, Role: RolePrimary})
+		g.step(ms, AttemptResult{ID: q.ID, Member: "a", Outcome: Served, Final: true, Duration: ms, Role: RolePrimary})
 		q = g.request(writeClass)
 		g.step(ms, q)
-		if g.step(ms, Answer{ID: q.ID, Member: "a", Outcome: LinkBroke, Took: ms}); g.r.groups[1].trusted {
+		if g.step(ms, AttemptResult{ID: q.ID, Member: "a", Outcome: ConnectionLost, Duration: ms}); g.r.groups[1].trusted {
 			t.Fatal("the primary is trusted after a cut")
 		}
-		g.step(ms, Probed{Member: "a", Outcome: Served, Took: ms, Report: Report{HasPosition: true, Position: g.now - 100*ms, HasRole: true, Primary: primary}})
+		g.step(ms, ProbeResult{Member: "a", Outcome: Served, Duration: ms, Report: Report{HasPosition: true, Position: g.now - 100*ms, HasRole: true, Primary: primary}})
 		if g.r.groups[1].trusted != trusted || !g.r.members["a"].saysPrimary {
 			t.Errorf("report says primary %t: trusted %t", primary, g.r.groups[1].trusted)
 		}
@@ -944,7 +944,7 @@
 func TestBoundedReadSaysByWhenItMustLeave(t *testing.T) {
 	g := settled(t, testSettings())
 	for class, want := range map[int]Nanos{anyClass: 0, boundedClass: g.r.members["b"].pos + 300*ms - safetyGap} {
-		if s := sends(g.step(ms, g.request(class))); len(s) != 1 || s[0].LeaveBy != want {
+		if s := sends(g.step(ms, g.request(class))); len(s) != 1 || s[0].SendBy != want {
 			t.Errorf("class %d: %+v, want by %d", class, s, want)
 		}
 	}
@@ -956,11 +956,11 @@
 	q := g.request(keyedClass)
 	first := g.step(ms, q)
 	began := g.now
-	if s := sends(first); len(s) != 1 || s[0].LeaveBy != 0 {
+	if s := sends(first); len(s) != 1 || s[0].SendBy != 0 {
 		t.Fatalf("the first attempt: %+v", s)
 	}
-	again := g.step(100*ms, Answer{ID: q.ID, Member: g.sentTo(first), Outcome: LinkBroke, Took: 100 * ms})
-	if s := sends(again); len(s) != 1 || s[0].LeaveBy != began+500*ms-safetyGap {
+	again := g.step(100*ms, AttemptResult{ID: q.ID, Member: g.sentTo(first), Outcome: ConnectionLost, Duration: 100 * ms})
+	if s := sends(again); len(s) != 1 || s[0].SendBy != began+500*ms-safetyGap {
 		t.Errorf("the repeat: %+v, want by %d", s, began+500*ms-safetyGap)
 	}
 }
@@ -969,19 +969,19 @@
 func TestAKeyedBoundedRepeatLeavesWithinBoth(t *testing.T) {
 	for _, window := range []Nanos{150 * ms, 5000 * ms} {
 		s := testSettings()
-		s.Classes[boundedClass].Effect, s.Classes[boundedClass].RepeatScope, s.Classes[boundedClass].RepeatWindow = Keyed, ScopeGroup, window
+		s.Classes[boundedClass].RetrySafety, s.Classes[boundedClass].DedupScope, s.Classes[boundedClass].DedupWindow = Deduplicated, DedupGroup, window
 		g := settled(t, s)
 		q := g.request(boundedClass)
 		first := g.step(ms, q)
 		began := g.now
-		again := g.step(100*ms, Answer{ID: q.ID, Member: g.sentTo(first), Outcome: LinkBroke, Took: 100 * ms})
+		again := g.step(100*ms, AttemptResult{ID: q.ID, Member: g.sentTo(first), Outcome: ConnectionLost, Duration: 100 * ms})
 		x := sends(again)
 		if len(x) != 1 {
 			t.Fatalf("the repeat: %+v", again)
 		}
 		want := g.r.members[x[0].Member].pos + 300*ms - safetyGap
-		if want = min(want, began+window-safetyGap); x[0].LeaveBy != want {
-			t.Errorf("window %d: to leave by %d, want %d", window, x[0].LeaveBy, want)
+		if want = min(want, began+window-safetyGap); x[0].SendBy != want {
+			t.Errorf("window %d: to leave by %d, want %d", window, x[0].SendBy, want)
 		}
 	}
 }
@@ -992,10 +992,10 @@
 	last := "c"
 	for i := range 200 {
 		q, next, left := g.request(anyClass), up(fmt.Sprint("n", i)), up(last)
-		left.State = Gone
+		left.State = Removed
 		to := g.sentTo(g.step(ms, q))
 		g.step(ms, MemberList{Members: []Member{next, left}})
-		g.step(ms, Answer{ID: q.ID, Member: to, Outcome: Served, Over: true})
+		g.step(ms, AttemptResult{ID: q.ID, Member: to, Outcome: Served, Final: true})
 		g.hear(0)
 		last = next.ID
 	}
@@ -1015,7 +1015,7 @@
 	for range 60 {
 		q := g.request(writeClass)
 		if acts := g.step(100*ms, q); len(sends(acts)) == 1 {
-			g.step(390*ms, Answer{ID: q.ID, Member: "a", Outcome: Served, Over: true, Took: 390 * ms, Role: RolePrimary})
+			g.step(390*ms, AttemptResult{ID: q.ID, Member: "a", Outcome: Served, Final: true, Duration: 390 * ms, Role: RolePrimary})
 		}
 	}
 	if a, b := g.r.members["a"], g.r.members["b"]; a.strain < aimPart || a.win != leastWindow || b.win < startWindow {
@@ -1033,13 +1033,13 @@
 	for range 80 {
 		q := g.request(writeClass)
 		g.step(5*ms, q)
-		g.step(20*ms, Answer{ID: q.ID, Member: "a", Outcome: Served, Over: true, Took: 20 * ms, Role: RolePrimary})
+		g.step(20*ms, AttemptResult{ID: q.ID, Member: "a", Outcome: Served, Final: true, Duration: 20 * ms, Role: RolePrimary})
 		strain = g.r.members["a"].strain
 	}
 	if a := g.r.members["a"]; a.out != 0 {
 		t.Errorf("%d attempts in the window, want none", a.out)
 	}
-	g.step(ms, Answer{ID: lost.ID, Member: "a", Outcome: TimedOut, Took: 2 * sec})
+	g.step(ms, AttemptResult{ID: lost.ID, Member: "a", Outcome: TimedOut, Duration: 2 * sec})
 	if a := g.r.members["a"]; a.out != 0 || a.strain > strain {
 		t.Errorf("after its time-out: %d in the window, strain %.3f, was %.3f", a.out, a.strain, strain)
 	}
@@ -1055,7 +1055,7 @@
 	}
 	for id, m := range at { // b answers, c is silent until its reads are moved away
 		if m != "c" {
-			g.step(0, Answer{ID: id, Member: m, Outcome: Served, Over: true, Took: 20 * ms})
+			g.step(0, AttemptResult{ID: id, Member: m, Outcome: Served, Final: true, Duration: 20 * ms})
 		}
 	}
 	cancelled := 0
@@ -1063,7 +1063,7 @@
 		for _, a := range g.step(10 * ms) {
 			if c, ok := a.(Cancel); ok {
 				cancelled++
-				g.step(0, Answer{ID: c.ID, Attempt: c.Attempt, Member: "c", Outcome: Cancelled, Took: 400 * ms})
+				g.step(0, AttemptResult{ID: c.ID, Attempt: c.Attempt, Member: "c", Outcome: Cancelled, Duration: 400 * ms})
 			}
 		}
 	}
@@ -1077,9 +1077,9 @@
 // a start is cold until it is agreed to be warm, or for the longest time, whatever its own clock says of its age.
 func TestColdMemberIsSharedByAgreement(t *testing.T) {
 	const safe, rate = 0.1, 20 // of the budget; work a second that warm members answer for all
-	sent := func(share ColdShare, after Nanos) (n float64) {
+	sent := func(share SlowStartShare, after Nanos) (n float64) {
 		s := testSettings()
-		s.SafeShare, s.ColdLongest, s.FallMultiple = safe, 20*sec, 2.5
+		s.UnleasedShare, s.MaxWarmUpTime, s.OverloadFactor = safe, 20*sec, 2.5
 		g := settled(t, s)
 		d := up("d")
 		d.StartedAt = 1 // long ago, by a clock that is far off
@@ -1097,7 +1097,7 @@
 				if x.Member == "d" {
 					n += g.r.typ[anyClass] / 1e9
 				}
-				g.step(0, Answer{ID: x.ID, Member: x.Member, Outcome: Served, Over: true, Took: 20 * ms, Role: RoleReplica})
+				g.step(0, AttemptResult{ID: x.ID, Member: x.Member, Outcome: Served, Final: true, Duration: 20 * ms, Role: RoleReplica})
 			}
 		}
 		return n
@@ -1105,24 +1105,24 @@
 	// What may be sent within the first second: the share of what topples it, as its capacity rises from its start.
 	s := testSettings()
 	most := func(share float64) float64 {
-		return share * 2.5 * rate * (s.StartCapacity + float64(sec)/float64(s.ColdFor))
+		return share * 2.5 * rate * (s.InitialCapacity + float64(sec)/float64(s.WarmUpTime))
 	}
 	burst := 1.2 * 0.25 // one request of the shortest class, at its first estimate
-	without := sent(ColdShare{Rate: rate}, sec)
-	with := sent(ColdShare{Rate: rate, Part: 0.5, Until: 10 * sec}, sec)
+	without := sent(SlowStartShare{WorkRate: rate}, sec)
+	with := sent(SlowStartShare{WorkRate: rate, LeasedShare: 0.5, Until: 10 * sec}, sec)
 	if without > most(safe)+burst || with > most(safe+0.5)+burst || with < 2*without {
 		t.Errorf("%.2f without a lease (%.2f at most), %.2f with (%.2f at most)", without, most(safe)+burst, with, most(safe+0.5)+burst)
 	}
-	if over := sent(ColdShare{Rate: rate, Part: 0.5, Until: 1}, sec); over > most(safe)+burst {
+	if over := sent(SlowStartShare{WorkRate: rate, LeasedShare: 0.5, Until: 1}, sec); over > most(safe)+burst {
 		t.Errorf("%.2f after the lease's end", over)
 	}
-	if other := sent(ColdShare{Warm: true, StartedAt: 5}, sec); other > most(safe)+burst {
+	if other := sent(SlowStartShare{WarmedUp: true, StartedAt: 5}, sec); other > most(safe)+burst {
 		t.Errorf("%.2f by word of another start", other)
 	}
-	if warm := sent(ColdShare{Warm: true}, sec); warm < 1.3*with {
+	if warm := sent(SlowStartShare{WarmedUp: true}, sec); warm < 1.3*with {
 		t.Errorf("%.2f once it is agreed to be warm, %.2f with a lease", warm, with)
 	}
-	if g, l := sent(ColdShare{Rate: 0.001}, 19*sec), sent(ColdShare{Rate: 0.001}, 25*sec); l < g+3 {
+	if g, l := sent(SlowStartShare{WorkRate: 0.001}, 19*sec), sent(SlowStartShare{WorkRate: 0.001}, 25*sec); l < g+3 {
 		t.Errorf("%.2f in the first 19 s, %.2f in 25 s: it never got warm by itself", g, l)
 	}
 }
--- a/shapes_test.go
+++ b/shapes_test.go
@@ -12,10 +12,10 @@
 
 func checkedSettings() Settings {
 	s := testSettings()
-	s.MembersCheck, s.AnswersReport, s.PriceProbe = true, true, 0.034
-	s.ColdFor, s.StartCapacity, s.FallMultiple, s.FallFor = 14*sec, 0.15, 4, sec
+	s.MembersCheckStaleness, s.ResponsesHaveReport, s.ProbeCost = true, true, 0.034
+	s.WarmUpTime, s.InitialCapacity, s.OverloadFactor, s.OverloadWindow = 14*sec, 0.15, 4, sec
 	for i := range s.Classes {
-		s.Classes[i].Bound = 500 * ms
+		s.Classes[i].MaxStaleness = 500 * ms
 	}
 	return s
 }
@@ -40,7 +40,7 @@
 // A report tells how far a member was when it was made: one that is older than that when it comes proves less.
 func TestAnOldReportIsNotTakenForFresh(t *testing.T) {
 	eachShape(t, func(t *testing.T, s Settings) {
-		bound := s.Classes[boundedClass].Bound
+		bound := s.Classes[boundedClass].MaxStaleness
 		for _, cold := range []bool{false, true} { // members that check are tried where warm: the cold tell
 			g := newRig(t, s)
 			m := up("b")
@@ -49,12 +49,12 @@
 			}
 			g.step(0, whole(primary("a"), m))
 			g.served(0, writeClass, 20*ms, RolePrimary)
-			g.step(0, Probed{Member: "b", Outcome: Served, Took: ms, Report: Report{HasPosition: true, Position: g.now - 220*ms}})
+			g.step(0, ProbeResult{Member: "b", Outcome: Served, Duration: ms, Report: Report{HasPosition: true, Position: g.now - 220*ms}})
 			b, q := g.r.members["b"], &request{c: &s.Classes[boundedClass], g: g.r.gs[0]}
 			if !g.r.fresh(q, b) {
 				t.Errorf("cold %t: not fresh right after a report 220 ms old", cold)
 			}
-			if g.step(bound-220*ms, Woke{}); g.r.fresh(q, b) {
+			if g.step(bound-220*ms, TimerFired{}); g.r.fresh(q, b) {
 				t.Errorf("cold %t: fresh %d ms after what it reported", cold, bound/ms)
 			}
 		}
@@ -70,16 +70,16 @@
 		attempts, finals := map[string]int{}, 0
 		for range 100 {
 			late := Report{HasPosition: true, Position: g.now - 5*sec}
-			events := []Event{Probed{Member: "b", Outcome: Served, Took: ms, Report: late}, Probed{Member: "c", Outcome: Served, Took: ms, Report: late}}
+			events := []Event{ProbeResult{Member: "b", Outcome: Served, Duration: ms, Report: late}, ProbeResult{Member: "c", Outcome: Served, Duration: ms, Report: late}}
 			q := g.request(boundedClass)
 			acts := g.step(50*ms, append(events, q)...)
 			for range s.MaxAttempts + 1 { // each answer may bring another attempt
 				next := []Action{}
 				for _, x := range sends(acts) {
 					attempts[x.ID]++
-					a := Answer{ID: x.ID, Member: x.Member, Attempt: len(g.r.reqs[x.ID].tries) - 1, Outcome: Served, Over: true, Took: 20 * ms, Role: RolePrimary}
+					a := AttemptResult{ID: x.ID, Member: x.Member, Attempt: len(g.r.reqs[x.ID].tries) - 1, Outcome: Served, Final: true, Duration: 20 * ms, Role: RolePrimary}
 					if x.Member != "a" {
-						if a = (Answer{ID: x.ID, Member: x.Member, Attempt: a.Attempt, Outcome: Turned, Took: ms, Role: RoleReplica, Report: late}); !s.MembersCheck {
+						if a = (AttemptResult{ID: x.ID, Member: x.Member, Attempt: a.Attempt, Outcome: Ineligible, Duration: ms, Role: RoleReplica, Report: late}); !s.MembersCheckStaleness {
 							t.Fatalf("a read of data 5 s old at %s", x.Member)
 						}
 					}
@@ -109,13 +109,13 @@
 	late := Report{HasPosition: true, Position: g.now - 5*sec}
 	for _, id := range []string{"a", "b", "c"} {
 		q, _ := g.ask(0, anyClass)
-		g.step(0, Answer{ID: q.ID, Member: id, Outcome: Served, Over: true, Took: 20 * ms, Role: RoleReplica})
-		g.step(0, Probed{Member: id, Outcome: Served, Took: ms, Report: late})
+		g.step(0, AttemptResult{ID: q.ID, Member: id, Outcome: Served, Final: true, Duration: 20 * ms, Role: RoleReplica})
+		g.step(0, ProbeResult{Member: id, Outcome: Served, Duration: ms, Report: late})
 	}
 	if _, to := g.ask(10*ms, boundedClass); to != "" {
 		t.Errorf("a read went to %s, which was 5 s behind 10 ms ago", to)
 	}
-	if n := len(sends(g.step(100*ms, Woke{}))); n != 1 {
+	if n := len(sends(g.step(100*ms, TimerFired{}))); n != 1 {
 		t.Errorf("%d attempts after the pause, want 1", n)
 	}
 }
@@ -139,11 +139,11 @@
 			}
 			for id, at := range due {
 				if at <= g.now && final[id] == 0 && sent[id] > 0 { // nothing came by its time
-					events = append(events, Answer{ID: id, Member: "a", Outcome: TimedOut, Took: 2 * sec})
+					events = append(events, AttemptResult{ID: id, Member: "a", Outcome: TimedOut, Duration: 2 * sec})
 					delete(due, id)
 				}
 			}
-			acts := g.step(50*ms, append(events, Woke{})...)
+			acts := g.step(50*ms, append(events, TimerFired{})...)
 			events = nil
 			for _, x := range acts {
 				switch x := x.(type) {
@@ -152,7 +152,7 @@
 						t.Fatalf("%s sent %d times, to %s", x.ID, sent[x.ID], x.Member)
 					}
 					if g.now >= hung {
-						events = append(events, Answer{ID: x.ID, Member: x.Member, Outcome: Served, Over: true, Took: 20 * ms, Role: RolePrimary})
+						events = append(events, AttemptResult{ID: x.ID, Member: x.Member, Outcome: Served, Final: true, Duration: 20 * ms, Role: RolePrimary})
 						final[x.ID]++
 					}
 				case Cancel:
@@ -164,9 +164,9 @@
 				case Fail:
 					final[x.ID]++
 				case Probe:
-					r := Probed{Member: x.Member, Outcome: TimedOut, Took: 200 * ms}
+					r := ProbeResult{Member: x.Member, Outcome: TimedOut, Duration: 200 * ms}
 					if x.Member == "b" || g.now >= hung {
-						r = Probed{Member: x.Member, Outcome: Served, Took: ms, Report: Report{HasRole: true, Primary: x.Member == "a", HasPosition: true, Position: g.now}}
+						r = ProbeResult{Member: x.Member, Outcome: Served, Duration: ms, Report: Report{HasRole: true, Primary: x.Member == "a", HasPosition: true, Position: g.now}}
 					}
 					events = append(events, r)
 				}
@@ -222,13 +222,13 @@
 			g := newRig(t, s)
 			var all []Member
 			for _, m := range []Member{primary("a"), up("b"), up("c"), up("d")} {
-				m.Size = size
+				m.Weight = size
 				all = append(all, m)
 			}
 			all[3].StartedAt = g.now - 3*sec
 			g.step(0, whole(all...))
 			for range 100 { // clients come, nothing is answered yet
-				g.step(20*ms, g.request(writeClass), Woke{})
+				g.step(20*ms, g.request(writeClass), TimerFired{})
 			}
 			d := g.r.members["d"]
 			got = append(got, d.coldBudget+d.coldChance)
@@ -260,7 +260,7 @@
 				told[g] = append(told[g], g.request(anyClass))
 			}
 			for _, g := range rs {
-				events := append(told[g], Woke{})
+				events := append(told[g], TimerFired{})
 				if now == 16*sec {
 					m := up("f")
 					m.StartedAt = cold
@@ -275,7 +275,7 @@
 					if send.Member == "f" && g.now > cold {
 						at = append(at, g.now)
 					}
-					told[g] = append(told[g], Answer{ID: send.ID, Member: send.Member, Attempt: len(g.r.reqs[send.ID].tries) - 1, Outcome: Served, Over: true, Took: 40 * ms, Role: RoleReplica})
+					told[g] = append(told[g], AttemptResult{ID: send.ID, Member: send.Member, Attempt: len(g.r.reqs[send.ID].tries) - 1, Outcome: Served, Final: true, Duration: 40 * ms, Role: RoleReplica})
 				}
 			}
 		}
@@ -283,12 +283,12 @@
 		for i, from := range at {
 			n := 0.0
 			for _, x := range at[i:] {
-				if x < from+s.FallFor {
+				if x < from+s.OverloadWindow {
 					n++
 				}
 			}
-			part := s.StartCapacity + (1-s.StartCapacity)*float64(from-cold)/float64(s.ColdFor)
-			if most := s.FallMultiple*part*warm*float64(s.FallFor)/1e9 + 3*math.Sqrt(s.FallMultiple*part*warm) + 3; n > most {
+			part := s.InitialCapacity + (1-s.InitialCapacity)*float64(from-cold)/float64(s.WarmUpTime)
+			if most := s.OverloadFactor*part*warm*float64(s.OverloadWindow)/1e9 + 3*math.Sqrt(s.OverloadFactor*part*warm) + 3; n > most {
 				t.Fatalf("%.0f requests in the window that begins %d ms after the start, %.1f topple it", n, (from-cold)/ms, most)
 			}
 		}
