--- a/state.go
+++ b/state.go
@@ -23,7 +23,7 @@
 	roleAt, heardAt, probedAt       Nanos   // dates: newest word on its role, last report, last probe
 	pos                             Nanos   // it has applied everything up to here; never falls
 	out                             int     // attempts in flight
-	agreed                          ColdShare
+	agreed                          SlowStartShare
 	lastReply, bannedTill, shrunkAt Nanos
 	ban                             Nanos   // length of the last ban; 0: well
 	pacedAt                         Nanos   // when pace was last learnt
@@ -129,7 +129,7 @@
 func (r *Router) do(a Action) { r.out = append(r.out, a) }
 
 // wake asks for a Step at that time or before.
-func (r *Router) wake(at Nanos) { r.next = min(r.next, max(at, r.now+r.s.Quantum)) }
+func (r *Router) wake(at Nanos) { r.next = min(r.next, max(at, r.now+r.s.MinStepInterval)) }
 
 // remember keeps the commit of a session's write.
 func (g *group) remember(session string, commit Nanos) {
@@ -185,10 +185,10 @@
 func (r *Router) banned(m *member) bool { return r.now < m.bannedTill }
 
 func (r *Router) cold(m *member) bool {
-	if r.s.SafeShare > 0 { // by agreement: as clocks are apart, only the time since it was heard of counts
-		return m.coldFrom > 0 && !m.agreed.Warm && r.now < m.coldFrom+r.s.ColdLongest
+	if r.s.UnleasedShare > 0 { // by agreement: as clocks are apart, only the time since it was heard of counts
+		return m.coldFrom > 0 && !m.agreed.WarmedUp && r.now < m.coldFrom+r.s.MaxWarmUpTime
 	}
-	return m.coldFrom > 0 && r.now < m.coldFrom+r.s.ColdFor+r.s.ColdFor/10
+	return m.coldFrom > 0 && r.now < m.coldFrom+r.s.WarmUpTime+r.s.WarmUpTime/10
 }
 
 // coldRoom tells whether q fits in what m may get while it is cold.
@@ -238,7 +238,7 @@
 	q.luck, q.drawn = r.random(), r.now
 	switch {
 	case !r.short(q):
-	case q.c.Need >= AllWrites:
+	case q.c.Consistency >= Linearizable:
 		q.g.wantWrites += r.work(q)
 	default:
 		q.g.wantReads += r.work(q)
@@ -247,7 +247,7 @@
 
 // work is what a request is expected to cost a member, as the settings' aims have it. Answer times would tell of queues
 // too: where they grow, what warm members do would seem more work, and a cold one's part of it with them.
-func (r *Router) work(q *request) float64 { return float64(q.c.Aim) / 4e9 }
+func (r *Router) work(q *request) float64 { return float64(q.c.LatencyTarget) / 4e9 }
 
 // feel takes a replica's answer time over its aim, for its group and, as quiet routers hear little, for all.
 func (r *Router) feel(m *member, took float64) {
@@ -267,14 +267,14 @@
 // returned takes m as started then, as told or, where the list is late, as refused connections show. Its
 // budget is a part of one request: hundreds of routers with a whole one each would topple it.
 func (r *Router) returned(m *member, at Nanos) {
-	if r.s.SafeShare > 0 && at > 0 {
-		at, m.agreed = r.now, ColdShare{}
+	if r.s.UnleasedShare > 0 && at > 0 {
+		at, m.agreed = r.now, SlowStartShare{}
 	}
-	m.coldFrom, m.coldBudget, m.ease = max(m.coldFrom, at), r.random()*float64(r.s.Classes[0].Aim)/4e9, 1
+	m.coldFrom, m.coldBudget, m.ease = max(m.coldFrom, at), r.random()*float64(r.s.Classes[0].LatencyTarget)/4e9, 1
 }
 
 // agreed takes what was agreed on for a start; word of another start is old, or comes before its list.
-func (r *Router) agreed(e ColdShare) {
+func (r *Router) agreed(e SlowStartShare) {
 	if m := r.members[e.Member]; m != nil && m.StartedAt == e.StartedAt {
 		m.agreed = e
 	}
@@ -283,12 +283,12 @@
 // coldPart is the part of a cold member's budget that is this router's.
 func (r *Router) coldPart(m *member) float64 {
 	switch {
-	case r.s.SafeShare == 0:
+	case r.s.UnleasedShare == 0:
 		return m.ease // of what this router alone has measured
 	case r.now < m.agreed.Until:
-		return r.s.SafeShare + m.agreed.Part
+		return r.s.UnleasedShare + m.agreed.LeasedShare
 	}
-	return r.s.SafeShare
+	return r.s.UnleasedShare
 }
 
 // linkShown learns from an answer what its connection shows. Queues are silent on idle connections too, but
@@ -299,7 +299,7 @@
 	case a.idle > 0 && a.idle >= r.doubtIdle:
 		r.dropped = max(r.dropped-0.5, -2)
 		if r.dropped < 0 {
-			r.safeIdle = r.s.IdleClose
+			r.safeIdle = r.s.IdleTimeout
 		}
 	case a.idle == 0 && m.doubt > 0 && a.at >= m.doubtAt:
 		if r.dropped = min(r.dropped+1, 2); r.dropped >= 1 {
@@ -312,17 +312,17 @@
 	}
 }
 
-// Learned is what a router has learned that others may use.
-type Learned struct {
-	Groups  []LearnedGroup
-	Typical []Nanos // of each class: the usual answer time
-	Back    []Back
+// LearnedState is what a router has learned that others may use.
+type LearnedState struct {
+	Groups         []LearnedGroup
+	TypicalLatency []Nanos // of each class: the usual answer time
+	Restarts       []ObservedRestart
 }
 
-// Back is a member that was seen gone and, later, there again: it has started in between.
-type Back struct {
-	Member     string
-	Gone, Seen Nanos
+// ObservedRestart is a member that was seen gone and, later, there again: it has started in between.
+type ObservedRestart struct {
+	Member                     string
+	UnreachableAt, ReachableAt Nanos
 }
 
 // answered is the work a second and size that a group's warm members answer, as a moving mean; 0: it has none.
@@ -330,7 +330,7 @@
 	rate, n := 0.0, 1e-9
 	for _, m := range g.order {
 		if m.State == Up && !r.cold(m) {
-			rate, n = rate+r.rateOf(m), n+m.Size
+			rate, n = rate+r.rateOf(m), n+m.Weight
 		}
 	}
 	return rate / n
@@ -339,7 +339,7 @@
 // size is that of all members together.
 func (r *Router) size() (all float64) {
 	for _, m := range r.all {
-		all += m.Size
+		all += m.Weight
 	}
 	return max(all, 0.01)
 }
@@ -351,28 +351,28 @@
 // its warm members answer for this router now. What was remembered of better times does not count: clients that move
 // from one router to another would be counted at both.
 type LearnedGroup struct {
-	Group     int
-	Primary   string
-	PrimaryAt Nanos
-	Warm      float64
+	Group         int
+	Primary       string
+	PrimarySeenAt Nanos
+	WorkRate      float64
 }
 
 // Learned tells what the router knows now.
-func (r *Router) Learned() (l Learned) {
+func (r *Router) Learned() (l LearnedState) {
 	for id, g := range r.groups {
-		x := LearnedGroup{Group: id, Warm: r.answered(g)}
+		x := LearnedGroup{Group: id, WorkRate: r.answered(g)}
 		if g.trusted && g.primary != nil {
-			x.Primary, x.PrimaryAt = g.primary.ID, g.primary.roleAt
+			x.Primary, x.PrimarySeenAt = g.primary.ID, g.primary.roleAt
 		}
 		l.Groups = append(l.Groups, x)
 	}
 	slices.SortFunc(l.Groups, func(a, b LearnedGroup) int { return cmp.Compare(a.Group, b.Group) })
 	for _, t := range r.typ {
-		l.Typical = append(l.Typical, Nanos(t))
+		l.TypicalLatency = append(l.TypicalLatency, Nanos(t))
 	}
 	for _, m := range r.all {
 		if m.backAt > m.StartedAt && m.backAt > m.goneAt {
-			l.Back = append(l.Back, Back{m.ID, m.goneAt, m.backAt})
+			l.Restarts = append(l.Restarts, ObservedRestart{m.ID, m.goneAt, m.backAt})
 		}
 	}
 	return l
@@ -380,7 +380,7 @@
 
 // forgetGone drops members that are gone and hold nothing: ids are always new, and a router runs for long.
 func (r *Router) forgetGone() {
-	gone := func(m *member) bool { return m.State == Gone && m.out == 0 }
+	gone := func(m *member) bool { return m.State == Removed && m.out == 0 }
 	for _, m := range r.all {
 		if gone(m) && m.g.primary == m {
 			m.g.primary = nil
@@ -395,8 +395,8 @@
 
 // report keeps what a member says of itself.
 func (r *Router) report(m *member, p Report) {
-	if p.HasWaiting || p.HasHeld {
-		m.waiting = max(p.Waiting+p.Held, 0)
+	if p.HasQueued || p.HasInFlight {
+		m.waiting = max(p.Queued+p.InFlight, 0)
 	}
 	if p.HasPosition {
 		m.heardAt, m.pos = r.now, max(m.pos, p.Position-safetyGap)
@@ -415,7 +415,7 @@
 	f := math.Exp(-s / rateOver)
 	r.rateAt, r.known = r.now, 1-(1-r.known)*f
 	r.earn(s)
-	r.safeIdle = min(r.s.IdleClose, r.safeIdle+Nanos(float64(r.safeIdle)*s/idleAgain))
+	r.safeIdle = min(r.s.IdleTimeout, r.safeIdle+Nanos(float64(r.safeIdle)*s/idleAgain))
 	r.rate *= f
 	for _, m := range r.all { // idle members drift back to the common pace
 		m.served *= f
