--- a/bench_test.go
+++ b/bench_test.go
@@ -50,7 +50,7 @@
 				out = append(out, sends(r.Step(now, events))...)
 			}
 			b.ReportMetric(float64(begun), "begun")
-			b.ReportMetric(float64(len(r.held)), "held")
+			b.ReportMetric(float64(len(r.queue)), "held")
 		})
 	}
 }
--- a/discovery_calls_test.go
+++ b/discovery_calls_test.go
@@ -198,7 +198,7 @@
 	g.step(0, MemberList{Complete: true, Cached: true, Members: []Member{up("a")}})
 	for range 50 {
 		g.step(0, TimerFired{}, DiscoveryFailed{})
-		if wait := g.r.callAt - g.now; wait <= 0 || wait > longestGap {
+		if wait := g.r.nextCallAt - g.now; wait <= 0 || wait > longestGap {
 			t.Fatalf("a call %d ms after one that failed", wait/ms)
 		}
 	}
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -51,7 +51,7 @@
 				switch x := x.(type) {
 				case Send:
 					a := sent(at, x)
-					a.ID, a.Member, a.Attempt, a.Final = x.ID, x.Member, len(g.r.reqs[x.ID].tries)-1, a.Outcome == Served
+					a.ID, a.Member, a.Attempt, a.Final = x.ID, x.Member, len(g.r.requests[x.ID].attempts)-1, a.Outcome == Served
 					told[g] = append(told[g], a)
 				case Probe:
 					told[g] = append(told[g], ProbeResult{Member: x.Member, Outcome: Served, Duration: ms, Report: probed(x.Member, g.now)})
@@ -127,8 +127,8 @@
 			}
 		}
 	}
-	if each := float64(asked) / seconds / 6; each < 10 || each > 1.5*4*roundRouters {
-		t.Errorf("%.0f probes a second and member, want about %.0f", each, 4*roundRouters)
+	if each := float64(asked) / seconds / 6; each < 10 || each > 1.5*4*roundFleetSize {
+		t.Errorf("%.0f probes a second and member, want about %.0f", each, 4*roundFleetSize)
 	}
 }
 
@@ -187,7 +187,7 @@
 // Guards a primary that is new, cold and needed: where its answers are quick it is given more than the part that is
 // sure, and no more once they are slow.
 func TestQuickAnswersEaseAColdMember(t *testing.T) {
-	for took, want := range map[Nanos]float64{50 * ms: easeMost, 390 * ms: 1} {
+	for took, want := range map[Nanos]float64{50 * ms: maxBoost, 390 * ms: 1} {
 		g := newRig(t, fleetSettings())
 		m := primary("a")
 		m.StartedAt = g.now
@@ -195,7 +195,7 @@
 		for range 300 {
 			g.served(50*ms, writeClass, took, RolePrimary)
 		}
-		if got := g.r.members["a"].ease; got != want {
+		if got := g.r.members["a"].slowStartBoost; got != want {
 			t.Errorf("answers of %d ms: ease %.2f, want %.2f", took/ms, got, want)
 		}
 	}
@@ -324,7 +324,7 @@
 		for range 2 {
 			g.served(gap, anyClass, 380*ms, RoleReplica)
 		}
-		if pace := g.r.members["b"].pace; (pace > 1.5) != want {
+		if pace := g.r.members["b"].slowness; (pace > 1.5) != want {
 			t.Errorf("answers each %v: pace %.2f after two that took four times as long", gap, pace)
 		}
 	}
@@ -337,7 +337,7 @@
 	for range 300 {
 		g.served(100*ms, writeClass, 100*ms, RolePrimary)
 	}
-	if w := g.r.gs[0].warm; w < 0.7 {
+	if w := g.r.groupList[0].warmWorkRate; w < 0.7 {
 		t.Errorf("%.2f s of work a second go for what a warm member does, the primary did 1", w)
 	}
 }
@@ -351,8 +351,8 @@
 		for range 60 {
 			g.served(every, writeClass, 50*ms, RolePrimary)
 		}
-		g.r.suspect(g.r.members["b"])
-		if got := g.r.members["b"].bannedTill - g.now; got < want[0] || got > want[1] {
+		g.r.eject(g.r.members["b"])
+		if got := g.r.members["b"].ejectedUntil - g.now; got < want[0] || got > want[1] {
 			t.Errorf("a request each %d ms: left alone for %d ms, want %d to %d", every/ms, got/ms, want[0]/ms, want[1]/ms)
 		}
 	}
@@ -369,8 +369,8 @@
 		for range 10 {
 			events = append(events, g.request(writeClass))
 		}
-		if count[Probe](g.step(ms, events...)) != 1 || g.r.roundWait() > 4*sec {
-			t.Errorf("%d routers: no round, or one only each %d ms", routers, g.r.roundWait()/ms)
+		if count[Probe](g.step(ms, events...)) != 1 || g.r.roundInterval() > 4*sec {
+			t.Errorf("%d routers: no round, or one only each %d ms", routers, g.r.roundInterval()/ms)
 		}
 		acts := g.step(10*ms, ProbeResult{Member: "a", Outcome: Served, Duration: ms, Report: Report{HasRole: true, Primary: true, HasPosition: true, Position: g.now}})
 		if n := len(sends(acts)); n != most {
@@ -391,11 +391,11 @@
 		list.Members = append(list.Members, m)
 	}
 	g.step(0, list)
-	g.r.members["b"].pos = g.now // c is the one further behind
+	g.r.members["b"].position = g.now // c is the one further behind
 	to := map[string]int{}
 	for range 40 {
-		g.r.typ[anyClass], g.r.usual = float64(5*sec), 0.1 // this one is long, most are short
-		g.r.members["b"].pace, g.r.members["c"].pace = 1, 1
+		g.r.typicalLatency[anyClass], g.r.meanWork = float64(5*sec), 0.1 // this one is long, most are short
+		g.r.members["b"].slowness, g.r.members["c"].slowness = 1, 1
 		to[g.served(100*ms, anyClass, 100*ms, RoleReplica)]++
 	}
 	if to["b"] < 5 || to["c"] < 5 {
@@ -406,9 +406,9 @@
 // Guards a slow primary's writes: bounded reads that no replica can serve do not join them, whatever the chance to spill.
 func TestSlowPrimaryTakesNoSpilledReads(t *testing.T) {
 	g := settled(t, fleetSettings())
-	g.r.gs[0].spill = 1
+	g.r.groupList[0].spillChance = 1
 	for lately, want := range map[float64]int{0.1: 1, 0.5: 0} {
-		g.r.members["a"].lately = lately
+		g.r.members["a"].recentLatencyRatio = lately
 		if n := len(sends(g.step(2*sec, g.request(boundedClass)))); n != want {
 			t.Errorf("answers lately at %.1f of the aim: %d reads went to the primary, want %d", lately, n, want)
 		}
@@ -421,12 +421,12 @@
 	for others, want := range map[string]bool{"b": true, "c": false} {
 		rs := fleetOf(t, 1, fleetSettings(), whole(primary("a"), up("b"), up(others)))
 		drive(rs, 20*sec, 5, func(g *rig) Request {
-			g.r.suspect(g.r.members["b"])
+			g.r.eject(g.r.members["b"])
 			return g.request(anyClass)
 		}, func(_ Nanos, x Send) AttemptResult {
 			return AttemptResult{Outcome: map[string]Outcome{"b": TimedOut, "c": Served}[x.Member], Duration: 20 * ms}
 		}, func(string, Nanos) Report { return Report{} })
-		if got := rs[0].r.gs[0].strain; (got > easy) != want {
+		if got := rs[0].r.groupList[0].latencyRatio; (got > quickLatencyRatio) != want {
 			t.Errorf("with %q: strain %.2f", others, got)
 		}
 	}
@@ -453,11 +453,11 @@
 	g := newRig(t, fleetSettings())
 	g.step(0, whole(primary("a"), up("b")))
 	for range 200 {
-		g.r.typ[anyClass], g.r.typ[writeClass] = float64(sec), float64(sec) // what answers take with their queues
+		g.r.typicalLatency[anyClass], g.r.typicalLatency[writeClass] = float64(sec), float64(sec) // what answers take with their queues
 		g.served(100*ms, writeClass, 50*ms, RolePrimary)
 	}
 	g.step(0, MemberList{Members: []Member{{ID: "n", Group: 1, Weight: 1, State: Up, StartedAt: g.now}}})
-	if w, most := g.r.gs[0].warm, 0.1; w > 12*most || g.r.members["n"].coldBudget >= most {
-		t.Errorf("10 requests of %.2f a second count as %.2f; a new member has %.2f", most, w, g.r.members["n"].coldBudget)
+	if w, most := g.r.groupList[0].warmWorkRate, 0.1; w > 12*most || g.r.members["n"].slowStartBudget >= most {
+		t.Errorf("10 requests of %.2f a second count as %.2f; a new member has %.2f", most, w, g.r.members["n"].slowStartBudget)
 	}
 }
--- a/router_test.go
+++ b/router_test.go
@@ -158,7 +158,7 @@
 	if got := g.sentTo(acts); got != "c" {
 		t.Fatalf("held write went to %s", got)
 	}
-	if g.r.gs[0].order[0].ID != "c" {
+	if g.r.groupList[0].probeOrder[0].ID != "c" {
 		t.Error("the found primary does not head the list")
 	}
 }
@@ -319,7 +319,7 @@
 			t.Error("a replica that has the write was passed over")
 		}
 		g.step(200 * ms)
-		if n := len(g.r.gs[0].tokens); n != 0 {
+		if n := len(g.r.groupList[0].sessionCommits); n != 0 {
 			t.Errorf("%d tokens kept that every member has passed", n)
 		}
 	})
@@ -500,7 +500,7 @@
 				if g.n%6 == 0 {
 					late[a.ID] = g.now
 				} else {
-					done = append(done, AttemptResult{ID: a.ID, Attempt: len(g.r.reqs[a.ID].tries) - 1, Member: a.Member,
+					done = append(done, AttemptResult{ID: a.ID, Attempt: len(g.r.requests[a.ID].attempts) - 1, Member: a.Member,
 						Outcome: Served, Final: true, Duration: 20 * ms, Role: RoleReplica})
 				}
 			case Cancel:
@@ -512,7 +512,7 @@
 		}
 		for id, at := range late {
 			if g.now >= at+1900*ms {
-				done = append(done, AttemptResult{ID: id, Attempt: len(g.r.reqs[id].tries) - 1, Outcome: TimedOut})
+				done = append(done, AttemptResult{ID: id, Attempt: len(g.r.requests[id].attempts) - 1, Outcome: TimedOut})
 				delete(late, id)
 			}
 		}
@@ -552,8 +552,8 @@
 func TestSuspectIsNotDrawnWhileOthersAreFull(t *testing.T) {
 	g := settled(t, testSettings())
 	b := g.r.members["b"]
-	b.ban, b.bannedTill = sec, g.now+sec
-	g.r.members["c"].win = 1
+	b.ejectionTime, b.ejectedUntil = sec, g.now+sec
+	g.r.members["c"].window = 1
 	g.sentTo(g.step(0, g.request(anyClass)))
 	if s := sends(g.step(ms, g.request(anyClass))); len(s) != 0 && s[0].Member == "b" {
 		t.Errorf("sent to %s, a suspect, while a well member was only full", s[0].Member)
@@ -572,28 +572,28 @@
 		"plain write":           {writeClass, "a", func(*rig, *request) {}, true},
 		"after the answer":      {anyClass, "b", func(_ *rig, q *request) { q.done = true }, false},
 		"after the deadline":    {anyClass, "b", func(g *rig, q *request) { q.deadline = g.now }, false},
-		"other group":           {anyClass, "b", func(g *rig, q *request) { q.g = g.r.group(9) }, false},
+		"other group":           {anyClass, "b", func(g *rig, q *request) { q.group = g.r.group(9) }, false},
 		"draining":              {anyClass, "b", func(g *rig, _ *request) { g.r.members["b"].State = Draining }, false},
 		"gone":                  {anyClass, "b", func(g *rig, _ *request) { g.r.members["b"].State = Removed }, false},
-		"attempts spent":        {anyClass, "b", func(g *rig, q *request) { q.tries = endedTries(g, 4) }, false},
-		"attempts left":         {anyClass, "b", func(g *rig, q *request) { q.tries = endedTries(g, 3) }, true},
-		"one already out":       {anyClass, "b", func(_ *rig, q *request) { q.out = 1 }, false},
-		"copy where allowed":    {anyClass, "b", func(g *rig, q *request) { g.r.s.MayHedge, q.out = true, 1 }, true},
-		"copy of a write":       {writeClass, "a", func(g *rig, q *request) { g.r.s.MayHedge, q.out = true, 1 }, false},
-		"write may have run":    {writeClass, "a", func(g *rig, q *request) { q.mayHaveRun = endedTries(g, 1) }, false},
-		"read may have run":     {anyClass, "b", func(g *rig, q *request) { q.mayHaveRun = endedTries(g, 1) }, true},
-		"keyed in its window":   {keyedClass, "b", func(g *rig, q *request) { q.mayHaveRun = endedTries(g, 1) }, true},
-		"keyed past its window": {keyedClass, "b", func(g *rig, q *request) { q.mayHaveRun = endedTries(g, 1); g.r.now += sec }, false},
+		"attempts spent":        {anyClass, "b", func(g *rig, q *request) { q.attempts = endedTries(g, 4) }, false},
+		"attempts left":         {anyClass, "b", func(g *rig, q *request) { q.attempts = endedTries(g, 3) }, true},
+		"one already out":       {anyClass, "b", func(_ *rig, q *request) { q.inFlight = 1 }, false},
+		"copy where allowed":    {anyClass, "b", func(g *rig, q *request) { g.r.settings.MayHedge, q.inFlight = true, 1 }, true},
+		"copy of a write":       {writeClass, "a", func(g *rig, q *request) { g.r.settings.MayHedge, q.inFlight = true, 1 }, false},
+		"write may have run":    {writeClass, "a", func(g *rig, q *request) { q.maybeExecuted = endedTries(g, 1) }, false},
+		"read may have run":     {anyClass, "b", func(g *rig, q *request) { q.maybeExecuted = endedTries(g, 1) }, true},
+		"keyed in its window":   {keyedClass, "b", func(g *rig, q *request) { q.maybeExecuted = endedTries(g, 1) }, true},
+		"keyed past its window": {keyedClass, "b", func(g *rig, q *request) { q.maybeExecuted = endedTries(g, 1); g.r.now += sec }, false},
 		"write at a replica":    {writeClass, "b", func(*rig, *request) {}, false},
 		"fresh at a replica":    {freshClass, "b", func(*rig, *request) {}, false},
-		"write, distrusted":     {writeClass, "a", func(g *rig, _ *request) { g.r.gs[0].trusted = false }, false},
-		"stale replica":         {boundedClass, "b", func(g *rig, _ *request) { g.r.members["b"].pos -= sec }, false},
-		"short of the token":    {sessionClass, "b", func(g *rig, q *request) { q.need = g.now }, false},
-		"cold without budget":   {anyClass, "b", func(g *rig, _ *request) { g.r.members["b"].coldFrom = g.now }, false},
+		"write, distrusted":     {writeClass, "a", func(g *rig, _ *request) { g.r.groupList[0].primaryTrusted = false }, false},
+		"stale replica":         {boundedClass, "b", func(g *rig, _ *request) { g.r.members["b"].position -= sec }, false},
+		"short of the token":    {sessionClass, "b", func(g *rig, q *request) { q.minPosition = g.now }, false},
+		"cold without budget":   {anyClass, "b", func(g *rig, _ *request) { g.r.members["b"].warmingSince = g.now }, false},
 	} {
 		g := settled(t, testSettings())
-		k := &g.r.s.Classes[c.class]
-		q := &request{Request: g.request(c.class), c: k, g: g.r.gs[0], arrived: g.now, deadline: g.now + 5*sec}
+		k := &g.r.settings.Classes[c.class]
+		q := &request{Request: g.request(c.class), class: k, group: g.r.groupList[0], arrivedAt: g.now, deadline: g.now + 5*sec}
 		c.spoil(g, q)
 		if got := g.r.mayAttempt(q, g.r.members[c.member]); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
@@ -603,7 +603,7 @@
 
 func endedTries(g *rig, n int) (out []*attempt) {
 	for i := 0; i < n; i++ {
-		out = append(out, &attempt{m: g.r.members["c"], n: i, at: g.now - 10*ms, ended: true})
+		out = append(out, &attempt{member: g.r.members["c"], number: i, sentAt: g.now - 10*ms, ended: true})
 	}
 	return
 }
@@ -618,12 +618,12 @@
 			t.Errorf("a long read went to %s, not to the last of equals", got)
 		}
 	}
-	g.r.members["c"].out = 20
+	g.r.members["c"].inFlight = 20
 	if got := g.sentTo(g.step(0, g.request(anyClass))); got != "b" {
 		t.Errorf("a long read went to %s, though it is crowded", got)
 	}
-	g.r.members["c"].out = 4
-	g.r.members["b"].pos -= 2 * sec
+	g.r.members["c"].inFlight = 4
+	g.r.members["b"].position -= 2 * sec
 	if got := g.sentTo(g.step(0, g.request(anyClass))); got != "b" {
 		t.Errorf("a long read went to %s, not to the replica furthest behind", got)
 	}
@@ -735,7 +735,7 @@
 		t.Errorf("%d probes of an idle group", n)
 	}
 	g = settled(t, testSettings())
-	g.r.askMore = -5 // a second one is not paid for
+	g.r.probeCredit = -5 // a second one is not paid for
 	g.step(5 * sec)
 	if n := count[Probe](g.step(0, g.request(boundedClass))); n != 1 {
 		t.Errorf("%d probes for one read", n)
@@ -805,14 +805,14 @@
 	q := g.request(anyClass)
 	m := g.sentTo(g.step(0, q))
 	g.step(ms, AttemptResult{ID: q.ID, Member: m, Outcome: ConnectFailed, Duration: ms})
-	for i := 0; i < 100 && !g.r.cold(g.r.members[m]); i++ {
+	for i := 0; i < 100 && !g.r.warming(g.r.members[m]); i++ {
 		for _, a := range g.step(100*ms, g.request(anyClass)) {
 			if p, ok := a.(Probe); ok && p.Member == m {
 				g.step(ms, ProbeResult{Member: m, Outcome: Served, Duration: ms})
 			}
 		}
 	}
-	if !g.r.cold(g.r.members[m]) {
+	if !g.r.warming(g.r.members[m]) {
 		t.Error("a member that came back is not taken as cold")
 	}
 }
@@ -909,13 +909,13 @@
 		m := g.r.members[first]
 		acts := g.step(ms, AttemptResult{ID: q.ID, Member: first, Outcome: ConnectionLost, Duration: ms})
 		for _, o := range c.probes {
-			if g.r.banned(m) || count[Probe](acts) != 1 {
-				t.Errorf("%v: banned %t, %d probes", c, g.r.banned(m), count[Probe](acts))
+			if g.r.ejected(m) || count[Probe](acts) != 1 {
+				t.Errorf("%v: banned %t, %d probes", c, g.r.ejected(m), count[Probe](acts))
 			}
 			acts = g.step(ms, ProbeResult{Member: first, Outcome: o})
 		}
-		if g.r.banned(m) != c.banned {
-			t.Errorf("%v: banned %t", c, g.r.banned(m))
+		if g.r.ejected(m) != c.banned {
+			t.Errorf("%v: banned %t", c, g.r.ejected(m))
 		}
 	}
 }
@@ -930,12 +930,12 @@
 		g.step(ms, AttemptResult{ID: q.ID, Member: "a", Outcome: Served, Final: true, Duration: ms, Role: RolePrimary})
 		q = g.request(writeClass)
 		g.step(ms, q)
-		if g.step(ms, AttemptResult{ID: q.ID, Member: "a", Outcome: ConnectionLost, Duration: ms}); g.r.groups[1].trusted {
+		if g.step(ms, AttemptResult{ID: q.ID, Member: "a", Outcome: ConnectionLost, Duration: ms}); g.r.groups[1].primaryTrusted {
 			t.Fatal("the primary is trusted after a cut")
 		}
 		g.step(ms, ProbeResult{Member: "a", Outcome: Served, Duration: ms, Report: Report{HasPosition: true, Position: g.now - 100*ms, HasRole: true, Primary: primary}})
-		if g.r.groups[1].trusted != trusted || !g.r.members["a"].saysPrimary {
-			t.Errorf("report says primary %t: trusted %t", primary, g.r.groups[1].trusted)
+		if g.r.groups[1].primaryTrusted != trusted || !g.r.members["a"].claimsPrimary {
+			t.Errorf("report says primary %t: trusted %t", primary, g.r.groups[1].primaryTrusted)
 		}
 	}
 }
@@ -943,7 +943,7 @@
 // Guards rule 5 where links are slow to come up: the send says until when what is known of the member suffices.
 func TestBoundedReadSaysByWhenItMustLeave(t *testing.T) {
 	g := settled(t, testSettings())
-	for class, want := range map[int]Nanos{anyClass: 0, boundedClass: g.r.members["b"].pos + 300*ms - safetyGap} {
+	for class, want := range map[int]Nanos{anyClass: 0, boundedClass: g.r.members["b"].position + 300*ms - positionMargin} {
 		if s := sends(g.step(ms, g.request(class))); len(s) != 1 || s[0].SendBy != want {
 			t.Errorf("class %d: %+v, want by %d", class, s, want)
 		}
@@ -960,8 +960,8 @@
 		t.Fatalf("the first attempt: %+v", s)
 	}
 	again := g.step(100*ms, AttemptResult{ID: q.ID, Member: g.sentTo(first), Outcome: ConnectionLost, Duration: 100 * ms})
-	if s := sends(again); len(s) != 1 || s[0].SendBy != began+500*ms-safetyGap {
-		t.Errorf("the repeat: %+v, want by %d", s, began+500*ms-safetyGap)
+	if s := sends(again); len(s) != 1 || s[0].SendBy != began+500*ms-positionMargin {
+		t.Errorf("the repeat: %+v, want by %d", s, began+500*ms-positionMargin)
 	}
 }
 
@@ -979,8 +979,8 @@
 		if len(x) != 1 {
 			t.Fatalf("the repeat: %+v", again)
 		}
-		want := g.r.members[x[0].Member].pos + 300*ms - safetyGap
-		if want = min(want, began+window-safetyGap); x[0].SendBy != want {
+		want := g.r.members[x[0].Member].position + 300*ms - positionMargin
+		if want = min(want, began+window-positionMargin); x[0].SendBy != want {
 			t.Errorf("window %d: to leave by %d, want %d", window, x[0].SendBy, want)
 		}
 	}
@@ -1000,11 +1000,11 @@
 		last = next.ID
 	}
 	g.step(ms, whole(up("a"), up("b"), up(last)))
-	if n, o := len(g.r.members), len(g.r.groups[1].order); n != 3 || o != 3 || len(g.r.all) != 3 {
+	if n, o := len(g.r.members), len(g.r.groups[1].probeOrder); n != 3 || o != 3 || len(g.r.memberList) != 3 {
 		t.Errorf("%d members known, %d in the group", n, o)
 	}
 	g.step(ms, whole(up("b"), up(last)))
-	if g.r.groups[1].primary != nil || len(g.r.all) != 2 {
+	if g.r.groups[1].primary != nil || len(g.r.memberList) != 2 {
 		t.Errorf("the primary left: %+v remains", g.r.groups[1].primary)
 	}
 }
@@ -1018,8 +1018,8 @@
 			g.step(390*ms, AttemptResult{ID: q.ID, Member: "a", Outcome: Served, Final: true, Duration: 390 * ms, Role: RolePrimary})
 		}
 	}
-	if a, b := g.r.members["a"], g.r.members["b"]; a.strain < aimPart || a.win != leastWindow || b.win < startWindow {
-		t.Errorf("strain %.2f, window %.1f; a replica's %.1f", a.strain, a.win, b.win)
+	if a, b := g.r.members["a"], g.r.members["b"]; a.latencyRatio < slowLatencyRatio || a.window != minPrimaryWindow || b.window < initialWindow {
+		t.Errorf("strain %.2f, window %.1f; a replica's %.1f", a.latencyRatio, a.window, b.window)
 	}
 }
 
@@ -1034,14 +1034,14 @@
 		q := g.request(writeClass)
 		g.step(5*ms, q)
 		g.step(20*ms, AttemptResult{ID: q.ID, Member: "a", Outcome: Served, Final: true, Duration: 20 * ms, Role: RolePrimary})
-		strain = g.r.members["a"].strain
+		strain = g.r.members["a"].latencyRatio
 	}
-	if a := g.r.members["a"]; a.out != 0 {
-		t.Errorf("%d attempts in the window, want none", a.out)
+	if a := g.r.members["a"]; a.inFlight != 0 {
+		t.Errorf("%d attempts in the window, want none", a.inFlight)
 	}
 	g.step(ms, AttemptResult{ID: lost.ID, Member: "a", Outcome: TimedOut, Duration: 2 * sec})
-	if a := g.r.members["a"]; a.out != 0 || a.strain > strain {
-		t.Errorf("after its time-out: %d in the window, strain %.3f, was %.3f", a.out, a.strain, strain)
+	if a := g.r.members["a"]; a.inFlight != 0 || a.latencyRatio > strain {
+		t.Errorf("after its time-out: %d in the window, strain %.3f, was %.3f", a.inFlight, a.latencyRatio, strain)
 	}
 }
 
@@ -1067,8 +1067,8 @@
 			}
 		}
 	}
-	if cancelled < 3 || g.r.groups[1].strain > aimPart {
-		t.Errorf("%d reads moved away, strain of the group %.2f", cancelled, g.r.groups[1].strain)
+	if cancelled < 3 || g.r.groups[1].latencyRatio > slowLatencyRatio {
+		t.Errorf("%d reads moved away, strain of the group %.2f", cancelled, g.r.groups[1].latencyRatio)
 	}
 }
 
@@ -1095,7 +1095,7 @@
 			q := g.request(anyClass)
 			for _, x := range sends(g.step(ms, q)) {
 				if x.Member == "d" {
-					n += g.r.typ[anyClass] / 1e9
+					n += g.r.typicalLatency[anyClass] / 1e9
 				}
 				g.step(0, AttemptResult{ID: x.ID, Member: x.Member, Outcome: Served, Final: true, Duration: 20 * ms, Role: RoleReplica})
 			}
--- a/shapes_test.go
+++ b/shapes_test.go
@@ -50,11 +50,11 @@
 			g.step(0, whole(primary("a"), m))
 			g.served(0, writeClass, 20*ms, RolePrimary)
 			g.step(0, ProbeResult{Member: "b", Outcome: Served, Duration: ms, Report: Report{HasPosition: true, Position: g.now - 220*ms}})
-			b, q := g.r.members["b"], &request{c: &s.Classes[boundedClass], g: g.r.gs[0]}
-			if !g.r.fresh(q, b) {
+			b, q := g.r.members["b"], &request{class: &s.Classes[boundedClass], group: g.r.groupList[0]}
+			if !g.r.freshEnough(q, b) {
 				t.Errorf("cold %t: not fresh right after a report 220 ms old", cold)
 			}
-			if g.step(bound-220*ms, TimerFired{}); g.r.fresh(q, b) {
+			if g.step(bound-220*ms, TimerFired{}); g.r.freshEnough(q, b) {
 				t.Errorf("cold %t: fresh %d ms after what it reported", cold, bound/ms)
 			}
 		}
@@ -77,7 +77,7 @@
 				next := []Action{}
 				for _, x := range sends(acts) {
 					attempts[x.ID]++
-					a := AttemptResult{ID: x.ID, Member: x.Member, Attempt: len(g.r.reqs[x.ID].tries) - 1, Outcome: Served, Final: true, Duration: 20 * ms, Role: RolePrimary}
+					a := AttemptResult{ID: x.ID, Member: x.Member, Attempt: len(g.r.requests[x.ID].attempts) - 1, Outcome: Served, Final: true, Duration: 20 * ms, Role: RolePrimary}
 					if x.Member != "a" {
 						if a = (AttemptResult{ID: x.ID, Member: x.Member, Attempt: a.Attempt, Outcome: Ineligible, Duration: ms, Role: RoleReplica, Report: late}); !s.MembersCheckStaleness {
 							t.Fatalf("a read of data 5 s old at %s", x.Member)
@@ -201,8 +201,8 @@
 				t.Fatalf("request %d went nowhere", i)
 			}
 			banned := 0
-			for _, m := range g.r.all {
-				if g.r.banned(m) {
+			for _, m := range g.r.memberList {
+				if g.r.ejected(m) {
 					banned++
 				}
 			}
@@ -231,7 +231,7 @@
 				g.step(20*ms, g.request(writeClass), TimerFired{})
 			}
 			d := g.r.members["d"]
-			got = append(got, d.coldBudget+d.coldChance)
+			got = append(got, d.slowStartBudget+d.randomShare)
 		}
 		if got[0] <= 0 || got[1] > 1.01*got[0] || got[1] < 0.99*got[0] {
 			t.Errorf("budget or chance %.4f and, at five times the sizes, %.4f", got[0], got[1])
@@ -275,7 +275,7 @@
 					if send.Member == "f" && g.now > cold {
 						at = append(at, g.now)
 					}
-					told[g] = append(told[g], AttemptResult{ID: send.ID, Member: send.Member, Attempt: len(g.r.reqs[send.ID].tries) - 1, Outcome: Served, Final: true, Duration: 40 * ms, Role: RoleReplica})
+					told[g] = append(told[g], AttemptResult{ID: send.ID, Member: send.Member, Attempt: len(g.r.requests[send.ID].attempts) - 1, Outcome: Served, Final: true, Duration: 40 * ms, Role: RoleReplica})
 				}
 			}
 		}
