--- a/discovery_calls_test.go
+++ b/discovery_calls_test.go
@@ -21,11 +21,11 @@
 type failureKind int
 
 const (
-	answered      failureKind = iota
-	refused                   // at once, as discovery is down
-	refusedLate               // after callTimeout, as discovery is overbooked
-	neverAnswered             // taken, and then nothing
-	unreached                 // the connection never comes up
+	answered    failureKind = iota
+	refused                 // at once, as discovery is down
+	refusedLate             // after callTimeout, as discovery is overbooked
+	noResponse              // taken, and then nothing
+	unreachable             // the connection never comes up
 )
 
 func (k failureKind) String() string {
@@ -37,9 +37,9 @@
 	switch k {
 	case refusedLate:
 		return callTimeout, DiscoveryFailed{}
-	case neverAnswered:
+	case noResponse:
 		return silenceTimeout, DiscoveryFailed{LastHeard: calledAt}
-	case unreached:
+	case unreachable:
 		return connectTimeout, DiscoveryFailed{Unreachable: true}
 	}
 	return 0, DiscoveryFailed{}
@@ -120,7 +120,7 @@
 func TestEveryRouterCallsAgainInTimeHoweverItsCallFails(t *testing.T) {
 	const span, settled = 90 * sec, 30 * sec
 	for _, size := range []int{1, 30, 300, 1024} {
-		for _, kind := range []failureKind{refused, refusedLate, neverAnswered, unreached} {
+		for _, kind := range []failureKind{refused, refusedLate, noResponse, unreachable} {
 			t.Run(fmt.Sprintf("%d routers, %v", size, kind), func(t *testing.T) {
 				f := newCallingFleet(t, size)
 				for f.now < f.start+span {
@@ -146,7 +146,7 @@
 				if float64(most) > 1.2*mean+3 {
 					t.Errorf("%d calls in one second, %.1f in the mean", most, mean)
 				}
-				if fewest := float64(size) / 5; kind != unreached && mean > fewest+1 {
+				if fewest := float64(size) / 5; kind != unreachable && mean > fewest+1 {
 					t.Errorf("%.1f calls a second, where %.1f keep the rule", mean, fewest)
 				}
 			})
@@ -157,7 +157,7 @@
 // Guards rule 3 against calls that discovery took and never answered, and against refused ones: of 300 routers 48 waited
 // 10 to 30 s after such a call and sent to members that drained. Whatever came of it, one call follows in the 6 s after it.
 func TestOneCallFollowsAFailedOneWithinSixSeconds(t *testing.T) {
-	for _, kind := range []failureKind{refused, refusedLate, neverAnswered} {
+	for _, kind := range []failureKind{refused, refusedLate, noResponse} {
 		f := newCallingFleet(t, 300)
 		last := f.routers[299]
 		for len(last.calls) == 0 {
@@ -178,7 +178,7 @@
 // Guards a router that hears of a failed call late, as its process was held up: the time for the next has passed, so it is
 // made at once. With a pause before it a whole gateway missed that call in 6 of 20 runs.
 func TestACallThatIsLateAlreadyIsMadeAtOnce(t *testing.T) {
-	for _, kind := range []failureKind{refused, neverAnswered} {
+	for _, kind := range []failureKind{refused, noResponse} {
 		f := newCallingFleet(t, 300)
 		last := f.routers[299]
 		for len(last.calls) == 0 {
@@ -194,11 +194,11 @@
 func TestRetriesStayInTimeWithAnyNumberOfRouters(t *testing.T) {
 	s := fleetSettings()
 	s.WatchDiscovery, s.Routers, s.DrainGrace = true, 1<<40, 2*sec
-	g := newRig(t, s)
+	g := newHarness(t, s)
 	g.step(0, MemberList{Complete: true, Cached: true, Members: []Member{up("a")}})
 	for range 50 {
 		g.step(0, TimerFired{}, DiscoveryFailed{})
-		if wait := g.r.nextCallAt - g.now; wait <= 0 || wait > longestGap {
+		if wait := g.router.nextCallAt - g.now; wait <= 0 || wait > longestGap {
 			t.Fatalf("a call %d ms after one that failed", wait/ms)
 		}
 	}
@@ -221,8 +221,8 @@
 	}
 }
 
-// overbooked is discovery that works through so many calls a second, in the order in which they came.
-type overbooked struct {
+// overloadedDiscovery is discovery that works through so many calls a second, in the order in which they came.
+type overloadedDiscovery struct {
 	callsPerSecond float64
 	lateCallsCost  bool // one that has failed still takes its turn: nobody tells discovery that it was given up
 	queue          []*queuedCall
@@ -235,7 +235,7 @@
 }
 
 // tick takes new calls and answers or fails old ones.
-func (o *overbooked) tick(now Nanos, called []*fleetRouter) {
+func (o *overloadedDiscovery) tick(now Nanos, called []*fleetRouter) {
 	for _, x := range called {
 		o.queue = append(o.queue, &queuedCall{x, now})
 		x.pending, x.due = DiscoveryFailed{}, now+callTimeout
@@ -267,7 +267,7 @@
 				t.Run(name, func(t *testing.T) {
 					f := newCallingFleet(t, size)
 					rate := share * float64(size) / (float64(longestGap-callTimeout/4) / float64(sec))
-					service := &overbooked{callsPerSecond: rate, lateCallsCost: lateCallsCost}
+					service := &overloadedDiscovery{callsPerSecond: rate, lateCallsCost: lateCallsCost}
 					for f.now < f.start+60*sec {
 						f.tick()
 						service.tick(f.now, f.called)
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -18,27 +18,29 @@
 	return s
 }
 
-// fleet makes the routers and gives each the list.
-func fleet(t *testing.T, s Settings, list MemberList) []*rig { return fleetOf(t, fleetSize, s, list) }
+// newFleet makes the routers and gives each the list.
+func newFleet(t *testing.T, s Settings, list MemberList) []*harness {
+	return newFleetOf(t, fleetSize, s, list)
+}
 
-func fleetOf(t *testing.T, n int, s Settings, list MemberList) (rs []*rig) {
+func newFleetOf(t *testing.T, n int, s Settings, list MemberList) (rs []*harness) {
 	for i := range n {
 		r, err := New(s, uint64(i)*977+5)
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := &rig{t: t, r: r, now: 100 * sec}
+		g := &harness{t: t, router: r, now: 100 * sec}
 		g.step(0, list)
 		rs = append(rs, g)
 	}
 	return rs
 }
 
-// drive has clients make rps requests a second of all routers, by chance, and tells each router a tick later what came of
+// driveFleet has clients make rps requests a second of all routers, by chance, and tells each router a tick later what came of
 // its sends and probes.
-func drive(rs []*rig, span Nanos, rps float64, ask func(*rig) Request, sent func(Nanos, Send) AttemptResult, probed func(string, Nanos) Report) {
+func driveFleet(rs []*harness, span Nanos, rps float64, ask func(*harness) Request, sent func(Nanos, Send) AttemptResult, probed func(string, Nanos) Report) {
 	const tick = 50 * ms
-	rng, told := rand.New(rand.NewSource(int64(len(rs)))), map[*rig][]Event{}
+	rng, told := rand.New(rand.NewSource(int64(len(rs)))), map[*harness][]Event{}
 	for at := Nanos(0); at < span; at += tick {
 		for left := rng.ExpFloat64(); left < rps*float64(tick)/1e9; left += rng.ExpFloat64() {
 			g := rs[rng.Intn(len(rs))]
@@ -51,7 +53,7 @@
 				switch x := x.(type) {
 				case Send:
 					a := sent(at, x)
-					a.ID, a.Member, a.Attempt, a.Final = x.ID, x.Member, len(g.r.requests[x.ID].attempts)-1, a.Outcome == Served
+					a.ID, a.Member, a.Attempt, a.Final = x.ID, x.Member, len(g.router.requests[x.ID].attempts)-1, a.Outcome == Served
 					told[g] = append(told[g], a)
 				case Probe:
 					told[g] = append(told[g], ProbeResult{Member: x.Member, Outcome: Served, Duration: ms, Report: probed(x.Member, g.now)})
@@ -61,8 +63,8 @@
 	}
 }
 
-// served has one request answered and tells by which member.
-func (g *rig) served(after Nanos, class int, took Nanos, role Role) (member string) {
+// serve has one request answered and tells by which member.
+func (g *harness) serve(after Nanos, class int, took Nanos, role Role) (member string) {
 	for _, x := range sends(g.step(after, g.request(class))) {
 		member = x.Member
 		g.step(0, AttemptResult{ID: x.ID, Member: member, Outcome: Served, Final: true, Duration: took, Role: role})
@@ -79,10 +81,10 @@
 // Guards the members' few probes against a fleet that starts at once: before, each router asked for the primary
 // although the list names it, and no write left before an answer came.
 func TestListedPrimaryServesAFleetThatStarts(t *testing.T) {
-	list := whole(primary("a"), up("b"), up("c"))
+	list := completeList(primary("a"), up("b"), up("c"))
 	list.Cached = true
 	sent, asked := 0, 0
-	for _, g := range fleet(t, fleetSettings(), list) {
+	for _, g := range newFleet(t, fleetSettings(), list) {
 		acts := g.step(ms, g.request(writeClass))
 		sent, asked = sent+len(sends(acts)), asked+count[Probe](acts)
 	}
@@ -93,9 +95,9 @@
 
 // A listed primary that turns the write away is asked for at once, and the write waits: the list may be old.
 func TestListedPrimaryThatIsNoneIsFound(t *testing.T) {
-	g := newRig(t, fleetSettings())
+	g := newHarness(t, fleetSettings())
 	q := g.request(writeClass)
-	g.step(0, whole(primary("a"), up("b"), up("c")), q)
+	g.step(0, completeList(primary("a"), up("b"), up("c")), q)
 	acts := g.step(ms, AttemptResult{ID: q.ID, Member: "a", Outcome: Ineligible, Role: RoleReplica, Duration: ms})
 	if len(sends(acts)) != 0 || count[Probe](acts) != 1 || count[Refuse](acts) != 0 {
 		t.Errorf("after the write was turned away: %v", acts)
@@ -104,10 +106,10 @@
 
 // Guards members against the rounds of a whole fleet without a primary: every 250 ms each asked all of them.
 func TestRoundsOfAFleetStayFew(t *testing.T) {
-	list := whole(up("a"), up("b"), up("c"), up("d"), up("e"), up("f"))
+	list := completeList(up("a"), up("b"), up("c"), up("d"), up("e"), up("f"))
 	asked := 0
 	const seconds = 4
-	for _, g := range fleet(t, fleetSettings(), list) {
+	for _, g := range newFleet(t, fleetSettings(), list) {
 		for i := range seconds * 100 {
 			events := []Event{TimerFired{}}
 			if i%25 == 0 {
@@ -137,9 +139,9 @@
 func TestPrimaryThatRefusedOnceIsFoundAgain(t *testing.T) {
 	s := fleetSettings()
 	s.ConnectTimeout = 250 * ms
-	g := newRig(t, s)
+	g := newHarness(t, s)
 	q := g.request(writeClass)
-	g.step(0, whole(primary("a"), up("b")), q)
+	g.step(0, completeList(primary("a"), up("b")), q)
 	g.step(ms, AttemptResult{ID: q.ID, Member: "a", Outcome: ConnectFailed, Duration: ms})
 	for range 100 {
 		var told []Event
@@ -169,9 +171,9 @@
 		s := fleetSettings()
 		s.ProbeCost = c.price
 		direct := 0
-		for _, g := range fleet(t, s, whole(primary("a"), up("b"), up("c"))) {
+		for _, g := range newFleet(t, s, completeList(primary("a"), up("b"), up("c"))) {
 			for range 20 {
-				g.served(3*sec, writeClass, c.took, RolePrimary)
+				g.serve(3*sec, writeClass, c.took, RolePrimary)
 			}
 			acts := g.step(sec, g.request(boundedClass))
 			if x := sends(acts); len(x) == 1 && x[0].Member == "a" && count[Probe](acts) == 0 {
@@ -188,14 +190,14 @@
 // sure, and no more once they are slow.
 func TestQuickAnswersEaseAColdMember(t *testing.T) {
 	for took, want := range map[Nanos]float64{50 * ms: maxBoost, 390 * ms: 1} {
-		g := newRig(t, fleetSettings())
+		g := newHarness(t, fleetSettings())
 		m := primary("a")
 		m.StartedAt = g.now
-		g.step(0, whole(m, up("b")))
+		g.step(0, completeList(m, up("b")))
 		for range 300 {
-			g.served(50*ms, writeClass, took, RolePrimary)
+			g.serve(50*ms, writeClass, took, RolePrimary)
 		}
-		if got := g.r.members["a"].slowStartBoost; got != want {
+		if got := g.router.members["a"].slowStartBoost; got != want {
 			t.Errorf("answers of %d ms: ease %.2f, want %.2f", took/ms, got, want)
 		}
 	}
@@ -207,18 +209,18 @@
 func TestColdMemberIsSharedByAFleet(t *testing.T) {
 	const rps = 30.0 // for each group, over all routers
 	for _, c := range [][3]int{{1, 1}, {8, 1}, {80, 1}, {300, 1}, {80, 15}, {300, 3}, {8, 1, 1}, {80, 1, 1}, {300, 1, 1}} {
-		routers, groups, class := c[0], c[1], []int{keyedClass, writeClass}[c[2]]
+		routers, groups, class := c[0], c[1], []int{deduplicatedClass, writeClass}[c[2]]
 		warm, least := []float64{rps / 2, rps}[c[2]], []float64{0.25, 0.65}[c[2]] // what a warm one does; of that at least
-		s, list := fleetSettings(), whole()
+		s, list := fleetSettings(), completeList()
 		s.Routers = routers
 		for i := range 3 * groups {
 			list.Members = append(list.Members, Member{ID: fmt.Sprint(i), Group: i / 3, Primary: i%3 == 0, Weight: 1, State: Up})
 		}
-		rs, who, total := fleetOf(t, routers, s, list), "0", 0.0
+		rs, who, total := newFleetOf(t, routers, s, list), "0", 0.0
 		run := func(span Nanos) (cold [15]float64) {
-			drive(rs, span, rps*float64(groups), func(g *rig) Request {
+			driveFleet(rs, span, rps*float64(groups), func(g *harness) Request {
 				q := g.request(class)
-				q.Group = g.n % groups
+				q.Group = g.requestCount % groups
 				return q
 			}, func(at Nanos, x Send) AttemptResult {
 				if x.Member == "n" {
@@ -253,9 +255,9 @@
 	}
 }
 
-// calls steps routers that are asked to find discovery, and tells by tenths of a second when they call. Each call is
+// callsByTenth steps routers that are asked to find discovery, and tells by tenths of a second when they call. Each call is
 // answered at once.
-func calls(rs []*rig, span Nanos, first Event) []int {
+func callsByTenth(rs []*harness, span Nanos, first Event) []int {
 	by := make([]int, span/(100*ms))
 	for _, g := range rs {
 		next := first
@@ -284,18 +286,18 @@
 // counts as told 10 and 6 s later and binds after 2 s more. Of 300 gateways that started, or whose watch fell silent,
 // some called 12 and 36 s later. Guards discovery too: calls come in turn, however many ask.
 func TestDiscoveryIsCalledBeforeItsNewsBinds(t *testing.T) {
-	list := whole(primary("a"), up("b"))
+	list := completeList(primary("a"), up("b"))
 	for _, n := range []int{1, 8, fleetSize, 300, 1024} {
 		for name, c := range map[string]struct {
 			silent, most Nanos // since when nothing was heard; how long the last call may take to begin
 		}{"start": {-1, 1500 * ms}, "a watch that ended": {0, 6 * sec}, "a silent watch": {3 * sec, 3 * sec}} {
 			s := fleetSettings()
 			s.WatchDiscovery, s.Routers, s.DrainGrace = true, n, 2*sec
-			var rs []*rig
+			var rs []*harness
 			for i := range n {
 				s.Rank = i
 				r, _ := New(s, uint64(i)*977+5)
-				g := &rig{t: t, r: r, now: 100 * sec}
+				g := &harness{t: t, router: r, now: 100 * sec}
 				if rs = append(rs, g); c.silent >= 0 {
 					g.step(0, list)
 				}
@@ -304,7 +306,7 @@
 			if c.silent >= 0 {
 				first = DiscoveryFailed{LastHeard: rs[0].now + 20*ms - c.silent}
 			}
-			by := calls(rs, 40*sec, first)
+			by := callsByTenth(rs, 40*sec, first)
 			even := float64(n) / min(max(float64(n-smallFleet), 1)*float64(callSpacing), float64(c.most)) * float64(100*ms) // in a tenth of a second
 			if in := sum(by[:(c.most+100*ms)/(100*ms)]); in != n || sum(by) != n {
 				t.Errorf("%d gateways, %s: %d called in time, %d in all", n, name, in, sum(by))
@@ -319,12 +321,12 @@
 // does among many. Where answers come often one alone stays chance.
 func TestSeldomAnswersCountForMore(t *testing.T) {
 	for gap, want := range map[Nanos]bool{3 * sec: true, 50 * ms: false} {
-		g := newRig(t, fleetSettings())
-		g.step(0, whole(primary("a"), up("b")))
+		g := newHarness(t, fleetSettings())
+		g.step(0, completeList(primary("a"), up("b")))
 		for range 2 {
-			g.served(gap, anyClass, 380*ms, RoleReplica)
+			g.serve(gap, anyClass, 380*ms, RoleReplica)
 		}
-		if pace := g.r.members["b"].slowness; (pace > 1.5) != want {
+		if pace := g.router.members["b"].slowness; (pace > 1.5) != want {
 			t.Errorf("answers each %v: pace %.2f after two that took four times as long", gap, pace)
 		}
 	}
@@ -332,12 +334,12 @@
 
 // Guards a cold primary's bookings: the mean of its group says little of what a primary, the busiest, can do.
 func TestColdPrimaryGoesByThePrimaryBefore(t *testing.T) {
-	g := newRig(t, fleetSettings())
-	g.step(0, whole(primary("a"), up("b"), up("c"), up("d")))
+	g := newHarness(t, fleetSettings())
+	g.step(0, completeList(primary("a"), up("b"), up("c"), up("d")))
 	for range 300 {
-		g.served(100*ms, writeClass, 100*ms, RolePrimary)
+		g.serve(100*ms, writeClass, 100*ms, RolePrimary)
 	}
-	if w := g.r.groupList[0].warmWorkRate; w < 0.7 {
+	if w := g.router.groupList[0].warmWorkRate; w < 0.7 {
 		t.Errorf("%.2f s of work a second go for what a warm member does, the primary did 1", w)
 	}
 }
@@ -346,13 +348,13 @@
 // after half a second, more often than its turn comes. Where requests come often the ban stays as short as it was.
 func TestSuspectsAreLeftAloneForAsLongAsTheirTurnTakes(t *testing.T) {
 	for every, want := range map[Nanos][2]Nanos{20 * ms: {250 * ms, 750 * ms}, 900 * ms: {1350 * ms, 4050 * ms}, 60 * sec: {2 * sec, 6 * sec}} {
-		g := newRig(t, fleetSettings())
-		g.step(0, whole(primary("a"), up("b"), up("c")))
+		g := newHarness(t, fleetSettings())
+		g.step(0, completeList(primary("a"), up("b"), up("c")))
 		for range 60 {
-			g.served(every, writeClass, 50*ms, RolePrimary)
+			g.serve(every, writeClass, 50*ms, RolePrimary)
 		}
-		g.r.eject(g.r.members["b"])
-		if got := g.r.members["b"].ejectedUntil - g.now; got < want[0] || got > want[1] {
+		g.router.eject(g.router.members["b"])
+		if got := g.router.members["b"].ejectedUntil - g.now; got < want[0] || got > want[1] {
 			t.Errorf("a request each %d ms: left alone for %d ms, want %d to %d", every/ms, got/ms, want[0]/ms, want[1]/ms)
 		}
 	}
@@ -363,14 +365,14 @@
 	for routers, most := range map[int]int{0: 4, 1: 4, 8: 4, fleetSize: 1, 200: 1, 1 << 40: 1} {
 		s := fleetSettings()
 		s.Routers = routers
-		g := newRig(t, s)
-		g.step(0, whole(up("a"), up("b"), up("c")))
+		g := newHarness(t, s)
+		g.step(0, completeList(up("a"), up("b"), up("c")))
 		var events []Event
 		for range 10 {
 			events = append(events, g.request(writeClass))
 		}
-		if count[Probe](g.step(ms, events...)) != 1 || g.r.roundInterval() > 4*sec {
-			t.Errorf("%d routers: no round, or one only each %d ms", routers, g.r.roundInterval()/ms)
+		if count[Probe](g.step(ms, events...)) != 1 || g.router.roundInterval() > 4*sec {
+			t.Errorf("%d routers: no round, or one only each %d ms", routers, g.router.roundInterval()/ms)
 		}
 		acts := g.step(10*ms, ProbeResult{Member: "a", Outcome: Served, Duration: ms, Report: Report{HasRole: true, Primary: true, HasPosition: true, Position: g.now}})
 		if n := len(sends(acts)); n != most {
@@ -383,20 +385,20 @@
 // half of the two that were left.
 func TestLongReadsSpreadWhereFewMembersAreWarm(t *testing.T) {
 	s := fleetSettings()
-	g := newRig(t, s)
-	list := whole(primary("a"), up("b"), up("c"))
+	g := newHarness(t, s)
+	list := completeList(primary("a"), up("b"), up("c"))
 	for _, id := range []string{"d", "e", "f"} {
 		m := up(id)
 		m.StartedAt = g.now
 		list.Members = append(list.Members, m)
 	}
 	g.step(0, list)
-	g.r.members["b"].position = g.now // c is the one further behind
+	g.router.members["b"].position = g.now // c is the one further behind
 	to := map[string]int{}
 	for range 40 {
-		g.r.typicalLatency[anyClass], g.r.meanWork = float64(5*sec), 0.1 // this one is long, most are short
-		g.r.members["b"].slowness, g.r.members["c"].slowness = 1, 1
-		to[g.served(100*ms, anyClass, 100*ms, RoleReplica)]++
+		g.router.typicalLatency[anyClass], g.router.meanWork = float64(5*sec), 0.1 // this one is long, most are short
+		g.router.members["b"].slowness, g.router.members["c"].slowness = 1, 1
+		to[g.serve(100*ms, anyClass, 100*ms, RoleReplica)]++
 	}
 	if to["b"] < 5 || to["c"] < 5 {
 		t.Errorf("long reads went to %v", to)
@@ -405,10 +407,10 @@
 
 // Guards a slow primary's writes: bounded reads that no replica can serve do not join them, whatever the chance to spill.
 func TestSlowPrimaryTakesNoSpilledReads(t *testing.T) {
-	g := settled(t, fleetSettings())
-	g.r.groupList[0].spillChance = 1
+	g := newReportedHarness(t, fleetSettings())
+	g.router.groupList[0].spillChance = 1
 	for lately, want := range map[float64]int{0.1: 1, 0.5: 0} {
-		g.r.members["a"].recentLatencyRatio = lately
+		g.router.members["a"].recentLatencyRatio = lately
 		if n := len(sends(g.step(2*sec, g.request(boundedClass)))); n != want {
 			t.Errorf("answers lately at %.1f of the aim: %d reads went to the primary, want %d", lately, n, want)
 		}
@@ -419,14 +421,14 @@
 // go on to it, and they showed nowhere that the group is full. One sick member among others still shows nothing.
 func TestLastReplicaThatTimesOutStrainsItsGroup(t *testing.T) {
 	for others, want := range map[string]bool{"b": true, "c": false} {
-		rs := fleetOf(t, 1, fleetSettings(), whole(primary("a"), up("b"), up(others)))
-		drive(rs, 20*sec, 5, func(g *rig) Request {
-			g.r.eject(g.r.members["b"])
+		rs := newFleetOf(t, 1, fleetSettings(), completeList(primary("a"), up("b"), up(others)))
+		driveFleet(rs, 20*sec, 5, func(g *harness) Request {
+			g.router.eject(g.router.members["b"])
 			return g.request(anyClass)
 		}, func(_ Nanos, x Send) AttemptResult {
 			return AttemptResult{Outcome: map[string]Outcome{"b": TimedOut, "c": Served}[x.Member], Duration: 20 * ms}
 		}, func(string, Nanos) Report { return Report{} })
-		if got := rs[0].r.groupList[0].latencyRatio; (got > quickLatencyRatio) != want {
+		if got := rs[0].router.groupList[0].latencyRatio; (got > quickLatencyRatio) != want {
 			t.Errorf("with %q: strain %.2f", others, got)
 		}
 	}
@@ -435,8 +437,8 @@
 // Guards a primary that answers nothing any more: known by its answers alone it stayed as quick as the last of them, and
 // got every bounded read of the group on top of its writes.
 func TestPrimaryThatStopsAnsweringTakesFewReads(t *testing.T) {
-	rs, reads := fleet(t, fleetSettings(), whole(primary("a"), up("b"))), 0
-	drive(rs, 50*sec, 0.2*fleetSize, func(g *rig) Request { return g.request(boundedClass) }, func(Nanos, Send) AttemptResult {
+	rs, reads := newFleet(t, fleetSettings(), completeList(primary("a"), up("b"))), 0
+	driveFleet(rs, 50*sec, 0.2*fleetSize, func(g *harness) Request { return g.request(boundedClass) }, func(Nanos, Send) AttemptResult {
 		reads++
 		return AttemptResult{Outcome: TimedOut, Duration: 250 * ms}
 	}, func(m string, now Nanos) Report { // it still tells its role beside the queue
@@ -450,14 +452,14 @@
 // Guards cold members against a queue elsewhere: measured in answer times what the warm ones did seemed ten times the
 // work as soon as they answered ten times as late, and a cold one's part grew with it.
 func TestSlowAnswersAreNoMoreWork(t *testing.T) {
-	g := newRig(t, fleetSettings())
-	g.step(0, whole(primary("a"), up("b")))
+	g := newHarness(t, fleetSettings())
+	g.step(0, completeList(primary("a"), up("b")))
 	for range 200 {
-		g.r.typicalLatency[anyClass], g.r.typicalLatency[writeClass] = float64(sec), float64(sec) // what answers take with their queues
-		g.served(100*ms, writeClass, 50*ms, RolePrimary)
+		g.router.typicalLatency[anyClass], g.router.typicalLatency[writeClass] = float64(sec), float64(sec) // what answers take with their queues
+		g.serve(100*ms, writeClass, 50*ms, RolePrimary)
 	}
 	g.step(0, MemberList{Members: []Member{{ID: "n", Group: 1, Weight: 1, State: Up, StartedAt: g.now}}})
-	if w, most := g.r.groupList[0].warmWorkRate, 0.1; w > 12*most || g.r.members["n"].slowStartBudget >= most {
-		t.Errorf("10 requests of %.2f a second count as %.2f; a new member has %.2f", most, w, g.r.members["n"].slowStartBudget)
+	if w, most := g.router.groupList[0].warmWorkRate, 0.1; w > 12*most || g.router.members["n"].slowStartBudget >= most {
+		t.Errorf("10 requests of %.2f a second count as %.2f; a new member has %.2f", most, w, g.router.members["n"].slowStartBudget)
 	}
 }
--- a/random_test.go
+++ b/random_test.go
@@ -6,41 +6,41 @@
 	"testing"
 )
 
-// fake is a member as the random test plays it.
-type fake struct {
+// fakeMember is a member as the random test plays it.
+type fakeMember struct {
 	Member
-	hung       bool
-	pos        Nanos
-	lag        Nanos
-	told       Nanos // when the router was told that it drains; 0: it does not
-	toldReplic bool  // an answer has told the router that it is a replica
-	wasPrimary bool
-	load       []Nanos // sends while cold
+	hung            bool
+	position        Nanos
+	lag             Nanos
+	drainNotifiedAt Nanos // when the router was told that it drains; 0: it does not
+	replicaNotified bool  // an answer has told the router that it is a replica
+	wasPrimary      bool
+	warmingSends    []Nanos // sends while cold
 }
 
-type flight struct {
-	id      string
-	n       int
-	m       *fake
-	at, due Nanos
-	outcome Outcome
-	ended   bool
+type fakeAttempt struct {
+	id             string
+	number         int
+	member         *fakeMember
+	sentAt, endsAt Nanos
+	outcome        Outcome
+	ended          bool
 }
 
-type client struct {
+type fakeClient struct {
 	Request
-	at       Nanos
-	final    int
-	flights  []*flight
-	commitBy Nanos
+	arrivedAt      Nanos
+	finalResponses int
+	attempts       []*fakeAttempt
+	minPosition    Nanos
 }
 
-// play runs a router against played members through failovers, drains, cold starts, silence and lag, checks
+// playRandomEvents runs a router against played members through failovers, drains, cold starts, silence and lag, checks
 // the five rules on every action and returns all actions. broken, where set, spoils the router beforehand.
-func play(t *testing.T, seed int64, broken func(*Router)) []Action {
+func playRandomEvents(t *testing.T, seed int64, broken func(*Router)) []Action {
 	t.Helper()
 	rnd := rand.New(rand.NewSource(seed))
-	s := shapes[seed/2%2]()
+	s := deployments[seed/2%2]()
 	s.MayHedge, s.TrackSessionWrites = seed%2 == 0, seed%3 == 0
 	r, err := New(s, uint64(seed))
 	if err != nil {
@@ -50,10 +50,10 @@
 		broken(r)
 	}
 	var log []Action
-	fakes := map[string]*fake{}
+	fakes := map[string]*fakeMember{}
 	var names []string
 	add := func(m Member) {
-		fakes[m.ID] = &fake{Member: m}
+		fakes[m.ID] = &fakeMember{Member: m}
 		names = append(names, m.ID)
 	}
 	for g := 1; g <= 2; g++ {
@@ -61,12 +61,12 @@
 			add(Member{ID: fmt.Sprintf("m%d%d", g, i), Group: g, Zone: i % 2, Weight: 1 + float64(i%2), State: Up})
 		}
 	}
-	primary := map[int]*fake{1: fakes["m11"], 2: fakes["m20"]}
+	primary := map[int]*fakeMember{1: fakes["m11"], 2: fakes["m20"]}
 	primary[1].wasPrimary, primary[2].wasPrimary = true, true
-	clients := map[string]*client{}
-	var open []*flight
-	var live []*client
-	var told []*fake
+	clients := map[string]*fakeClient{}
+	var open []*fakeAttempt
+	var live []*fakeClient
+	var told []*fakeMember
 	commits := map[string]Nanos{}
 	now := 50 * sec
 	events := []Event{MemberList{Complete: true, Cached: true}}
@@ -75,17 +75,17 @@
 		l.Members = append(l.Members, fakes[n].Member)
 		events[0] = l
 	}
-	report := func(f *fake) Report {
-		return Report{HasPosition: true, Position: f.pos, HasRole: true, Primary: primary[f.Group] == f, HasQueued: true}
+	report := func(f *fakeMember) Report {
+		return Report{HasPosition: true, Position: f.position, HasRole: true, Primary: primary[f.Group] == f, HasQueued: true}
 	}
 	for tick := 0; tick < 4000; tick++ {
 		now += 5 * ms
 		for _, n := range names { // the log
 			f := fakes[n]
 			if p := primary[f.Group]; p == f {
-				f.pos = now
-			} else if p != nil && !p.hung && !f.hung && now-f.lag > f.pos {
-				f.pos = now - f.lag
+				f.position = now
+			} else if p != nil && !p.hung && !f.hung && now-f.lag > f.position {
+				f.position = now - f.lag
 			}
 		}
 		if rnd.Intn(80) == 0 { // something happens
@@ -98,13 +98,13 @@
 			case 2: // failover
 				if f.State == Up {
 					primary[f.Group] = f
-					f.wasPrimary, f.toldReplic = true, false
+					f.wasPrimary, f.replicaNotified = true, false
 				}
 			case 3:
 				if f.State == Up && rnd.Intn(3) == 0 {
-					f.State, f.told = Draining, now
+					f.State, f.drainNotifiedAt = Draining, now
 				} else {
-					f.State, f.told, f.StartedAt, f.load = Up, 0, now, nil
+					f.State, f.drainNotifiedAt, f.StartedAt, f.warmingSends = Up, 0, now, nil
 				}
 				events = append(events, MemberList{Members: []Member{f.Member}})
 			case 4:
@@ -119,11 +119,11 @@
 			if rnd.Intn(2) == 0 && !s.TrackSessionWrites {
 				q.SinceCommit = Nanos(rnd.Intn(800)) * ms
 			}
-			c := &client{Request: q, at: now}
+			c := &fakeClient{Request: q, arrivedAt: now}
 			if s.TrackSessionWrites {
-				c.commitBy = commits[fmt.Sprint(q.Group, q.Session)]
+				c.minPosition = commits[fmt.Sprint(q.Group, q.Session)]
 			} else if q.SinceCommit > 0 {
-				c.commitBy = now - q.SinceCommit
+				c.minPosition = now - q.SinceCommit
 			}
 			clients[q.ID], live = c, append(live, c)
 			events = append(events, q)
@@ -131,18 +131,18 @@
 		keep := open[:0]
 		for _, f := range open {
 			c := clients[f.id]
-			if f.due > now {
+			if f.endsAt > now {
 				keep = append(keep, f)
 				continue
 			}
 			f.ended = true
-			a := AttemptResult{ID: f.id, Attempt: f.n, Member: f.m.ID, Outcome: f.outcome, Duration: now - f.at}
+			a := AttemptResult{ID: f.id, Attempt: f.number, Member: f.member.ID, Outcome: f.outcome, Duration: now - f.sentAt}
 			if f.outcome == Served || f.outcome == Ineligible || f.outcome == Overloaded || f.outcome == ErrorResponse {
-				a.Role, a.Report = RoleReplica, report(f.m)
-				if primary[f.m.Group] == f.m {
+				a.Role, a.Report = RoleReplica, report(f.member)
+				if primary[f.member.Group] == f.member {
 					a.Role = RolePrimary
 				} else {
-					told = append(told, f.m)
+					told = append(told, f.member)
 				}
 			}
 			if f.outcome == Served {
@@ -151,11 +151,11 @@
 					a.Position = now
 					commits[fmt.Sprint(c.Group, c.Session)] = now
 				}
-				if !s.MayHedge || c.final == 0 { // of two copies answered in one batch the client gets the first
-					c.final++
+				if !s.MayHedge || c.finalResponses == 0 { // of two copies answered in one batch the client gets the first
+					c.finalResponses++
 				}
 			}
-			if c.final > 0 {
+			if c.finalResponses > 0 {
 				a.Final = true
 			}
 			events = append(events, a)
@@ -170,7 +170,7 @@
 				c, f := clients[a.ID], fakes[a.Member]
 				k := s.Classes[c.Class]
 				out := 0
-				for _, x := range c.flights {
+				for _, x := range c.attempts {
 					if !x.ended {
 						out++
 					}
@@ -178,62 +178,62 @@
 					if k.RetrySafety == Unsafe && !proved {
 						t.Fatalf("seed %d: unsafe %s sent again", seed, a.ID)
 					}
-					if k.RetrySafety == Deduplicated && !proved && (now >= x.at+k.DedupWindow || x.m.Group != f.Group) {
+					if k.RetrySafety == Deduplicated && !proved && (now >= x.sentAt+k.DedupWindow || x.member.Group != f.Group) {
 						t.Fatalf("seed %d: keyed %s sent outside its window", seed, a.ID)
 					}
 				}
 				switch {
-				case c.final > 0:
+				case c.finalResponses > 0:
 					t.Fatalf("seed %d: %s sent after its final answer", seed, a.ID)
 				case out > 0 && !s.MayHedge:
 					t.Fatalf("seed %d: two attempts of %s out", seed, a.ID)
 				case f.Group != c.Group:
 					t.Fatalf("seed %d: %s left its group", seed, a.ID)
-				case f.told > 0 && now > f.told+s.DrainGrace:
+				case f.drainNotifiedAt > 0 && now > f.drainNotifiedAt+s.DrainGrace:
 					t.Fatalf("seed %d: send to draining %s", seed, a.Member)
-				case len(c.flights) >= s.MaxAttempts:
+				case len(c.attempts) >= s.MaxAttempts:
 					t.Fatalf("seed %d: too many attempts", seed)
 				}
-				excused := primary[f.Group] == f || (f.wasPrimary && !f.toldReplic)
-				stale := k.Consistency == BoundedStaleness && !excused && f.pos < now-k.MaxStaleness || k.Consistency == ReadYourWrites && !excused && f.pos < c.commitBy
+				excused := primary[f.Group] == f || (f.wasPrimary && !f.replicaNotified)
+				stale := k.Consistency == BoundedStaleness && !excused && f.position < now-k.MaxStaleness || k.Consistency == ReadYourWrites && !excused && f.position < c.minPosition
 				if stale && (!s.MembersCheckStaleness || f.StartedAt > 0 && now < f.StartedAt+s.WarmUpTime) {
-					t.Fatalf("seed %d: read of class %s from %s, %d ms old, needs %d", seed, k.Name, f.ID, (now-f.pos)/ms, (now-c.commitBy)/ms)
+					t.Fatalf("seed %d: read of class %s from %s, %d ms old, needs %d", seed, k.Name, f.ID, (now-f.position)/ms, (now-c.minPosition)/ms)
 				}
 				if k.Consistency == Linearizable && !excused {
 					t.Fatalf("seed %d: fresh read from replica %s at tick %d, %+v", seed, f.ID, tick, r.members[f.ID])
 				}
 				if f.StartedAt > 0 && now < f.StartedAt+s.OverloadWindow {
-					if f.load = append(f.load, now); float64(len(f.load)) > 60 {
-						t.Fatalf("seed %d: %d sends in the first second of cold %s", seed, len(f.load), f.ID)
+					if f.warmingSends = append(f.warmingSends, now); float64(len(f.warmingSends)) > 60 {
+						t.Fatalf("seed %d: %d sends in the first second of cold %s", seed, len(f.warmingSends), f.ID)
 					}
 				}
-				x := &flight{id: a.ID, n: len(c.flights), m: f, at: now, due: now + Nanos(5+rnd.Intn(80))*ms, outcome: Served}
+				x := &fakeAttempt{id: a.ID, number: len(c.attempts), member: f, sentAt: now, endsAt: now + Nanos(5+rnd.Intn(80))*ms, outcome: Served}
 				switch {
 				case f.hung:
-					x.due, x.outcome = c.at+c.Remaining, TimedOut
+					x.endsAt, x.outcome = c.arrivedAt+c.Remaining, TimedOut
 				case stale, k.Consistency == Write && primary[f.Group] != f:
-					x.due, x.outcome = now+ms, Ineligible
+					x.endsAt, x.outcome = now+ms, Ineligible
 				case rnd.Intn(12) == 0:
 					x.outcome = []Outcome{Overloaded, ConnectFailed, ConnectionLost, ErrorResponse}[rnd.Intn(4)]
 				}
-				if x.due >= c.at+c.Remaining {
-					x.due, x.outcome = c.at+c.Remaining, TimedOut
+				if x.endsAt >= c.arrivedAt+c.Remaining {
+					x.endsAt, x.outcome = c.arrivedAt+c.Remaining, TimedOut
 				}
-				c.flights, open = append(c.flights, x), append(open, x)
+				c.attempts, open = append(c.attempts, x), append(open, x)
 			case Refuse:
 				c := clients[a.ID]
-				c.final++
-				for _, x := range c.flights {
+				c.finalResponses++
+				for _, x := range c.attempts {
 					if s.Classes[c.Class].RetrySafety != Safe && !(x.ended && x.outcome.notExecuted()) {
 						t.Fatalf("seed %d: %s refused though it may have run", seed, a.ID)
 					}
 				}
 			case Fail:
-				clients[a.ID].final++
+				clients[a.ID].finalResponses++
 			case Cancel:
-				for _, x := range clients[a.ID].flights {
-					if x.n == a.Attempt && !x.ended {
-						x.due, x.outcome = now, Cancelled
+				for _, x := range clients[a.ID].attempts {
+					if x.number == a.Attempt && !x.ended {
+						x.endsAt, x.outcome = now, Cancelled
 					}
 				}
 			case Probe:
@@ -245,18 +245,18 @@
 			}
 		}
 		for _, f := range told { // in an earlier batch from the next Step on
-			f.toldReplic = f.toldReplic || primary[f.Group] != f
+			f.replicaNotified = f.replicaNotified || primary[f.Group] != f
 		}
 		told = nil
 		waiting := live[:0]
 		for _, c := range live { // nobody is answered twice, too late or not at all
-			if c.final > 1 {
-				t.Fatalf("seed %d: %s got %d final answers", seed, c.ID, c.final)
+			if c.finalResponses > 1 {
+				t.Fatalf("seed %d: %s got %d final answers", seed, c.ID, c.finalResponses)
 			}
-			if now > c.at+c.Remaining+s.ResponseSlack && c.final == 0 {
+			if now > c.arrivedAt+c.Remaining+s.ResponseSlack && c.finalResponses == 0 {
 				t.Fatalf("seed %d: %s got no answer in time", seed, c.ID)
 			}
-			if now <= c.at+c.Remaining+sec {
+			if now <= c.arrivedAt+c.Remaining+sec {
 				waiting = append(waiting, c)
 			}
 		}
@@ -267,7 +267,7 @@
 
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := int64(1); seed <= 12; seed++ {
-		log := play(t, seed, nil)
+		log := playRandomEvents(t, seed, nil)
 		if len(sends(log)) < 2000 {
 			t.Errorf("seed %d: only %d sends", seed, len(sends(log)))
 		}
--- a/router_test.go
+++ b/router_test.go
@@ -12,9 +12,9 @@
 	anyClass = iota
 	boundedClass
 	sessionClass
-	freshClass
+	linearizableClass
 	writeClass
-	keyedClass
+	deduplicatedClass
 )
 
 const sec = 1000 * ms
@@ -33,42 +33,42 @@
 	}
 }
 
-// rig drives one router by hand.
-type rig struct {
-	t   *testing.T
-	r   *Router
-	now Nanos
-	n   int
+// harness drives one router by hand.
+type harness struct {
+	t            *testing.T
+	router       *Router
+	now          Nanos
+	requestCount int
 }
 
-func newRig(t *testing.T, s Settings) *rig {
+func newHarness(t *testing.T, s Settings) *harness {
 	t.Helper()
 	r, err := New(s, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &rig{t: t, r: r, now: 100 * sec}
+	return &harness{t: t, router: r, now: 100 * sec}
 }
 
 func up(id string) Member { return Member{ID: id, Group: 1, Weight: 1, State: Up} }
 
-func whole(ms ...Member) MemberList { return MemberList{Complete: true, Members: ms} }
+func completeList(ms ...Member) MemberList { return MemberList{Complete: true, Members: ms} }
 
-func (g *rig) step(after Nanos, events ...Event) []Action {
+func (g *harness) step(after Nanos, events ...Event) []Action {
 	g.now += after
-	return g.r.Step(g.now, events)
+	return g.router.Step(g.now, events)
 }
 
-// settled starts a router whose group 1 has primary a and replicas b and c, all heard of just now.
-func settled(t *testing.T, s Settings) *rig {
-	g := newRig(t, s)
+// newReportedHarness starts a router whose group 1 has primary a and replicas b and c, all heard of just now.
+func newReportedHarness(t *testing.T, s Settings) *harness {
+	g := newHarness(t, s)
 	g.step(0, MemberList{Complete: true, Cached: true, Members: []Member{up("a"), up("b"), up("c")}})
-	g.hear(0)
+	g.reportAll(0)
 	return g
 }
 
-// hear gives a report of each member: a is the primary, the replicas lag behind by lag.
-func (g *rig) hear(lag Nanos) []Action {
+// reportAll gives a report of each member: a is the primary, the replicas lag behind by lag.
+func (g *harness) reportAll(lag Nanos) []Action {
 	rep := func(id string, primary bool, at Nanos) ProbeResult {
 		return ProbeResult{Member: id, Outcome: Served, Duration: ms,
 			Report: Report{HasPosition: true, Position: at, HasRole: true, Primary: primary}}
@@ -76,9 +76,9 @@
 	return g.step(ms, rep("a", true, g.now+ms), rep("b", false, g.now+ms-lag), rep("c", false, g.now+ms-lag))
 }
 
-func (g *rig) request(class int) Request {
-	g.n++
-	return Request{ID: fmt.Sprint("q", g.n), Class: class, Group: 1, Session: "s", Remaining: 2 * sec}
+func (g *harness) request(class int) Request {
+	g.requestCount++
+	return Request{ID: fmt.Sprint("q", g.requestCount), Class: class, Group: 1, Session: "s", Remaining: 2 * sec}
 }
 
 func sends(acts []Action) (out []Send) {
@@ -99,7 +99,7 @@
 	return
 }
 
-func (g *rig) sentTo(acts []Action) string {
+func (g *harness) sentTo(acts []Action) string {
 	g.t.Helper()
 	s := sends(acts)
 	if len(s) != 1 {
@@ -123,8 +123,8 @@
 }
 
 func TestEachNeedGoesWhereItMay(t *testing.T) {
-	g := settled(t, testSettings())
-	for class, want := range map[int]string{anyClass: "bc", boundedClass: "bc", sessionClass: "bc", freshClass: "a", writeClass: "a"} {
+	g := newReportedHarness(t, testSettings())
+	for class, want := range map[int]string{anyClass: "bc", boundedClass: "bc", sessionClass: "bc", linearizableClass: "a", writeClass: "a"} {
 		if got := g.sentTo(g.step(0, g.request(class))); !strings.Contains(want, got) {
 			t.Errorf("class %d went to %s, want one of %s", class, got, want)
 		}
@@ -132,7 +132,7 @@
 }
 
 func TestRoundGoesInListOrderAndFoundPrimaryHeads(t *testing.T) {
-	g := newRig(t, testSettings())
+	g := newHarness(t, testSettings())
 	acts := g.step(0, MemberList{Complete: true, Cached: true, Members: []Member{up("a"), up("b"), up("c")}})
 	if count[Probe](acts) != 0 {
 		t.Fatalf("probed though nothing wants the primary: %v", acts)
@@ -158,14 +158,14 @@
 	if got := g.sentTo(acts); got != "c" {
 		t.Fatalf("held write went to %s", got)
 	}
-	if g.r.groupList[0].probeOrder[0].ID != "c" {
+	if g.router.groupList[0].probeOrder[0].ID != "c" {
 		t.Error("the found primary does not head the list")
 	}
 }
 
 func TestBrokenLinkDistrustsHoldsAndClosesOldPool(t *testing.T) {
 	for _, o := range []Outcome{ConnectionLost, ConnectFailed, TimedOut, Ineligible} {
-		g := settled(t, testSettings())
+		g := newReportedHarness(t, testSettings())
 		q := g.request(writeClass)
 		g.sentTo(g.step(0, q))
 		acts := g.step(ms, AttemptResult{ID: q.ID, Member: "a", Outcome: o, Role: map[Outcome]Role{Ineligible: RoleReplica}[o]})
@@ -191,9 +191,9 @@
 // Rule 2, over every outcome and effect: what may follow the first attempt.
 func TestOutcomesAndEffects(t *testing.T) {
 	proved := map[Outcome]bool{Overloaded: true, ConnectFailed: true, NotSent: true, Ineligible: true}
-	for class, effect := range map[int]RetrySafety{anyClass: Safe, writeClass: Unsafe, keyedClass: Deduplicated} {
+	for class, effect := range map[int]RetrySafety{anyClass: Safe, writeClass: Unsafe, deduplicatedClass: Deduplicated} {
 		for o := Served; o <= UnknownOutcome; o++ {
-			g := settled(t, testSettings())
+			g := newReportedHarness(t, testSettings())
 			q := g.request(class)
 			first := g.sentTo(g.step(0, q))
 			acts := g.step(10*ms, AttemptResult{ID: q.ID, Member: first, Outcome: o, Final: o == Served, Duration: 10 * ms})
@@ -223,8 +223,8 @@
 }
 
 func TestKeyedWindow(t *testing.T) {
-	g := settled(t, testSettings())
-	q := g.request(keyedClass)
+	g := newReportedHarness(t, testSettings())
+	q := g.request(deduplicatedClass)
 	first := g.sentTo(g.step(0, q))
 	acts := g.step(600*ms, AttemptResult{ID: q.ID, Member: first, Outcome: ConnectionLost})
 	for i := 0; i < 400; i++ {
@@ -236,7 +236,7 @@
 }
 
 func TestOneFinalAnswerInTimeWithoutAPrimary(t *testing.T) {
-	g := newRig(t, testSettings())
+	g := newHarness(t, testSettings())
 	g.step(0, MemberList{Complete: true, Cached: true, Members: []Member{up("a"), up("b")}})
 	q := g.request(writeClass)
 	acts := g.step(0, q)
@@ -258,9 +258,9 @@
 	for name, news := range map[string]MemberList{
 		"draining": {Members: []Member{drain}},
 		"gone":     {Members: []Member{{ID: "b", Group: 1, State: Removed}}},
-		"absent":   whole(up("a"), up("c")),
+		"absent":   completeList(up("a"), up("c")),
 	} {
-		g := settled(t, testSettings())
+		g := newReportedHarness(t, testSettings())
 		g.step(ms, news)
 		for i := 0; i < 20; i++ {
 			for _, s := range sends(g.step(ms, g.request(anyClass))) {
@@ -273,7 +273,7 @@
 }
 
 func TestStaleReplicaIsNotRead(t *testing.T) {
-	g := settled(t, testSettings())
+	g := newReportedHarness(t, testSettings())
 	g.step(350 * ms) // now the known positions are older than the bound
 	for i := 0; i < 20; i++ {
 		for _, s := range sends(g.step(ms, g.request(boundedClass))) {
@@ -286,9 +286,9 @@
 
 func TestSessionTokens(t *testing.T) {
 	t.Run("told", func(t *testing.T) {
-		g := settled(t, testSettings())
+		g := newReportedHarness(t, testSettings())
 		g.step(300 * ms)
-		g.hear(200 * ms)
+		g.reportAll(200 * ms)
 		q := g.request(sessionClass)
 		q.SinceCommit = 100 * ms
 		for _, s := range sends(append(g.step(0, q), g.step(30*ms)...)) {
@@ -305,7 +305,7 @@
 	t.Run("remembered", func(t *testing.T) {
 		s := testSettings()
 		s.TrackSessionWrites = true
-		g := settled(t, s)
+		g := newReportedHarness(t, s)
 		w := g.request(writeClass)
 		g.step(0, w)
 		g.step(10*ms, AttemptResult{ID: w.ID, Member: "a", Outcome: Served, Final: true, Duration: 10 * ms, Role: RolePrimary, Position: g.now + 8*ms})
@@ -314,19 +314,19 @@
 				t.Errorf("went to %s before it was known to have the write", x.Member)
 			}
 		}
-		g.hear(0)
+		g.reportAll(0)
 		if got := g.sentTo(g.step(ms, g.request(sessionClass))); got == "a" {
 			t.Error("a replica that has the write was passed over")
 		}
 		g.step(200 * ms)
-		if n := len(g.r.groupList[0].sessionCommits); n != 0 {
+		if n := len(g.router.groupList[0].sessionCommits); n != 0 {
 			t.Errorf("%d tokens kept that every member has passed", n)
 		}
 	})
 }
 
 func TestColdMemberGetsAtMostItsPart(t *testing.T) {
-	g := settled(t, testSettings())
+	g := newReportedHarness(t, testSettings())
 	cold := up("d")
 	cold.StartedAt = g.now
 	g.step(ms, MemberList{Members: []Member{cold}})
@@ -347,7 +347,7 @@
 }
 
 func TestSilentMemberIsLeftAlone(t *testing.T) {
-	g := settled(t, testSettings())
+	g := newReportedHarness(t, testSettings())
 	n := 0
 	for i := 0; i < 600; i++ { // b answers nothing, c at once
 		for _, s := range sends(g.step(5*ms, g.request(anyClass))) {
@@ -366,7 +366,7 @@
 // Guards rule 3: nothing new goes to a member that drains, a probe neither, whatever its attempts come to.
 func TestWhoDrainsIsNotProbed(t *testing.T) {
 	for _, state := range []MemberState{Up, Draining} {
-		g := settled(t, testSettings())
+		g := newReportedHarness(t, testSettings())
 		q := g.request(anyClass)
 		to := sends(g.step(0, q))[0].Member
 		m := up(to)
@@ -389,13 +389,13 @@
 	}{{true, 2 * sec, false}, {true, 100 * ms, true}, {false, 2 * sec, true}} {
 		s := testSettings()
 		s.MembersCheckStaleness, s.ResponsesHaveReport = true, true
-		g := newRig(t, s)
+		g := newHarness(t, s)
 		m := up("b")
 		if c.cold {
 			m.StartedAt = g.now - 2*sec
 		}
-		g.step(0, whole(primary("a"), m))
-		g.served(0, writeClass, 20*ms, RolePrimary)
+		g.step(0, completeList(primary("a"), m))
+		g.serve(0, writeClass, 20*ms, RolePrimary)
 		n := 0
 		for range 40 {
 			g.step(50*ms, ProbeResult{Member: "b", Outcome: Served, Duration: ms, Report: Report{HasPosition: true, Position: g.now - c.age}})
@@ -415,7 +415,7 @@
 func TestDiscoveryIsAskedAgainAfterABreak(t *testing.T) {
 	s := testSettings()
 	s.WatchDiscovery = true
-	g := newRig(t, s)
+	g := newHarness(t, s)
 	if count[Watch](g.step(0, MemberList{Complete: true, Cached: true})) != 1 {
 		t.Fatal("did not subscribe at once")
 	}
@@ -434,11 +434,11 @@
 func TestUnknownThingsAreNoted(t *testing.T) {
 	s := testSettings()
 	s.UnknownKeys = []string{"rules.brandNew"}
-	g := newRig(t, s)
-	if count[LogMessage](g.step(0, whole(up("a"), up("b")))) != 1 {
+	g := newHarness(t, s)
+	if count[LogMessage](g.step(0, completeList(up("a"), up("b")))) != 1 {
 		t.Error("an unknown settings key was not noted")
 	}
-	g = settled(t, testSettings())
+	g = newReportedHarness(t, testSettings())
 	q := g.request(writeClass)
 	g.step(0, q)
 	acts := g.step(ms, AttemptResult{ID: q.ID, Member: "a", Outcome: UnknownOutcome})
@@ -448,7 +448,7 @@
 }
 
 func TestEqualEventsGiveEqualActions(t *testing.T) {
-	a, b := play(t, 5, nil), play(t, 5, nil)
+	a, b := playRandomEvents(t, 5, nil), playRandomEvents(t, 5, nil)
 	if !reflect.DeepEqual(a, b) {
 		t.Error("two runs of the same events differ")
 	}
@@ -456,7 +456,7 @@
 
 // Incident i8e3937: a group whose members have all restarted is still served, a little at first.
 func TestWholeGroupColdIsServed(t *testing.T) {
-	g := settled(t, testSettings())
+	g := newReportedHarness(t, testSettings())
 	serve := func(n int) (served int) {
 		for i := 0; i < n; i++ {
 			for _, s := range sends(g.step(5*ms, g.request(anyClass))) {
@@ -473,7 +473,7 @@
 		m.StartedAt = g.now
 		cold = append(cold, m)
 	}
-	g.step(ms, whole(cold...))
+	g.step(ms, completeList(cold...))
 	if n := serve(600); n < 40 {
 		t.Errorf("%d of 600 reads served in the three seconds after all members restarted", n)
 	}
@@ -481,7 +481,7 @@
 
 // Incident ifc64c8: lost answers at members that answer others do not close their windows, and are asked again.
 func TestLostAnswersAreNotAQueue(t *testing.T) {
-	g := settled(t, testSettings())
+	g := newReportedHarness(t, testSettings())
 	held, late := 0, map[string]Nanos{}
 	for i := 0; i < 2000; i++ {
 		var done []Event
@@ -497,10 +497,10 @@
 		for _, a := range acts {
 			switch a := a.(type) {
 			case Send:
-				if g.n%6 == 0 {
+				if g.requestCount%6 == 0 {
 					late[a.ID] = g.now
 				} else {
-					done = append(done, AttemptResult{ID: a.ID, Attempt: len(g.r.requests[a.ID].attempts) - 1, Member: a.Member,
+					done = append(done, AttemptResult{ID: a.ID, Attempt: len(g.router.requests[a.ID].attempts) - 1, Member: a.Member,
 						Outcome: Served, Final: true, Duration: 20 * ms, Role: RoleReplica})
 				}
 			case Cancel:
@@ -512,7 +512,7 @@
 		}
 		for id, at := range late {
 			if g.now >= at+1900*ms {
-				done = append(done, AttemptResult{ID: id, Attempt: len(g.r.requests[id].attempts) - 1, Outcome: TimedOut})
+				done = append(done, AttemptResult{ID: id, Attempt: len(g.router.requests[id].attempts) - 1, Outcome: TimedOut})
 				delete(late, id)
 			}
 		}
@@ -526,7 +526,7 @@
 // Incident i1d42c4: a slow primary is spared the reads that no replica can serve.
 func TestSlowPrimaryIsSpared(t *testing.T) {
 	for took, want := range map[Nanos]bool{20 * ms: true, 390 * ms: false} {
-		g := settled(t, testSettings())
+		g := newReportedHarness(t, testSettings())
 		for i := 0; i < 60; i++ {
 			q := g.request(writeClass)
 			for _, s := range sends(g.step(0, q)) {
@@ -550,10 +550,10 @@
 
 // Under overload a hung member drew thousands of reads because the well ones were at their windows.
 func TestSuspectIsNotDrawnWhileOthersAreFull(t *testing.T) {
-	g := settled(t, testSettings())
-	b := g.r.members["b"]
+	g := newReportedHarness(t, testSettings())
+	b := g.router.members["b"]
 	b.ejectionTime, b.ejectedUntil = sec, g.now+sec
-	g.r.members["c"].window = 1
+	g.router.members["c"].window = 1
 	g.sentTo(g.step(0, g.request(anyClass)))
 	if s := sends(g.step(ms, g.request(anyClass))); len(s) != 0 && s[0].Member == "b" {
 		t.Errorf("sent to %s, a suspect, while a well member was only full", s[0].Member)
@@ -565,45 +565,45 @@
 	for name, c := range map[string]struct {
 		class  int
 		member string
-		spoil  func(*rig, *request)
+		spoil  func(*harness, *request)
 		want   bool
 	}{
-		"plain read":            {anyClass, "b", func(*rig, *request) {}, true},
-		"plain write":           {writeClass, "a", func(*rig, *request) {}, true},
-		"after the answer":      {anyClass, "b", func(_ *rig, q *request) { q.done = true }, false},
-		"after the deadline":    {anyClass, "b", func(g *rig, q *request) { q.deadline = g.now }, false},
-		"other group":           {anyClass, "b", func(g *rig, q *request) { q.group = g.r.group(9) }, false},
-		"draining":              {anyClass, "b", func(g *rig, _ *request) { g.r.members["b"].State = Draining }, false},
-		"gone":                  {anyClass, "b", func(g *rig, _ *request) { g.r.members["b"].State = Removed }, false},
-		"attempts spent":        {anyClass, "b", func(g *rig, q *request) { q.attempts = endedTries(g, 4) }, false},
-		"attempts left":         {anyClass, "b", func(g *rig, q *request) { q.attempts = endedTries(g, 3) }, true},
-		"one already out":       {anyClass, "b", func(_ *rig, q *request) { q.inFlight = 1 }, false},
-		"copy where allowed":    {anyClass, "b", func(g *rig, q *request) { g.r.settings.MayHedge, q.inFlight = true, 1 }, true},
-		"copy of a write":       {writeClass, "a", func(g *rig, q *request) { g.r.settings.MayHedge, q.inFlight = true, 1 }, false},
-		"write may have run":    {writeClass, "a", func(g *rig, q *request) { q.maybeExecuted = endedTries(g, 1) }, false},
-		"read may have run":     {anyClass, "b", func(g *rig, q *request) { q.maybeExecuted = endedTries(g, 1) }, true},
-		"keyed in its window":   {keyedClass, "b", func(g *rig, q *request) { q.maybeExecuted = endedTries(g, 1) }, true},
-		"keyed past its window": {keyedClass, "b", func(g *rig, q *request) { q.maybeExecuted = endedTries(g, 1); g.r.now += sec }, false},
-		"write at a replica":    {writeClass, "b", func(*rig, *request) {}, false},
-		"fresh at a replica":    {freshClass, "b", func(*rig, *request) {}, false},
-		"write, distrusted":     {writeClass, "a", func(g *rig, _ *request) { g.r.groupList[0].primaryTrusted = false }, false},
-		"stale replica":         {boundedClass, "b", func(g *rig, _ *request) { g.r.members["b"].position -= sec }, false},
-		"short of the token":    {sessionClass, "b", func(g *rig, q *request) { q.minPosition = g.now }, false},
-		"cold without budget":   {anyClass, "b", func(g *rig, _ *request) { g.r.members["b"].warmingSince = g.now }, false},
+		"plain read":            {anyClass, "b", func(*harness, *request) {}, true},
+		"plain write":           {writeClass, "a", func(*harness, *request) {}, true},
+		"after the answer":      {anyClass, "b", func(_ *harness, q *request) { q.done = true }, false},
+		"after the deadline":    {anyClass, "b", func(g *harness, q *request) { q.deadline = g.now }, false},
+		"other group":           {anyClass, "b", func(g *harness, q *request) { q.group = g.router.group(9) }, false},
+		"draining":              {anyClass, "b", func(g *harness, _ *request) { g.router.members["b"].State = Draining }, false},
+		"gone":                  {anyClass, "b", func(g *harness, _ *request) { g.router.members["b"].State = Removed }, false},
+		"attempts spent":        {anyClass, "b", func(g *harness, q *request) { q.attempts = endedAttempts(g, 4) }, false},
+		"attempts left":         {anyClass, "b", func(g *harness, q *request) { q.attempts = endedAttempts(g, 3) }, true},
+		"one already out":       {anyClass, "b", func(_ *harness, q *request) { q.inFlight = 1 }, false},
+		"copy where allowed":    {anyClass, "b", func(g *harness, q *request) { g.router.settings.MayHedge, q.inFlight = true, 1 }, true},
+		"copy of a write":       {writeClass, "a", func(g *harness, q *request) { g.router.settings.MayHedge, q.inFlight = true, 1 }, false},
+		"write may have run":    {writeClass, "a", func(g *harness, q *request) { q.maybeExecuted = endedAttempts(g, 1) }, false},
+		"read may have run":     {anyClass, "b", func(g *harness, q *request) { q.maybeExecuted = endedAttempts(g, 1) }, true},
+		"keyed in its window":   {deduplicatedClass, "b", func(g *harness, q *request) { q.maybeExecuted = endedAttempts(g, 1) }, true},
+		"keyed past its window": {deduplicatedClass, "b", func(g *harness, q *request) { q.maybeExecuted = endedAttempts(g, 1); g.router.now += sec }, false},
+		"write at a replica":    {writeClass, "b", func(*harness, *request) {}, false},
+		"fresh at a replica":    {linearizableClass, "b", func(*harness, *request) {}, false},
+		"write, distrusted":     {writeClass, "a", func(g *harness, _ *request) { g.router.groupList[0].primaryTrusted = false }, false},
+		"stale replica":         {boundedClass, "b", func(g *harness, _ *request) { g.router.members["b"].position -= sec }, false},
+		"short of the token":    {sessionClass, "b", func(g *harness, q *request) { q.minPosition = g.now }, false},
+		"cold without budget":   {anyClass, "b", func(g *harness, _ *request) { g.router.members["b"].warmingSince = g.now }, false},
 	} {
-		g := settled(t, testSettings())
-		k := &g.r.settings.Classes[c.class]
-		q := &request{Request: g.request(c.class), class: k, group: g.r.groupList[0], arrivedAt: g.now, deadline: g.now + 5*sec}
+		g := newReportedHarness(t, testSettings())
+		k := &g.router.settings.Classes[c.class]
+		q := &request{Request: g.request(c.class), class: k, group: g.router.groupList[0], arrivedAt: g.now, deadline: g.now + 5*sec}
 		c.spoil(g, q)
-		if got := g.r.mayAttempt(q, g.r.members[c.member]); got != c.want {
+		if got := g.router.mayAttempt(q, g.router.members[c.member]); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
 }
 
-func endedTries(g *rig, n int) (out []*attempt) {
+func endedAttempts(g *harness, n int) (out []*attempt) {
 	for i := 0; i < n; i++ {
-		out = append(out, &attempt{member: g.r.members["c"], number: i, sentAt: g.now - 10*ms, ended: true})
+		out = append(out, &attempt{member: g.router.members["c"], number: i, sentAt: g.now - 10*ms, ended: true})
 	}
 	return
 }
@@ -612,25 +612,25 @@
 func TestLongReadsKeepTogether(t *testing.T) {
 	s := testSettings()
 	s.Classes[anyClass].LatencyTarget = 6 * sec // expected to be long
-	g := settled(t, s)
+	g := newReportedHarness(t, s)
 	for i := 0; i < 4; i++ {
 		if got := g.sentTo(g.step(0, g.request(anyClass))); got != "c" {
 			t.Errorf("a long read went to %s, not to the last of equals", got)
 		}
 	}
-	g.r.members["c"].inFlight = 20
+	g.router.members["c"].inFlight = 20
 	if got := g.sentTo(g.step(0, g.request(anyClass))); got != "b" {
 		t.Errorf("a long read went to %s, though it is crowded", got)
 	}
-	g.r.members["c"].inFlight = 4
-	g.r.members["b"].position -= 2 * sec
+	g.router.members["c"].inFlight = 4
+	g.router.members["b"].position -= 2 * sec
 	if got := g.sentTo(g.step(0, g.request(anyClass))); got != "b" {
 		t.Errorf("a long read went to %s, not to the replica furthest behind", got)
 	}
 }
 
-// asleep steps the router only when it asked to be woken, until the given time has passed.
-func (g *rig) asleep(acts []Action, span Nanos) (all []Action, steps int) {
+// stepOnTimers steps the router only when it asked to be woken, until the given time has passed.
+func (g *harness) stepOnTimers(acts []Action, span Nanos) (all []Action, steps int) {
 	due := map[Nanos]bool{}
 	end := g.now + span
 	for {
@@ -656,12 +656,12 @@
 // Incident i6b013c: a request with less time left than the wake-up period got no final answer.
 func TestFinalAnswerBeforeAShortDeadline(t *testing.T) {
 	for _, left := range []Nanos{8 * ms, 14 * ms, 40 * ms} {
-		g := settled(t, testSettings())
-		g.asleep(g.step(0), 3*sec)
+		g := newReportedHarness(t, testSettings())
+		g.stepOnTimers(g.step(0), 3*sec)
 		q := g.request(anyClass)
 		q.Remaining = left
 		m := g.sentTo(g.step(0, q))
-		acts, _ := g.asleep(g.step(ms, AttemptResult{ID: q.ID, Member: m, Outcome: Overloaded}), left+5*ms)
+		acts, _ := g.stepOnTimers(g.step(ms, AttemptResult{ID: q.ID, Member: m, Outcome: Overloaded}), left+5*ms)
 		if n := count[Refuse](acts) + len(sends(acts)); n == 0 {
 			t.Errorf("%d ms left: no answer and no further attempt", left/ms)
 		}
@@ -669,21 +669,21 @@
 }
 
 func TestIdleRouterSeldomWakes(t *testing.T) {
-	g := settled(t, testSettings())
-	if _, n := g.asleep(g.step(0), 60*sec); n > 120 {
+	g := newReportedHarness(t, testSettings())
+	if _, n := g.stepOnTimers(g.step(0), 60*sec); n > 120 {
 		t.Errorf("an idle router woke %d times in a minute", n)
 	}
 }
 
 // One quick answer must not make a member that takes its usual time suspect.
 func TestOneQuickAnswerIsNotTypical(t *testing.T) {
-	g := settled(t, testSettings())
+	g := newReportedHarness(t, testSettings())
 	q := g.request(anyClass)
 	m := g.sentTo(g.step(0, q))
 	g.step(5*ms, AttemptResult{ID: q.ID, Member: m, Outcome: Served, Final: true, Duration: 5 * ms, Role: RoleReplica})
 	acts := g.step(5*ms, g.request(anyClass))
 	g.sentTo(acts)
-	if acts, _ = g.asleep(acts, 200*ms); count[Cancel](acts) != 0 {
+	if acts, _ = g.stepOnTimers(acts, 200*ms); count[Cancel](acts) != 0 {
 		t.Error("an attempt was called off after half its aim")
 	}
 }
@@ -691,7 +691,7 @@
 // Incident i6b013c: many quiet routers jammed a group, as no window binds at one attempt in flight.
 func TestQuietRouterSendsLessToASlowGroup(t *testing.T) {
 	sent := func(took Nanos, outcome Outcome) (n int) {
-		g := settled(t, testSettings())
+		g := newReportedHarness(t, testSettings())
 		for i := 0; i < 200; i++ {
 			for _, s := range sends(g.step(200*ms, g.request(anyClass))) {
 				n++
@@ -711,7 +711,7 @@
 func TestLateTryThatEarnsNothingIsRefusedAtOnce(t *testing.T) {
 	s := testSettings()
 	s.Classes[anyClass].LateValue = 0
-	g := settled(t, s)
+	g := newReportedHarness(t, s)
 	var q Request
 	for _, left := range []Nanos{800 * ms, 1900 * ms, 800 * ms, 810 * ms, 790 * ms, 795 * ms, 1900 * ms, 800 * ms} {
 		q = g.request(anyClass) // first tries, and later ones that come back at once
@@ -728,14 +728,14 @@
 
 // Probes have a price: an idle group is not asked, and a read that finds nobody fresh asks one replica, not all.
 func TestProbesOnlyWhatIsWanted(t *testing.T) {
-	g := newRig(t, testSettings())
+	g := newHarness(t, testSettings())
 	acts := g.step(0, MemberList{Complete: true, Cached: true, Members: []Member{up("a"), up("b"), up("c"), up("d")}})
-	acts, _ = g.asleep(acts, 10*sec)
+	acts, _ = g.stepOnTimers(acts, 10*sec)
 	if n := count[Probe](acts); n != 0 {
 		t.Errorf("%d probes of an idle group", n)
 	}
-	g = settled(t, testSettings())
-	g.r.probeCredit = -5 // a second one is not paid for
+	g = newReportedHarness(t, testSettings())
+	g.router.probeCredit = -5 // a second one is not paid for
 	g.step(5 * sec)
 	if n := count[Probe](g.step(0, g.request(boundedClass))); n != 1 {
 		t.Errorf("%d probes for one read", n)
@@ -752,15 +752,15 @@
 	for _, id := range ids {
 		list = append(list, up(id))
 	}
-	var rs []*rig
+	var rs []*harness
 	for i := range routers {
 		r, err := New(s, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		rs = append(rs, &rig{t: t, r: r, now: 100 * sec})
+		rs = append(rs, &harness{t: t, router: r, now: 100 * sec})
 		rs[i].step(0, MemberList{Complete: true, Cached: true, Members: list})
-		rs[i].hear(0)
+		rs[i].reportAll(0)
 	}
 	back := rs[0].now + 10*sec
 	var at []Nanos // sends to the restarted member after its return
@@ -801,25 +801,25 @@
 func TestUnlistedReturnIsCold(t *testing.T) {
 	s := testSettings()
 	s.ConnectTimeout = 250 * ms
-	g := settled(t, s)
+	g := newReportedHarness(t, s)
 	q := g.request(anyClass)
 	m := g.sentTo(g.step(0, q))
 	g.step(ms, AttemptResult{ID: q.ID, Member: m, Outcome: ConnectFailed, Duration: ms})
-	for i := 0; i < 100 && !g.r.warming(g.r.members[m]); i++ {
+	for i := 0; i < 100 && !g.router.warming(g.router.members[m]); i++ {
 		for _, a := range g.step(100*ms, g.request(anyClass)) {
 			if p, ok := a.(Probe); ok && p.Member == m {
 				g.step(ms, ProbeResult{Member: m, Outcome: Served, Duration: ms})
 			}
 		}
 	}
-	if !g.r.warming(g.r.members[m]) {
+	if !g.router.warming(g.router.members[m]) {
 		t.Error("a member that came back is not taken as cold")
 	}
 }
 
 // Connections that die unseen while idle are told from a bad member: an answer on a new connection clears it.
 func TestDroppedIdleConnections(t *testing.T) {
-	g := settled(t, testSettings())
+	g := newReportedHarness(t, testSettings())
 	write := func(outcome Outcome) (closed int) {
 		q := g.request(writeClass)
 		acts := g.step(ms, q)
@@ -849,7 +849,7 @@
 
 // A quiet router hears of each of many groups too seldom: what all groups show counts for each.
 func TestSlowGroupsAreToldTogether(t *testing.T) {
-	g := newRig(t, testSettings())
+	g := newHarness(t, testSettings())
 	var list []Member
 	for n := range 10 {
 		for _, id := range []string{"a", "b", "c"} {
@@ -876,10 +876,10 @@
 // client can still turn elsewhere. A write whose late answer earns more than that costs is held on.
 func TestUnsentReadIsRefusedBeforeHalfItsTime(t *testing.T) {
 	s := testSettings()
-	s.Classes[freshClass].LateValue, s.Classes[writeClass].LateValue = 0.2, 0.5
-	g := settled(t, s)
+	s.Classes[linearizableClass].LateValue, s.Classes[writeClass].LateValue = 0.2, 0.5
+	g := newReportedHarness(t, s)
 	g.step(ms, MemberList{Complete: true, Members: []Member{{ID: "m1", Group: 1, Weight: 1, State: Draining}}})
-	g.step(ms, g.request(freshClass), g.request(writeClass))
+	g.step(ms, g.request(linearizableClass), g.request(writeClass))
 	acts, refused := []Action{}, Nanos(0)
 	for past := Nanos(0); past < sec; past += 5 * ms {
 		acts = append(acts, g.step(5*ms, TimerFired{"sweep"})...)
@@ -887,7 +887,7 @@
 			refused = past + 5*ms
 		}
 	}
-	if half := g.request(freshClass).Remaining / 2; refused == 0 || refused >= half || refused < half/2 {
+	if half := g.request(linearizableClass).Remaining / 2; refused == 0 || refused >= half || refused < half/2 {
 		t.Errorf("read refused after %d ms of %d", refused/ms, 2*half/ms)
 	}
 	if n := count[Refuse](acts) + count[Fail](acts); n != 1 {
@@ -903,19 +903,19 @@
 		banned bool
 	}{{[]Outcome{Served}, false}, {[]Outcome{ConnectionLost, Served}, false}, {[]Outcome{ConnectionLost, ConnectionLost}, true},
 		{[]Outcome{ConnectFailed}, true}, {[]Outcome{TimedOut}, true}} {
-		g := settled(t, testSettings())
+		g := newReportedHarness(t, testSettings())
 		q := g.request(anyClass)
 		first := g.sentTo(g.step(ms, q))
-		m := g.r.members[first]
+		m := g.router.members[first]
 		acts := g.step(ms, AttemptResult{ID: q.ID, Member: first, Outcome: ConnectionLost, Duration: ms})
 		for _, o := range c.probes {
-			if g.r.ejected(m) || count[Probe](acts) != 1 {
-				t.Errorf("%v: banned %t, %d probes", c, g.r.ejected(m), count[Probe](acts))
+			if g.router.ejected(m) || count[Probe](acts) != 1 {
+				t.Errorf("%v: banned %t, %d probes", c, g.router.ejected(m), count[Probe](acts))
 			}
 			acts = g.step(ms, ProbeResult{Member: first, Outcome: o})
 		}
-		if g.r.ejected(m) != c.banned {
-			t.Errorf("%v: banned %t", c, g.r.ejected(m))
+		if g.router.ejected(m) != c.banned {
+			t.Errorf("%v: banned %t", c, g.router.ejected(m))
 		}
 	}
 }
@@ -924,26 +924,26 @@
 // primary again; an older word that says otherwise does not count.
 func TestAnOldReportConfirmsThePrimaryAfterACut(t *testing.T) {
 	for primary, trusted := range map[bool]bool{true: true, false: false} {
-		g := settled(t, testSettings())
+		g := newReportedHarness(t, testSettings())
 		q := g.request(writeClass)
 		g.step(ms, q)
 		g.step(ms, AttemptResult{ID: q.ID, Member: "a", Outcome: Served, Final: true, Duration: ms, Role: RolePrimary})
 		q = g.request(writeClass)
 		g.step(ms, q)
-		if g.step(ms, AttemptResult{ID: q.ID, Member: "a", Outcome: ConnectionLost, Duration: ms}); g.r.groups[1].primaryTrusted {
+		if g.step(ms, AttemptResult{ID: q.ID, Member: "a", Outcome: ConnectionLost, Duration: ms}); g.router.groups[1].primaryTrusted {
 			t.Fatal("the primary is trusted after a cut")
 		}
 		g.step(ms, ProbeResult{Member: "a", Outcome: Served, Duration: ms, Report: Report{HasPosition: true, Position: g.now - 100*ms, HasRole: true, Primary: primary}})
-		if g.r.groups[1].primaryTrusted != trusted || !g.r.members["a"].claimsPrimary {
-			t.Errorf("report says primary %t: trusted %t", primary, g.r.groups[1].primaryTrusted)
+		if g.router.groups[1].primaryTrusted != trusted || !g.router.members["a"].claimsPrimary {
+			t.Errorf("report says primary %t: trusted %t", primary, g.router.groups[1].primaryTrusted)
 		}
 	}
 }
 
 // Guards rule 5 where links are slow to come up: the send says until when what is known of the member suffices.
 func TestBoundedReadSaysByWhenItMustLeave(t *testing.T) {
-	g := settled(t, testSettings())
-	for class, want := range map[int]Nanos{anyClass: 0, boundedClass: g.r.members["b"].position + 300*ms - positionMargin} {
+	g := newReportedHarness(t, testSettings())
+	for class, want := range map[int]Nanos{anyClass: 0, boundedClass: g.router.members["b"].position + 300*ms - positionMargin} {
 		if s := sends(g.step(ms, g.request(class))); len(s) != 1 || s[0].SendBy != want {
 			t.Errorf("class %d: %+v, want by %d", class, s, want)
 		}
@@ -952,8 +952,8 @@
 
 // Guards rule 2 where links are slow to come up: a repeat must leave within the window of the oldest that may have run.
 func TestKeyedRepeatSaysByWhenItMustLeave(t *testing.T) {
-	g := settled(t, testSettings())
-	q := g.request(keyedClass)
+	g := newReportedHarness(t, testSettings())
+	q := g.request(deduplicatedClass)
 	first := g.step(ms, q)
 	began := g.now
 	if s := sends(first); len(s) != 1 || s[0].SendBy != 0 {
@@ -970,7 +970,7 @@
 	for _, window := range []Nanos{150 * ms, 5000 * ms} {
 		s := testSettings()
 		s.Classes[boundedClass].RetrySafety, s.Classes[boundedClass].DedupScope, s.Classes[boundedClass].DedupWindow = Deduplicated, DedupGroup, window
-		g := settled(t, s)
+		g := newReportedHarness(t, s)
 		q := g.request(boundedClass)
 		first := g.step(ms, q)
 		began := g.now
@@ -979,7 +979,7 @@
 		if len(x) != 1 {
 			t.Fatalf("the repeat: %+v", again)
 		}
-		want := g.r.members[x[0].Member].position + 300*ms - positionMargin
+		want := g.router.members[x[0].Member].position + 300*ms - positionMargin
 		if want = min(want, began+window-positionMargin); x[0].SendBy != want {
 			t.Errorf("window %d: to leave by %d, want %d", window, x[0].SendBy, want)
 		}
@@ -988,7 +988,7 @@
 
 // Guards memory on long days: members come under new ids, and those that left are forgotten once nothing is out there.
 func TestTheGoneAreForgotten(t *testing.T) {
-	g := settled(t, testSettings())
+	g := newReportedHarness(t, testSettings())
 	last := "c"
 	for i := range 200 {
 		q, next, left := g.request(anyClass), up(fmt.Sprint("n", i)), up(last)
@@ -996,29 +996,29 @@
 		to := g.sentTo(g.step(ms, q))
 		g.step(ms, MemberList{Members: []Member{next, left}})
 		g.step(ms, AttemptResult{ID: q.ID, Member: to, Outcome: Served, Final: true})
-		g.hear(0)
+		g.reportAll(0)
 		last = next.ID
 	}
-	g.step(ms, whole(up("a"), up("b"), up(last)))
-	if n, o := len(g.r.members), len(g.r.groups[1].probeOrder); n != 3 || o != 3 || len(g.r.memberList) != 3 {
+	g.step(ms, completeList(up("a"), up("b"), up(last)))
+	if n, o := len(g.router.members), len(g.router.groups[1].probeOrder); n != 3 || o != 3 || len(g.router.memberList) != 3 {
 		t.Errorf("%d members known, %d in the group", n, o)
 	}
-	g.step(ms, whole(up("b"), up(last)))
-	if g.r.groups[1].primary != nil || len(g.r.memberList) != 2 {
-		t.Errorf("the primary left: %+v remains", g.r.groups[1].primary)
+	g.step(ms, completeList(up("b"), up(last)))
+	if g.router.groups[1].primary != nil || len(g.router.memberList) != 2 {
+		t.Errorf("the primary left: %+v remains", g.router.groups[1].primary)
 	}
 }
 
 // Guards writes against a primary that has become slow: with one attempt at a time it has cores to spare.
 func TestSlowPrimaryKeepsAWindow(t *testing.T) {
-	g := settled(t, testSettings())
+	g := newReportedHarness(t, testSettings())
 	for range 60 {
 		q := g.request(writeClass)
 		if acts := g.step(100*ms, q); len(sends(acts)) == 1 {
 			g.step(390*ms, AttemptResult{ID: q.ID, Member: "a", Outcome: Served, Final: true, Duration: 390 * ms, Role: RolePrimary})
 		}
 	}
-	if a, b := g.r.members["a"], g.r.members["b"]; a.latencyRatio < slowLatencyRatio || a.window != minPrimaryWindow || b.window < initialWindow {
+	if a, b := g.router.members["a"], g.router.members["b"]; a.latencyRatio < slowLatencyRatio || a.window != minPrimaryWindow || b.window < initialWindow {
 		t.Errorf("strain %.2f, window %.1f; a replica's %.1f", a.latencyRatio, a.window, b.window)
 	}
 }
@@ -1026,7 +1026,7 @@
 // Guards writes against connections that fall silent: an attempt that will never be answered takes no place in the
 // window of a member that answers all others, and tells nothing of its load. Safe reads move on.
 func TestLostAttemptsTakeNoPlace(t *testing.T) {
-	g := settled(t, testSettings())
+	g := newReportedHarness(t, testSettings())
 	lost := g.request(writeClass)
 	g.step(ms, lost)
 	var strain float64
@@ -1034,20 +1034,20 @@
 		q := g.request(writeClass)
 		g.step(5*ms, q)
 		g.step(20*ms, AttemptResult{ID: q.ID, Member: "a", Outcome: Served, Final: true, Duration: 20 * ms, Role: RolePrimary})
-		strain = g.r.members["a"].latencyRatio
+		strain = g.router.members["a"].latencyRatio
 	}
-	if a := g.r.members["a"]; a.inFlight != 0 {
+	if a := g.router.members["a"]; a.inFlight != 0 {
 		t.Errorf("%d attempts in the window, want none", a.inFlight)
 	}
 	g.step(ms, AttemptResult{ID: lost.ID, Member: "a", Outcome: TimedOut, Duration: 2 * sec})
-	if a := g.r.members["a"]; a.inFlight != 0 || a.latencyRatio > strain {
+	if a := g.router.members["a"]; a.inFlight != 0 || a.latencyRatio > strain {
 		t.Errorf("after its time-out: %d in the window, strain %.3f, was %.3f", a.inFlight, a.latencyRatio, strain)
 	}
 }
 
 // Guards a group against one sick member: its attempts are given up all at once, but the others may be well.
 func TestASickMemberIsNoStrainOfItsGroup(t *testing.T) {
-	g := settled(t, testSettings())
+	g := newReportedHarness(t, testSettings())
 	at := map[string]string{}
 	for range 12 {
 		q := g.request(anyClass)
@@ -1067,8 +1067,8 @@
 			}
 		}
 	}
-	if cancelled < 3 || g.r.groups[1].latencyRatio > slowLatencyRatio {
-		t.Errorf("%d reads moved away, strain of the group %.2f", cancelled, g.r.groups[1].latencyRatio)
+	if cancelled < 3 || g.router.groups[1].latencyRatio > slowLatencyRatio {
+		t.Errorf("%d reads moved away, strain of the group %.2f", cancelled, g.router.groups[1].latencyRatio)
 	}
 }
 
@@ -1080,7 +1080,7 @@
 	sent := func(share SlowStartShare, after Nanos) (n float64) {
 		s := testSettings()
 		s.UnleasedShare, s.MaxWarmUpTime, s.OverloadFactor = safe, 20*sec, 2.5
-		g := settled(t, s)
+		g := newReportedHarness(t, s)
 		d := up("d")
 		d.StartedAt = 1 // long ago, by a clock that is far off
 		share.Member = "d"
@@ -1095,7 +1095,7 @@
 			q := g.request(anyClass)
 			for _, x := range sends(g.step(ms, q)) {
 				if x.Member == "d" {
-					n += g.r.typicalLatency[anyClass] / 1e9
+					n += g.router.typicalLatency[anyClass] / 1e9
 				}
 				g.step(0, AttemptResult{ID: x.ID, Member: x.Member, Outcome: Served, Final: true, Duration: 20 * ms, Role: RoleReplica})
 			}
--- a/shapes_test.go
+++ b/shapes_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// shapes are the settings of the two kinds of deployment that routers serve: one whose members answer any read and are
+// deployments are the settings of the two kinds of deployment that routers serve: one whose members answer any read and are
 // asked how far they are, and one whose members check reads and report with every answer.
-var shapes = []func() Settings{testSettings, checkedSettings}
+var deployments = []func() Settings{testSettings, checkingSettings}
 
-func checkedSettings() Settings {
+func checkingSettings() Settings {
 	s := testSettings()
 	s.MembersCheckStaleness, s.ResponsesHaveReport, s.ProbeCost = true, true, 0.034
 	s.WarmUpTime, s.InitialCapacity, s.OverloadFactor, s.OverloadWindow = 14*sec, 0.15, 4, sec
@@ -20,14 +20,14 @@
 	return s
 }
 
-func eachShape(t *testing.T, f func(*testing.T, Settings)) {
-	for i, s := range shapes {
+func forEachDeployment(t *testing.T, f func(*testing.T, Settings)) {
+	for i, s := range deployments {
 		t.Run([]string{"asked", "checked"}[i], func(t *testing.T) { f(t, s()) })
 	}
 }
 
-// ask steps in one request and tells where it went; "": nowhere.
-func (g *rig) ask(after Nanos, class int) (q Request, member string) {
+// route steps in one request and tells where it went; "": nowhere.
+func (g *harness) route(after Nanos, class int) (q Request, member string) {
 	q = g.request(class)
 	for _, x := range sends(g.step(after, q)) {
 		if x.ID == q.ID {
@@ -39,22 +39,22 @@
 
 // A report tells how far a member was when it was made: one that is older than that when it comes proves less.
 func TestAnOldReportIsNotTakenForFresh(t *testing.T) {
-	eachShape(t, func(t *testing.T, s Settings) {
+	forEachDeployment(t, func(t *testing.T, s Settings) {
 		bound := s.Classes[boundedClass].MaxStaleness
 		for _, cold := range []bool{false, true} { // members that check are tried where warm: the cold tell
-			g := newRig(t, s)
+			g := newHarness(t, s)
 			m := up("b")
 			if cold {
 				m.StartedAt = g.now - 10*sec
 			}
-			g.step(0, whole(primary("a"), m))
-			g.served(0, writeClass, 20*ms, RolePrimary)
+			g.step(0, completeList(primary("a"), m))
+			g.serve(0, writeClass, 20*ms, RolePrimary)
 			g.step(0, ProbeResult{Member: "b", Outcome: Served, Duration: ms, Report: Report{HasPosition: true, Position: g.now - 220*ms}})
-			b, q := g.r.members["b"], &request{class: &s.Classes[boundedClass], group: g.r.groupList[0]}
-			if !g.r.freshEnough(q, b) {
+			b, q := g.router.members["b"], &request{class: &s.Classes[boundedClass], group: g.router.groupList[0]}
+			if !g.router.freshEnough(q, b) {
 				t.Errorf("cold %t: not fresh right after a report 220 ms old", cold)
 			}
-			if g.step(bound-220*ms, TimerFired{}); g.r.freshEnough(q, b) {
+			if g.step(bound-220*ms, TimerFired{}); g.router.freshEnough(q, b) {
 				t.Errorf("cold %t: fresh %d ms after what it reported", cold, bound/ms)
 			}
 		}
@@ -63,10 +63,10 @@
 
 // All replicas over the bound: no cold or unchecked one is sent a bounded read, and those that check are not asked for ever.
 func TestAllReplicasOverTheBound(t *testing.T) {
-	eachShape(t, func(t *testing.T, s Settings) {
-		g := newRig(t, s)
-		g.step(0, whole(primary("a"), up("b"), up("c")))
-		g.served(0, writeClass, 20*ms, RolePrimary)
+	forEachDeployment(t, func(t *testing.T, s Settings) {
+		g := newHarness(t, s)
+		g.step(0, completeList(primary("a"), up("b"), up("c")))
+		g.serve(0, writeClass, 20*ms, RolePrimary)
 		attempts, finals := map[string]int{}, 0
 		for range 100 {
 			late := Report{HasPosition: true, Position: g.now - 5*sec}
@@ -77,7 +77,7 @@
 				next := []Action{}
 				for _, x := range sends(acts) {
 					attempts[x.ID]++
-					a := AttemptResult{ID: x.ID, Member: x.Member, Attempt: len(g.r.requests[x.ID].attempts) - 1, Outcome: Served, Final: true, Duration: 20 * ms, Role: RolePrimary}
+					a := AttemptResult{ID: x.ID, Member: x.Member, Attempt: len(g.router.requests[x.ID].attempts) - 1, Outcome: Served, Final: true, Duration: 20 * ms, Role: RolePrimary}
 					if x.Member != "a" {
 						if a = (AttemptResult{ID: x.ID, Member: x.Member, Attempt: a.Attempt, Outcome: Ineligible, Duration: ms, Role: RoleReplica, Report: late}); !s.MembersCheckStaleness {
 							t.Fatalf("a read of data 5 s old at %s", x.Member)
@@ -103,16 +103,16 @@
 // Guards replicas that check reads against being tried by every one, and reads against a turn at each: who was over the bound
 // a moment ago still is. After a pause a read shows whether it has caught up.
 func TestWhoWasBehindIsLeftAloneForAMoment(t *testing.T) {
-	s := checkedSettings()
-	g := newRig(t, s)
-	g.step(0, whole(up("a"), up("b"), up("c")))
+	s := checkingSettings()
+	g := newHarness(t, s)
+	g.step(0, completeList(up("a"), up("b"), up("c")))
 	late := Report{HasPosition: true, Position: g.now - 5*sec}
 	for _, id := range []string{"a", "b", "c"} {
-		q, _ := g.ask(0, anyClass)
+		q, _ := g.route(0, anyClass)
 		g.step(0, AttemptResult{ID: q.ID, Member: id, Outcome: Served, Final: true, Duration: 20 * ms, Role: RoleReplica})
 		g.step(0, ProbeResult{Member: id, Outcome: Served, Duration: ms, Report: late})
 	}
-	if _, to := g.ask(10*ms, boundedClass); to != "" {
+	if _, to := g.route(10*ms, boundedClass); to != "" {
 		t.Errorf("a read went to %s, which was 5 s behind 10 ms ago", to)
 	}
 	if n := len(sends(g.step(100*ms, TimerFired{}))); n != 1 {
@@ -123,10 +123,10 @@
 // A primary that hangs for 20 s: what may have run is never sent again, what was held is answered in its time, a client's retry
 // under a new id is a request of its own, and once the primary answers, writes go to it.
 func TestAPrimaryThatHangs(t *testing.T) {
-	eachShape(t, func(t *testing.T, s Settings) {
-		g := newRig(t, s)
-		g.step(0, whole(primary("a"), up("b")))
-		g.served(0, writeClass, 20*ms, RolePrimary)
+	forEachDeployment(t, func(t *testing.T, s Settings) {
+		g := newHarness(t, s)
+		g.step(0, completeList(primary("a"), up("b")))
+		g.serve(0, writeClass, 20*ms, RolePrimary)
 		sent, final := map[string]int{}, map[string]int{}
 		due := map[string]Nanos{}
 		var events []Event
@@ -189,20 +189,20 @@
 
 // Everything 2.8 times slower at once tells nothing of any one member: not all may be left alone, and reads go on.
 func TestAllMembersSlowAtOnce(t *testing.T) {
-	eachShape(t, func(t *testing.T, s Settings) {
-		g := newRig(t, s)
-		g.step(0, whole(primary("a"), up("b"), up("c"), up("d")))
+	forEachDeployment(t, func(t *testing.T, s Settings) {
+		g := newHarness(t, s)
+		g.step(0, completeList(primary("a"), up("b"), up("c"), up("d")))
 		for i := range 400 {
 			took := 60 * ms
 			if i > 200 {
 				took = took * 28 / 10
 			}
-			if g.served(20*ms, anyClass, took, RoleReplica) == "" && i > 200 {
+			if g.serve(20*ms, anyClass, took, RoleReplica) == "" && i > 200 {
 				t.Fatalf("request %d went nowhere", i)
 			}
 			banned := 0
-			for _, m := range g.r.memberList {
-				if g.r.ejected(m) {
+			for _, m := range g.router.memberList {
+				if g.router.ejected(m) {
 					banned++
 				}
 			}
@@ -216,21 +216,21 @@
 // Sizes have no unit: what a cold member may get must not grow with the number that all of them are given. Guards it against
 // the work of clients spread over members by their count: at sizes of 5 the budget was five times the part.
 func TestTheUnitOfSizesDoesNotMatter(t *testing.T) {
-	eachShape(t, func(t *testing.T, s Settings) {
+	forEachDeployment(t, func(t *testing.T, s Settings) {
 		var got []float64
 		for _, size := range []float64{1, 5} {
-			g := newRig(t, s)
+			g := newHarness(t, s)
 			var all []Member
 			for _, m := range []Member{primary("a"), up("b"), up("c"), up("d")} {
 				m.Weight = size
 				all = append(all, m)
 			}
 			all[3].StartedAt = g.now - 3*sec
-			g.step(0, whole(all...))
+			g.step(0, completeList(all...))
 			for range 100 { // clients come, nothing is answered yet
 				g.step(20*ms, g.request(writeClass), TimerFired{})
 			}
-			d := g.r.members["d"]
+			d := g.router.members["d"]
 			got = append(got, d.slowStartBudget+d.randomShare)
 		}
 		if got[0] <= 0 || got[1] > 1.01*got[0] || got[1] < 0.99*got[0] {
@@ -242,12 +242,12 @@
 // A gateway that suddenly carries half of all traffic learns what warm members do for it while the others still remember
 // what they did for them: together they must not push a member over that starts in those seconds.
 func TestAHotGatewayAndAColdMember(t *testing.T) {
-	eachShape(t, func(t *testing.T, s Settings) {
+	forEachDeployment(t, func(t *testing.T, s Settings) {
 		const routers, rps, replicas = 5, 150, 5
 		s.Routers = routers
-		list := whole(primary("a"), up("b"), up("c"), up("d"), up("e"), up("f"))
-		rs := fleetOf(t, routers, s, list)
-		told := map[*rig][]Event{}
+		list := completeList(primary("a"), up("b"), up("c"), up("d"), up("e"), up("f"))
+		rs := newFleetOf(t, routers, s, list)
+		told := map[*harness][]Event{}
 		rng := rand.New(rand.NewSource(7))
 		cold := rs[0].now + 16*sec // told at once
 		var at []Nanos
@@ -275,7 +275,7 @@
 					if send.Member == "f" && g.now > cold {
 						at = append(at, g.now)
 					}
-					told[g] = append(told[g], AttemptResult{ID: send.ID, Member: send.Member, Attempt: len(g.r.requests[send.ID].attempts) - 1, Outcome: Served, Final: true, Duration: 40 * ms, Role: RoleReplica})
+					told[g] = append(told[g], AttemptResult{ID: send.ID, Member: send.Member, Attempt: len(g.router.requests[send.ID].attempts) - 1, Outcome: Served, Final: true, Duration: 40 * ms, Role: RoleReplica})
 				}
 			}
 		}
