--- a/api.go
+++ b/api.go
@@ -1,44 +1,46 @@
-// Package aspenshed decides where a client-side router sends the reads and
-// writes of a replicated store. It holds decisions only: the embedder owns the
-// sockets, the clock and the goroutine.
+// Package aspenshed makes the routing decisions of a gateway in front of
+// groups of replicated databases: which member serves a request, and when to
+// queue, retry, refuse or cancel it. The embedder owns the sockets, the clock
+// and the goroutine.
 //
-// A Router is made with New and driven with Step. It keeps no goroutine, reads
-// no clock and shares nothing: equal settings, seed and events give equal
-// actions. All policy is in router.go; this file is the interface.
+// A Router is made with New and driven with Step. It starts no goroutine,
+// reads no clock and shares no state: equal settings, seed and events give
+// equal actions. All policy is in router.go; this file is the interface.
 package aspenshed
 
-// Nanos is an instant on the embedder's monotonic clock, or a span of it, in
-// nanoseconds. The clock may start anywhere; it must only move forward.
+// Nanos is an instant on the embedder's monotonic clock, or a duration, in
+// nanoseconds. The clock may start anywhere; it must never go backward.
 type Nanos int64
 
-// RetrySafety says what a repeat of a request may do.
+// RetrySafety says whether a request may be executed more than once.
 type RetrySafety int
 
-// The effects. Safe requests may be repeated freely, Deduplicated ones where their
-// repeats are dropped, Unsafe ones only once it is proved that nothing ran.
+// The levels of retry safety. Safe requests may be repeated freely,
+// Deduplicated ones where members drop the duplicates, Unsafe ones only once
+// it is certain that no earlier attempt was executed.
 const (
 	Safe RetrySafety = iota + 1
 	Deduplicated
 	Unsafe
 )
 
-// Consistency says what a request needs of the member that serves it.
+// Consistency is what a request requires of the member that serves it.
 type Consistency int
 
-// The needs, from the most lenient.
+// The consistency levels, from the weakest. Linearizable and Write need the primary.
 const (
-	Eventual         Consistency = iota + 1 // every member will do
-	BoundedStaleness                        // data no older than Class.Bound at the send
-	ReadYourWrites                          // everything the session has written
-	Linearizable                            // everything written before the request arrived
-	Write                                   // a write: the primary only
+	Eventual         Consistency = iota + 1 // any member
+	BoundedStaleness                        // data no older than Class.MaxStaleness when the request is sent
+	ReadYourWrites                          // all writes of the session
+	Linearizable                            // all writes committed before the request arrived
+	Write                                   // a write
 	consistencyCount = int(Write)
 )
 
-// DedupScope names the members that drop the repeats of a Keyed request.
+// DedupScope is the set of members that drop duplicates of a Deduplicated request.
 type DedupScope int
 
-// The scopes: every member, those of the first member's zone, or its group.
+// The scopes: all members, those in the zone of the first attempt's member, or those of its group.
 const (
 	DedupAll DedupScope = iota
 	DedupZone
@@ -49,67 +51,67 @@
 type Class struct {
 	Name          string
 	Consistency   Consistency
-	MaxStaleness  Nanos // Bounded only: how old the data may be
-	LatencyTarget Nanos // an answer within this is worth Worth
-	ClientTimeout Nanos // how long a client waits over all its tries
+	MaxStaleness  Nanos // BoundedStaleness only
+	LatencyTarget Nanos // a response within this time is worth Value
+	ClientTimeout Nanos // how long a client waits over all its retries
 	Value         float64
-	LateValue     float64 // part of Worth that a late answer still earns
+	LateValue     float64 // fraction of Value that a response after LatencyTarget is still worth
 	RetrySafety   RetrySafety
-	DedupScope    DedupScope // Keyed only
-	DedupWindow   Nanos      // Keyed only, from the first attempt that may have run
+	DedupScope    DedupScope // Deduplicated only
+	DedupWindow   Nanos      // Deduplicated only, from the first attempt that may have been executed
 }
 
 // Tenant is a customer with a share of the service.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second at all routers together
+	Quota float64 // requests per second over all routers
 }
 
-// Settings is what a router is told at its start.
+// Settings configures a router at its start.
 type Settings struct {
-	Routers, Rank, Zone int
-	MinStepInterval     Nanos // least time between two Steps
+	Routers, Rank, Zone int   // number of routers, this router's index among them, its zone
+	MinStepInterval     Nanos // the embedder calls Step no more often than this
 	Classes             []Class
 	Tenants             []Tenant
-	OverQuotaValue      float64 // part of the worth left beyond a tenant's share
-
-	WatchDiscovery        bool  // the member list comes only when asked for
-	NotifiedAfter         Nanos // rule 3: the list counts as told after this long
-	ListHasRoles          bool  // the list names a primary, late or as at the start
-	PositionEpoch         Nanos // the instant that positions are counted from
-	ResponsesHavePosition bool  // every answer carries a position
-	ResponsesHaveReport   bool  // answers carry load reports, not only probes
-	TrackSessionWrites    bool  // the router remembers sessions' writes (else told)
-	MembersCheckStaleness bool  // members turn away reads they are too old for
-	StalenessCheckWait    Nanos // after waiting this long to catch up
+	OverQuotaValue      float64 // fraction of the value left for requests beyond a tenant's quota
+
+	WatchDiscovery        bool  // the member list arrives only after a Watch
+	NotifiedAfter         Nanos // rule 3: the router counts as notified of a change of the list after this long
+	ListHasRoles          bool  // the list names a primary, possibly an outdated one
+	PositionEpoch         Nanos // the instant from which positions are counted
+	ResponsesHavePosition bool  // every response carries a position
+	ResponsesHaveReport   bool  // responses carry load reports, not only probe results
+	TrackSessionWrites    bool  // the router tracks the commits of sessions; otherwise requests carry SinceCommit
+	MembersCheckStaleness bool  // members reject reads that they are too stale for
+	StalenessCheckWait    Nanos // how long a member waits to catch up before it rejects such a read
 
 	MayProbe, MayCancel, MayHedge, SendRetryAfter bool
 	MaxAttempts                                   int
-	MaxRetryAfter                                 Nanos // the longest advice that clients follow
+	MaxRetryAfter                                 Nanos // the longest retry delay that clients honor
 	ConnectTimeout                                Nanos
 	IdleTimeout                                   Nanos // idle connections are closed after this long; 0: never
 
-	ResponseSlack     Nanos   // how late past the deadline a final answer may be
-	DrainGrace        Nanos   // after news of a drain
-	RemovalIsAdvisory bool    // only a drain binds; absence from the list does not
-	InitialCapacity   float64 // the least share of capacity of a fresh member
-	WarmUpTime        Nanos   // warm after this at the latest
-	OverloadFactor    float64 // work over this multiple of present capacity ...
-	OverloadWindow    Nanos   // ... for this long topples a cold member
-	UnleasedShare     float64 // of a cold member's budget: what this router may use without a lease. 0: no leases here
-	MaxWarmUpTime     Nanos   // with leases: a start without an agreed word is cold for this long from when it was heard of
-	ProbeCost         float64 // points for one probe a request
-	CrossZoneCost     float64 // points for one zone crossing a request
-	WastedWorkCost    float64 // points for as much wasted work as was asked for
-	LateFailureCost   float64 // points for failing all after the aim
-
-	UnknownKeys []string // settings keys and report columns that were not understood
+	ResponseSlack     Nanos   // how long after the deadline a final response may still come
+	DrainGrace        Nanos   // how long after a drain notice requests may still be sent to the member
+	RemovalIsAdvisory bool    // absence from the list does not stop sends to a member, only draining does
+	InitialCapacity   float64 // fraction of its capacity that a member has right after its start
+	WarmUpTime        Nanos   // a started member is warmed up after this long at the latest
+	OverloadFactor    float64 // work above this multiple of a warming member's present capacity ...
+	OverloadWindow    Nanos   // ... for this long overloads it
+	UnleasedShare     float64 // share of a warming member's budget that needs no lease; 0: leases are not used
+	MaxWarmUpTime     Nanos   // with leases: longest warm-up, from the notification, of a start without agreed state
+	ProbeCost         float64 // points for one probe per request
+	CrossZoneCost     float64 // points for one zone crossing per request
+	WastedWorkCost    float64 // points for as much wasted work as was requested
+	LateFailureCost   float64 // points if every request fails after its latency target
+
+	UnknownKeys []string // settings keys and report columns that were not recognized
 }
 
-// MemberState is what the member list says of a member.
+// MemberState is a member's state in the member list.
 type MemberState int
 
-// The states.
+// The member states.
 const (
 	Up MemberState = iota + 1
 	Draining
@@ -121,88 +123,88 @@
 	ID        string
 	Group     int
 	Zone      int
-	Weight    float64 // comparable between members; 1 where unknown
+	Weight    float64 // capacity relative to other members; 1 where unknown
 	StartedAt Nanos   // 0: long ago
 	State     MemberState
-	Primary   bool // the list's view of its role
+	Primary   bool // its role according to the list
 }
 
-// Report is what a member says of itself; each value may be absent.
+// Report is what a member reports about itself; each value may be absent.
 type Report struct {
 	HasPosition, HasRole, HasQueued, HasInFlight bool
-	Position                                     Nanos // instant up to which all commits are applied, as of the report
+	Position                                     Nanos // all commits up to this instant were applied at the report
 	Primary                                      bool
 	Queued                                       float64 // requests queued
-	InFlight                                     float64 // requests in progress
+	InFlight                                     float64 // requests being executed
 }
 
 // Outcome says how an attempt or a probe ended.
 type Outcome int
 
-// The outcomes. Ineligible, Overloaded, ConnectFailed and NotSent prove that nothing ran.
+// The outcomes. Overloaded, ConnectFailed, NotSent and Ineligible prove that nothing was executed.
 const (
-	Served        Outcome = iota + 1 // answered
-	ErrorResponse                    // the member answered with an error; may have run
-	Overloaded                       // turned away unseen
+	Served        Outcome = iota + 1
+	ErrorResponse         // the member responded with an error; may have been executed
+	Overloaded            // rejected without being read
 	TimedOut
-	ConnectFailed  // no connection came about
-	ConnectionLost // the connection broke while the attempt was out
+	ConnectFailed
+	ConnectionLost // the connection broke during the attempt
 	Cancelled
 	NotSent
-	Ineligible     // untouched: not the primary, or too far behind for the read
-	StatementError // the statement itself is at fault: its error is the answer, and says nothing of the member
-	UnknownOutcome // an outcome this release does not know; treated as may have run
+	Ineligible     // rejected without being executed: not the primary, or too stale for the read
+	StatementError // the client's statement is invalid: its error is the response, and says nothing of the member
+	UnknownOutcome // an outcome that this release does not know; may have been executed
 )
 
-// notExecuted tells whether the outcome proves that nothing ran.
+// notExecuted tells whether the outcome proves that the attempt was not executed.
 func (o Outcome) notExecuted() bool {
 	return o == Overloaded || o == ConnectFailed || o == NotSent || o == Ineligible
 }
 
-// Event is something a router is told. The types below are the only ones.
+// Event is an input of a router. The types below are the only ones.
 type Event interface{ isEvent() }
 
-// MemberList is news of the members: a change, or the whole list.
+// MemberList is an update of the members: changes, or the complete list.
 type MemberList struct {
-	Complete bool // members that are not in it are gone
-	Cached   bool // the list as last held, maybe out of date; comes at the start
+	Complete bool // members that are not in it have been removed
+	Cached   bool // the last list that was stored, possibly outdated; sent at the start
 	Members  []Member
 }
 
-// DiscoveryFailed says that a Watch or Fetch failed or that the watch ended.
+// DiscoveryFailed says that a Watch call failed or that the watch ended.
 type DiscoveryFailed struct {
-	// LastHeard is since when a watch that ended, or a call that fell silent, has told nothing, not even that nothing had
-	// changed; 0: discovery has turned the call down, or it is not known.
+	// LastHeard is when a watch that ended, or a call that fell silent, last received anything, if only that nothing
+	// had changed; 0: discovery refused the call, or the time is not known.
 	LastHeard   Nanos
-	Unreachable bool // the call never came to discovery
+	Unreachable bool // no connection to discovery was established
 }
 
-// Request is a request that a client has handed to this router.
+// Request is a request that a client has sent to this router.
 type Request struct {
 	ID          string
 	Class       int
 	Group       int
 	Tenant      int
 	Session     string
-	Remaining   Nanos // until the client gives this try up
-	SinceCommit Nanos // OwnWrites, told tokens: age of the session's last commit at arrival; 0: none
-	IsRetry     bool  // the client says that it asks again
+	Remaining   Nanos // until the client gives this request up
+	SinceCommit Nanos // ReadYourWrites without TrackSessionWrites: age of the session's last commit at arrival; 0: none
+	IsRetry     bool  // the client marks it as a retry
 }
 
-// AttemptResult ends one attempt. Over is set once the request needs nothing more.
+// AttemptResult ends one attempt.
 type AttemptResult struct {
 	ID       string
 	Attempt  int
 	Member   string
 	Outcome  Outcome
-	Final    bool
+	Final    bool // the request needs no further attempt
 	Duration Nanos
 	Role     Role
-	Position Nanos // 0: not told. For a served write its commit, rounded up
+	Position Nanos // 0: not reported. For a served write its commit, rounded up
 	Report   Report
 }
 
-// Role is a member's part in its group.
+// Role is a member's role in its group.
 type Role int
 
 // The roles.
@@ -212,10 +214,10 @@
 	RoleReplica
 )
 
-// RequestWithdrawn says that a request has ended without the router: nothing is owed.
+// RequestWithdrawn says that a request has ended without the router: it needs no response.
 type RequestWithdrawn struct{ ID string }
 
-// TimerFired is the answer to a Wake.
+// TimerFired answers a SetTimer.
 type TimerFired struct{ Label string }
 
 // ProbeResult ends a probe.
@@ -226,14 +228,14 @@
 	Report   Report
 }
 
-// SlowStartShare is what the routers have agreed on for one start of a member, where Settings.SafeShare is set.
+// SlowStartShare is what the routers have agreed on for one start of a member, where Settings.UnleasedShare is set.
 type SlowStartShare struct {
 	Member      string
 	StartedAt   Nanos
-	WarmedUp    bool    // it is no longer cold
-	LeasedShare float64 // of its budget that this router may use on top of SafeShare, until Until
+	WarmedUp    bool
+	LeasedShare float64 // share of its budget that this router may use on top of UnleasedShare, until Until
 	Until       Nanos
-	WorkRate    float64 // work a second and size that its group's warm members answer for all routers; 0: not known
+	WorkRate    float64 // work per second and weight that the group's warmed-up members do for all routers; 0: unknown
 }
 
 func (MemberList) isEvent()       {}
@@ -245,33 +247,33 @@
 func (ProbeResult) isEvent()      {}
 func (SlowStartShare) isEvent()   {}
 
-// Action is something a router wants done. The types below are the only ones.
+// Action is an output of a router. The types below are the only ones.
 type Action interface{ isAction() }
 
-// Send starts an attempt; attempts of a request are numbered from 0.
+// Send starts an attempt; the attempts of a request are numbered from 0.
 type Send struct {
 	ID, Member string
 	Attempt    int
 	Deadline   Nanos // 0: when the client gives up
-	SendBy     Nanos // it must leave by then or not at all: later the data may be too old; 0: no matter
+	SendBy     Nanos // must be sent by then or not at all, as the member may be too stale afterwards; 0: no limit
 }
 
-// Refuse is a final answer: nothing ran, trying again is harmless.
+// Refuse is a final response: retrying the request is harmless.
 type Refuse struct {
 	ID         string
-	RetryAfter Nanos // advice to the client; 0: none
+	RetryAfter Nanos // retry delay for the client; 0: none
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final response after which the request may or may not have been executed.
 type Fail struct{ ID string }
 
-// Cancel gives up waiting for one attempt; an Answer still follows.
+// Cancel stops waiting for one attempt; an AttemptResult still follows.
 type Cancel struct {
 	ID      string
 	Attempt int
 }
 
-// SetTimer asks for a Woke after a while.
+// SetTimer asks for a TimerFired after a delay.
 type SetTimer struct {
 	After Nanos
 	Label string
@@ -283,7 +285,7 @@
 // CloseIdleConnections closes this router's idle connections to a member.
 type CloseIdleConnections struct{ Member string }
 
-// Watch asks discovery for changes from now on.
+// Watch subscribes to changes of the member list at discovery.
 type Watch struct{}
 
 // LogMessage is a line for the embedder's log.
--- a/router.go
+++ b/router.go
@@ -1,7 +1,8 @@
 package aspenshed
 
-// This file decides; its interface is api.go. Read it from Step: events update what is known, then sweep does
-// what time asks for and place sends. Section heads name a question's owner; mayAttempt keeps the rules.
+// This file makes the routing decisions; its interface is api.go, its state is state.go. Read it from
+// Step: events update the state, then runDue does what is due by time and dispatch sends requests.
+// mayAttempt enforces the rules.
 
 import (
 	"cmp"
@@ -13,73 +14,77 @@
 const (
 	ms = Nanos(1e6)
 
-	probeTimeout        = 200 * ms  // DESIGN: a member silent to a probe this long is passed over in a round
-	minRoundInterval    = 250 * ms  // between rounds without a primary; DESIGN leaves the timer open
-	roundFleetSize      = 40.0      // more routers than that begin rounds as often as that many
-	smallFleet          = 8         // routers for which the constants here were found
-	callSpacing         = 100 * ms  // between calls of a fleet, if time allows: discovery bore 16 a second of 60
-	changeNotifiedAfter = 6000 * ms // protocol: after it, what discovery has and can be asked counts as known
-	callDuration        = 2500 * ms // protocol: a call fails that waited for 2 s; and 0.5 s to connect
-	maxCallFailureTime  = 3000 * ms // the longest that a call takes to fail: silence shows after that
-	minCallRetry        = 250 * ms  // before a call that costs discovery nothing, as it never came there
-	queueRetryInterval  = 10 * ms   // how often a held request is tried again
-	idleStepInterval    = 1000 * ms // an idle router wakes only this often
-	positionMargin      = 1 * ms    // taken off every known position: the wire rounds to milliseconds
-	slowLatencyRatio    = 0.35      // of an aim: answers slower than this on average shrink a member's window
-	overloadShrink      = 0.6       // the same when turned away or timed out: the queue there is far too long
-	lossThreshold       = 0.08      // of attempts timed out at members that answer others: answers are being lost
-	slowStartMargin     = 0.7       // what is used of the multiple that topples a cold member; routers differ
-	boostStep           = 1.2       // by how much more a cold member gets for each quick answer
-	maxBoost            = 1.6       // at most: beyond what a fleet measures, whose answers come late
-	otherGroupsRate     = 0.8       // of other groups' warm rate: what a group without one of its own goes by
-	warmRateDecay       = 20.0      // s: how long a group's warm rate is remembered once its members are all cold
+	probeTimeout        = 200 * ms  // given by the design: a round goes on to the next member after this long
+	minRoundInterval    = 250 * ms  // between rounds without a primary; not given by the design
+	roundFleetSize      = 40.0      // larger fleets start rounds as often as one of this size
+	smallFleet          = 8         // number of routers for which these constants were determined
+	callSpacing         = 100 * ms  // between calls of a fleet if time allows: discovery served 16 of 60/s
+	changeNotifiedAfter = 6000 * ms // protocol: notified of a change by then, if discovery is reachable
+	callDuration        = 2500 * ms // protocol: a call fails after waiting for 2 s; plus 0.5 s to connect
+	maxCallFailureTime  = 3000 * ms // longest time for a call to fail: the timeout of a silent call
+	minCallRetry        = 250 * ms  // before the next call after one that did not reach discovery
+	queueRetryInterval  = 10 * ms   // between dispatches of a queued request
+	idleStepInterval    = 1000 * ms // between Steps of an idle router
+	positionMargin      = 1 * ms    // subtracted from every known position: the wire rounds to milliseconds
+	slowLatencyRatio    = 0.35      // mean response time over latency target above which a window shrinks
+	overloadShrink      = 0.6       // window factor after an overload or timeout: the queue is far too long
+	lossThreshold       = 0.08      // share of timeouts at responding members above which responses get lost
+	slowStartMargin     = 0.7       // fraction of the overload factor that is used, as estimates differ
+	boostStep           = 1.2       // factor on a warming member's boost for each quick response
+	maxBoost            = 1.6       // its limit: above it the fleet's measurements lag behind
+	otherGroupsRate     = 0.8       // of other groups' work rate: assumed for a group without one of its own
+	warmRateDecay       = 20.0      // s: decay of a group's recorded rate while its primary is warmed up
 	rateDecay           = 10.0      // s: time constant of moving rates
-	longReadRatio       = 3.0       // times the shortest class's answer time: a read long enough to hold up a log
-	spillLatencyRatio   = 0.5       // of an aim: answers of the primary slower than this turn reads away from it
-	initialSpillChance  = 0.5       // chance to spill before anything is known of a primary
-	spillStep           = 0.03      // step of the chance to spill; it falls three times as fast
-	windowShrink        = 0.85      // window factor at a slow or full answer; gentle, as one slow answer is chance
-	initialWindow       = 8.0       // attempts in flight a member gets before anything is known of it
-	newPrimaryWindow    = 4.0       // the same for a newly found primary: held writes are let go in steps
+	longReadRatio       = 3.0       // times the fastest class: such long reads may hold up a replica's log
+	spillLatencyRatio   = 0.5       // latency ratio of the primary above which fewer reads go to it
+	initialSpillChance  = 0.5       // chance that reads go to a primary before anything is known of it
+	spillStep           = 0.03      // step by which that chance rises; it falls three times as fast
+	windowShrink        = 0.85      // window factor at a slow response; close to 1, as one may be chance
+	initialWindow       = 8.0       // attempts in flight at a member before anything is known of it
+	newPrimaryWindow    = 4.0       // the same at a newly found primary: queued writes are sent in steps
 	minPrimaryWindow    = 4.0       // a slow primary keeps this: one attempt at a time leaves its cores idle
-	silenceRatio        = 4.0       // typical answer times without any reply that make a member suspect
-	minEjection         = 500 * ms  // a suspect is left alone this long, doubling up to maxBan
+	silenceRatio        = 4.0       // typical response times without any response that get a member ejected
+	minEjection         = 500 * ms  // shortest ejection; doubles up to maxEjection
 	maxEjection         = 4000 * ms
-	retriesPerRequest   = 0.15 // further attempts earned by each request; bounds load added in trouble
-	maxRetryBudget      = 20.0 // further attempts that may be saved up
-	extraProbeShare     = 0.01 // share of the result that probes for a second fresh replica may cost
-	costlyProbe         = 0.04 // points for a probe a request from which the primary's spare room comes first
-	spareLatencyRatio   = 0.15 // answer time over the aim of a primary up to which it has room for all those reads
-	busyLatencyRatio    = 0.35 // and for none
+	retriesPerRequest   = 0.15 // retries that each request adds to the budget; limits load added by failures
+	maxRetryBudget      = 20.0 // retries that may be saved up
+	extraProbeShare     = 0.01 // points per request that probes for a second fresh replica may cost
+	costlyProbe         = 0.04 // probe cost from which the primary's spare capacity is used first
+	spareLatencyRatio   = 0.15 // latency ratio up to which a primary takes reads before replicas are probed
+	busyLatencyRatio    = 0.35 // latency ratio from which it takes none
 	maxReadProbes       = 3    // probes that one read may cause
 	costTie             = 0.85 // costs closer than this count as equal: the zone, then chance decides
-	crossZoneFactor     = 10.0 // costs of a member in another zone, for each point that all crossing would cost
-	slowConnectRatio    = 0.8  // typical answer times that a new connection adds from which free ones are preferred
-	idleLimitDecay      = 30.0 // s: time constant in which a limit on idle connections is forgotten
-	quickLatencyRatio   = 0.4  // mean answer time over the aim at which a group still is taken as quick
-	busyRequestRate     = 10.0 // requests a second here from which windows bind as well
-	minAdmitChance      = 0.05 // chance of a read to be taken on however full the group: somebody must look
-	latencyRatioDecay   = 12.0 // s: a strain is forgotten so slowly; quiet routers hear little
-	fullWeightGap       = 5.0  // s between answers of a member from which one alone tells its pace
-	learningRate        = 0.1  // weight of a new observation in moving averages
-	queueWaitCost       = 0.3  // of the worth: the price of an answer after half the time without a send
+	crossZoneFactor     = 10.0 // factor on the cost of a member in another zone, per point of CrossZoneCost
+	slowConnectRatio    = 0.8  // connect time over typical response time that makes connecting costly
+	idleLimitDecay      = 30.0 // s: time constant in which a limit on the idle time is relaxed
+	quickLatencyRatio   = 0.4  // latency ratio up to which a group is quick
+	busyRequestRate     = 10.0 // requests per second here from which windows limit as well
+	minAdmitChance      = 0.05 // chance of admission however overloaded the group: its recovery must show
+	latencyRatioDecay   = 12.0 // s: decay of latency ratios; slow, as little traffic gives few samples
+	fullWeightGap       = 5.0  // s since a member's last sample after which a single one tells its slowness
+	learningRate        = 0.1  // weight of a new sample in moving averages
+	queueWaitCost       = 0.3  // of the value: the cost of a response after half the time without a send
 )
 
-// New makes a router. Settings it cannot work with are an error.
+// New makes a router. It returns an error for settings that it does not support.
 func New(s Settings, seed uint64) (*Router, error) {
 	r := &Router{settings: s, rngState: seed*2 + 1, members: map[string]*member{}, groups: map[int]*group{},
 		requests: map[string]*request{}, minStalenessBound: 400 * ms, retryBudget: 2, idleDropEvidence: -0.5,
 		firstTimeouts: make([]firstTimeout, len(s.Classes)), sampleCount: make([]float64, len(s.Classes))}
-	r.settings.MinStepInterval, r.settings.IdleTimeout = max(r.settings.MinStepInterval, ms), cmp.Or(s.IdleTimeout, 3600*1000*ms)
+	r.settings.MinStepInterval, r.settings.IdleTimeout =
+		max(r.settings.MinStepInterval, ms), cmp.Or(s.IdleTimeout, 3600*1000*ms)
 	r.maxSafeIdle = r.settings.IdleTimeout
 	for i, c := range s.Classes {
-		if c.RetrySafety < Safe || c.RetrySafety > Unsafe || c.Consistency < Eventual || c.Consistency > Write {
-			return nil, errors.New("aspenshed: class " + c.Name + ": unknown effect or need")
+		if c.RetrySafety < Safe || c.RetrySafety > Unsafe ||
+			c.Consistency < Eventual || c.Consistency > Write {
+			return nil, errors.New("aspenshed: class " + c.Name + ": unknown retry safety or consistency")
 		}
 		if c.Consistency == BoundedStaleness {
 			r.minStalenessBound = min(r.minStalenessBound, c.MaxStaleness)
 		}
-		r.typicalLatency, r.sampleCount[i] = append(r.typicalLatency, float64(c.LatencyTarget)/4), 1/learningRate // one quick answer is not typical
+		// The estimate starts with the weight of many samples, as one quick response is not typical.
+		r.typicalLatency, r.sampleCount[i] =
+			append(r.typicalLatency, float64(c.LatencyTarget)/4), 1/learningRate
 	}
 	if len(s.Classes) == 0 {
 		return nil, errors.New("aspenshed: no classes")
@@ -88,15 +93,16 @@
 	return r, nil
 }
 
-// Step tells the router what has happened and returns what it wants done, in order.
+// Step passes events to the router and returns the actions to take, in order.
 func (r *Router) Step(now Nanos, events []Event) []Action {
 	r.actions = nil
 	r.now = max(now, r.now)
 	if !r.started {
 		r.started = true
-		r.nextCallAt = r.callSlot(r.settings.DrainGrace * 3 / 4) // what an old list lacks may count as known
+		// The router may count as notified of changes that an outdated list lacks.
+		r.nextCallAt = r.callSlot(r.settings.DrainGrace * 3 / 4)
 		for _, u := range r.settings.UnknownKeys {
-			r.emit(LogMessage{"setting not understood: " + u})
+			r.emit(LogMessage{"unknown settings key: " + u})
 		}
 	}
 	for _, e := range events {
@@ -115,7 +121,7 @@
 			r.probeEnded(e)
 		case SlowStartShare:
 			r.setSlowStartShare(e)
-		case TimerFired: // maybe a little early, as timers are rounded
+		case TimerFired: // possibly a little early, as timers are rounded
 			if r.timerAt <= r.now+r.settings.MinStepInterval {
 				r.timerAt = 0
 			}
@@ -132,32 +138,35 @@
 		r.nextCallAt, r.retryCycle = 0, 0
 	}
 	seen := map[string]bool{}
-	for _, x := range e.Members {
-		seen[x.ID] = true
-		m := r.members[x.ID]
+	for _, listed := range e.Members {
+		seen[listed.ID] = true
+		m := r.members[listed.ID]
 		if m == nil {
-			if x.State == Removed {
+			if listed.State == Removed {
 				continue
 			}
-			g := r.group(x.Group)
-			m = &member{Member: x, group: g, slowness: 1, slowStartBoost: 1, slownessAt: r.now, window: initialWindow}
-			r.members[x.ID], r.memberList, g.probeOrder = m, append(r.memberList, m), append(g.probeOrder, m)
-			r.startWarming(m, x.StartedAt)
+			g := r.group(listed.Group)
+			m = &member{Member: listed, group: g, slowness: 1, slowStartBoost: 1, slownessAt: r.now,
+				window: initialWindow}
+			r.members[listed.ID], r.memberList, g.probeOrder =
+				m, append(r.memberList, m), append(g.probeOrder, m)
+			r.startWarming(m, listed.StartedAt)
 		}
-		if x.StartedAt > m.StartedAt {
+		if listed.StartedAt > m.StartedAt {
 			m.slowness, m.failureRate, m.ejectedUntil, m.ejectionTime, m.unreachable = 1, 0, 0, 0, false
-			r.startWarming(m, x.StartedAt)
-		}
-		was := m.Primary
-		m.Member = x
-		m.Weight = max(x.Weight, 0.01)
-		m.group.primaryTrusted = m.group.primaryTrusted && (x.State == Up || m != m.group.primary)
-		// The list's word on roles is old: it only says whom to ask first.
-		if r.settings.ListHasRoles && x.Primary && (!was || m.group.primary == nil) && m.group.primary != m {
+			r.startWarming(m, listed.StartedAt)
+		}
+		wasPrimary := m.Primary
+		m.Member = listed
+		m.Weight = max(listed.Weight, 0.01)
+		m.group.primaryTrusted = m.group.primaryTrusted && (listed.State == Up || m != m.group.primary)
+		// The list's roles may be outdated: they only decide which member is probed first.
+		if r.settings.ListHasRoles && listed.Primary && (!wasPrimary || m.group.primary == nil) &&
+			m.group.primary != m {
 			m.group.moveToFront(m)
 			if m.group.primary == nil && m.State == Up {
-				// Nothing better is known. A write at the wrong one is turned away untouched, and costs less
-				// than the questions of a whole fleet that has just started.
+				// Nothing better is known. A write to the wrong member is rejected without being
+				// executed, and costs less than the probes of a whole fleet that has just started.
 				m.group.primary, m.group.primaryTrusted = m, true
 				m.window = r.windowShare(newPrimaryWindow)
 			} else if !m.group.primaryTrusted {
@@ -166,36 +175,41 @@
 		}
 	}
 	for _, m := range r.memberList {
-		if e.Complete && !seen[m.ID] && m.State != Removed && !(r.settings.RemovalIsAdvisory && m.State == Up) {
+		if e.Complete && !seen[m.ID] && m.State != Removed &&
+			!(r.settings.RemovalIsAdvisory && m.State == Up) {
 			m.State, m.group.primaryTrusted = Removed, m.group.primaryTrusted && m.group.primary != m
 		}
 	}
 	r.dropRemoved()
 }
 
-// callFailed plans the next call to discovery after one that failed or a watch that ended. However it failed,
-// a change counts as known knownAfter later and binds DrainGrace after that: the next call is over by then.
+// callFailed schedules the next call to discovery after one that failed or a watch that ended. However
+// it failed, the router counts as notified of a change changeNotifiedAfter later and has to follow it
+// DrainGrace after that: the next call has ended by then.
 func (r *Router) callFailed(e DiscoveryFailed) {
 	switch {
 	case e.Unreachable:
 		r.nextCallAt = r.now + Nanos(float64(minCallRetry)*(1+2*r.random()))
-	case r.nextCallAt == 0: // a watch ended, as it may for a whole fleet at once
+	case r.nextCallAt == 0: // a watch ended, possibly for a whole fleet at once
 		r.nextCallAt = r.callSlot(cmp.Or(e.LastHeard, r.now) + r.maxCallInterval() - r.now)
 	default:
 		r.nextCallAt = r.retryCallAt(cmp.Or(e.LastHeard, r.lastCallAt) + r.maxCallInterval())
 	}
 }
 
-// maxCallInterval is the time from a call, or from a watch's last line, within which the next call has to begin.
+// maxCallInterval is the time from a call, or from the last line of a watch, within which the next call
+// has to start.
 func (r *Router) maxCallInterval() Nanos {
-	return max(min(changeNotifiedAfter, r.settings.NotifiedAfter)+r.settings.DrainGrace-callDuration, minCallRetry)
+	return max(min(changeNotifiedAfter, r.settings.NotifiedAfter)+r.settings.DrainGrace-callDuration,
+		minCallRetry)
 }
 
-// retryCallAt is when this router's slot comes in a cycle that the fleet shares, as all clocks agree: few calls,
-// evenly spread, whenever each failed. If that is too late it calls sooner, so as to fail before its slot.
+// retryCallAt is the time of this router's call slot in a cycle that the fleet shares, as all routers
+// are given the same clock: few calls, evenly spread, whenever each of them failed. If the slot is too
+// late, the router calls earlier, so that the call fails before the slot.
 func (r *Router) retryCallAt(latest Nanos) Nanos {
-	spaced := float64(callSpacing) * float64(r.settings.Routers)
-	r.retryCycle = max(2*r.retryCycle, minCallRetry, Nanos(min(spaced, float64(changeNotifiedAfter))))
+	fleetPeriod := float64(callSpacing) * float64(r.settings.Routers)
+	r.retryCycle = max(2*r.retryCycle, minCallRetry, Nanos(min(fleetPeriod, float64(changeNotifiedAfter))))
 	r.retryCycle = min(r.retryCycle, r.maxCallInterval())
 	slot := Nanos(float64(r.settings.Rank) / float64(max(r.settings.Routers, 1)) * float64(r.retryCycle))
 	earliest := r.now + minCallRetry/2
@@ -203,24 +217,27 @@
 	if at > latest {
 		at -= maxCallFailureTime + minCallRetry
 	}
-	return min(max(at, earliest), max(latest, r.now)) // one that is late already is made at once
+	return min(max(at, earliest), max(latest, r.now)) // an overdue call is made at once
 }
 
-// callSlot is when this router calls, among all that begin to call now; most ends the last one's callSlot.
-func (r *Router) callSlot(most Nanos) Nanos {
+// callSlot is the time of this router's call among all routers that start to call now; the last slot is
+// maxWait from now at the latest.
+func (r *Router) callSlot(maxWait Nanos) Nanos {
 	slot := math.Mod((float64(r.settings.Rank)+r.random())/float64(max(r.settings.Routers, 1)), 1)
-	return r.now + Nanos(math.Abs(slot)*min(float64(callSpacing)*r.routersAboveSmallFleet(), float64(max(most, 0))))
+	return r.now + Nanos(math.Abs(slot)*min(float64(callSpacing)*r.routersAboveSmallFleet(),
+		float64(max(maxWait, 0))))
 }
 
-// ---- finding the primary ----
+// ---- probe rounds for the primary ----
 
-// runRound asks the members in list order, one at a time, while no primary is trusted.
+// runRound probes the members in probeOrder, one at a time, while no primary is trusted.
 func (r *Router) runRound(g *group) {
 	if g.primaryTrusted || r.now > g.primaryWantedAt+r.roundInterval() {
 		g.inRound = false
 		return
 	}
-	if i := slices.IndexFunc(g.probeOrder, isUp); !r.settings.MayProbe && i >= 0 { // the writes themselves go round
+	// Without probes the writes themselves try one member after the other.
+	if i := slices.IndexFunc(g.probeOrder, isUp); !r.settings.MayProbe && i >= 0 {
 		if r.now >= g.nextRoundAt {
 			m := g.probeOrder[i]
 			g.probeOrder = append(slices.Delete(g.probeOrder, i, i+1), m)
@@ -240,7 +257,8 @@
 	r.scheduleStep(max(g.nextRoundAt, g.roundProbedAt+probeTimeout))
 }
 
-// distrustPrimary ends the trust in m as a primary and has a round begin; rounds go on while a request wants one.
+// distrustPrimary stops trusting m as the primary and lets a probe round start; rounds go on while
+// requests need a primary.
 func (r *Router) distrustPrimary(m *member) {
 	if g := m.group; m == g.primary {
 		g.primaryTrusted, g.primaryWantedAt = false, r.now
@@ -249,8 +267,10 @@
 
 func (r *Router) probeNext(g *group) {
 	for g.probeIndex++; g.probeIndex < len(g.probeOrder); g.probeIndex++ {
-		// One that refused connections is asked seldom, but asked: nothing else may show that it is back.
-		if m := g.probeOrder[g.probeIndex]; m.State == Up && (!m.unreachable || r.now > max(m.unreachableAt, m.probedAt)+maxEjection) {
+		// A member that refused connections is probed rarely, but probed: nothing else may show that it
+		// is back.
+		if m := g.probeOrder[g.probeIndex]; m.State == Up &&
+			(!m.unreachable || r.now > max(m.unreachableAt, m.probedAt)+maxEjection) {
 			g.roundProbedAt = r.now
 			r.probe(m)
 			return
@@ -259,10 +279,11 @@
 	g.inRound = false
 }
 
-// updateRole takes word of a member's updateRole, dated at. Newer word beats older.
+// updateRole applies information on a member's role as of the time at. Newer information wins over
+// older.
 func (r *Router) updateRole(m *member, primary bool, at Nanos) {
 	g := m.group
-	if at < m.roleSeenAt && primary == m.claimsPrimary { // an old report that only repeats a newer answer
+	if at < m.roleSeenAt && primary == m.claimsPrimary { // an older report that only repeats a newer response
 		at = m.roleSeenAt
 	}
 	if at < m.roleSeenAt || (primary && at <= g.primaryDeniedAt && m == g.primary && !g.primaryTrusted) {
@@ -275,16 +296,17 @@
 		}
 		return
 	}
-	p := g.primary
-	if m.State != Up || p != nil && p != m && p.claimsPrimary && at <= p.roleSeenAt {
+	former := g.primary
+	if m.State != Up || former != nil && former != m && former.claimsPrimary && at <= former.roleSeenAt {
 		return
 	}
-	if p != m {
-		if p != nil {
-			r.emit(CloseIdleConnections{p.ID})
+	if former != m {
+		if former != nil {
+			r.emit(CloseIdleConnections{former.ID})
 		}
 		g.primary = m
-		// Of its cold budget nothing: what all routers may send to a replica would now come at once.
+		// Its slow-start budget is emptied: what all routers may send to a replica would now arrive at
+		// once.
 		m.window, m.slowStartBudget = r.windowShare(newPrimaryWindow), 0
 	}
 	g.moveToFront(m)
@@ -307,7 +329,8 @@
 	m.probePending = false
 	r.probeLatency += Nanos(learningRate * float64(e.Duration-r.probeLatency))
 	switch {
-	case m.connectionLosses == 1 && e.Outcome == ConnectionLost: // the probe was cut too: still no word from the member
+	case m.connectionLosses == 1 && e.Outcome == ConnectionLost:
+		// The probe's connection was lost too: there is still no response from the member.
 		m.connectionLosses, m.group.roundProbedAt = 2, r.now
 		r.probe(m)
 		return
@@ -316,24 +339,26 @@
 	}
 	m.connectionLosses = 0
 	if e.Outcome == Served {
-		if m.unreachable { // there again
+		if m.unreachable { // reachable again
 			m.unreachable, m.ejectionTime, m.ejectedUntil, m.reachableAt = false, 0, 0, r.now
 			r.startWarming(m, r.now)
 		}
 		r.applyReport(m, e.Report)
-		if m.ejectionTime <= r.firstEjection() { // the first silence may be chance: then a sign of life counts
+		// A first silence may be chance: then a probe counts as a response.
+		if m.ejectionTime <= r.firstEjection() {
 			m.lastResponseAt = r.now
 		}
 	}
 	g := m.group
-	if g.inRound && !g.primaryTrusted && g.probeIndex >= 0 && g.probeIndex < len(g.probeOrder) && g.probeOrder[g.probeIndex] == m {
+	if g.inRound && !g.primaryTrusted && g.probeIndex >= 0 && g.probeIndex < len(g.probeOrder) &&
+		g.probeOrder[g.probeIndex] == m {
 		r.probeNext(g)
 	}
 }
 
 // ---- position and freshness ----
 
-// freshEnough tells whether m is known to hold all that q needs, if sent now.
+// freshEnough tells whether m is known to have all the data that q requires, if sent now.
 func (r *Router) freshEnough(q *request, m *member) bool {
 	switch q.class.Consistency {
 	case BoundedStaleness:
@@ -346,21 +371,22 @@
 
 // ---- member health ----
 
-// eject takes a member out of the draw for a while. At its end single reads try it again.
+// eject takes a member out of selection for a while. After that, single reads try it again.
 func (r *Router) eject(m *member) {
 	if r.ejected(m) {
 		return
 	}
 	first := r.firstEjection()
 	m.ejectionTime = min(max(2*m.ejectionTime, first), max(maxEjection, 4*first))
-	m.ejectedUntil = r.now + Nanos(float64(m.ejectionTime)*(0.5+r.random())) // routers must not come all at once
+	// The length is random: routers must not return all at once.
+	m.ejectedUntil = r.now + Nanos(float64(m.ejectionTime)*(0.5+r.random()))
 	if r.distrustPrimary(m); m.group.primary != m && r.settings.MayProbe {
 		r.probe(m)
 	}
 }
 
-// connectionLost takes note of a cut connection: maybe the network's doing, and it tells nothing of queues. A member
-// that dies answers no probe.
+// connectionLost handles a lost connection. The network may be the cause, and it says nothing about
+// queues. A member that has crashed answers no probe.
 func (r *Router) connectionLost(m *member) {
 	if m.connectionLosses = 1; r.settings.MayProbe {
 		r.probe(m)
@@ -369,53 +395,58 @@
 	}
 }
 
-func (r *Router) observeResponse(m *member, took float64, c int) {
+func (r *Router) observeResponse(m *member, duration float64, class int) {
 	m.lastResponseAt, m.ejectionTime, m.ejectedUntil, m.connectionLosses = r.now, 0, 0, 0
-	r.sampleCount[c] = min(r.sampleCount[c]+1, 2/learningRate)
-	r.typicalLatency[c] += (took - r.typicalLatency[c]) / r.sampleCount[c]
-	m.recentLatencyRatio += r.sampleWeight(m) * (took/float64(r.settings.Classes[c].LatencyTarget) - m.recentLatencyRatio)
-	r.observeSlowness(m, took/r.typicalLatency[c])
+	r.sampleCount[class] = min(r.sampleCount[class]+1, 2/learningRate)
+	r.typicalLatency[class] += (duration - r.typicalLatency[class]) / r.sampleCount[class]
+	m.recentLatencyRatio += r.sampleWeight(m) *
+		(duration/float64(r.settings.Classes[class].LatencyTarget) - m.recentLatencyRatio)
+	r.observeSlowness(m, duration/r.typicalLatency[class])
 	m.failureRate -= learningRate * m.failureRate
-	if g := m.group; m == g.primary { // sparing the primary: reads join its own work only while that stays quick
-		if g.spillChance = min(1, g.spillChance+spillStep); took >= spillLatencyRatio*float64(r.settings.Classes[c].LatencyTarget) {
+	if g := m.group; m == g.primary { // reads are added to the primary's own work only while that stays quick
+		if g.spillChance = min(1, g.spillChance+spillStep); duration >=
+			spillLatencyRatio*float64(r.settings.Classes[class].LatencyTarget) {
 			g.spillChance = max(spillStep, (g.spillChance-spillStep)*(1-3*spillStep))
 		}
 	}
 	r.lossRate -= learningRate / 2 * r.lossRate
-	m.latencyRatio += learningRate * (took/float64(r.settings.Classes[c].LatencyTarget) - m.latencyRatio)
-	if m.slowStartBoost = min(m.slowStartBoost*boostStep, maxBoost); m.recentLatencyRatio > spillLatencyRatio {
+	m.latencyRatio += learningRate *
+		(duration/float64(r.settings.Classes[class].LatencyTarget) - m.latencyRatio)
+	if m.slowStartBoost = min(m.slowStartBoost*boostStep, maxBoost); m.recentLatencyRatio >
+		spillLatencyRatio {
 		m.slowStartBoost = 1
 	}
-	r.observeReplicaLatency(m, took/float64(r.settings.Classes[c].LatencyTarget))
+	r.observeReplicaLatency(m, duration/float64(r.settings.Classes[class].LatencyTarget))
 	switch {
 	case m.latencyRatio > slowLatencyRatio:
 		r.shrinkWindow(m, windowShrink)
-	case float64(m.inFlight+1) < m.window/2: // not tried: nothing learnt
+	case float64(m.inFlight+1) < m.window/2: // the window was not used: nothing is learned
 	default:
 		m.window += max(1/m.window, 2/initialWindow)
 	}
 }
 
-// sampleWeight is that of a new observation of m. Where answers are seldom each counts for more: what a fleet knows
-// together, each of its routers else learns too late.
+// sampleWeight is the weight of a new sample of m. Where responses are rare each counts for more:
+// otherwise each router would learn too late what the fleet as a whole has observed.
 func (r *Router) sampleWeight(m *member) float64 {
 	return min(max(learningRate, float64(r.now-m.slownessAt)/1e9/fullWeightGap), 0.5)
 }
 
-// observeSlowness learns how slow m is.
-func (r *Router) observeSlowness(m *member, slow float64) {
-	m.slowness += r.sampleWeight(m) * (min(max(slow, 0.1), 10) - m.slowness)
+// observeSlowness adds a sample of how slow m is.
+func (r *Router) observeSlowness(m *member, sample float64) {
+	m.slowness += r.sampleWeight(m) * (min(max(sample, 0.1), 10) - m.slowness)
 	m.slownessAt = r.now
 }
 
-// observeOverload takes an attempt that m turned away or left open as one that would have come later still: by its
-// answers alone a primary that gives none would seem as quick as it was.
-func (r *Router) observeOverload(m *member, took float64) {
-	m.recentLatencyRatio, m.slowStartBoost = m.recentLatencyRatio+r.sampleWeight(m)*(min(took, 2)-m.recentLatencyRatio), 1
+// observeOverload counts an attempt that m rejected or did not respond to as a slow response: judged by
+// its responses alone, a primary that gives none would seem as quick as before.
+func (r *Router) observeOverload(m *member, ratio float64) {
+	m.recentLatencyRatio, m.slowStartBoost =
+		m.recentLatencyRatio+r.sampleWeight(m)*(min(ratio, 2)-m.recentLatencyRatio), 1
 }
 
-// spareCapacity is the chance of a bounded read to go to the primary before a replica is asked how far it is: where
-// probes are dear, as far as the primary is quick.
+// spareCapacity is the chance that a bounded-staleness read goes to the primary before a replica is
+// probed for its position: where probes are costly, the higher the quicker the primary is.
 func (r *Router) spareCapacity(g *group) float64 {
 	if r.settings.ProbeCost < costlyProbe {
 		return 0
@@ -423,23 +454,25 @@
 	return (busyLatencyRatio - g.primary.recentLatencyRatio) / (busyLatencyRatio - spareLatencyRatio)
 }
 
-func (r *Router) shrinkWindow(m *member, by float64) {
+func (r *Router) shrinkWindow(m *member, factor float64) {
 	if r.now < m.windowShrunkAt+Nanos(r.typicalLatency[0]) {
 		return
 	}
-	if m.windowShrunkAt, m.window = r.now, max(1, m.window*by); m == m.group.primary { // its writes have nowhere else to go
+	if m.windowShrunkAt, m.window = r.now, max(1, m.window*factor); m == m.group.primary {
+		// A primary's writes have nowhere else to go.
 		m.window = max(m.window, r.windowShare(minPrimaryWindow))
 	}
 }
 
 // ---- member choice ----
 
-// cost compares members: expected crowding for their size, slowness, failures and the zone.
+// cost ranks members: expected load for their weight, slowness, failures and zone.
 func (r *Router) cost(m *member, q *request) float64 {
-	c := (1 + max(float64(m.inFlight), m.reportedLoad)) / m.Weight * m.slowness / math.Pow(1.05-m.failureRate, 2)
-	if q.class.Consistency != Eventual { // the nearer to the primary's data, the sooner fresh
+	c := (1 + max(float64(m.inFlight), m.reportedLoad)) / m.Weight * m.slowness /
+		math.Pow(1.05-m.failureRate, 2)
+	if q.class.Consistency != Eventual { // the less it lags, the sooner it is fresh enough
 		c *= 1 + float64(m.lastHeardAt-m.position)/float64(r.minStalenessBound)
-		if m.lastHeardAt == 0 && r.warming(m) { // a copy that is seconds old
+		if m.lastHeardAt == 0 && r.warming(m) { // its data is seconds old
 			c *= 5
 		}
 	}
@@ -452,15 +485,15 @@
 	return c
 }
 
-// twoChoices draws two of the candidates, by size, and takes the one with the lower cost.
-func (r *Router) twoChoices(q *request, from []*member) *member {
-	n := len(from)
+// twoChoices draws two of the candidates and returns the one with the lower cost.
+func (r *Router) twoChoices(q *request, candidates []*member) *member {
+	n := len(candidates)
 	if n == 0 {
 		return nil
 	}
 	i := int(r.random() * float64(n))
 	j := (i + 1 + int(r.random()*float64(max(n-1, 1)))) % n
-	a, b := from[i], from[j]
+	a, b := candidates[i], candidates[j]
 	ca, cb := r.cost(a, q), r.cost(b, q)
 	if cb < costTie*ca || ca >= costTie*cb && a.Zone != r.settings.Zone && b.Zone == r.settings.Zone {
 		return b
@@ -468,20 +501,23 @@
 	return a
 }
 
-// longReadCandidates keeps long reads that any member may answer to the half of the replicas furthest behind, the later
-// listed among equals: they may stop its log, so all routers leave the others fresh, and crowd no single one.
-func (r *Router) longReadCandidates(q *request, from []*member) []*member {
-	few := max(1, (len(q.group.probeOrder)-1)/2) // of all: where most are cold, not all on the one that is warm
-	if q.class.Consistency != Eventual || r.typicalLatency[q.Class] < longReadRatio*slices.Min(r.typicalLatency) || len(from) <= few {
-		return from
-	}
-	from = slices.Clone(from)
-	age := func(m *member) Nanos { return -m.position / r.minStalenessBound }
-	slices.SortStableFunc(from, func(a, b *member) int { return cmp.Compare(age(a), age(b)) })
-	return from[len(from)-few:]
+// longReadCandidates keeps long reads that any member may serve to the half of the replicas that lags
+// most, among equals to those listed last. Such reads may stop a replica's log: this way all routers
+// leave the others fresh, and overload no single one.
+func (r *Router) longReadCandidates(q *request, candidates []*member) []*member {
+	// The half is one of all replicas: where most are warming, not all reads go to the one that is not.
+	half := max(1, (len(q.group.probeOrder)-1)/2)
+	if q.class.Consistency != Eventual ||
+		r.typicalLatency[q.Class] < longReadRatio*slices.Min(r.typicalLatency) || len(candidates) <= half {
+		return candidates
+	}
+	candidates = slices.Clone(candidates)
+	lag := func(m *member) Nanos { return -m.position / r.minStalenessBound }
+	slices.SortStableFunc(candidates, func(a, b *member) int { return cmp.Compare(lag(a), lag(b)) })
+	return candidates[len(candidates)-half:]
 }
 
-// pickMember names the member for q, or nil: then it is held.
+// pickMember returns the member for q; nil: q is queued.
 func (r *Router) pickMember(q *request) *member {
 	g, p := q.group, q.group.primary
 	if r.now < q.notBefore {
@@ -497,109 +533,118 @@
 	if m := r.pickWarming(q); m != nil {
 		return m
 	}
-	var known, other, suspects []*member
-	var full, asked bool
+	var fresh, others, ejected []*member
+	var windowFull, probing bool
 	for _, m := range g.probeOrder {
 		if m == p || !r.mayAttempt(q, m) {
 			continue
 		}
 		switch {
-		case m.unreachable && !r.ejected(m): // a probe shows cheaper than a read that it is back
+		case m.unreachable && !r.ejected(m): // a probe costs less than a read to show that it is back
 			r.eject(m)
 		case r.ejected(m) || (m.ejectionTime > 0 && m.inFlight > 0):
-			suspects = append(suspects, m)
-		case float64(m.inFlight) >= m.window: // full for now, but well
-			full = true
-		case q.class.Consistency == BoundedStaleness && m.lastHeardAt-m.position > q.class.MaxStaleness && r.now < m.lastHeardAt+r.minStalenessBound/4: // behind
+			ejected = append(ejected, m)
+		case float64(m.inFlight) >= m.window: // window full, but healthy
+			windowFull = true
+		case q.class.Consistency == BoundedStaleness && m.lastHeardAt-m.position > q.class.MaxStaleness &&
+			r.now < m.lastHeardAt+r.minStalenessBound/4: // it lagged too much a moment ago
 		case r.freshEnough(q, m):
-			known = append(known, m)
+			fresh = append(fresh, m)
 		default:
-			other = append(other, m)
+			others = append(others, m)
 		}
 	}
-	spare := g.primaryTrusted && p != nil && float64(p.inFlight) < p.window/2 && !r.ejected(p) && !r.warming(p) &&
-		p.recentLatencyRatio < busyLatencyRatio && r.mayAttempt(q, p)
-	if q.class.Consistency == BoundedStaleness && len(known) == 0 && spare && q.spillDraw < r.spareCapacity(g) {
+	primaryHasCapacity := g.primaryTrusted && p != nil && float64(p.inFlight) < p.window/2 &&
+		!r.ejected(p) && !r.warming(p) && p.recentLatencyRatio < busyLatencyRatio && r.mayAttempt(q, p)
+	if q.class.Consistency == BoundedStaleness && len(fresh) == 0 && primaryHasCapacity &&
+		q.spillDraw < r.spareCapacity(g) {
 		return p
 	} else if q.class.Consistency != Eventual {
-		most := 1 - len(known)
-		if r.probeCredit >= 1 && len(known) < 2 && r.settings.ProbeCost < costlyProbe { // a choice of two, if not dear
+		maxProbes := 1 - len(fresh)
+		// Where probes are cheap, a second fresh replica gives a choice of two.
+		if r.probeCredit >= 1 && len(fresh) < 2 && r.settings.ProbeCost < costlyProbe {
 			r.probeCredit--
-			most++
+			maxProbes++
 		}
-		asked = most > 0 && r.refreshPositions(q, most)
+		probing = maxProbes > 0 && r.refreshPositions(q, maxProbes)
 	}
-	if linked := slices.DeleteFunc(slices.Clone(known), r.connectionCostly); len(linked) > 0 {
-		known = linked
+	if connected := slices.DeleteFunc(slices.Clone(fresh), r.connectionCostly); len(connected) > 0 {
+		fresh = connected
 	}
-	if len(known) > 0 {
-		return r.twoChoices(q, r.longReadCandidates(q, known))
+	if len(fresh) > 0 {
+		return r.twoChoices(q, r.longReadCandidates(q, fresh))
 	}
-	if asked && r.now < q.arrivedAt+q.class.LatencyTarget/8 {
-		return nil // an answer is on its way that may show a fresh replica
+	if probing && r.now < q.arrivedAt+q.class.LatencyTarget/8 {
+		return nil // a pending probe may show a replica that is fresh enough
 	}
 	g.primaryWantedAt = r.now
-	if spare && q.spillDraw < g.spillChance {
+	if primaryHasCapacity && q.spillDraw < g.spillChance {
 		return p
 	}
-	if len(other) == 0 && !full && q.class.Consistency == Eventual { // never all members out at once
-		other = suspects
+	// Ejected members are used rather than none.
+	if len(others) == 0 && !windowFull && q.class.Consistency == Eventual {
+		others = ejected
 	}
-	return r.twoChoices(q, other)
+	return r.twoChoices(q, others)
 }
 
-// pickWarming names the cold member that a read gets as it comes: the warm ones may be swamped.
+// pickWarming returns the warming member that q may use. It is tried first, as the others may be
+// overloaded.
 func (r *Router) pickWarming(q *request) *member {
 	return r.twoChoices(q, slices.DeleteFunc(slices.Clone(q.group.probeOrder), func(m *member) bool {
 		return m == q.group.primary || !r.warming(m) || r.ejected(m) || !r.mayAttempt(q, m)
 	}))
 }
 
-// probeInterval is the time between probes of m: DESIGN's quarter of the shortest bound, longer for a member far
-// behind, as it can only catch up slowly.
+// probeInterval is the time between probes of m: a quarter of the shortest staleness bound, as given by
+// the design; longer for a member that lags far behind, as it can only catch up slowly.
 func (r *Router) probeInterval(m *member) Nanos {
 	return max(r.minStalenessBound/4, min((m.lastHeardAt-m.position)/2, 2000*ms))
 }
 
-// refreshPositions has up to most replicas asked for their position, each at most every askAgain, and tells
-// whether an answer is on its way. The two-choice draw names whom: hundreds of routers must not all ask one.
-func (r *Router) refreshPositions(q *request, most int) (waiting bool) {
-	var from []*member
+// refreshPositions probes up to maxProbes replicas for their position, each at most every
+// probeInterval, and tells whether a response is pending. twoChoices selects them: hundreds of routers
+// must not all probe the same one.
+func (r *Router) refreshPositions(q *request, maxProbes int) (pending bool) {
+	var candidates []*member
 	for _, m := range q.group.probeOrder {
 		switch {
 		case m.State != Up || m == q.group.primary || r.ejected(m):
 		case m.probePending && r.now < m.probedAt+20*ms+2*r.probeLatency:
-			waiting = true
-			most--
+			pending = true
+			maxProbes--
 		case r.now >= max(m.lastHeardAt, m.probedAt)+r.probeInterval(m):
-			from = append(from, m)
+			candidates = append(candidates, m)
 		}
 	}
-	asks := maxReadProbes
-	if !q.group.primaryTrusted { // all positions stand still until there is a primary
-		asks = 1
+	limit := maxReadProbes
+	if !q.group.primaryTrusted { // no position advances until there is a primary
+		limit = 1
 	} else if r.settings.ProbeCost >= costlyProbe {
-		asks--
+		limit--
 	}
-	for ; most > 0 && len(from) > 0 && q.probes < asks && r.settings.MayProbe; most-- {
-		m := r.twoChoices(q, from)
-		from = slices.DeleteFunc(from, func(x *member) bool { return x == m })
+	for ; maxProbes > 0 && len(candidates) > 0 && q.probes < limit && r.settings.MayProbe; maxProbes-- {
+		m := r.twoChoices(q, candidates)
+		candidates = slices.DeleteFunc(candidates, func(x *member) bool { return x == m })
 		q.probes++
 		r.probe(m)
-		waiting = true
+		pending = true
 	}
-	return waiting
+	return pending
 }
 
-// ---- the guard ----
+// ---- rules ----
 
-// mayAttempt is the one place that keeps the rules: no send of q to m happens without it.
+// mayAttempt enforces the rules: q is sent to m only if it allows it. Rule 1: nothing is sent after the
+// final response. Rule 2: what may have been executed is sent again only as the class's RetrySafety
+// allows. Rule 3: nothing is sent to draining or removed members. Rule 4: a warming member gets no more
+// than its slow-start budget or random share. Rule 5: the member satisfies the class's Consistency.
 func (r *Router) mayAttempt(q *request, m *member) bool {
 	switch {
-	case q.done || r.now >= q.deadline, // rule 1: nothing after the final answer
-		m.group != q.group, m.State != Up, // the group; rule 3: drains and the gone
+	case q.done || r.now >= q.deadline, // rule 1
+		m.group != q.group, m.State != Up, // rule 3
 		r.settings.MaxAttempts > 0 && len(q.attempts) >= r.settings.MaxAttempts,
-		q.inFlight > 0 && (!r.settings.MayHedge || q.class.RetrySafety == Unsafe), // no second copy
+		q.inFlight > 0 && (!r.settings.MayHedge || q.class.RetrySafety == Unsafe), // no hedged attempt
 		r.warming(m) && !r.fitsSlowStart(q, m):                                    // rule 4
 		return false
 	}
@@ -607,8 +652,9 @@
 		return false
 	}
 	for _, a := range q.maybeExecuted { // rule 2
-		if q.class.RetrySafety == Unsafe || q.class.RetrySafety == Deduplicated && (r.now >= a.sentAt+q.class.DedupWindow ||
-			q.class.DedupScope == DedupZone && a.member.Zone != m.Zone) {
+		if q.class.RetrySafety == Unsafe || q.class.RetrySafety == Deduplicated &&
+			(r.now >= a.sentAt+q.class.DedupWindow ||
+				q.class.DedupScope == DedupZone && a.member.Zone != m.Zone) {
 			return false
 		}
 	}
@@ -616,45 +662,53 @@
 	switch q.class.Consistency { // rule 5
 	case Write, Linearizable:
 		return primary
-	case BoundedStaleness, ReadYourWrites: // what a cold member turns away pushes it over too: it must be known as fresh
+	case BoundedStaleness, ReadYourWrites:
+		// Reads that a warming member rejects load it too: it must be known to be fresh enough.
 		return primary || r.freshEnough(q, m) || r.settings.MembersCheckStaleness && !r.warming(m)
 	}
 	return true
 }
 
-// ---- cold members ----
+// ---- slow start ----
 
-// refillSlowStart gives cold members their part of what warm members of their size answer for this router: those of the
-// group, now or before all restarted together, else those of the other groups.
-func (r *Router) refillSlowStart(dt float64) {
-	common, known := 0.0, 1e-9
+// refillSlowStart gives warming members their share of the work that warmed-up members of their weight
+// do for this router: those of the group, now or before all restarted together, else those of the other
+// groups.
+func (r *Router) refillSlowStart(seconds float64) {
+	rateSum, groups := 0.0, 1e-9
 	for _, g := range r.groupList {
-		w := r.warmWorkRate(g)
-		if p := g.primary; p != nil && p.State == Up && !r.warming(p) { // the busiest, and members are alike
-			w = max(w, r.workRate(p)/p.Weight)
-			g.warmWorkRate *= 1 - dt/warmRateDecay // without one there is nothing newer to go by
+		rate := r.warmWorkRate(g)
+		// The primary is the busiest member, and members are alike.
+		if p := g.primary; p != nil && p.State == Up && !r.warming(p) {
+			rate = max(rate, r.workRate(p)/p.Weight)
+			g.warmWorkRate *= 1 - seconds/warmRateDecay // without such a primary there is no newer rate
 		}
-		if g.warmWorkRate = max(w, g.warmWorkRate); g.warmWorkRate > 0 {
-			common, known = common+g.warmWorkRate, known+1
+		if g.warmWorkRate = max(rate, g.warmWorkRate); g.warmWorkRate > 0 {
+			rateSum, groups = rateSum+g.warmWorkRate, groups+1
 		}
 	}
-	// Who has just started has no warm members to go by, but clients: their work, spread over all by size.
-	least := r.recentRequests / (rateDecay*r.rateCoverage + 1e-9) * r.meanWork / r.totalWeight()
+	// A router that has just started knows no work rate of members, only its clients' requests: their
+	// work is spread over all members by weight.
+	minRate := r.recentRequests / (rateDecay*r.rateCoverage + 1e-9) * r.meanWork / r.totalWeight()
 	for _, m := range r.memberList {
 		if r.warming(m) {
-			part := r.settings.InitialCapacity + (1-r.settings.InitialCapacity)*float64(r.now-m.warmingSince)/float64(r.settings.WarmUpTime)
-			part = min(max(part, r.settings.InitialCapacity), 1) * m.Weight * r.slowStartShare(m)
-			part *= slowStartMargin * r.settings.OverloadFactor * max(m.group.warmWorkRate, m.slowStart.WorkRate, otherGroupsRate*common/known, least)
-			if most := part * float64(r.settings.OverloadWindow) / 1e9; most >= r.meanWork { // enough for whole requests
-				m.slowStartBudget, m.randomShare = min(m.slowStartBudget+dt*part, most), 0
-			} else { // saved up, parts of one would be one of every router at once: a chance at each draw
-				m.slowStartBudget, m.randomShare = 0, part/r.demandOn(m)
+			share := r.settings.InitialCapacity +
+				(1-r.settings.InitialCapacity)*float64(r.now-m.warmingSince)/float64(r.settings.WarmUpTime)
+			share = min(max(share, r.settings.InitialCapacity), 1) * m.Weight * r.slowStartShare(m)
+			share *= slowStartMargin * r.settings.OverloadFactor *
+				max(m.group.warmWorkRate, m.slowStart.WorkRate, otherGroupsRate*rateSum/groups, minRate)
+			if maxBudget := share * float64(r.settings.OverloadWindow) / 1e9; maxBudget >= r.meanWork {
+				m.slowStartBudget, m.randomShare = min(m.slowStartBudget+seconds*share, maxBudget), 0
+			} else {
+				// Too little for whole requests: saved up, the fractions would become one request of
+				// every router at once.
+				m.slowStartBudget, m.randomShare = 0, share/r.demandOn(m)
 			}
 		}
 	}
 }
 
-// ---- admission, attempts, refusals ----
+// ---- admission, dispatch, responses ----
 
 func (r *Router) accept(e Request) {
 	if e.Class < 0 || e.Class >= len(r.settings.Classes) || r.requests[e.ID] != nil {
@@ -668,43 +722,48 @@
 	r.meanWork += learningRate / 2 * (r.expectedWork(q) - r.meanWork)
 	r.drawRandomShare(q)
 	r.probeCredit = min(r.probeCredit+extraProbeShare/max(r.settings.ProbeCost, 1e-3), 3)
-	r.retryBudget = min(maxRetryBudget, 2+retriesPerRequest*r.recentRequests, r.retryBudget+retriesPerRequest) // quiet routers must save up little
+	// Routers with little traffic must not save up much.
+	r.retryBudget = min(maxRetryBudget, 2+retriesPerRequest*r.recentRequests, r.retryBudget+retriesPerRequest)
 	if q.minPosition = g.sessionCommits[e.Session]; q.minPosition == 0 {
 		q.minPosition = g.commitFloor
 	}
 	if e.SinceCommit > 0 {
 		q.minPosition = r.now - e.SinceCommit + positionMargin
 	}
-	// First tries have the same time left, later ones less: the most frequent value is the first's.
-	u := &r.firstTimeouts[e.Class]
-	if d := e.Remaining - u.remaining; max(d, -d) < u.remaining/20 {
-		u.confidence = min(u.confidence+1, 20)
-	} else if u.confidence -= 0.5; u.confidence < 0 {
-		*u = firstTimeout{e.Remaining, 1}
-	} else if u.confidence >= 3 {
+	// First requests have the same time remaining, clients' retries less: the most frequent value is
+	// that of the first.
+	first := &r.firstTimeouts[e.Class]
+	if difference := e.Remaining - first.remaining; max(difference, -difference) < first.remaining/20 {
+		first.confidence = min(first.confidence+1, 20)
+	} else if first.confidence -= 0.5; first.confidence < 0 {
+		*first = firstTimeout{e.Remaining, 1}
+	} else if first.confidence >= 3 {
 		q.targetAt -= max(c.ClientTimeout-e.Remaining, 0)
 	}
 	r.requests[e.ID] = q
-	if c.LateValue == 0 && r.now >= q.targetAt-c.LatencyTarget/8 || r.pickWarming(q) == nil && r.random() >= r.admitChance(q) {
+	if c.LateValue == 0 && r.now >= q.targetAt-c.LatencyTarget/8 ||
+		r.pickWarming(q) == nil && r.random() >= r.admitChance(q) {
 		r.refuseOrFail(q)
 		return
 	}
 	r.dispatch(q)
 }
 
-// admitChance is the chance of a request to be taken on. Among hundreds of quiet routers no window binds: each must
-// send less by itself once its own answers say that the queues outlast the aims. The third power keeps those
-// near the aim whatever the excess: at n times the capacity they settle at the cube root of n.
+// admitChance is the chance that a request is admitted. With hundreds of routers of little traffic no
+// window limits the load: each must send less by itself once its own response times show that queueing
+// exceeds the latency targets. The third power keeps queueing near the targets whatever the overload:
+// at n times the capacity it settles at the cube root of n.
 func (r *Router) admitChance(q *request) float64 {
-	strain := (q.group.latencyRatio + r.latencyRatio) / 2
+	ratio := (q.group.latencyRatio + r.latencyRatio) / 2
 	if q.class.Consistency >= Linearizable && q.group.primary != nil {
-		strain = min(q.group.primary.latencyRatio, q.group.primary.recentLatencyRatio)
+		ratio = min(q.group.primary.latencyRatio, q.group.primary.recentLatencyRatio)
 	}
-	quick := quickLatencyRatio + 0.1*min(1, r.recentRequests/rateDecay/busyRequestRate) // busy routers have their windows
-	return max(minAdmitChance, math.Pow(quick/max(strain, quick), 3))
+	// Busy routers are limited by their windows.
+	threshold := quickLatencyRatio + 0.1*min(1, r.recentRequests/rateDecay/busyRequestRate)
+	return max(minAdmitChance, math.Pow(threshold/max(ratio, threshold), 3))
 }
 
-// dispatch sends q or holds it.
+// dispatch sends q or queues it.
 func (r *Router) dispatch(q *request) {
 	if m := r.pickMember(q); m != nil {
 		r.send(q, m)
@@ -714,31 +773,35 @@
 }
 
 func (r *Router) send(q *request, m *member) {
-	a := &attempt{request: q, member: m, number: len(q.attempts), sentAt: r.now, work: r.expectedWork(q), connectionIdle: r.takeConnection(m)}
+	a := &attempt{request: q, member: m, number: len(q.attempts), sentAt: r.now, work: r.expectedWork(q),
+		connectionIdle: r.takeConnection(m)}
 	q.attempts, q.maybeExecuted = append(q.attempts, a), append(q.maybeExecuted, a)
 	q.inFlight, m.inFlight = q.inFlight+1, m.inFlight+1
 	if r.warming(m) && m.randomShare == 0 {
 		m.slowStartBudget -= a.work
 	}
 	r.inFlight = append(r.inFlight, a)
-	x := Send{ID: q.ID, Member: m.ID, Attempt: a.number} // rules 5 and 2 bind when it leaves
+	x := Send{ID: q.ID, Member: m.ID, Attempt: a.number} // rules 5 and 2 apply at the time of sending
 	if q.class.Consistency == BoundedStaleness && m != q.group.primary && !r.settings.MembersCheckStaleness {
 		x.SendBy = m.position + q.class.MaxStaleness - positionMargin
 	}
 	if q.class.RetrySafety == Deduplicated && len(q.maybeExecuted) > 1 { // the first is the oldest
-		x.SendBy = min(cmp.Or(x.SendBy, math.MaxInt64), q.maybeExecuted[0].sentAt+q.class.DedupWindow-positionMargin)
+		x.SendBy = min(cmp.Or(x.SendBy, math.MaxInt64),
+			q.maybeExecuted[0].sentAt+q.class.DedupWindow-positionMargin)
 	}
 	r.emit(x)
 }
 
-// takeConnection takes a free takeConnection of m and tells how long it lay idle; 0: a new one is needed. One that
-// lay idle for longer than they live is left: something on the way drops them unseen.
+// takeConnection takes an idle connection of m and returns how long it was idle; 0: a new one is
+// needed. A connection that was idle for longer than maxSafeIdle is not used: the network may have
+// dropped it silently.
 func (r *Router) takeConnection(m *member) (idle Nanos) {
 	n := len(m.idleSince)
 	if n == 0 {
 		return 0
 	}
-	if idle = max(r.now-m.idleSince[n-1], 1); idle > r.maxSafeIdle && m.connectTime <= slowConnectRatio*r.typicalLatency[0] {
+	if idle = max(r.now-m.idleSince[n-1], 1); idle > r.maxSafeIdle &&
+		m.connectTime <= slowConnectRatio*r.typicalLatency[0] {
 		m.idleSince = nil
 		r.emit(CloseIdleConnections{m.ID})
 		return 0
@@ -747,10 +810,12 @@
 	return idle
 }
 
-// observeNoResponse takes note of an attempt without an answer. If its connection had lain idle, that or the member is
-// to blame: an answer on a new connection will tell. Where those are dear, free ones are kept.
+// observeNoResponse handles an attempt without a response. If its connection had been idle, the
+// connection or the member is the cause: a response on a new connection will tell. Where connecting is
+// slow, idle connections are kept.
 func (r *Router) observeNoResponse(a *attempt) {
-	if a.member.suspectIdle = a.connectionIdle; a.connectionIdle > 0 && a.member.connectTime <= slowConnectRatio*r.typicalLatency[0] {
+	if a.member.suspectIdle = a.connectionIdle; a.connectionIdle > 0 &&
+		a.member.connectTime <= slowConnectRatio*r.typicalLatency[0] {
 		a.member.suspectIdleAt, a.member.idleSince = r.now, nil
 		r.emit(CloseIdleConnections{a.member.ID})
 	}
@@ -766,12 +831,12 @@
 	if !a.lost {
 		a.member.inFlight--
 	}
-	idle := e.Outcome.notExecuted()
-	if idle {
+	notExecuted := e.Outcome.notExecuted()
+	if notExecuted {
 		q.maybeExecuted = slices.DeleteFunc(q.maybeExecuted, func(x *attempt) bool { return x == a })
 	}
 	if e.Outcome == UnknownOutcome {
-		r.emit(LogMessage{"outcome not understood: taken as one that may have run"})
+		r.emit(LogMessage{"unknown outcome: treated as possibly executed"})
 	}
 	r.observeAttempt(a, e)
 	if q.done || e.Final || e.Outcome == Served {
@@ -780,12 +845,13 @@
 	} else if q.inFlight > 0 {
 		return
 	}
-	if e.Outcome == NotSent || r.now >= q.deadline-r.settings.MinStepInterval || !idle && q.class.RetrySafety == Unsafe ||
-		e.Outcome != Ineligible && r.retryBudget < 1 || r.settings.MaxAttempts > 0 && len(q.attempts) >= r.settings.MaxAttempts {
+	if e.Outcome == NotSent || r.now >= q.deadline-r.settings.MinStepInterval ||
+		!notExecuted && q.class.RetrySafety == Unsafe || e.Outcome != Ineligible && r.retryBudget < 1 ||
+		r.settings.MaxAttempts > 0 && len(q.attempts) >= r.settings.MaxAttempts {
 		r.refuseOrFail(q)
 		return
 	}
-	if !idle {
+	if !notExecuted {
 		r.retryBudget--
 	} else if e.Outcome != Ineligible { // a connection and a rejection cost work too
 		r.retryBudget -= 0.5
@@ -796,19 +862,21 @@
 	r.dispatch(q)
 }
 
-// observeAttempt learns from an attempt's end.
+// observeAttempt updates the estimates from the result of an attempt.
 func (r *Router) observeAttempt(a *attempt, e AttemptResult) {
 	m, q := a.member, a.request
 	r.applyReport(m, e.Report)
-	if e.Role != RoleUnknown { // answered: its connection is free
+	if e.Role != RoleUnknown { // it responded: its connection is idle again
 		m.idleSince = append(m.idleSince, r.now)
 		r.updateRole(m, e.Role == RolePrimary, r.now)
 	}
 	if q.class.Consistency != Write {
 		m.position = max(m.position, e.Position-positionMargin)
 	}
-	if (e.Outcome == TimedOut || e.Outcome == Cancelled) && (a.connectionIdle == 0 || r.idleDropEvidence < 0) && // no dead link,
-		!a.lost && (!r.ejected(m) || !r.hasHealthyReplica(q.group)) { // nor one sick member of a group that has others
+	// Dropped connections do not count, nor does a failing member of a group that has healthy ones.
+	if (e.Outcome == TimedOut || e.Outcome == Cancelled) &&
+		(a.connectionIdle == 0 || r.idleDropEvidence < 0) &&
+		!a.lost && (!r.ejected(m) || !r.hasHealthyReplica(q.group)) {
 		r.observeReplicaLatency(m, 1)
 	}
 	if (e.Outcome == TimedOut || e.Outcome == Cancelled || e.Outcome == Overloaded) && !a.lost {
@@ -828,7 +896,8 @@
 			m.group.primaryDeniedAt = r.now
 			r.distrustPrimary(m)
 		}
-	case Overloaded, ErrorResponse: // a hung member turns work away at its door: that is no sign of life
+	case Overloaded, ErrorResponse:
+		// A hung member may still reject work: Overloaded does not count as a response.
 		if r.shrinkWindow(m, overloadShrink); e.Outcome == ErrorResponse {
 			m.lastResponseAt = r.now
 		} else {
@@ -851,7 +920,8 @@
 			break
 		}
 		if m.lastResponseAt > a.sentAt+Nanos(r.typicalLatency[q.Class]) {
-			r.lossRate += learningRate / 2 * (1 - r.lossRate) // others were answered meanwhile: lost, if many are so
+			// Others got responses meanwhile: this one was lost, if it happens often.
+			r.lossRate += learningRate / 2 * (1 - r.lossRate)
 		}
 		if e.Outcome == TimedOut && !a.lost && r.settings.Routers > smallFleet {
 			r.observeSlowness(m, float64(e.Duration)/r.typicalLatency[q.Class])
@@ -862,7 +932,8 @@
 		if m.latencyRatio > slowLatencyRatio && !a.lost {
 			r.shrinkWindow(m, overloadShrink)
 		}
-		if e.Outcome == ConnectFailed && e.Duration < r.settings.ConnectTimeout/2 && r.settings.MayProbe && !m.unreachable {
+		if e.Outcome == ConnectFailed && e.Duration < r.settings.ConnectTimeout/2 && r.settings.MayProbe &&
+			!m.unreachable {
 			m.unreachable, m.unreachableAt = true, r.now
 		}
 		if e.Outcome != TimedOut {
@@ -871,12 +942,14 @@
 	}
 }
 
-// refuseOrFail gives the final answer: a refusal where a repeat does no harm, else a failure.
+// refuseOrFail gives the final response: a refusal where a retry does no harm, else a failure.
 func (r *Router) refuseOrFail(q *request) {
-	if q.class.RetrySafety == Safe || len(q.maybeExecuted) == 0 || q.class.RetrySafety == Deduplicated && q.class.DedupScope == DedupAll {
+	if q.class.RetrySafety == Safe || len(q.maybeExecuted) == 0 ||
+		q.class.RetrySafety == Deduplicated && q.class.DedupScope == DedupAll {
 		x := Refuse{ID: q.ID}
 		if r.settings.SendRetryAfter {
-			x.RetryAfter = Nanos(float64(r.settings.MaxRetryAfter) * (0.5 + r.random()/2)) // not all at once
+			// The delay is random: clients must not retry all at once.
+			x.RetryAfter = Nanos(float64(r.settings.MaxRetryAfter) * (0.5 + r.random()/2))
 		}
 		r.emit(x)
 	} else {
@@ -885,7 +958,7 @@
 	r.endRequest(q)
 }
 
-// endRequest ends q and cancels what is still out for it, where that does no harm.
+// endRequest ends q and cancels its attempts in flight, where that does no harm.
 func (r *Router) endRequest(q *request) {
 	if q == nil {
 		return
@@ -902,14 +975,14 @@
 	}
 }
 
-// runDue does what time asks for and asks to be woken for what is due next: a fixed period costs every idle
-// router CPU, and a request that has less time left than the period its final answer (rule 1).
+// runDue does what is due by now and sets a timer for what is due next. A fixed period would cost every
+// idle router CPU time, and a request with less time left than the period its final response.
 func (r *Router) runDue() {
 	r.nextDue = r.now + idleStepInterval
 	r.decay()
 	if r.settings.WatchDiscovery && r.nextCallAt > 0 {
 		if r.now >= r.nextCallAt {
-			r.lastCallAt, r.nextCallAt = r.now, r.now+r.maxCallInterval() // if nothing comes of this one
+			r.lastCallAt, r.nextCallAt = r.now, r.now+r.maxCallInterval() // if this one gets no response
 			r.emit(Watch{})
 		}
 		r.scheduleStep(r.nextCallAt)
@@ -925,13 +998,14 @@
 	}
 }
 
-// checkInFlight finds members that have gone silent and moves their safe reads elsewhere.
+// checkInFlight finds members that stopped responding and moves their safe reads elsewhere.
 func (r *Router) checkInFlight() {
 	r.inFlight = slices.DeleteFunc(r.inFlight, func(a *attempt) bool { return a.ended })
 	for _, a := range r.inFlight {
 		wait := Nanos(silenceRatio * r.typicalLatency[a.request.Class] * max(1, a.member.slowness))
-		if !a.lost && r.now > a.sentAt+2*wait && a.member.lastResponseAt > a.sentAt+wait { // its connection fell silent:
-			a.lost = true // it takes no place at a member that goes on answering
+		if !a.lost && r.now > a.sentAt+2*wait && a.member.lastResponseAt > a.sentAt+wait {
+			// Its connection is dead: it does not count in the window of a member that still responds.
+			a.lost = true
 			a.member.inFlight--
 		}
 		if due := max(a.sentAt, a.member.lastResponseAt) + wait; r.now > due {
@@ -945,15 +1019,17 @@
 	}
 	for _, a := range r.inFlight {
 		q := a.request
-		patience := 2 * r.typicalLatency[q.Class]
-		if !r.ejected(a.member) { // a lone attempt without an answer, at a member that answers others
-			patience *= silenceRatio / 2 * max(1, a.member.slowness)
+		moveAfter := 2 * r.typicalLatency[q.Class]
+		if !r.ejected(a.member) { // a single attempt without a response, at a member that responds to others
+			moveAfter *= silenceRatio / 2 * max(1, a.member.slowness)
 		}
-		if q.done || a.cancelled || q.class.RetrySafety != Safe || r.now >= q.targetAt || q.inFlight > 1 || r.retryBudget < 1 ||
+		if q.done || a.cancelled || q.class.RetrySafety != Safe || r.now >= q.targetAt ||
+			q.inFlight > 1 || r.retryBudget < 1 ||
 			!r.ejected(a.member) && !a.lost && r.lossRate < lossThreshold {
 			continue
 		}
-		if r.scheduleStep(max(a.sentAt+Nanos(patience), r.now+queueRetryInterval)); float64(r.now-a.sentAt) < patience {
+		if r.scheduleStep(max(a.sentAt+Nanos(moveAfter), r.now+queueRetryInterval)); float64(r.now-a.sentAt) <
+			moveAfter {
 			continue
 		}
 		if r.settings.MayHedge {
@@ -968,36 +1044,39 @@
 	}
 }
 
-// dispatchQueue sends held requests, the most valuable first, and ends those that can no longer be served in time.
+// dispatchQueue sends queued requests, the most valuable first, and ends those that can no longer be
+// served in time.
 func (r *Router) dispatchQueue() {
-	now := r.queue
+	queue := r.queue
 	r.queue = nil
-	for _, q := range now { // worth for expected work
+	for _, q := range queue { // by value per expected response time
 		if q.value = q.class.Value / r.typicalLatency[q.Class]; r.now > q.targetAt {
 			q.value *= q.class.LateValue
 		}
 	}
-	slices.SortStableFunc(now, func(a, b *request) int { return cmp.Compare(b.value, a.value) })
-	for _, q := range now {
+	slices.SortStableFunc(queue, func(a, b *request) int { return cmp.Compare(b.value, a.value) })
+	for _, q := range queue {
 		q.queued = false
-		last := q.deadline
+		latest := q.deadline
 		if q.class.LateValue == 0 {
-			last = min(last, q.targetAt)
+			latest = min(latest, q.targetAt)
 		}
-		last -= max(2*r.settings.MinStepInterval, Nanos(r.typicalLatency[q.Class])) // later it would only be wasted work
-		if q.class.LateValue < queueWaitCost && len(q.attempts) == 0 {              // a client left waiting for nothing costs that
-			last = min(last, q.arrivedAt+q.Remaining/2-2*queueRetryInterval)
+		// A later attempt would only be wasted work.
+		latest -= max(2*r.settings.MinStepInterval, Nanos(r.typicalLatency[q.Class]))
+		// A client that waits for nothing costs more than a late response is worth.
+		if q.class.LateValue < queueWaitCost && len(q.attempts) == 0 {
+			latest = min(latest, q.arrivedAt+q.Remaining/2-2*queueRetryInterval)
 		}
 		switch {
 		case q.done:
-		case r.now >= last && q.inFlight == 0:
+		case r.now >= latest && q.inFlight == 0:
 			r.refuseOrFail(q)
 		default:
 			if r.now >= q.drawnAt+r.settings.OverloadWindow {
 				r.drawRandomShare(q)
 			}
 			if r.dispatch(q); q.queued {
-				r.scheduleStep(min(last, max(q.notBefore, r.now+queueRetryInterval)))
+				r.scheduleStep(min(latest, max(q.notBefore, r.now+queueRetryInterval)))
 			}
 		}
 	}
--- a/state.go
+++ b/state.go
@@ -7,50 +7,62 @@
 	"slices"
 )
 
-// What a router remembers. Nothing is decided here: every use of it is in router.go.
+// This file holds the state of a router and its estimates. The decisions that use them are in router.go.
 
 type member struct {
 	Member
-	group                                        *group
-	claimsPrimary, probePending                  bool
-	connectionLosses                             int     // 1: a connection broke under an attempt, no answer since; 2: its probe's too
-	unreachable                                  bool    // it refused a connection; no sign of life since
-	unreachableAt, reachableAt                   Nanos   // when it last did, and when it was there again
-	idleSince                                    []Nanos // since when each of its idle connections lies idle
-	suspectIdle, suspectIdleAt                   Nanos   // how long the connection of a silent attempt had lain idle; 0: none
-	connectTime                                  float64 // moving mean of the time that a new connection adds, ns
-	warmingSince                                 Nanos   // when it started, as told or as its return shows; 0: long ago
-	roleSeenAt, lastHeardAt, probedAt            Nanos   // dates: newest word on its role, last report, last probe
-	position                                     Nanos   // it has applied everything up to here; never falls
-	inFlight                                     int     // attempts in flight
+	group                       *group
+	claimsPrimary, probePending bool
+	// 1: a connection was lost during an attempt, no response since; 2: also during the probe after it.
+	connectionLosses           int
+	unreachable                bool    // it refused a connection and has not responded since
+	unreachableAt, reachableAt Nanos   // when it last refused one, and when it responded again
+	idleSince                  []Nanos // for each of its idle connections, since when it is idle
+	// Idle time of the connection of an attempt without a response, and when that was noted; 0: none.
+	suspectIdle, suspectIdleAt Nanos
+	connectTime                float64 // moving mean of the time that connecting adds, ns
+	// When it started, as notified or as its recovery shows; 0: long ago.
+	warmingSince Nanos
+	// Times of the newest information on its role, its last reported position, its last probe.
+	roleSeenAt, lastHeardAt, probedAt            Nanos
+	position                                     Nanos // all commits up to here are applied; never decreases
+	inFlight                                     int   // attempts in flight
 	slowStart                                    SlowStartShare
 	lastResponseAt, ejectedUntil, windowShrunkAt Nanos
-	ejectionTime                                 Nanos   // length of the last ban; 0: well
-	slownessAt                                   Nanos   // when pace was last learnt
-	slowness, failureRate                        float64 // answer times relative to the class's; moving share of failures
-	window                                       float64 // window of attempts in flight
-	recentLatencyRatio, slowStartBoost           float64 // as strain, but soon learnt; what a cold member gets beyond its part
-	reportedLoad, latencyRatio                   float64 // reported load; moving mean of answer times over their aims
-	randomShare                                  float64 // of a request that draws now to go there while it is cold
-	slowStartBudget, servedWork                  float64 // work it may get while cold; work answered for us, moving rate
+	ejectionTime                                 Nanos // length of the last ejection; 0: healthy
+	slownessAt                                   Nanos // when slowness was last updated
+	// Response time relative to its class's; moving share of failed attempts.
+	slowness, failureRate float64
+	window                float64 // limit on attempts in flight
+	// As latencyRatio, but adapts faster; factor on the budget of a warming member.
+	recentLatencyRatio, slowStartBoost float64
+	// Requests queued and executing, as reported; moving mean of response times over their latency targets.
+	reportedLoad, latencyRatio float64
+	// While warming: chance that a request without a budget goes there.
+	randomShare float64
+	// While warming: work it may still get; decaying sum of the work it did for this router.
+	slowStartBudget, servedWork float64
 }
 
 type group struct {
-	probeOrder                 []*member // probe order: list order, the last primary found at the head
+	probeOrder                 []*member // list order, with the last primary found moved to the front
 	primary                    *member
 	primaryTrusted, inRound    bool
-	primaryDeniedAt            Nanos // the primary denied its role then; older word does not count
-	probeIndex                 int   // place in order of the member that the round has asked
+	primaryDeniedAt            Nanos // when the primary last denied its role; older claims do not count
+	probeIndex                 int   // index in probeOrder of the member that the probe round waits for
 	roundProbedAt, nextRoundAt Nanos
-	primaryWantedAt            Nanos // when a request last wanted the primary in vain
+	primaryWantedAt            Nanos // when a request last needed the primary and could not be sent to it
 	sessionCommits             map[string]Nanos
 	sessions                   []string
-	latencyRatio               float64 // moving mean of the replicas' answer times over their aims
-	spillChance                float64 // chance of a read that no replica can serve to go to the primary
-	readDemand                 float64 // work of the short reads, and of the writes, that came; moving sums
-	writeDemand                float64
-	warmWorkRate               float64 // work a second and size that its warm members answered, last seen; 0: none yet
-	commitFloor                Nanos   // sessions without a token are held to this: all pruned tokens lie before it
+	latencyRatio               float64 // moving mean of the replicas' response times over their latency targets
+	spillChance                float64 // chance that a read that no replica can serve goes to the primary
+	// Decaying sums of the work of the short reads, and of the writes, that arrived.
+	readDemand  float64
+	writeDemand float64
+	// Work per second and weight of its warmed-up members, last known; 0: never known.
+	warmWorkRate float64
+	// Position that sessions without a recorded commit need: no dropped commit is later.
+	commitFloor Nanos
 }
 
 type attempt struct {
@@ -59,9 +71,9 @@
 	number           int
 	sentAt           Nanos
 	work             float64
-	connectionIdle   Nanos // how long its connection had lain idle; 0: a new one
+	connectionIdle   Nanos // how long its connection had been idle; 0: a new connection
 	ended, cancelled bool
-	lost             bool // without an answer though its member answers others: it no longer counts in member.out
+	lost             bool // no response although its member responds to others; no longer counted in member.inFlight
 }
 
 type request struct {
@@ -69,55 +81,60 @@
 	class                                    *Class
 	group                                    *group
 	arrivedAt, deadline, targetAt, notBefore Nanos
-	drawnAt                                  Nanos // when luck was drawn
-	minPosition                              Nanos // position that an OwnWrites read needs; 0: none
-	probes                                   int   // probes made for it
+	drawnAt                                  Nanos // when slowStartDraw was drawn
+	minPosition                              Nanos // position that a ReadYourWrites read needs; 0: none
+	probes                                   int   // number of probes sent for it
 	attempts, maybeExecuted                  []*attempt
-	value, spillDraw, slowStartDraw          float64 // value while held; against group.spill, member.coldChance
-	inFlight                                 int
-	done, queued                             bool
+	// Priority while queued; random numbers, compared to group.spillChance and member.randomShare.
+	value, spillDraw, slowStartDraw float64
+	inFlight                        int
+	done, queued                    bool
 }
 
-// firstTimeout is how much time first tries have left; votes says how sure that is.
+// firstTimeout estimates how much time the first request of a client has remaining, before its retries;
+// confidence rises with requests that agree.
 type firstTimeout struct {
 	remaining  Nanos
 	confidence float64
 }
 
-// Router holds the decisions of one driver. Use New.
+// Router makes the decisions of one gateway process. Use New.
 type Router struct {
-	settings                    Settings
-	rngState                    uint64
-	actions                     []Action
-	started                     bool
-	members                     map[string]*member
-	memberList                  []*member
-	groups                      map[int]*group
-	groupList                   []*group
-	requests                    map[string]*request
-	queue                       []*request
-	inFlight                    []*attempt
-	typicalLatency, sampleCount []float64      // of each class: typical answer time in ns; answers seen, to a limit
-	latencyRatio                float64        // as of the groups, of all replicas
-	probeCredit                 float64        // probes for a second fresh replica that may still be made
-	probeLatency                Nanos          // moving mean
-	firstTimeouts               []firstTimeout // of each class
-	idleDropEvidence            float64        // evidence that idle connections are dropped unseen, -0.5 to 2
-	suspectIdle                 Nanos          // how long the last one lay idle that seemed to be
-	maxSafeIdle                 Nanos          // connections that lay idle longer are not used
-	lossRate                    float64        // moving share of attempts that were lost, members being well
-	rateCoverage                float64        // part of rateOver that has been seen, 0 to 1
-	retryBudget, recentRequests float64        // further attempts left; requests here over about two seconds
-	meanWork                    float64        // moving mean of the work of requests
+	settings   Settings
+	rngState   uint64
+	actions    []Action
+	started    bool
+	members    map[string]*member
+	memberList []*member
+	groups     map[int]*group
+	groupList  []*group
+	requests   map[string]*request
+	queue      []*request
+	inFlight   []*attempt
+	// Per class: typical response time, ns; number of responses in it, up to a limit.
+	typicalLatency, sampleCount []float64
+	latencyRatio                float64        // as group.latencyRatio, over all replicas
+	probeCredit                 float64        // probes that may still be spent on finding a second fresh replica
+	probeLatency                Nanos          // moving mean of probe durations
+	firstTimeouts               []firstTimeout // per class
+	// Evidence that the network drops idle connections silently, from -2 to 2; starts at -0.5.
+	idleDropEvidence float64
+	suspectIdle      Nanos // idle time of the last connection that seemed to have been dropped
+	maxSafeIdle      Nanos // connections idle for longer are not reused
+	// Moving share of attempts without a response although their members respond to others.
+	lossRate                    float64
+	rateCoverage                float64 // fraction of rateDecay covered by observations, 0 to 1
+	retryBudget, recentRequests float64 // retries left; decaying count of the requests that arrived here
+	meanWork                    float64 // moving mean of the expected work of a request
 	now, minStalenessBound      Nanos
 	decayedAt                   Nanos
-	timerAt, nextDue            Nanos // the pending wake-up; when something is due next
+	timerAt, nextDue            Nanos // when the pending timer fires; when something is due next
 
-	nextCallAt, lastCallAt Nanos // when discovery is called next, 0: a watch is open; when it was called last
-	retryCycle             Nanos // in which each router calls once, while calls are refused
+	nextCallAt, lastCallAt Nanos // when discovery is called next, 0: a watch is open; when it was last called
+	retryCycle             Nanos // period in which each router calls once, while calls fail
 }
 
-// random draws from [0, 1): splitmix64 from the router's own seed.
+// random returns a number in [0, 1), generated by splitmix64 from the router's own seed.
 func (r *Router) random() float64 {
 	r.rngState += 0x9e3779b97f4a7c15
 	z := r.rngState
@@ -128,12 +145,12 @@
 
 func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
-// scheduleStep asks for a Step at that time or before.
+// scheduleStep asks for a Step at that time or earlier.
 func (r *Router) scheduleStep(at Nanos) {
 	r.nextDue = min(r.nextDue, max(at, r.now+r.settings.MinStepInterval))
 }
 
-// recordCommit keeps the commit of a session's write.
+// recordCommit records the commit position of a session's write.
 func (g *group) recordCommit(session string, commit Nanos) {
 	old := g.sessionCommits[session]
 	if old == 0 {
@@ -142,34 +159,35 @@
 	g.sessionCommits[session] = max(old, commit)
 }
 
-// dropCommits drops the tokens up to low and raises the floor to the newest of them.
-func (g *group) dropCommits(low Nanos) {
+// dropCommits drops the recorded commits up to limit and raises commitFloor to the newest of them.
+func (g *group) dropCommits(limit Nanos) {
 	keep := g.sessions[:0]
-	for _, k := range g.sessions {
-		if t := g.sessionCommits[k]; t <= low {
-			delete(g.sessionCommits, k)
-			g.commitFloor = max(g.commitFloor, t)
+	for _, session := range g.sessions {
+		if commit := g.sessionCommits[session]; commit <= limit {
+			delete(g.sessionCommits, session)
+			g.commitFloor = max(g.commitFloor, commit)
 		} else {
-			keep = append(keep, k)
+			keep = append(keep, session)
 		}
 	}
 	g.sessions = keep
 }
 
-// pruneCommits forgets tokens that every member has long passed; later members must reach the floor instead.
+// pruneCommits drops the commits that all members have applied; members that join later must reach
+// commitFloor instead.
 func (r *Router) pruneCommits(g *group) {
-	low := r.now
+	applied := r.now
 	for _, m := range g.probeOrder {
 		if m.State == Up && m != g.primary {
-			low = min(low, m.position)
+			applied = min(applied, m.position)
 		}
 	}
-	g.dropCommits(low)
+	g.dropCommits(applied)
 }
 
 func isUp(m *member) bool { return m.State == Up }
 
-// group returns the group of that number, new or known.
+// group returns the group with that number and creates it if needed.
 func (r *Router) group(id int) *group {
 	g := r.groups[id]
 	if g == nil {
@@ -187,59 +205,67 @@
 func (r *Router) ejected(m *member) bool { return r.now < m.ejectedUntil }
 
 func (r *Router) warming(m *member) bool {
-	if r.settings.UnleasedShare > 0 { // by agreement: as clocks are apart, only the time since it was heard of counts
+	if r.settings.UnleasedShare > 0 { // the end is agreed on; clocks differ: only the time since the notification counts
 		return m.warmingSince > 0 && !m.slowStart.WarmedUp && r.now < m.warmingSince+r.settings.MaxWarmUpTime
 	}
 	return m.warmingSince > 0 && r.now < m.warmingSince+r.settings.WarmUpTime+r.settings.WarmUpTime/10
 }
 
-// fitsSlowStart tells whether q fits in what m may get while it is cold.
+// fitsSlowStart tells whether q fits in the slow-start budget or the random share of m.
 func (r *Router) fitsSlowStart(q *request, m *member) bool {
-	return m.slowStartBudget >= r.expectedWork(q) || r.isShort(q) && q.drawnAt == r.now && q.slowStartDraw < m.randomShare
+	return m.slowStartBudget >= r.expectedWork(q) || r.isShort(q) && q.drawnAt == r.now &&
+		q.slowStartDraw < m.randomShare
 }
 
-// isShort tells whether q is no more than two requests in the mean: longer ones are no part of a cold member's chance.
+// isShort tells whether q costs at most two average requests: longer ones take no part in the random share of a
+// warming member.
 func (r *Router) isShort(q *request) bool { return r.expectedWork(q) <= 2*r.meanWork }
 
-// demandOn is the work a second that is asked of m here: writes of a primary, short reads of a replica. One request
-// more than have come: where few do, the next may follow a long gap and would have too good a chance.
+// demandOn is the work per second that arrives here for members like m: writes for a primary, short reads for
+// a replica. It counts one average request more than have arrived: where few do, the next may follow a long
+// gap and would get too large a random share.
 func (r *Router) demandOn(m *member) float64 {
-	want := m.group.readDemand
+	demand := m.group.readDemand
 	if m == m.group.primary {
-		want = m.group.writeDemand
+		demand = m.group.writeDemand
 	}
-	return (want + r.meanWork) / (rateDecay*r.rateCoverage + 1e-9)
+	return (demand + r.meanWork) / (rateDecay*r.rateCoverage + 1e-9)
 }
 
-// routersAboveSmallFleet is how many routers there are beyond smallFleet: discovery works through their calls in turn, and one that
-// times out there has cost it as much as one that is answered.
+// routersAboveSmallFleet is the number of routers above smallFleet. Discovery handles their calls one after
+// the other, and a call that times out costs it as much as one that it answers.
 func (r *Router) routersAboveSmallFleet() float64 {
 	return float64(max(r.settings.Routers-smallFleet, 0))
 }
 
-// roundInterval is the mean time between rounds: all routers lose a primary at once, members answer few probes.
+// roundInterval is the mean time between probe rounds. It grows with the fleet: all routers lose a primary at
+// once, and members can answer few probes.
 func (r *Router) roundInterval() Nanos {
-	return Nanos(min(float64(minRoundInterval)*max(1, (smallFleet+r.routersAboveSmallFleet())/roundFleetSize), float64(maxEjection)))
+	return Nanos(min(float64(minRoundInterval)*max(1, (smallFleet+r.routersAboveSmallFleet())/roundFleetSize),
+		float64(maxEjection)))
 }
 
-// windowShare is that part of a window of attempts that many routers leave to each.
-func (r *Router) windowShare(win float64) float64 {
-	return max(1, win*min(1, float64(smallFleet)/float64(max(r.settings.Routers, 1))))
+// windowShare is this router's part of a window of attempts that a large fleet shares.
+func (r *Router) windowShare(window float64) float64 {
+	return max(1, window*min(1, float64(smallFleet)/float64(max(r.settings.Routers, 1))))
 }
 
-// connectionCostly tells whether m needs a new connection for an attempt and that costs about as much as an answer.
+// connectionCostly tells whether an attempt at m needs a new connection that takes about as long as a
+// response.
 func (r *Router) connectionCostly(m *member) bool {
 	return len(m.idleSince) == 0 && m.connectTime > slowConnectRatio*r.typicalLatency[0]
 }
 
-// firstEjection is how long a suspect is left alone at first: as long as this router sends to a member once in the
-// mean, within limits. Each of a fleet that tried it sooner would send it as much as a member that is well.
+// firstEjection is the length of a first ejection: the mean time between this router's requests to one
+// member, within limits. If each router of a fleet retried the member sooner, it would get as many requests
+// as a healthy one.
 func (r *Router) firstEjection() Nanos {
-	gap := float64(len(r.memberList)) * rateDecay * r.rateCoverage / (r.recentRequests + 1e-9)
-	return Nanos(min(max(float64(minEjection), gap*1e9), float64(maxEjection)))
+	interval := float64(len(r.memberList)) * rateDecay * r.rateCoverage / (r.recentRequests + 1e-9)
+	return Nanos(min(max(float64(minEjection), interval*1e9), float64(maxEjection)))
 }
 
-// drawRandomShare gives q its chance at cold members, which holds for this Step, and counts it among what is asked of its group.
+// drawRandomShare draws the number that decides in this Step whether q is part of the random share of a
+// warming member, and adds q to the demand on its group.
 func (r *Router) drawRandomShare(q *request) {
 	q.slowStartDraw, q.drawnAt = r.random(), r.now
 	switch {
@@ -251,55 +277,61 @@
 	}
 }
 
-// expectedWork is what a request is expected to cost a member, as the settings' aims have it. Answer times would tell of queues
-// too: where they grow, what warm members do would seem more expectedWork, and a cold one's part of it with them.
+// expectedWork is what a request is expected to cost a member, derived from its latency target. Response
+// times include queueing: where queues grow, warmed-up members would seem to do more work, and a warming
+// member's share of it would grow too.
 func (r *Router) expectedWork(q *request) float64 { return float64(q.class.LatencyTarget) / 4e9 }
 
-// observeReplicaLatency takes a replica's answer time over its aim, for its group and, as quiet routers hear little, for all.
-func (r *Router) observeReplicaLatency(m *member, took float64) {
+// observeReplicaLatency adds a replica's response time over its latency target to the means of its group and,
+// as routers with little traffic get few samples, of all replicas.
+func (r *Router) observeReplicaLatency(m *member, ratio float64) {
 	if m != m.group.primary {
-		m.group.latencyRatio += 1.5 * learningRate * (min(took, 2) - m.group.latencyRatio)
-		r.latencyRatio += 1.5 * learningRate * (min(took, 2) - r.latencyRatio)
+		m.group.latencyRatio += 1.5 * learningRate * (min(ratio, 2) - m.group.latencyRatio)
+		r.latencyRatio += 1.5 * learningRate * (min(ratio, 2) - r.latencyRatio)
 	}
 }
 
-// hasHealthyReplica tells whether some replica of the group is up, warm and not suspected.
+// hasHealthyReplica tells whether some replica of the group is up, warmed up and not ejected.
 func (r *Router) hasHealthyReplica(g *group) bool {
 	return slices.ContainsFunc(g.probeOrder, func(m *member) bool {
 		return m.State == Up && m != g.primary && !r.warming(m) && !r.ejected(m)
 	})
 }
 
-// startWarming takes m as started then, as told or, where the list is late, as refused connections show. Its
-// budget is a part of one request: hundreds of routers with a whole one each would topple it.
+// startWarming takes m as started at that time, as notified or, where the list is late, as its recovery from
+// refused connections shows. Its budget is a random fraction of one request: hundreds of routers with a whole
+// one each would overload it.
 func (r *Router) startWarming(m *member, at Nanos) {
 	if r.settings.UnleasedShare > 0 && at > 0 {
 		at, m.slowStart = r.now, SlowStartShare{}
 	}
-	m.warmingSince, m.slowStartBudget, m.slowStartBoost = max(m.warmingSince, at), r.random()*float64(r.settings.Classes[0].LatencyTarget)/4e9, 1
+	m.warmingSince, m.slowStartBudget, m.slowStartBoost = max(m.warmingSince, at),
+		r.random()*float64(r.settings.Classes[0].LatencyTarget)/4e9, 1
 }
 
-// setSlowStartShare takes what was setSlowStartShare on for a start; word of another start is old, or comes before its list.
+// setSlowStartShare applies what was agreed on for a start of a member. A share for another start is
+// outdated, or arrives before the member list that names it.
 func (r *Router) setSlowStartShare(e SlowStartShare) {
 	if m := r.members[e.Member]; m != nil && m.StartedAt == e.StartedAt {
 		m.slowStart = e
 	}
 }
 
-// slowStartShare is the part of a cold member's budget that is this router's.
+// slowStartShare is this router's share of a warming member's budget.
 func (r *Router) slowStartShare(m *member) float64 {
 	switch {
 	case r.settings.UnleasedShare == 0:
-		return m.slowStartBoost // of what this router alone has measured
+		return m.slowStartBoost // factor on the rate that this router measured by itself
 	case r.now < m.slowStart.Until:
 		return r.settings.UnleasedShare + m.slowStart.LeasedShare
 	}
 	return r.settings.UnleasedShare
 }
 
-// observeConnection learns from an answer what its connection shows. Queues are silent on idle connections too, but
-// then others that lay idle as long are answered.
-func (r *Router) observeConnection(a *attempt, took Nanos) {
+// observeConnection learns from a response whether idle connections get dropped and how long connecting
+// takes. Queueing at the member also leaves idle connections without a response, but then others that were
+// idle as long get one.
+func (r *Router) observeConnection(a *attempt, duration Nanos) {
 	m := a.member
 	switch {
 	case a.connectionIdle > 0 && a.connectionIdle >= r.suspectIdle:
@@ -314,48 +346,51 @@
 		r.suspectIdle, m.suspectIdle = m.suspectIdle, 0
 	}
 	if a.connectionIdle == 0 {
-		m.connectTime += 3 * learningRate * (max(0, float64(took)-r.typicalLatency[a.request.Class]) - m.connectTime)
+		m.connectTime += 3 * learningRate * (max(0,
+			float64(duration)-r.typicalLatency[a.request.Class]) - m.connectTime)
 	}
 }
 
-// LearnedState is what a router has learned that others may use.
+// LearnedState is what a router has observed that other routers may use.
 type LearnedState struct {
 	Groups         []LearnedGroup
-	TypicalLatency []Nanos // of each class: the usual answer time
+	TypicalLatency []Nanos // per class: the typical response time
 	Restarts       []ObservedRestart
 }
 
-// ObservedRestart is a member that was seen gone and, later, there again: it has started in between.
+// ObservedRestart is a member that refused connections and later responded again: it has restarted in
+// between.
 type ObservedRestart struct {
 	Member                     string
 	UnreachableAt, ReachableAt Nanos
 }
 
-// warmWorkRate is the work a second and size that a group's warm members answer, as a moving mean; 0: it has none.
+// warmWorkRate is the work per second and weight that a group's warmed-up members do, as a moving mean; 0: it
+// has none.
 func (r *Router) warmWorkRate(g *group) float64 {
-	rate, n := 0.0, 1e-9
+	rate, weight := 0.0, 1e-9
 	for _, m := range g.probeOrder {
 		if m.State == Up && !r.warming(m) {
-			rate, n = rate+r.workRate(m), n+m.Weight
+			rate, weight = rate+r.workRate(m), weight+m.Weight
 		}
 	}
-	return rate / n
+	return rate / weight
 }
 
-// totalWeight is that of all members together.
-func (r *Router) totalWeight() (all float64) {
+// totalWeight is the sum of the weights of all members.
+func (r *Router) totalWeight() (sum float64) {
 	for _, m := range r.memberList {
-		all += m.Weight
+		sum += m.Weight
 	}
-	return max(all, 0.01)
+	return max(sum, 0.01)
 }
 
-// workRate is the work a second that m answers, as a moving mean.
+// workRate is the work per second that m does for this router, as a moving mean.
 func (r *Router) workRate(m *member) float64 { return m.servedWork / (rateDecay*r.rateCoverage + 1e-9) }
 
-// LearnedGroup is what is known of a group: its primary, the date of that word, and the work a second and size that
-// its warm members answer for this router now. What was remembered of better times does not count: clients that move
-// from one router to another would be counted at both.
+// LearnedGroup is what is known of a group: its primary, when that was last confirmed, and the work per
+// second and weight that its warmed-up members do for this router now. Higher rates of the past are left out:
+// clients that move from one router to another would be counted at both.
 type LearnedGroup struct {
 	Group         int
 	Primary       string
@@ -363,7 +398,7 @@
 	WorkRate      float64
 }
 
-// Learned tells what the router knows now.
+// Learned returns what the router knows now.
 func (r *Router) Learned() (l LearnedState) {
 	for id, g := range r.groups {
 		x := LearnedGroup{Group: id, WorkRate: r.warmWorkRate(g)}
@@ -384,56 +419,58 @@
 	return l
 }
 
-// dropRemoved drops members that are gone and hold nothing: ids are always new, and a router runs for long.
+// dropRemoved drops removed members without attempts in flight: new members always get new ids, so that in a
+// long-running router they would accumulate.
 func (r *Router) dropRemoved() {
-	gone := func(m *member) bool { return m.State == Removed && m.inFlight == 0 }
+	removed := func(m *member) bool { return m.State == Removed && m.inFlight == 0 }
 	for _, m := range r.memberList {
-		if gone(m) && m.group.primary == m {
+		if removed(m) && m.group.primary == m {
 			m.group.primary = nil
 		}
 	}
 	for _, g := range r.groupList {
-		g.probeOrder = slices.DeleteFunc(g.probeOrder, gone)
+		g.probeOrder = slices.DeleteFunc(g.probeOrder, removed)
 	}
-	maps.DeleteFunc(r.members, func(_ string, m *member) bool { return gone(m) })
-	r.memberList = slices.DeleteFunc(r.memberList, gone)
+	maps.DeleteFunc(r.members, func(_ string, m *member) bool { return removed(m) })
+	r.memberList = slices.DeleteFunc(r.memberList, removed)
 }
 
-// applyReport keeps what a member says of itself.
-func (r *Router) applyReport(m *member, p Report) {
-	if p.HasQueued || p.HasInFlight {
-		m.reportedLoad = max(p.Queued+p.InFlight, 0)
+// applyReport stores what a member reports about itself.
+func (r *Router) applyReport(m *member, report Report) {
+	if report.HasQueued || report.HasInFlight {
+		m.reportedLoad = max(report.Queued+report.InFlight, 0)
 	}
-	if p.HasPosition {
-		m.lastHeardAt, m.position = r.now, max(m.position, p.Position-positionMargin)
+	if report.HasPosition {
+		m.lastHeardAt, m.position = r.now, max(m.position, report.Position-positionMargin)
 	}
-	if p.HasRole { // an undated word is no newer than the last
-		r.updateRole(m, p.Primary, cmp.Or(p.Position, m.roleSeenAt))
+	if report.HasRole { // a role without a date is no newer than the last one
+		r.updateRole(m, report.Primary, cmp.Or(report.Position, m.roleSeenAt))
 	}
 }
 
-// decay lets what is remembered of the past weigh less, and cold members earn their part of the time that passed.
+// decay lowers the weight of past observations and refills the budgets of warming members for the time that
+// passed.
 func (r *Router) decay() {
 	if r.now < r.decayedAt+50*ms {
 		return
 	}
-	s := min(float64(r.now-r.decayedAt)/1e9, rateDecay)
-	f := math.Exp(-s / rateDecay)
-	r.decayedAt, r.rateCoverage = r.now, 1-(1-r.rateCoverage)*f
-	r.refillSlowStart(s)
-	r.maxSafeIdle = min(r.settings.IdleTimeout, r.maxSafeIdle+Nanos(float64(r.maxSafeIdle)*s/idleLimitDecay))
-	r.recentRequests *= f
-	for _, m := range r.memberList { // idle members drift back to the common pace
-		m.servedWork *= f
-		m.latencyRatio *= 1 - s/latencyRatioDecay
-		m.connectTime *= f
-		m.slowness += (1 - m.slowness) * min(s/4, 1)
-		m.recentLatencyRatio *= 1 - s/latencyRatioDecay
+	seconds := min(float64(r.now-r.decayedAt)/1e9, rateDecay)
+	factor := math.Exp(-seconds / rateDecay)
+	r.decayedAt, r.rateCoverage = r.now, 1-(1-r.rateCoverage)*factor
+	r.refillSlowStart(seconds)
+	r.maxSafeIdle = min(r.settings.IdleTimeout, r.maxSafeIdle+Nanos(float64(r.maxSafeIdle)*seconds/idleLimitDecay))
+	r.recentRequests *= factor
+	for _, m := range r.memberList { // without samples, members drift back to the common response time
+		m.servedWork *= factor
+		m.latencyRatio *= 1 - seconds/latencyRatioDecay
+		m.connectTime *= factor
+		m.slowness += (1 - m.slowness) * min(seconds/4, 1)
+		m.recentLatencyRatio *= 1 - seconds/latencyRatioDecay
 	}
-	r.latencyRatio *= 1 - s/latencyRatioDecay
+	r.latencyRatio *= 1 - seconds/latencyRatioDecay
 	for _, g := range r.groupList {
-		g.latencyRatio *= 1 - s/latencyRatioDecay
-		g.readDemand, g.writeDemand = g.readDemand*f, g.writeDemand*f
+		g.latencyRatio *= 1 - seconds/latencyRatioDecay
+		g.readDemand, g.writeDemand = g.readDemand*factor, g.writeDemand*factor
 		r.pruneCommits(g)
 	}
 }
