--- a/internal/controlplane/roster/roster.go
+++ b/internal/controlplane/roster/roster.go
@@ -113,7 +113,7 @@
 
 // setCatalogMember takes one member of the catalog.
 func (m *Merger) setCatalogMember(x *pb.Member) {
-	t := Entry{Member: aspenshed.Member{ID: x.Entry.Id, Group: int(x.Entry.Group), Zone: m.ZoneIndex(x.Entry.Site), Size: 1,
+	t := Entry{Member: aspenshed.Member{ID: x.Entry.Id, Group: int(x.Entry.Group), Zone: m.ZoneIndex(x.Entry.Site), Weight: 1,
 		StartedAt: aspenshed.Nanos(x.Start), State: aspenshed.Up}, Address: x.Entry.Address, Site: x.Entry.Site}
 	if x.DrainedAt != 0 {
 		t.State = aspenshed.Draining
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -100,7 +100,7 @@
 	f.Pipeline = pipeline.New(pipeline.Config{Loop: loop, Log: f.log, Settings: c.Settings, Seed: seed, MaxPending: maxHeld,
 		Backend: backend(f.Net), Watch: func() {}})
 	f.Manager.Submit, f.Manager.Cancel, f.Manager.CountRejected = f.Pipeline.Accept.Accept, f.Pipeline.Abandon, f.Pipeline.Accounting.CountRejected
-	list, addresses := aspenshed.MemberList{Whole: true}, map[string]string{}
+	list, addresses := aspenshed.MemberList{Complete: true}, map[string]string{}
 	if f.control == nil {
 		list, addresses = inventory.MemberList(own)
 	}
--- a/internal/experiment/loganalysis/loganalysis_test.go
+++ b/internal/experiment/loganalysis/loganalysis_test.go
@@ -30,7 +30,7 @@
 		return &request.Request{Query: request.Query{ExternalID: id, Class: class}, Attempts: attempts, ArrivedAt: arrived, Deadline: 160e6}
 	}
 	q := ask("q1", 1, 2, 35e6)
-	b.CountAttempt(q, "s-1", request.Result{Outcome: aspenshed.Full, Detail: `53300 no "room"`})
+	b.CountAttempt(q, "s-1", request.Result{Outcome: aspenshed.Overloaded, Detail: `53300 no "room"`})
 	b.CountAttempt(q, "s-2", request.Result{Outcome: aspenshed.Served, Elapsed: 40e6})
 	b.CountResponse(q, request.Response{Status: request.Served})
 	b.CountResponse(ask("q2", 0, 0, 0), request.Response{Status: request.Refused, Reason: "try again"})
--- a/internal/frontend/mysql/backend.go
+++ b/internal/frontend/mysql/backend.go
@@ -253,7 +253,7 @@
 	if errors.As(err, &e) && (e.Code == 1040 || e.Code == 1203) {
 		l.backend.Loop.Post(func() {
 			if !l.closed {
-				l.events.Done(request.Result{Outcome: aspenshed.Full, CloseConnection: true, Detail: e.Message})
+				l.events.Done(request.Result{Outcome: aspenshed.Overloaded, CloseConnection: true, Detail: e.Message})
 			}
 		})
 		return nil
@@ -347,14 +347,14 @@
 // resultForError maps a server's error. What the statement itself got wrong is the
 // answer, as no server would do better; what the server got wrong may be tried elsewhere.
 func resultForError(e mysqlwire.Error) request.Result {
-	r := request.Result{Outcome: aspenshed.Errored, Value: e, Detail: strconv.Itoa(int(e.Code)) + " " + e.Message}
+	r := request.Result{Outcome: aspenshed.ErrorResponse, Value: e, Detail: strconv.Itoa(int(e.Code)) + " " + e.Message}
 	switch {
 	case e.Code == 1290 || e.Code == 1836: // read-only: untouched
-		r.Outcome, r.Role = aspenshed.Turned, aspenshed.RoleReplica
+		r.Outcome, r.Role = aspenshed.Ineligible, aspenshed.RoleReplica
 	case e.Code == 1040 || e.Code == 1203:
-		r.Outcome = aspenshed.Full
+		r.Outcome = aspenshed.Overloaded
 	case len(e.State) == 5 && e.State >= "21" && e.State < "45":
-		r.Outcome = aspenshed.Rejected
+		r.Outcome = aspenshed.StatementError
 	}
 	return r
 }
@@ -387,7 +387,7 @@
 func (l *backendConn) finishProbe(a *mysqlwire.ResponseReader) {
 	r := request.Result{Outcome: aspenshed.Served, Report: l.report}
 	if a.Err != nil {
-		r = request.Result{Outcome: aspenshed.Errored, Detail: a.Err.Message}
+		r = request.Result{Outcome: aspenshed.ErrorResponse, Detail: a.Err.Message}
 	}
 	l.sent, r.CloseConnection = false, l.trailingBytes
 	l.events.Done(r)
