--- a/cmd/aspenshed/gateway.go
+++ b/cmd/aspenshed/gateway.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	acceptAfterTerm = aspenshed.Nanos(450e6)  // new connections still come for 0.4 s after SIGTERM, and take a moment to come up
-	lastServed      = aspenshed.Nanos(1700e6) // from then on before SIGKILL connections are closed between requests
-	lastAnswer      = aspenshed.Nanos(300e6)  // and what is still held then gets its answer
-	drainTick       = aspenshed.Nanos(10e6)
-	clientLimit     = aspenshed.Nanos(2e9)   // for a client without a request: to send one, and between two
-	spareLimit      = aspenshed.Nanos(200e6) // the same where connections are scarce: clients hold a third of all descriptors at most
-	otherFiles      = 32                     // standard streams, epoll, listener, timers
-	mostHeld        = 8192
-	bufferedShare   = 8 // commands without an answer may take one part in so many of the memory, and answers that nobody reads too
+	acceptAfterTerm     = aspenshed.Nanos(450e6)  // new connections still come for 0.4 s after SIGTERM, and take a moment to come up
+	idleCloseWindow     = aspenshed.Nanos(1700e6) // from then on before SIGKILL connections are closed between requests
+	finalResponseWindow = aspenshed.Nanos(300e6)  // and what is still held then gets its answer
+	drainInterval       = aspenshed.Nanos(10e6)
+	clientTimeout       = aspenshed.Nanos(2e9)   // for a client without a request: to send one, and between two
+	reclaimMinIdle      = aspenshed.Nanos(200e6) // the same where connections are scarce: clients hold a third of all descriptors at most
+	reservedDescriptors = 32                     // standard streams, epoll, listener, timers
+	maxHeld             = 8192
+	memoryShare         = 8 // commands without an answer may take one part in so many of the memory, and answers that nobody reads too
 )
 
 // gateway is the platform's side of the program: one pipeline behind the thin front.
@@ -48,17 +48,17 @@
 	known, faults := discovery.Convert(node.Known, node.Zones) // those left are words of a newer release: nothing to stop for
 	var err error
 	g := &gateway{node: node, log: log, loop: eventloop.NewLoop(clock)}
-	g.loop.Panicked = func(p any) {
+	g.loop.OnPanic = func(p any) {
 		log.WithFields(logrus.Fields{"panic": p, "stack": string(debug.Stack())}).Error("panic on the loop: it goes on")
 	}
-	files := node.Limits.Sockets - otherFiles
+	files := node.Limits.Sockets - reservedDescriptors
 	clients := files * 6 / 10
-	buffered := int64(node.Limits.MemoryMB) << 20 / bufferedShare
+	buffered := int64(node.Limits.MemoryMB) << 20 / memoryShare
 	g.front = &postgres.Front{Manager: session.Manager{Loop: g.loop, Settings: &node.Settings,
-		Limits: session.Limits{Silent: clientLimit, Idle: clientLimit, Roomy: node.Limits.Sockets / 4, Spare: spareLimit,
-			Unanswered: buffered}}}
+		Limits: session.Limits{CommandTimeout: clientTimeout, IdleTimeout: clientTimeout, ReclaimAbove: node.Limits.Sockets / 4, ReclaimMinIdle: reclaimMinIdle,
+			MaxPendingBytes: buffered}}}
 	ready := make(chan struct{})
-	g.net, err = netio.New(netio.Config{Name: "platform", Listen: node.Listen, Clients: clients, Dials: files * 4 / 10, Reserved: files / 20, Queued: buffered,
+	g.net, err = netio.New(netio.Config{Name: "platform", Listen: node.Listen, MaxClients: clients, MaxDials: files * 4 / 10, ReservedDials: files / 20, MaxQueued: buffered,
 		Accept: func(c *netio.Conn) netio.Handler {
 			<-ready
 			return g.front.Accept(c)
@@ -67,17 +67,17 @@
 		return nil, err
 	}
 	g.watcher = &discovery.Watcher{Loop: g.loop, Log: log, Net: g.net, Address: node.Discovery, Zones: node.Zones,
-		Index: node.Known.Generation, Keep: !node.Settings.WatchDiscovery}
-	g.watcher.Report(log.WithField("version", node.Known.Generation), faults)
-	held := mostHeld
-	if node.MostHeld > 0 {
-		held = min(held, node.MostHeld)
+		Version: node.Known.Generation, Pushed: !node.Settings.WatchDiscovery}
+	g.watcher.LogFaults(log.WithField("version", node.Known.Generation), faults)
+	held := maxHeld
+	if node.MaxHeld > 0 {
+		held = min(held, node.MaxHeld)
 	}
 	g.pipeline = pipeline.New(pipeline.Config{Loop: g.loop, Log: log, Settings: node.Settings, Seed: node.SeedNumber(),
-		MostHeld: held, Backend: &postgres.Backend{Net: g.net, Loop: g.loop}, Watch: g.watcher.Watch})
-	g.watcher.Changed = func(u discovery.Update) { g.pipeline.Members(u.List, u.Addresses) }
-	g.watcher.Broke = g.pipeline.DiscoveryBroke
-	g.front.Take, g.front.Leave, g.front.Rejected = g.pipeline.Accept.Take, g.pipeline.Leave, g.pipeline.Accounting.Rejected
+		MaxPending: held, Backend: &postgres.Backend{Net: g.net, Loop: g.loop}, Watch: g.watcher.Watch})
+	g.watcher.OnUpdate = func(u discovery.Update) { g.pipeline.Members(u.List, u.Addresses) }
+	g.watcher.OnBreak = g.pipeline.DiscoveryFailed
+	g.front.Submit, g.front.Cancel, g.front.CountRejected = g.pipeline.Accept.Accept, g.pipeline.Abandon, g.pipeline.Accounting.CountRejected
 	known.List.Complete, known.List.Cached = true, true
 	if err := g.pipeline.Start(known.List, known.Addresses); err != nil {
 		return nil, err
@@ -88,7 +88,7 @@
 		}
 	}
 	g.loop.Post(func() { // the first Step asks for the list, where it must be asked for
-		if g.watcher.Keep {
+		if g.watcher.Pushed {
 			g.watcher.Watch()
 		}
 	})
@@ -104,9 +104,9 @@
 		return
 	}
 	g.draining = true
-	logrus.WithField("live", g.pipeline.Response.Live()).Info("draining")
-	start, kill := g.loop.Now(), g.killAfter()
-	closeFrom, answerAll := start+max(acceptAfterTerm, kill-lastServed), start+kill-lastAnswer
+	logrus.WithField("live", g.pipeline.Response.Pending()).Info("draining")
+	start, kill := g.loop.Now(), g.killDelay()
+	closeFrom, answerAll := start+max(acceptAfterTerm, kill-idleCloseWindow), start+kill-finalResponseWindow
 	var tick func()
 	tick = func() {
 		now := g.loop.Now()
@@ -116,15 +116,15 @@
 		if now >= closeFrom {
 			g.front.CloseIdle()
 		}
-		left := g.net.Clients() + g.pipeline.Response.Live()
+		left := g.net.ClientCount() + g.pipeline.Response.Pending()
 		if g.mysql != nil {
-			left += g.mysql.Left(true)
+			left += g.mysql.Remaining(true)
 		}
-		if left == 0 || now >= answerAll+lastAnswer/2 {
+		if left == 0 || now >= answerAll+finalResponseWindow/2 {
 			g.loop.Quit()
 			return
 		}
-		g.loop.At(now+drainTick, tick)
+		g.loop.At(now+drainInterval, tick)
 	}
 	g.loop.At(start+acceptAfterTerm, func() {
 		g.net.StopListening()
@@ -135,9 +135,9 @@
 	})
 }
 
-// killAfter is how soon after SIGTERM the platform may send SIGKILL: the longest deadline, counted as 3 s where it
+// killDelay is how soon after SIGTERM the platform may send SIGKILL: the longest deadline, counted as 3 s where it
 // is longer, and 0.7 s.
-func (g *gateway) killAfter() (after aspenshed.Nanos) {
+func (g *gateway) killDelay() (after aspenshed.Nanos) {
 	for _, c := range g.node.Settings.Classes {
 		after = max(after, c.ClientTimeout)
 	}
@@ -154,18 +154,18 @@
 		g.log.WithError(err).Error("configuration refused: the running one stays")
 		return
 	}
-	moved := next.Named != "" && next.Named != g.node.Named
+	moved := next.ConfiguredDiscovery != "" && next.ConfiguredDiscovery != g.node.ConfiguredDiscovery
 	if moved {
-		g.node.Named = next.Named
-		g.watcher.Move(next.Named)
+		g.node.ConfiguredDiscovery = next.ConfiguredDiscovery
+		g.watcher.SetAddress(next.ConfiguredDiscovery)
 	}
-	g.log.WithFields(logrus.Fields{"discovery": g.watcher.Address, "moved": moved, "needs_restart": g.node.Fixed(next)}).
+	g.log.WithFields(logrus.Fields{"discovery": g.watcher.Address, "moved": moved, "needs_restart": g.node.RestartFields(next)}).
 		Info("configuration read again")
 }
 
 // stop writes the last counts.
 func (g *gateway) stop() {
-	g.pipeline.Accounting.Write(g.pipeline.Response.Live())
+	g.pipeline.Accounting.LogCounts(g.pipeline.Response.Pending())
 	if g.mysql != nil {
 		g.mysql.Stop()
 	}
--- a/cmd/aspenshed/store.go
+++ b/cmd/aspenshed/store.go
@@ -16,7 +16,7 @@
 )
 
 // ask puts a question to the daemon and reads its answer.
-func (o *options) ask(q daemon.Ask, into any) error {
+func (o *options) ask(q daemon.AdminRequest, into any) error {
 	socket := o.socket
 	if socket == "" {
 		d, err := config.ReadDeploy(o.deploy)
@@ -27,7 +27,7 @@
 			return errors.New("field admin.socket: missing; name the daemon's socket there or with --socket")
 		}
 	}
-	data, err := daemon.Call(socket, q)
+	data, err := daemon.CallAdmin(socket, q)
 	if err != nil {
 		return err
 	}
@@ -36,10 +36,10 @@
 
 type table []string
 
-// show prints rows as a table or as JSON.
-func show[T any](c *cobra.Command, o *options, rows []T, head table, cells func(T) []any) error {
+// printRows prints rows as a table or as JSON.
+func printRows[T any](c *cobra.Command, o *options, rows []T, head table, cells func(T) []any) error {
 	if o.output == "json" {
-		return asJSON(c, rows)
+		return printJSON(c, rows)
 	}
 	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 	line := func(cells []any) {
@@ -59,7 +59,7 @@
 	return w.Flush()
 }
 
-func asJSON(c *cobra.Command, x any) error {
+func printJSON(c *cobra.Command, x any) error {
 	e := json.NewEncoder(c.OutOrStdout())
 	e.SetIndent("", "  ")
 	return e.Encode(x)
@@ -79,11 +79,11 @@
 			var x struct {
 				Done bool `json:"done"`
 			}
-			if err := o.ask(daemon.Ask{Do: do, Key: args[0]}, &x); err != nil {
+			if err := o.ask(daemon.AdminRequest{Command: do, Key: args[0]}, &x); err != nil {
 				return err
 			}
 			if o.output == "json" {
-				return asJSON(c, x)
+				return printJSON(c, x)
 			}
 			_, err = fmt.Fprintf(c.OutOrStdout(), "%s: %s\n", args[0], done)
 			return err
@@ -104,16 +104,16 @@
 func newStatus(o *options) *cobra.Command {
 	return &cobra.Command{Use: "status", Short: "How the daemon's instance of the store stands", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		var s store.Status
-		if err := o.ask(daemon.Ask{Do: "status"}, &s); err != nil {
+		if err := o.ask(daemon.AdminRequest{Command: "status"}, &s); err != nil {
 			return err
 		}
 		if o.output == "json" {
-			return asJSON(c, s)
+			return printJSON(c, s)
 		}
 		fmt.Fprintf(c.OutOrStdout(), "%s of %s: %s, leader %s, term %d, %d of %d applied, configuration %d, inventory %d, digest %s, %d waiting\n\n",
-			s.ID, s.Cluster, s.Mode, s.Leader, s.Term, s.Applied, s.Commit, s.Config, s.Inventory, s.Digest, s.Waiting)
-		return show(c, o, s.Servers, table{"instance", "address", "service", "votes", "mode", "release", "last beat"}, func(x store.StatusInstance) []any {
-			return []any{x.ID, x.Address, x.Service, x.Voter, x.Mode, x.Release, ago(x.Beat)}
+			s.ID, s.Cluster, s.Mode, s.Leader, s.Term, s.Applied, s.Commit, s.Config, s.Inventory, s.Digest, s.Queued)
+		return printRows(c, o, s.Servers, table{"instance", "address", "service", "votes", "mode", "release", "last beat"}, func(x store.StatusInstance) []any {
+			return []any{x.ID, x.Address, x.Service, x.Voter, x.Mode, x.Release, ago(x.LastHeartbeat)}
 		})
 	}}
 }
@@ -128,10 +128,10 @@
 func newMembers(o *options) *cobra.Command {
 	return &cobra.Command{Use: "members", Short: "The databases that the store knows", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		var ms []daemon.Member
-		if err := o.ask(daemon.Ask{Do: "members"}, &ms); err != nil {
+		if err := o.ask(daemon.AdminRequest{Command: "members"}, &ms); err != nil {
 			return err
 		}
-		return show(c, o, ms, table{"member", "address", "wire", "group", "state", "warmth", "leased", "primary", "reason"}, func(m daemon.Member) []any {
+		return printRows(c, o, ms, table{"member", "address", "wire", "group", "state", "warmth", "leased", "primary", "reason"}, func(m daemon.Member) []any {
 			return []any{m.ID, m.Address, m.Wire, m.Group, m.State, m.Warmth, fmt.Sprintf("%.2f", m.Leased), m.Primary, m.Reason}
 		})
 	}}
@@ -141,10 +141,10 @@
 	latest := false
 	c := &cobra.Command{Use: "get KEY", Short: "Read a value", Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		var p daemon.Pair
-		if err := o.ask(daemon.Ask{Do: "get", Key: args[0], Latest: latest}, &p); err != nil {
+		if err := o.ask(daemon.AdminRequest{Command: "get", Key: args[0], Latest: latest}, &p); err != nil {
 			return err
 		}
-		return show(c, o, []daemon.Pair{p}, table{"key", "version", "value"}, func(p daemon.Pair) []any { return []any{p.Key, p.Version, p.Value} })
+		return printRows(c, o, []daemon.Pair{p}, table{"key", "version", "value"}, func(p daemon.Pair) []any { return []any{p.Key, p.Version, p.Value} })
 	}}
 	c.Flags().BoolVar(&latest, "latest", false, "ask the leader: what all have agreed on, not what is held here")
 	return c
@@ -156,11 +156,11 @@
 		var x struct {
 			Version uint64 `json:"version"`
 		}
-		if err := o.ask(daemon.Ask{Do: "put", Key: args[0], Value: args[1], Base: uint64(max(base, 0)), Check: base >= 0}, &x); err != nil {
+		if err := o.ask(daemon.AdminRequest{Command: "put", Key: args[0], Value: args[1], Base: uint64(max(base, 0)), CheckBase: base >= 0}, &x); err != nil {
 			return err
 		}
 		if o.output == "json" {
-			return asJSON(c, x)
+			return printJSON(c, x)
 		}
 		_, err := fmt.Fprintf(c.OutOrStdout(), "%s: version %d\n", args[0], x.Version)
 		return err
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -33,7 +33,7 @@
 				return nil
 			})
 		}
-		if s := strings.Join(got, "|"); s != `{"a":1}|{"b":2}|` || !errors.Is(err, errEnded) {
+		if s := strings.Join(got, "|"); s != `{"a":1}|{"b":2}|` || !errors.Is(err, errBodyEnded) {
 			t.Fatalf("in pieces of %d: %q, %v", size, s, err)
 		}
 	}
@@ -130,8 +130,8 @@
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
 	n := g.service()
-	g.Watcher = &Watcher{Loop: eventloop.NewLoop(g.clock), Log: logrus.NewEntry(log), Net: n, Address: n.Addr(), Index: 41, Broke: func(b aspenshed.DiscoveryFailed) { g.broke, g.last = g.broke+1, b },
-		Changed: func(u Update) {
+	g.Watcher = &Watcher{Loop: eventloop.NewLoop(g.clock), Log: logrus.NewEntry(log), Net: n, Address: n.Addr(), Version: 41, OnBreak: func(b aspenshed.DiscoveryFailed) { g.broke, g.last = g.broke+1, b },
+		OnUpdate: func(u Update) {
 			g.versions = append(g.versions, fmt.Sprint(u.List.Complete, len(u.List.Members)))
 			for _, m := range u.List.Members {
 				g.states[m.ID] = m.State
@@ -141,7 +141,7 @@
 }
 
 func (g *rig) service() *netio.Net {
-	n, err := netio.New(netio.Config{Listen: "127.0.0.1:0", Clients: 9, Dials: 9, Accept: func(c *netio.Conn) netio.Handler {
+	n, err := netio.New(netio.Config{Listen: "127.0.0.1:0", MaxClients: 9, MaxDials: 9, Accept: func(c *netio.Conn) netio.Handler {
 		return &server{conn: c, asks: g.asks}
 	}})
 	if err != nil {
@@ -153,7 +153,7 @@
 
 func (g *rig) until(what string, ok func() bool) {
 	g.t.Helper()
-	for end := time.Now().Add(10 * time.Second); !ok(); g.Loop.Turn() {
+	for end := time.Now().Add(10 * time.Second); !ok(); g.Loop.RunPending() {
 		if time.Now().After(end) {
 			g.t.Fatalf("never came: %s", what)
 		}
@@ -203,20 +203,20 @@
 	if g.versions[0] != "false 0" || g.versions[1] != "false 1" {
 		t.Errorf("updates %v", g.versions)
 	}
-	g.clock.now += silence - 1
-	if g.Loop.Turn(); g.broke != 0 {
+	g.clock.now += silenceTimeout - 1
+	if g.Loop.RunPending(); g.broke != 0 {
 		t.Error("broke too early")
 	}
 	g.clock.now++
-	if g.Loop.Turn(); g.broke != 1 || g.last != (aspenshed.DiscoveryFailed{LastHeard: g.clock.now - silence}) {
+	if g.Loop.RunPending(); g.broke != 1 || g.last != (aspenshed.DiscoveryFailed{LastHeard: g.clock.now - silenceTimeout}) {
 		t.Errorf("silence broke the watch %d times: %+v", g.broke, g.last)
 	}
 	g.Watch()
 	if s = g.asked(); s.line != "GET /v1/servers?stream=1&index=43 HTTP/1.1" {
 		t.Errorf("asked %q", s.line)
 	}
-	g.clock.now += silence
-	if g.Loop.Turn(); g.broke != 2 || g.last != (aspenshed.DiscoveryFailed{LastHeard: g.clock.now - silence}) {
+	g.clock.now += silenceTimeout
+	if g.Loop.RunPending(); g.broke != 2 || g.last != (aspenshed.DiscoveryFailed{LastHeard: g.clock.now - silenceTimeout}) {
 		t.Errorf("a silent call broke %d times: %+v", g.broke, g.last)
 	}
 	g.Watch()
@@ -232,7 +232,7 @@
 	g := newRig(t)
 	old := g.watched()
 	other := g.service()
-	g.Move(other.Addr())
+	g.SetAddress(other.Addr())
 	next := g.asked()
 	if next.line != "GET /v1/servers?stream=1&index=42 HTTP/1.1" {
 		t.Errorf("asked %q", next.line)
@@ -241,14 +241,14 @@
 	g.until("an update from the old address", func() bool { return len(g.versions) == 2 })
 	_ = next.conn.Write([]byte(head))
 	next.tell(43) // not news: it must not undo what 44 has told
-	g.until("the end of the old watch", func() bool { return g.old == nil })
+	g.until("the end of the old watch", func() bool { return g.previous == nil })
 	next.tell(45)
-	g.until("an update from the new address", func() bool { return g.Index == 45 })
+	g.until("an update from the new address", func() bool { return g.Version == 45 })
 	if len(g.versions) != 3 || g.broke != 0 {
 		t.Errorf("updates %v, broke %d times", g.versions, g.broke)
 	}
-	g.Move(other.Addr())
-	if g.cur == nil || !g.cur.told || g.old != nil {
+	g.SetAddress(other.Addr())
+	if g.current == nil || !g.current.gotList || g.previous != nil {
 		t.Error("a move to the same address broke the watch")
 	}
 }
@@ -258,14 +258,14 @@
 func TestAListFromTheFormerAddressLeavesThePlannedCallStanding(t *testing.T) {
 	g := newRig(t)
 	var lists []aspenshed.MemberList
-	changed := g.Changed
-	g.Changed = func(u Update) {
+	changed := g.OnUpdate
+	g.OnUpdate = func(u Update) {
 		lists = append(lists, u.List)
 		changed(u)
 	}
 	old := g.watched()
 	other := g.service()
-	g.Move(other.Addr())
+	g.SetAddress(other.Addr())
 	_ = g.asked().conn.Write([]byte("HTTP/1.1 503 Service Unavailable\r\n\r\n"))
 	g.until("the refusal", func() bool { return g.broke == 1 })
 	old.tell(43)
@@ -280,7 +280,7 @@
 			t.Errorf("list %d: marked as maybe out of date: %t, want %t", i, lists[i].Cached, outdated)
 		}
 	}
-	if g.old != nil {
+	if g.previous != nil {
 		t.Error("the watch at the former address was kept")
 	}
 }
@@ -294,7 +294,7 @@
 		list := `{"generation":43,"reset":false,"instances":[{"instanceId":"s-1","hostPort":"h:1","lifecycle":"terminating"}]}` + "\n"
 		_ = old.conn.Write([]byte(fmt.Sprintf("%x\r\n%s", len(list), list[:len(list)-9])))
 		other := g.service()
-		g.Move(other.Addr())
+		g.SetAddress(other.Addr())
 		next := g.asked()
 		if next.line != "GET /v1/servers?stream=1&index=42 HTTP/1.1" {
 			t.Errorf("whole %t: asked %q", whole, next.line)
@@ -304,12 +304,12 @@
 			g.until("the rest", func() bool { return g.states["s-1"] == aspenshed.Draining })
 		} else {
 			old.conn.Close()
-			g.until("the old watch's end", func() bool { return g.old == nil })
+			g.until("the old watch's end", func() bool { return g.previous == nil })
 		}
 		_ = next.conn.Write([]byte(head))
 		next.member(44, false, false, "s-2", "in_service")
-		g.until("the new watch's word", func() bool { return g.Index == 44 })
-		if want := map[bool]aspenshed.MemberState{true: aspenshed.Draining, false: aspenshed.Up}[whole]; g.states["s-1"] != want || g.broke != 0 || g.old != nil {
+		g.until("the new watch's word", func() bool { return g.Version == 44 })
+		if want := map[bool]aspenshed.MemberState{true: aspenshed.Draining, false: aspenshed.Up}[whole]; g.states["s-1"] != want || g.broke != 0 || g.previous != nil {
 			t.Errorf("whole %t: s-1 is %d, broke %d times", whole, g.states["s-1"], g.broke)
 		}
 	}
@@ -321,17 +321,17 @@
 	g.Watch()
 	g.asked()
 	other := g.service()
-	g.Move(other.Addr())
+	g.SetAddress(other.Addr())
 	next := g.asked()
 	moved := g.clock.now
 	g.clock.now += 500e6
 	g.Watch()
 	_ = next.conn.Write([]byte(head))
-	if g.until("the new call's head", func() bool { return g.cur.up }); g.cur.moved != moved || g.cur.began != moved {
-		t.Errorf("moved at %d, the call is of %d and %d", moved, g.cur.began, g.cur.moved)
+	if g.until("the new call's head", func() bool { return g.current.connected }); g.current.movedAt != moved || g.current.startedAt != moved {
+		t.Errorf("moved at %d, the call is of %d and %d", moved, g.current.startedAt, g.current.movedAt)
 	}
-	g.clock.now += silence
-	if g.Loop.Turn(); g.broke != 1 || g.last.LastHeard != moved-movedEarly {
+	g.clock.now += silenceTimeout
+	if g.Loop.RunPending(); g.broke != 1 || g.last.LastHeard != moved-moveGrace {
 		t.Errorf("broke %d times: %+v", g.broke, g.last)
 	}
 	if len(g.asks) > 0 {
@@ -351,7 +351,7 @@
 	_ = s.conn.Write([]byte(head))
 	for i, word := range []string{"resting", "resting", "asleep", "resting"} {
 		s.member(42+i, false, false, "s-1", word)
-		g.until("the list", func() bool { return g.Index == int64(42+i) })
+		g.until("the list", func() bool { return g.Version == int64(42+i) })
 	}
 	if len(lines) != 2 || !strings.Contains(lines[0], `"resting"`) || !strings.Contains(lines[1], `"asleep"`) || g.states["s-1"] != aspenshed.Draining {
 		t.Errorf("%q, %v", lines, g.states)
@@ -382,7 +382,7 @@
 	s.member(42, true, true, `a "{\`, "in_service")
 	_ = s.conn.Write([]byte(chunk("\n")))
 	s.member(43, false, true, `a "{\`, "terminating")
-	g.until("both lists", func() bool { return g.Index == 43 })
+	g.until("both lists", func() bool { return g.Version == 43 })
 	if g.broke != 0 || g.states[`a "{\`] != aspenshed.Draining {
 		t.Errorf("broke %d times; %v", g.broke, g.states)
 	}
@@ -395,18 +395,18 @@
 	line := `{"generation":43,"instances":[{"instanceId":"s-1","hostPort":"h:1","lifecycle":"terminating"}]}` + "\n"
 	for i, answer := range []string{"\r\n" + line + `{"generation":99,"instances":[`, "Content-Length: " + fmt.Sprint(len(line)) + "\r\n\r\n" + line,
 		"Content-Length: 999\r\n\r\n" + line} {
-		g.Index, g.states = 42, map[string]aspenshed.MemberState{}
+		g.Version, g.states = 42, map[string]aspenshed.MemberState{}
 		g.Watch()
 		s, began := g.asked(), g.clock.now
 		_ = s.conn.Write([]byte("HTTP/1.1 200 OK\r\n" + answer))
-		g.until("the list", func() bool { return g.Index == 43 })
+		g.until("the list", func() bool { return g.Version == 43 })
 		s.conn.Close()
-		g.until("the end", func() bool { return g.cur == nil })
+		g.until("the end", func() bool { return g.current == nil })
 		if g.states["s-1"] != aspenshed.Draining || g.broke != i {
 			t.Errorf("%q: %v, broke %d times at once", answer, g.states, g.broke)
 		}
-		g.clock.now += leastGap
-		if g.Loop.Turn(); g.broke != i+1 || g.last.LastHeard != began {
+		g.clock.now += minCallInterval
+		if g.Loop.RunPending(); g.broke != i+1 || g.last.LastHeard != began {
 			t.Errorf("%q: broke %d times, last %+v", answer, g.broke, g.last)
 		}
 	}
@@ -420,19 +420,19 @@
 		s := g.asked()
 		_ = s.conn.Write([]byte(head))
 		s.member(42+i, false, false, "s-1", "terminating")
-		g.until("the good list", func() bool { return g.Index == int64(42+i) })
+		g.until("the good list", func() bool { return g.Version == int64(42+i) })
 		_ = s.conn.Write([]byte(bad))
 		began := g.clock.now
 		g.until("the break", func() bool {
 			if i == 0 {
 				g.clock.now += 100e6
-			} else if g.cur == nil { // another call does not come at once
-				g.clock.now = began + leastGap
+			} else if g.current == nil { // another call does not come at once
+				g.clock.now = began + minCallInterval
 			}
 			return g.broke == i+1
 		})
-		if g.states["s-1"] != aspenshed.Draining || g.Index != int64(42+i) {
-			t.Errorf("%q: %v at %d", bad, g.states, g.Index)
+		if g.states["s-1"] != aspenshed.Draining || g.Version != int64(42+i) {
+			t.Errorf("%q: %v at %d", bad, g.states, g.Version)
 		}
 	}
 }
@@ -462,17 +462,17 @@
 // never came there is told apart from one that failed there.
 func TestAWatchAtAnAgentIsKept(t *testing.T) {
 	g := newRig(t)
-	g.Keep = true
+	g.Pushed = true
 	g.Watch()
 	for range 3 {
 		s := g.asked()
 		_ = s.conn.Write([]byte(head))
-		s.tell(int(g.Index) + 1)
+		s.tell(int(g.Version) + 1)
 		n := len(g.versions)
 		g.until("the update", func() bool { return len(g.versions) > n })
 		s.conn.Close()
-		g.until("the break", func() bool { return g.cur == nil })
-		g.clock.now += latest
+		g.until("the break", func() bool { return g.current == nil })
+		g.clock.now += maxRedialPause
 	}
 	g.asked()
 	if g.broke != 0 {
--- a/internal/experiment/scenario/late_test.go
+++ b/internal/experiment/scenario/late_test.go
@@ -20,7 +20,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := newPlayer(t, mysqlKit{}, []string{"a=primary", "b=replica"})
 			p.say("x send booking", "a expect booking", "a send served", "x expect served") // the primary is known
-			k := newTalk(p, mysqlwire.Login{User: "web", Auth: []byte("pass")}, 0)
+			k := newTalk(p, mysqlwire.Login{User: "web", AuthResponse: []byte("pass")}, 0)
 			k.next()
 			k.ask(mysqlwire.ComStmtPrepare, "INSERT INTO entries VALUES (?) /* c=booking,cluster=1,d=5000 */")
 			k.next()
@@ -31,8 +31,8 @@
 			p.recount()
 			p.sent++
 			late.hold(a)
-			_ = k.conn.Write(mysqlwire.Execute{Nulls: []byte{0}, Types: []byte{0xfd, 0}, Values: []byte("\x01r")}.Command(1))
-			p.until("the execution's connection", func() bool { return p.pipeline.Dispatch.Busy() > 0 })
+			_ = k.conn.Write(mysqlwire.Execute{NullBitmap: []byte{0}, Types: []byte{0xfd, 0}, Values: []byte("\x01r")}.Packet(1))
+			p.until("the execution's connection", func() bool { return p.pipeline.Dispatch.PendingSends() > 0 })
 			p.until("what is late", func() bool { return a.Holding() })
 			p.say("wait 1500ms")
 			if n := len(a.Got); n != 0 {
--- a/internal/frontend/postgres/backend_test.go
+++ b/internal/frontend/postgres/backend_test.go
@@ -20,24 +20,24 @@
 
 // ears note what a link tells.
 type ears struct {
-	link *link
+	link *backendConn
 	said string
 	last request.Result
 }
 
-func (e *ears) Up()         { e.said += "up " }
-func (e *ears) Leave() bool { e.said += "leave "; return false }
+func (e *ears) Ready()          { e.said += "up " }
+func (e *ears) AllowSend() bool { e.said += "leave "; return false }
 func (e *ears) Done(r request.Result) {
 	e.last = r
 	e.said += "done"
-	if r.Close {
+	if r.CloseConnection {
 		e.said += "+close"
 		e.link.Close()
 	}
 	e.said += " "
 }
-func (e *ears) Down(how request.End, _ error) {
-	if e.said += "down"; how == request.CutAfter {
+func (e *ears) Lost(how request.ConnectionLoss, _ error) {
+	if e.said += "down"; how == request.LostAfterSend {
 		e.said += "+sent"
 	}
 	e.said += " "
@@ -46,8 +46,8 @@
 // hear feeds a link that is up and owed something with what a database writes, in pieces of that size.
 func hear(owed []int, wire string, size int) *ears {
 	e := &ears{}
-	l := &link{loop: eventloop.NewLoop(now), ev: e, conn: &netio.Conn{}, in: pgwire.Reader{Max: maxAnswer}, ready: true,
-		sent: slices.Contains(owed, forStatement)}
+	l := &backendConn{loop: eventloop.NewLoop(now), events: e, conn: &netio.Conn{}, reader: pgwire.Reader{MaxSize: maxResponse}, ready: true,
+		sent: slices.Contains(owed, pendingStatement)}
 	e.link = l
 	for _, what := range owed {
 		l.pending.Add(what)
@@ -55,11 +55,11 @@
 	for ; len(wire) > 0; wire = wire[min(size, len(wire)):] {
 		l.Data([]byte(wire[:min(size, len(wire))]))
 	}
-	l.loop.Turn()
+	l.loop.RunPending()
 	return e
 }
 
-func msg(typ byte, body string) string { return string(pgwire.Append(nil, typ, body)) }
+func msg(typ byte, body string) string { return string(pgwire.AppendMessage(nil, typ, body)) }
 
 // Guards "never a value that was not made for the request": a spoilt answer is a failed attempt that may have run,
 // and what comes behind a good one ends the link.
@@ -71,7 +71,7 @@
 	fault := string(pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: "XX000", Message: "no"}))
 	fatal := string(pgwire.AppendError(nil, pgwire.Error{Severity: "FATAL", Code: "57P01", Message: "shutting down"}))
 	check := msg('I', "") + z
-	one, ahead := []int{forStatement}, []int{forCheck}
+	one, ahead := []int{pendingStatement}, []int{pendingCheck}
 	for name, c := range map[string]struct {
 		owed       []int
 		wire, want string
--- a/internal/frontend/session/memory_test.go
+++ b/internal/frontend/session/memory_test.go
@@ -28,40 +28,40 @@
 		t.Run(name, func(t *testing.T) {
 			clock := &clock{1000 * ms}
 			rejected := 0
-			m := &Manager{Loop: eventloop.NewLoop(clock), Limits: Limits{Silent: 2000 * ms, Idle: 2000 * ms, Unanswered: limit},
-				Rejected: func(string) { rejected++ }}
+			m := &Manager{Loop: eventloop.NewLoop(clock), Limits: Limits{CommandTimeout: 2000 * ms, IdleTimeout: 2000 * ms, MaxPendingBytes: limit},
+				CountRejected: func(string) { rejected++ }}
 			var conns []*counting
 			var sessions []*Session
 			for range flooders + 1 {
 				c := &counting{}
 				conns, sessions = append(conns, c), append(sessions, m.Open(c))
 			}
-			m.Loop.Turn()
+			m.Loop.RunPending()
 			var slots []*Slot
 			take := func(x *Slot) { slots = append(slots, x) }
 			for range 200_000 { // commands come in turn, and the loop stands still
 				for _, s := range sessions[:flooders] {
-					s.Post(size, take)
+					s.Enqueue(size, take)
 				}
-				if got := m.unanswered.Load(); got > limit+flooders*max(fairUnanswered, int64(size)+commandOverhead) {
+				if got := m.pendingBytes.Load(); got > limit+flooders*max(guaranteedPendingBytes, int64(size)+commandOverhead) {
 					t.Fatalf("%d bytes are kept", got)
 				}
 			}
-			sessions[flooders].Post(1<<20, take)
-			m.Loop.Turn()
+			sessions[flooders].Enqueue(1<<20, take)
+			m.Loop.RunPending()
 			taken := len(slots)
-			if last := slots[taken-1]; last.s != sessions[flooders] {
+			if last := slots[taken-1]; last.session != sessions[flooders] {
 				t.Error("the one that sends a single command was not taken")
 			}
 			if rejected != flooders {
 				t.Errorf("%d of %d floods were ended", rejected, flooders)
 			}
 			for _, x := range slots {
-				x.Fill([]byte("answer"))
+				x.SetResponse([]byte("answer"))
 			}
 			for range 3 {
-				clock.now += sweepEvery
-				m.Loop.Turn()
+				clock.now += sweepInterval
+				m.Loop.RunPending()
 			}
 			answers := 0
 			for i, c := range conns {
@@ -70,8 +70,8 @@
 					t.Errorf("connection %d: closed %d times", i, c.closed)
 				}
 			}
-			if answers != taken || m.unanswered.Load() != 0 {
-				t.Errorf("%d of %d commands were answered; %d bytes still count", answers, taken, m.unanswered.Load())
+			if answers != taken || m.pendingBytes.Load() != 0 {
+				t.Errorf("%d of %d commands were answered; %d bytes still count", answers, taken, m.pendingBytes.Load())
 			}
 		})
 	}
@@ -81,25 +81,25 @@
 func TestAnswersBehindOneThatDoesNotComeAreBounded(t *testing.T) {
 	const limit = 64 << 20
 	clock := &clock{1000 * ms}
-	m := &Manager{Loop: eventloop.NewLoop(clock), Limits: Limits{Unanswered: limit}, Rejected: func(string) {}}
+	m := &Manager{Loop: eventloop.NewLoop(clock), Limits: Limits{MaxPendingBytes: limit}, CountRejected: func(string) {}}
 	conn := &counting{}
 	s := m.Open(conn)
 	var slots []*Slot
-	for range maxPipeline {
-		s.Post(1, func(x *Slot) { slots = append(slots, x) })
+	for range maxPendingCommands {
+		s.Enqueue(1, func(x *Slot) { slots = append(slots, x) })
 	}
-	m.Loop.Turn()
+	m.Loop.RunPending()
 	filled := 0
 	for _, x := range slots[1:] {
 		if conn.closed == 0 {
-			x.Fill(make([]byte, 4<<20))
+			x.SetResponse(make([]byte, 4<<20))
 			filled++
 		}
-		if got := m.unanswered.Load(); got > limit/2+4<<20 {
+		if got := m.pendingBytes.Load(); got > limit/2+4<<20 {
 			t.Fatalf("%d bytes are kept", got)
 		}
 	}
-	if conn.closed != 1 || filled > limit/2>>22+1 || m.unanswered.Load() != 0 {
-		t.Errorf("closed %d times after %d answers, %d bytes still count", conn.closed, filled, m.unanswered.Load())
+	if conn.closed != 1 || filled > limit/2>>22+1 || m.pendingBytes.Load() != 0 {
+		t.Errorf("closed %d times after %d answers, %d bytes still count", conn.closed, filled, m.pendingBytes.Load())
 	}
 }
