--- a/router.go
+++ b/router.go
@@ -28,10 +28,10 @@
 	positionMargin      = 1 * ms    // subtracted from every known position: the wire rounds to milliseconds
 	slowLatencyRatio    = 0.35      // mean response time over latency target above which a window shrinks
 	overloadShrink      = 0.6       // window factor after an overload or timeout: the queue is far too long
-	lossThreshold       = 0.08      // share of timeouts at responding members above which responses get lost
+	lossThreshold       = 0.08      // loss rate above which timeouts count as lost responses
 	slowStartMargin     = 0.7       // fraction of the overload factor that is used, as estimates differ
 	boostStep           = 1.2       // factor on a warming member's boost for each quick response
-	maxBoost            = 1.6       // its limit: above it the fleet's measurements lag behind
+	maxBoost            = 1.6       // its limit: a fleet's responses come too late to measure more
 	otherGroupsRate     = 0.8       // of other groups' work rate: assumed for a group without one of its own
 	warmRateDecay       = 20.0      // s: decay of a group's recorded rate while its primary is warmed up
 	rateDecay           = 10.0      // s: time constant of moving rates
@@ -48,7 +48,7 @@
 	maxEjection         = 4000 * ms
 	retriesPerRequest   = 0.15 // retries that each request adds to the budget; limits load added by failures
 	maxRetryBudget      = 20.0 // retries that may be saved up
-	extraProbeShare     = 0.01 // points per request that probes for a second fresh replica may cost
+	extraProbeCost      = 0.01 // points per request that probes for a second fresh replica may cost
 	costlyProbe         = 0.04 // probe cost from which the primary's spare capacity is used first
 	spareLatencyRatio   = 0.15 // latency ratio up to which a primary takes reads before replicas are probed
 	busyLatencyRatio    = 0.35 // latency ratio from which it takes none
@@ -721,7 +721,7 @@
 	r.recentRequests++
 	r.meanWork += learningRate / 2 * (r.expectedWork(q) - r.meanWork)
 	r.drawRandomShare(q)
-	r.probeCredit = min(r.probeCredit+extraProbeShare/max(r.settings.ProbeCost, 1e-3), 3)
+	r.probeCredit = min(r.probeCredit+extraProbeCost/max(r.settings.ProbeCost, 1e-3), 3)
 	// Routers with little traffic must not save up much.
 	r.retryBudget = min(maxRetryBudget, 2+retriesPerRequest*r.recentRequests, r.retryBudget+retriesPerRequest)
 	if q.minPosition = g.sessionCommits[e.Session]; q.minPosition == 0 {
