--- a/internal/controlplane/placement/placement.go
+++ b/internal/controlplane/placement/placement.go
@@ -1,5 +1,6 @@
-// Package placement orders the servers of the control stream for one subscriber by rendezvous hashing: subscribers
-// spread evenly, each keeps its server while that lasts, and those of a lost server spread over all others.
+// Package placement ranks the servers of the control stream for one subscriber by rendezvous hashing: subscribers are
+// spread evenly, each keeps its server while that server is available, and the subscribers of a lost server are spread
+// over all others.
 package placement
 
 import (
@@ -9,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Order is the servers in the order in which a subscriber tries them. It doesn't depend on the order in which they are
-// given; a server that is given twice stands once.
+// Order returns the servers in the order in which a subscriber tries them. The result doesn't depend on the order of
+// the input, and duplicates are dropped.
 func Order(subscriber string, servers []string) []string {
 	out := slices.Clone(servers)
 	slices.Sort(out)
@@ -21,10 +22,10 @@
 	return out
 }
 
-// weight is a server's for one subscriber: the highest comes first.
+// weight returns a server's rendezvous weight for one subscriber; the server with the highest weight is tried first.
 func weight(subscriber, server string) uint64 {
 	h := xxhash.New()
-	_, _ = h.WriteString(subscriber) // a hash never fails
+	_, _ = h.WriteString(subscriber) // never returns an error
 	_, _ = h.Write([]byte{0})
 	_, _ = h.WriteString(server)
 	return h.Sum64()
