--- a/internal/controlplane/admission/backoff.go
+++ b/internal/controlplane/admission/backoff.go
@@ -2,14 +2,16 @@
 
 import "aspenshed"
 
-// Backoff is exponential with full jitter: the delay before an attempt is drawn evenly from nothing up to a bound that
-// doubles with each failure. Those that were cut off at once then come back spread out.
+// Backoff is exponential with full jitter: the delay before an attempt is uniformly distributed between 0 and a bound
+// that doubles with each failure. The reconnects of clients that were disconnected at the same time are thereby spread
+// out.
 type Backoff struct {
-	Min aspenshed.Nanos // the first bound
-	Max aspenshed.Nanos // the last
+	Min aspenshed.Nanos // the bound of the first delay
+	Max aspenshed.Nanos // the largest bound
 }
 
-// Delay is how long to wait after so many failures in a row, the first being 0; random is from [0, 1).
+// Delay returns how long to wait after a number of previous consecutive failures, 0 for the first; random is from
+// [0, 1).
 func (b Backoff) Delay(failures int, random float64) aspenshed.Nanos {
 	bound := b.Min
 	for range failures {
