--- a/internal/controlplane/rollout/rollout.go
+++ b/internal/controlplane/rollout/rollout.go
@@ -1,6 +1,6 @@
-// Package rollout knows how far the subscribers of one server are: the revision that each has in force, and which
-// changes it refused and why. An acknowledgement costs the same whatever the number of subscribers and changes; a
-// question about a revision walks over the subscribers once.
+// Package rollout tracks the progress of one server's subscribers: the revision that each has in force, and which
+// changes it refused and why. Recording an acknowledgement takes constant time in the number of subscribers and
+// changes; the status of a revision takes one pass over the subscribers.
 package rollout
 
 import (
@@ -11,31 +11,32 @@
 )
 
 const (
-	// maxReportedLagging and maxReported are how many of those furthest behind, and of the newest refusals, an answer names.
+	// maxReportedLagging and maxReportedRefusals are how many of the subscribers that are furthest behind, and of the
+	// newest refusals, a status lists.
 	maxReportedLagging  = 20
 	maxReportedRefusals = 20
-	// maxRefusals are kept over all revisions: each of the 480 subscribers of a server at the target may refuse one
-	// change and some of them a second one. The oldest goes first.
+	// maxRefusals bounds the refusals kept over all revisions: each of the 480 subscribers of a server at the target may
+	// refuse one change and some of them a second one. The oldest is overwritten first.
 	maxRefusals = 1024
 )
 
-// Tracker is the state of one server's subscribers. The zero value is not ready; use NewTracker.
+// Tracker holds the progress of one server's subscribers. The zero value is not usable; use NewTracker.
 type Tracker struct {
 	inForce  map[string]uint64
-	refusals []*pb.Refusal // a ring once it is full
-	oldest   int           // where the next refusal goes then
+	refusals []*pb.Refusal // a ring buffer once it is full
+	oldest   int           // the index that the next refusal overwrites then
 }
 
-// NewTracker knows no subscribers.
+// NewTracker returns a Tracker without subscribers.
 func NewTracker() *Tracker { return &Tracker{inForce: map[string]uint64{}} }
 
-// SetInForce takes note of what a subscriber has in force.
+// SetInForce records the revision that a subscriber has in force.
 func (t *Tracker) SetInForce(subscriber string, revision uint64) { t.inForce[subscriber] = revision }
 
-// Remove forgets a subscriber that has left this server; its refusals stay.
+// Remove drops a subscriber that has left this server; its refusals are kept.
 func (t *Tracker) Remove(subscriber string) { delete(t.inForce, subscriber) }
 
-// AddRefusal takes note of a change that a subscriber does not go by.
+// AddRefusal records a change that a subscriber has refused.
 func (t *Tracker) AddRefusal(subscriber string, revision uint64, key, reason string) {
 	r := &pb.Refusal{Subscriber: subscriber, Revision: revision, Key: key, Reason: reason}
 	if len(t.refusals) < maxRefusals {
@@ -46,8 +47,8 @@
 	t.oldest = (t.oldest + 1) % maxRefusals
 }
 
-// Status is how far the subscribers are with a revision, whose changes are in force from another one on: that of the
-// newest change up to it.
+// Status returns the progress of the subscribers with a revision. from is the revision of the newest change up to it: a
+// subscriber that has from in force has all changes of the revision.
 func (t *Tracker) Status(revision, from uint64) *pb.RolloutStatus {
 	status := &pb.RolloutStatus{Revision: revision, Subscribers: uint64(len(t.inForce))}
 	var lagging []*pb.Lagging
@@ -66,7 +67,7 @@
 	return status
 }
 
-// newestRefusals is the newest of one revision, the newest first.
+// newestRefusals returns the newest refusals of one revision, newest first.
 func (t *Tracker) newestRefusals(revision uint64) (out []*pb.Refusal) {
 	for i := range t.refusals {
 		r := t.refusals[(t.oldest-1-i+2*len(t.refusals))%len(t.refusals)]
--- a/internal/controlplane/rollout/rollout_test.go
+++ b/internal/controlplane/rollout/rollout_test.go
@@ -5,36 +5,36 @@
 	"testing"
 )
 
-func TestStatusCountsAndNamesThoseFurthestBehind(t *testing.T) {
-	k := NewTracker()
+func TestStatusCountsAndListsMostLagging(t *testing.T) {
+	tracker := NewTracker()
 	for i := range 100 {
-		k.SetInForce(fmt.Sprintf("g%03d", i), uint64(i))
+		tracker.SetInForce(fmt.Sprintf("g%03d", i), uint64(i))
 	}
-	k.Remove("g000")
-	s := k.Status(60, 60)
+	tracker.Remove("g000")
+	s := tracker.Status(60, 60)
 	if s.Subscribers != 99 || s.InForce != 40 || len(s.Lagging) != maxReportedLagging {
 		t.Fatalf("%v", s)
 	}
 	if first, last := s.Lagging[0], s.Lagging[maxReportedLagging-1]; first.Subscriber != "g001" || last.InForce != 20 {
 		t.Errorf("lagging from %v to %v", first, last)
 	}
-	if s := k.Status(60, 55); s.Revision != 60 || s.InForce != 45 {
+	if s := tracker.Status(60, 55); s.Revision != 60 || s.InForce != 45 {
 		t.Errorf("%v", s)
 	}
-	if s := k.Status(0, 0); s.InForce != 99 || len(s.Lagging) != 0 {
+	if s := tracker.Status(0, 0); s.InForce != 99 || len(s.Lagging) != 0 {
 		t.Errorf("%v", s)
 	}
 }
 
 func TestRefusalsAreBoundedAndNewestFirst(t *testing.T) {
-	k := NewTracker()
+	tracker := NewTracker()
 	for i := range maxRefusals + 50 {
-		k.AddRefusal(fmt.Sprint("g", i), uint64(i%2), "config", "no such group")
+		tracker.AddRefusal(fmt.Sprint("g", i), uint64(i%2), "config", "no such group")
 	}
-	if len(k.refusals) != maxRefusals {
-		t.Errorf("%d kept", len(k.refusals))
+	if len(tracker.refusals) != maxRefusals {
+		t.Errorf("%d kept", len(tracker.refusals))
 	}
-	s := k.Status(1, 1)
+	s := tracker.Status(1, 1)
 	if len(s.Refusals) != maxReportedRefusals || s.Refusals[0].Subscriber != fmt.Sprint("g", maxRefusals+49) ||
 		s.Refusals[1].Subscriber != fmt.Sprint("g", maxRefusals+47) || s.Refusals[0].Reason != "no such group" {
 		t.Errorf("%v", s.Refusals)
@@ -42,12 +42,12 @@
 }
 
 func BenchmarkInForce(b *testing.B) {
-	k := NewTracker()
+	tracker := NewTracker()
 	names := make([]string, 2400)
 	for i := range names {
 		names[i] = fmt.Sprint("gateway-", i)
 	}
 	for i := range b.N {
-		k.SetInForce(names[i%len(names)], uint64(i))
+		tracker.SetInForce(names[i%len(names)], uint64(i))
 	}
 }
