--- a/internal/controlplane/revision/builder.go
+++ b/internal/controlplane/revision/builder.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// Builder makes a State of records that come in the order of their keys. It holds them packed, so that a snapshot that is
-// received takes little more memory than the state that it becomes.
+// Builder makes a State from records that are added in the order of their keys. It holds them encoded, so that a
+// snapshot that is being received takes little more memory than the resulting state.
 type Builder struct {
 	state       State
-	pendingLeaf []byte // the last, not yet among the table's
+	pendingLeaf []byte // the last leaf, not yet part of the table
 	lastKey     string
 }
 
-// Add takes the next record. It reports false, and takes nothing, where the key does not follow the last one.
+// Add appends the next record. It reports false, and adds nothing, if the key is not greater than the last one.
 func (b *Builder) Add(r Record) bool {
 	if b.state.records.count > 0 && r.Key <= b.lastKey {
 		return false
@@ -27,16 +27,16 @@
 	return true
 }
 
-// flush makes a leaf of the first bytes.
+// flush adds the first end bytes of the pending leaf to the table as a leaf.
 func (b *Builder) flush(end int) {
 	b.state.records.leaves = append(b.state.records.leaves, slices.Clone(b.pendingLeaf[:end]))
 	b.pendingLeaf = append(b.pendingLeaf[:0], b.pendingLeaf[end:]...)
 }
 
-// Len is the number of records taken.
+// Len returns the number of records added.
 func (b *Builder) Len() int { return b.state.records.count }
 
-// State is what the records make at a revision. The builder must not be used afterwards.
+// State returns the state with all added records at a revision. The builder must not be used afterwards.
 func (b *Builder) State(revision uint64) *State {
 	if len(b.pendingLeaf) > 0 {
 		b.flush(len(b.pendingLeaf))
--- a/internal/controlplane/revision/log.go
+++ b/internal/controlplane/revision/log.go
@@ -6,7 +6,7 @@
 	"sort"
 )
 
-// CompactedError says that the log no longer reaches back to a revision.
+// CompactedError reports that the log no longer reaches back to a revision.
 type CompactedError struct {
 	Requested uint64
 	Oldest    uint64 // the log has all changes after this revision
@@ -16,7 +16,7 @@
 	return fmt.Sprintf("changes after revision %d are no longer kept, only those after %d", e.Requested, e.Oldest)
 }
 
-// FutureError says that the log has not come as far as a revision.
+// FutureError reports that a revision is newer than the log's newest one.
 type FutureError struct {
 	Requested uint64
 	Head      uint64
@@ -26,7 +26,8 @@
 	return fmt.Sprintf("revision %d is ahead of the log's %d", e.Requested, e.Head)
 }
 
-// Log holds the newest changes, as many as fit its bytes. Whoever reads from it only needs to know how far it is.
+// Log holds the newest changes, as many as fit its size limit. A reader keeps no state but the revision that it has
+// reached.
 type Log struct {
 	maxBytes int
 	bytes    int
@@ -35,14 +36,14 @@
 	changes  []Change // in the order of their revisions
 }
 
-// changeOverhead is what a change takes in memory beside its key and values: its own struct of 136 bytes, the record
-// before it (72) and the rounding up of four pieces of memory.
+// changeOverhead is the memory that a change takes in addition to its key and values, in bytes: its own struct (136),
+// the previous record (72) and the rounding of four allocations to size classes.
 const changeOverhead = 256
 
-// NewLog holds at most so many bytes, counted by Size.
+// NewLog returns an empty log that holds at most maxBytes, counted by ChangeSize.
 func NewLog(maxBytes int) *Log { return &Log{maxBytes: maxBytes} }
 
-// ChangeSize is what a change counts for against the log's bound.
+// ChangeSize returns the number of bytes that a change counts towards the log's limit.
 func ChangeSize(c *Change) int {
 	n := changeOverhead + len(c.Key) + len(c.Value)
 	if c.Before != nil {
@@ -51,8 +52,8 @@
 	return n
 }
 
-// Append takes the changes of one commit, and drops the oldest commits beyond the bound: a reader gets a commit whole
-// or not at all. A commit that alone is larger than the bound leaves the log empty.
+// Append adds the changes of one commit, and drops the oldest commits beyond the limit. Commits are dropped as a whole,
+// so that a reader never gets a part of one. A commit that is larger than the limit on its own leaves the log empty.
 func (l *Log) Append(revision uint64, changes []Change) {
 	if revision <= l.head {
 		return
@@ -65,7 +66,8 @@
 	l.compact()
 }
 
-// compact drops whole commits from the oldest on. What is left moves to memory of its own once half of it is unused.
+// compact drops whole commits from the oldest on until the log fits its limit. It reallocates the slice once most of
+// its capacity is unused.
 func (l *Log) compact() {
 	dropped := 0
 	for dropped < len(l.changes) && l.bytes > l.maxBytes {
@@ -82,22 +84,22 @@
 	}
 }
 
-// Reset empties the log; it begins after a revision then.
+// Reset empties the log, which then begins after a revision.
 func (l *Log) Reset(revision uint64) {
 	*l = Log{maxBytes: l.maxBytes, oldest: revision, head: revision}
 }
 
-// Head is the revision of the newest commit.
+// Head returns the revision of the newest commit.
 func (l *Log) Head() uint64 { return l.head }
 
-// Oldest is the revision after which all changes are held.
+// Oldest returns the revision after which the log holds all changes.
 func (l *Log) Oldest() uint64 { return l.oldest }
 
-// Bytes is what the changes held count for, at most the bound.
+// Bytes returns the size of the changes held, counted by ChangeSize; it is at most the limit.
 func (l *Log) Bytes() int { return l.bytes }
 
-// LastChange is the revision of the newest change up to a revision. Where the log doesn't hold it any more, it is the
-// revision that the log begins after, or the one asked for if that is older still.
+// LastChange returns the revision of the newest change up to a revision. If the log no longer holds that change, it
+// returns the revision that the log begins after, or the requested one if that is older.
 func (l *Log) LastChange(revision uint64) uint64 {
 	after := sort.Search(len(l.changes), func(i int) bool { return l.changes[i].Revision > revision })
 	if after == 0 {
@@ -106,8 +108,8 @@
 	return l.changes[after-1].Revision
 }
 
-// Since is all changes after a revision, or a CompactedError or FutureError. They belong to the log: they are valid
-// until its next Append or Reset and must not be changed.
+// Since returns all changes after a revision, or a CompactedError or FutureError. The slice belongs to the log: it is
+// valid until the next Append or Reset and must not be modified.
 func (l *Log) Since(revision uint64) ([]Change, error) {
 	if revision < l.oldest {
 		return nil, &CompactedError{Requested: revision, Oldest: l.oldest}
--- a/internal/controlplane/revision/member.go
+++ b/internal/controlplane/revision/member.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// ValueError says that a record's value is not what its key promises.
+// ValueError reports that a record's value can't be decoded as the message that its key prefix implies.
 type ValueError struct {
 	Key string
 	Err error
@@ -33,8 +33,8 @@
 	errSiteName    = errors.New("a name is not valid UTF-8")
 )
 
-// PlacementOf reads group and site from a member's value without decoding the rest of it; records that are not of
-// members have none.
+// PlacementOf reads group and site from a member's value without decoding the rest of it. Records of other kinds have
+// the zero Placement.
 func PlacementOf(key string, value []byte) (Placement, error) {
 	if !IsMember(key) {
 		return Placement{}, nil
@@ -84,7 +84,8 @@
 	return p, err
 }
 
-// forEachField calls with each field of a message: a varint's number, or the bytes of a field that has a length.
+// forEachField calls a function for each field of a message, with the number of a varint field or the bytes of a
+// length-delimited field.
 func forEachField(message []byte, call func(field protowire.Number, number uint64, bytes []byte) error) error {
 	for len(message) > 0 {
 		field, kind, n := protowire.ConsumeTag(message)
--- a/internal/controlplane/revision/record.go
+++ b/internal/controlplane/revision/record.go
@@ -1,5 +1,6 @@
-// Package revision holds the state that the control plane distributes, as records under keys with a revision: what a
-// commit changes, which members a scope selects, and the digest by which two holders of a state compare it.
+// Package revision implements the versioned key-value state that the control plane distributes: records and their
+// changes, the log of the newest changes, scopes that select members, and the digest by which two copies of a state are
+// compared.
 package revision
 
 import (
@@ -9,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The prefixes of keys. A record's value is the protobuf message that is named here.
+// Key prefixes. A record's value is the protobuf message that is named here.
 const (
 	MemberPrefix  = "member/"  // + id: catalog.Member without leases
 	PrimaryPrefix = "primary/" // + group: catalog.Primary
@@ -18,16 +19,16 @@
 	RulesKey      = "rules"    // catalog.Rules
 )
 
-// Group names a group of members. Each wire has groups of its own.
+// Group identifies a group of members. Each wire protocol has its own groups.
 type Group struct {
 	Wire string
 	ID   int32
 }
 
-// String is the group's form in keys: wire, slash, number.
+// String returns the group as it is written in keys: wire, slash, number.
 func (g Group) String() string { return g.Wire + "/" + strconv.Itoa(int(g.ID)) }
 
-// Placement is where a member's record belongs. Records that are not of members have the zero Placement.
+// Placement is the group and the site of a member's record. Records of other kinds have the zero Placement.
 type Placement struct {
 	Group Group
 	Site  string
@@ -43,21 +44,20 @@
 // Change is what a commit did to one key.
 type Change struct {
 	Revision uint64
-	Record           // as it is from this revision on; of a removed one only Key and Placement count
-	Before   *Record // as it was; nil: the key is new
+	Record           // the record from this revision on; of a removed one only Key and Placement are used
+	Before   *Record // the previous record; nil: the key is new
 	Removed  bool
-	// Binding changes (drains, starts, primaries, removals of members) reach every subscriber, each of them and in
-	// order; other changes of one key may be replaced by the newest.
+	// Binding changes (drains, starts, primaries, removals of members) are all delivered to every subscriber, in order;
+	// other changes of one key may be coalesced into the newest.
 	Binding bool
-	// CommittedAt is the leader's stamp, Unix ns.
+	// CommittedAt is the leader's time at the commit, Unix ns.
 	CommittedAt int64
 }
 
 // IsMember reports whether a key is a member's.
 func IsMember(key string) bool { return strings.HasPrefix(key, MemberPrefix) }
 
-// Scope selects members by group or site; the zero Scope selects all. Records that are not of members belong to every
-// scope.
+// Scope selects members by group or site; the zero Scope selects all. Records of other kinds belong to every scope.
 type Scope struct {
 	Groups []Group
 	Sites  []string
@@ -66,19 +66,19 @@
 // All reports whether the scope selects every member.
 func (s Scope) All() bool { return len(s.Groups) == 0 && len(s.Sites) == 0 }
 
-// Digest is equal for equal sets of records, in whatever order they were put: the sum of Hash over all of them.
+// Digest is the sum of Hash over a set of records. Equal sets have equal digests, whatever the order of insertion.
 type Digest uint64
 
-// Hash is one record's part of a Digest.
+// Hash returns one record's contribution to a Digest.
 func Hash(key string, value []byte) Digest {
 	h := xxhash.New()
-	_, _ = h.WriteString(key) // a hash never fails
+	_, _ = h.WriteString(key) // never returns an error
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write(value)
 	return Digest(h.Sum64())
 }
 
-// hashEntry is Hash of a packed record.
+// hashEntry returns the Hash of an encoded record.
 func hashEntry(e entry) Digest {
 	h := xxhash.New()
 	_, _ = h.Write(e.key)
--- a/internal/controlplane/revision/scope.go
+++ b/internal/controlplane/revision/scope.go
@@ -10,7 +10,7 @@
 	return s.All() || !IsMember(key) || slices.Contains(s.Groups, p.Group) || slices.Contains(s.Sites, p.Site)
 }
 
-// Normalized is the same scope in its one form: sorted, each group and site once.
+// Normalized returns the same scope in canonical form: sorted, without duplicate groups and sites.
 func (s Scope) Normalized() Scope {
 	return Scope{Groups: sortedUnique(s.Groups, compareGroups), Sites: sortedUnique(s.Sites, cmp.Compare[string])}
 }
@@ -19,7 +19,7 @@
 	return cmp.Or(cmp.Compare(a.Wire, b.Wire), cmp.Compare(a.ID, b.ID))
 }
 
-// sortedUnique copies only what is not in order yet.
+// sortedUnique returns the values sorted and without duplicates. It copies them only if they are not in this form.
 func sortedUnique[T comparable](values []T, compare func(a, b T) int) []T {
 	inOrder := true
 	for i := 1; i < len(values); i++ {
@@ -33,9 +33,9 @@
 	return slices.Compact(values)
 }
 
-// Project is a change as it is seen within the scope: a record that leaves the scope is removed from it, and what
-// neither was nor is in it is not seen at all (false). It has to come before Coalesce, which would else lose the
-// change by which a record left.
+// Project returns a change as seen within the scope: a record that leaves the scope becomes a removal, and it reports
+// false for a record that neither was nor is in the scope. It has to be applied before Coalesce, which would otherwise
+// drop the change by which a record left the scope.
 func (s Scope) Project(c Change) (Change, bool) {
 	if s.All() {
 		return c, true
@@ -44,19 +44,19 @@
 	if within && !c.Removed {
 		return c, true
 	}
-	before := c.Before != nil && s.Contains(c.Key, c.Before.Placement)
+	wasWithin := c.Before != nil && s.Contains(c.Key, c.Before.Placement)
 	if c.Removed {
-		return c, within || before
+		return c, within || wasWithin
 	}
-	if !before {
+	if !wasWithin {
 		return Change{}, false
 	}
-	left := Record{Key: c.Key, Placement: c.Before.Placement}
-	return Change{Revision: c.Revision, Record: left, Before: c.Before, Removed: true, Binding: true,
+	removed := Record{Key: c.Key, Placement: c.Before.Placement}
+	return Change{Revision: c.Revision, Record: removed, Before: c.Before, Removed: true, Binding: true,
 		CommittedAt: c.CommittedAt}, true
 }
 
-// Coalesce leaves of each key's changes the newest and all binding ones, in the order of their revisions.
+// Coalesce keeps the newest change and all binding changes of each key, in the order of their revisions.
 func Coalesce(changes []Change) []Change {
 	newest := make(map[string]int, len(changes))
 	for i := range changes {
--- a/internal/controlplane/revision/scopedigest.go
+++ b/internal/controlplane/revision/scopedigest.go
@@ -2,18 +2,19 @@
 
 import "strings"
 
-// scopeDigests are the sums that every scope's digest is made of. Only who serves scopes has them.
+// scopeDigests holds the partial sums from which the digest of any scope is computed. Only states that have been asked
+// for a scoped digest have them.
 type scopeDigests struct {
-	shared     Digest // of the records that are not of members
+	shared     Digest // of the records that are not members
 	groups     map[uint32]Digest
 	sites      map[uint32]Digest
 	groupSites map[groupSite]groupSiteDigest
 }
 
-// groupSite is one group's members at one site, both by their interned numbers.
+// groupSite identifies one group's members at one site, both by their interned numbers.
 type groupSite struct{ group, site uint32 }
 
-// groupSiteDigest is kept until the last of its members goes.
+// groupSiteDigest is the digest of one group's members at one site. It is dropped with the last of them.
 type groupSiteDigest struct {
 	digest  Digest
 	members int32
@@ -23,7 +24,7 @@
 	return &scopeDigests{groups: map[uint32]Digest{}, sites: map[uint32]Digest{}, groupSites: map[groupSite]groupSiteDigest{}}
 }
 
-// add counts a record in, or out.
+// add adds a record to the partial sums, or subtracts it if in is false.
 func (d *scopeDigests) add(e entry, hash Digest, in bool) {
 	members := int32(1)
 	if !in {
@@ -46,7 +47,8 @@
 	d.groupSites[at] = c
 }
 
-// sum is a normalized scope's digest. Who is in one of its groups and at one of its sites is counted twice at first.
+// sum returns the digest of a normalized scope. It adds up groups and sites and then subtracts the members that are
+// both in one of the groups and at one of the sites, which were counted twice.
 func (d *scopeDigests) sum(s *State, scope Scope) Digest {
 	sum := d.shared
 	for _, g := range scope.Groups {
--- a/internal/controlplane/revision/state.go
+++ b/internal/controlplane/revision/state.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// State is a set of records at a revision, with the digests that let two holders of it compare what they have. It is
-// made to be held by the hundred in one process: records are packed in the order of their keys, groups and sites are
-// interned. These are forgotten with Reset alone, so their number is bounded by those that were ever named since.
+// State is a set of records at a revision, with the digests by which two copies are compared. Hundreds of states may be
+// held in one process, so records are encoded in the order of their keys, and groups and sites are interned. Interned
+// values are released by Reset only, so their number is bounded by the distinct values since then.
 type State struct {
 	revision uint64
 	records  table
@@ -18,10 +18,10 @@
 	scoped   *scopeDigests // nil until a scoped digest is asked for
 }
 
-// NewState is empty, at revision 0.
+// NewState returns an empty state at revision 0.
 func NewState() *State { return &State{} }
 
-// Apply sets or removes one record and brings the state to the change's revision, if that is newer.
+// Apply sets or removes one record and advances the state to the change's revision, if that is newer.
 func (s *State) Apply(c Change) {
 	if before, p := s.records.find(c.Key); p.size > 0 {
 		s.updateDigests(before, false)
@@ -36,10 +36,10 @@
 	s.Advance(c.Revision)
 }
 
-// Advance takes note of a commit that changed no record. A revision never goes back.
+// Advance sets the revision after a commit that changed no record. The revision never decreases.
 func (s *State) Advance(revision uint64) { s.revision = max(s.revision, revision) }
 
-// Reset replaces everything, the revision included. Of records with one key the last counts.
+// Reset replaces all records and the revision. If several records have the same key, the last one is used.
 func (s *State) Reset(revision uint64, records []Record) {
 	order := make([]int, len(records))
 	for i := range order {
@@ -50,18 +50,18 @@
 	})
 	var b Builder
 	for _, i := range order {
-		b.Add(records[i]) // not of a key that was there already
+		b.Add(records[i]) // ignores a key that was added already
 	}
 	*s = *b.State(revision)
 }
 
-// Revision is that of the newest commit that the state stands for.
+// Revision returns the revision of the newest commit that the state contains.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Len is the number of records.
+// Len returns the number of records.
 func (s *State) Len() int { return s.records.count }
 
-// Get finds a record; its value is the caller's own.
+// Get returns a copy of a record.
 func (s *State) Get(key string) (Record, bool) {
 	e, p := s.records.find(key)
 	if p.size == 0 {
@@ -70,8 +70,8 @@
 	return s.toRecord(e), true
 }
 
-// Records yields those within a scope in the order of their keys; they are the caller's own. The state must not be
-// changed meanwhile.
+// Records yields copies of the records within a scope in the order of their keys. The state must not be changed during
+// the iteration.
 func (s *State) Records(scope Scope) iter.Seq[Record] {
 	return func(yield func(Record) bool) {
 		s.records.each(func(e entry) bool {
@@ -81,8 +81,8 @@
 	}
 }
 
-// Digest is that of the records within a scope. The first scoped digest walks over the records; from then on it costs
-// the scope's groups times its sites, whatever the state holds.
+// Digest returns the digest of the records within a scope. The first scoped digest iterates over all records; later
+// ones take time proportional to the scope's groups times its sites, whatever the size of the state.
 func (s *State) Digest(scope Scope) Digest {
 	if scope.All() {
 		return s.digest
@@ -97,7 +97,7 @@
 	return s.scoped.sum(s, scope.Normalized())
 }
 
-// DigestAfter is the digest of the whole state once these changes are applied to it, in their order.
+// DigestAfter returns the digest that the whole state would have after these changes are applied in their order.
 func (s *State) DigestAfter(changes []Change) Digest {
 	sum := s.digest
 	changed := make(map[string]Digest, len(changes))
@@ -117,7 +117,7 @@
 	return sum
 }
 
-// recordHash is a record's part of the digest; 0 where there is none.
+// recordHash returns a record's contribution to the digest, or 0 if there is no such record.
 func (s *State) recordHash(key string) Digest {
 	e, p := s.records.find(key)
 	if p.size == 0 {
@@ -126,7 +126,7 @@
 	return hashEntry(e)
 }
 
-// toEntry is a record as the table holds it.
+// toEntry converts a record to the form that the table holds.
 func (s *State) toEntry(r *Record) entry {
 	e := entry{key: []byte(r.Key), value: r.Value}
 	if IsMember(r.Key) {
@@ -144,7 +144,7 @@
 	return r
 }
 
-// updateDigests adds a record to the digests, or takes it from them.
+// updateDigests adds a record to the digests, or subtracts it from them.
 func (s *State) updateDigests(e entry, add bool) {
 	hash := hashEntry(e)
 	if add {
@@ -157,7 +157,7 @@
 	}
 }
 
-// intern numbers values from 0.
+// intern assigns consecutive numbers to distinct values, from 0 on.
 type intern[T comparable] struct {
 	numbers map[T]uint32
 	values  []T
--- a/internal/controlplane/revision/state_test.go
+++ b/internal/controlplane/revision/state_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawChanges is random changes of a few keys, each with what was before it, one to three of them a revision.
+// drawChanges draws random changes of a few keys, each with the previous record, one to three of them a revision.
 func drawChanges(t *rapid.T) (out []Change) {
 	current := map[string]Record{}
 	rev := uint64(0)
@@ -61,8 +61,8 @@
 	return s
 }
 
-// Guards that digests, length and order of a state are those of a plain walk, in any scope, after any changes.
-func TestStateIsWhatAWalkSays(t *testing.T) {
+// Checks a state's digests, length and order against a plain map, in any scope, after any changes.
+func TestStateMatchesMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, plain := NewState(), map[string]Record{}
 		changes := drawChanges(t)
@@ -75,15 +75,15 @@
 			}
 		}
 		if s.Digest(Scope{}) != want {
-			t.Fatalf("digest %x, foretold %x", s.Digest(Scope{}), want)
+			t.Fatalf("digest %x, DigestAfter returned %x", s.Digest(Scope{}), want)
 		}
 		again := NewState()
 		again.Reset(s.Revision(), slices.Collect(s.Records(Scope{})))
 		for _, scope := range []Scope{{}, drawScope(t)} {
-			walk, n := Digest(0), 0
+			sum, n := Digest(0), 0
 			for key, r := range plain {
 				if scope.Contains(key, r.Placement) {
-					walk += Hash(key, r.Value)
+					sum += Hash(key, r.Value)
 					n++
 				}
 			}
@@ -91,50 +91,50 @@
 			for r := range s.Records(scope) {
 				keys = append(keys, r.Key)
 			}
-			if s.Digest(scope) != walk || again.Digest(scope) != walk || len(keys) != n || !slices.IsSorted(keys) {
-				t.Fatalf("scope %v: digests %x and %x, by a walk %x; keys %q", scope, s.Digest(scope), again.Digest(scope), walk, keys)
+			if s.Digest(scope) != sum || again.Digest(scope) != sum || len(keys) != n || !slices.IsSorted(keys) {
+				t.Fatalf("scope %v: digests %x and %x, want %x; keys %q", scope, s.Digest(scope), again.Digest(scope), sum, keys)
 			}
 		}
 	})
 }
 
-// Guards that whoever follows a scope by projected and coalesced changes, in steps of any length, holds what is in it,
-// and sees every binding change.
-func TestProjectedChangesKeepAScope(t *testing.T) {
+// Checks that a copy that applies projected and coalesced changes, in updates of any length, has the records of the
+// scope and receives every binding change.
+func TestProjectedChangesReproduceScope(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		changes, scope := drawChanges(t), drawScope(t)
-		all, part := NewState(), NewState()
+		all, scoped := NewState(), NewState()
 		seen, binding := 0, 0
 		for len(changes) > 0 {
 			n := rapid.IntRange(1, len(changes)).Draw(t, "step")
-			var step []Change
+			var update []Change
 			for _, c := range changes[:n] {
 				all.Apply(c)
 				if c, within := scope.Project(c); within {
-					step = append(step, c)
+					update = append(update, c)
 					if c.Binding {
 						binding++
 					}
 				}
 			}
-			for _, c := range Coalesce(step) {
-				part.Apply(c)
+			for _, c := range Coalesce(update) {
+				scoped.Apply(c)
 				if c.Binding {
 					seen++
 				}
 			}
 			changes = changes[n:]
-			if all.Digest(scope) != part.Digest(Scope{}) {
-				t.Fatalf("scope %v: %x, followed %x", scope, all.Digest(scope), part.Digest(Scope{}))
+			if all.Digest(scope) != scoped.Digest(Scope{}) {
+				t.Fatalf("scope %v: digest %x, of the scoped copy %x", scope, all.Digest(scope), scoped.Digest(Scope{}))
 			}
 		}
 		if seen != binding {
-			t.Fatalf("%d binding changes, %d seen", binding, seen)
+			t.Fatalf("%d of %d binding changes were kept", seen, binding)
 		}
 	})
 }
 
-func TestCoalesceKeepsTheNewestAndBindingOnes(t *testing.T) {
+func TestCoalesceKeepsNewestAndBindingChanges(t *testing.T) {
 	change := func(rev uint64, key string, binding bool) Change {
 		return Change{Revision: rev, Record: Record{Key: key}, Binding: binding}
 	}
@@ -151,8 +151,8 @@
 	}
 }
 
-// Guards the log's bound and that a reader gets commits whole or an error.
-func TestLogGivesWholeCommitsOrAnError(t *testing.T) {
+// Checks the log's size limit, and that a reader gets whole commits or an error.
+func TestLogReturnsWholeCommitsOrError(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		changes := drawChanges(t)
 		l := NewLog(rapid.IntRange(1, 20).Draw(t, "kept") * changeOverhead)
@@ -171,7 +171,7 @@
 				bytes += ChangeSize(&held[k])
 			}
 			if err != nil || bytes != l.Bytes() || bytes > l.maxBytes || l.Head() != head {
-				t.Fatalf("%v, %d bytes held, %d counted of %d", err, bytes, l.Bytes(), l.maxBytes)
+				t.Fatalf("%v, %d bytes held, %d counted, limit %d", err, bytes, l.Bytes(), l.maxBytes)
 			}
 		}
 		since := rapid.Uint64Range(0, head+2).Draw(t, "since")
@@ -181,7 +181,7 @@
 		switch {
 		case since > head:
 			if !errors.As(err, &future) || future.Requested != since || future.Head != head {
-				t.Fatalf("since %d of %d: %v", since, head, err)
+				t.Fatalf("since %d, head %d: %v", since, head, err)
 			}
 		case errors.As(err, &compacted):
 			if since >= l.Oldest() || compacted.Requested != since || compacted.Oldest != l.Oldest() {
@@ -195,22 +195,22 @@
 				}
 			}
 			if err != nil || len(got) != want {
-				t.Fatalf("since %d: %v, %d changes of %d", since, err, len(got), want)
+				t.Fatalf("since %d: %v, %d changes, want %d", since, err, len(got), want)
 			}
 		}
 	})
 }
 
-func TestLogBeginsAnewAfterReset(t *testing.T) {
+func TestLogReset(t *testing.T) {
 	l := NewLog(1 << 20)
 	l.Append(5, []Change{{Revision: 5}})
 	l.Reset(9)
-	l.Append(8, []Change{{Revision: 8}}) // older than the reset: known already
+	l.Append(8, []Change{{Revision: 8}}) // older than the reset: part of the state already
 	if got, err := l.Since(9); err != nil || len(got) != 0 || l.Head() != 9 {
 		t.Errorf("%v, %v, head %d", got, err, l.Head())
 	}
 	if _, err := l.Since(5); err == nil {
-		t.Error("what was before the reset is still there")
+		t.Error("changes from before the reset are still held")
 	}
 }
 
@@ -222,7 +222,7 @@
 	l.Append(15, []Change{{Revision: 15}, {Revision: 15}})
 	for asked, want := range map[uint64]uint64{3: 3, 10: 10, 11: 10, 12: 12, 14: 12, 15: 15, 99: 15} {
 		if got := l.LastChange(asked); got != want {
-			t.Errorf("up to %d: %d, not %d", asked, got, want)
+			t.Errorf("up to %d: %d, want %d", asked, got, want)
 		}
 	}
 }
@@ -245,7 +245,7 @@
 		t.Errorf("%+v, %v", got, err)
 	}
 	if got, err := PlacementOf(RulesKey, []byte{0xff}); err != nil || got != (Placement{}) {
-		t.Errorf("of another record: %+v, %v", got, err)
+		t.Errorf("placement of a record that is no member: %+v, %v", got, err)
 	}
 	good := memberValue(7, "z1")
 	for name, value := range map[string][]byte{"truncated": good[:len(good)-2], "empty": nil, "not a message": {0xff, 0xff},
@@ -257,18 +257,18 @@
 	}
 }
 
-// members are as many records as the target has, 6 to a group, at 19 sites, with values of 90 bytes.
+// members returns n records like those of the target deployment: 6 to a group, at 19 sites, with values of 90 bytes.
 func members(n int) (out []Record) {
 	for i := range n {
-		place := Placement{Group: Group{"mysql", int32(i / 6)}, Site: fmt.Sprint("zone-", i%19)}
+		placement := Placement{Group: Group{"mysql", int32(i / 6)}, Site: fmt.Sprint("zone-", i%19)}
 		value := fmt.Appendf(nil, "%06d%s", i, strings.Repeat("x", 84))
-		out = append(out, Record{Key: fmt.Sprintf("%sdb-%06d", MemberPrefix, i), Value: value, Placement: place})
+		out = append(out, Record{Key: fmt.Sprintf("%sdb-%06d", MemberPrefix, i), Value: value, Placement: placement})
 	}
 	return out
 }
 
-// Guards the memory of a subscriber: hundreds of states live in one process. Measured: 2.8 MB each.
-func TestStateIsSmall(t *testing.T) {
+// Checks the memory of a state, as one process may hold hundreds of them. Measured: 2.8 MB each.
+func TestStateMemory(t *testing.T) {
 	const bound = 4 << 20
 	in := members(21000)
 	used := func() uint64 {
@@ -287,9 +287,9 @@
 	each := (used() - before) / states
 	runtime.KeepAlive(held)
 	runtime.KeepAlive(in)
-	t.Logf("%d bytes a state of 21,000 members", each)
+	t.Logf("%d bytes for a state of 21,000 members", each)
 	if each > bound {
-		t.Errorf("%d bytes a state of 21,000 members, over %d", each, bound)
+		t.Errorf("%d bytes for a state of 21,000 members, more than %d", each, bound)
 	}
 }
 
--- a/internal/controlplane/revision/table.go
+++ b/internal/controlplane/revision/table.go
@@ -8,22 +8,23 @@
 )
 
 const (
-	// maxLeafBytes is where a leaf is split: some 35 members, so that a state of 21,000 is 600 pieces of memory for the
-	// collector instead of 21,000, and a change moves 4 KB at most.
+	// maxLeafBytes is the size above which a leaf is split. A leaf holds some 35 members, so that a state of 21,000 is 600
+	// allocations for the garbage collector instead of 21,000, and a change moves 4 KB at most.
 	maxLeafBytes = 4096
-	// minLeafBytes is where a leaf joins its neighbour, if both fit one with room for growth.
+	// minLeafBytes is the size below which a leaf is merged with the next one, if both fit into one leaf with room for
+	// growth.
 	minLeafBytes = maxLeafBytes / 4
 )
 
-// table holds entries in the order of their keys, packed into leaves. It costs some 6 bytes an entry beside key and
-// value, and what splits leave unused.
+// table holds entries in the order of their keys, encoded in leaves. Its overhead is some 6 bytes an entry in addition
+// to key and value, and the space that splits leave unused.
 type table struct {
 	leaves [][]byte // none is empty
 	count  int
 }
 
-// entry is a record as it is packed: four lengths and numbers as varints, then key and value. Its slices belong to the
-// table and are valid until the next change.
+// entry is a record in its encoded form: the lengths of key and value and the numbers of group and site as four
+// varints, then key and value. Its slices belong to the table and are valid until the next change.
 type entry struct {
 	key   []byte
 	value []byte
@@ -40,7 +41,7 @@
 	return append(b, e.value...)
 }
 
-// decodeEntry reads the decodeEntry entry of packed ones, and its size.
+// decodeEntry decodes the first entry of b and returns its encoded size.
 func decodeEntry(b []byte) (e entry, size int) {
 	var numbers [4]uint64
 	for i := range numbers {
@@ -54,15 +55,16 @@
 	return e, end
 }
 
-// position is where an entry is, or would be: from offset on in a leaf. Its size there is 0 if there is none.
+// position is the place of an entry, or the place where it would be inserted: the offset in a leaf. size is 0 if there
+// is no such entry.
 type position struct{ leaf, offset, size int }
 
 func (t *table) find(key string) (entry, position) {
-	after := sort.Search(len(t.leaves), func(i int) bool {
+	next := sort.Search(len(t.leaves), func(i int) bool {
 		e, _ := decodeEntry(t.leaves[i])
 		return string(e.key) > key
 	})
-	p := position{leaf: max(0, after-1)}
+	p := position{leaf: max(0, next-1)}
 	if len(t.leaves) == 0 {
 		return entry{}, p
 	}
@@ -102,21 +104,23 @@
 	t.merge(p.leaf)
 }
 
-// replace puts packed bytes in the place of others. A leaf that has to grow gets exactly the memory that it needs.
-func (t *table) replace(p position, packed []byte) {
+// replace replaces the bytes at a position by an encoded entry. A leaf that has to grow is reallocated to exactly the
+// needed size.
+func (t *table) replace(p position, encoded []byte) {
 	leaf := t.leaves[p.leaf]
-	size := len(leaf) - p.size + len(packed)
+	size := len(leaf) - p.size + len(encoded)
 	if size > cap(leaf) {
 		grown := make([]byte, 0, size)
 		grown = append(grown, leaf[:p.offset]...)
-		grown = append(grown, packed...)
+		grown = append(grown, encoded...)
 		t.leaves[p.leaf] = append(grown, leaf[p.offset+p.size:]...)
 		return
 	}
-	t.leaves[p.leaf] = slices.Replace(leaf, p.offset, p.offset+p.size, packed...)
+	t.leaves[p.leaf] = slices.Replace(leaf, p.offset, p.offset+p.size, encoded...)
 }
 
-// split cuts a leaf that is too large between two entries near its middle, until only single entries are too large.
+// split splits an oversized leaf between two entries near its middle, recursively, until only leaves of a single entry
+// are larger than maxLeafBytes.
 func (t *table) split(i int) {
 	leaf := t.leaves[i]
 	if len(leaf) <= maxLeafBytes {
@@ -140,7 +144,7 @@
 	t.split(i)
 }
 
-// merge drops an empty leaf, and merges a small one with the next.
+// merge removes an empty leaf, and merges a small one with the next.
 func (t *table) merge(i int) {
 	switch {
 	case len(t.leaves[i]) == 0:
@@ -151,7 +155,7 @@
 	}
 }
 
-// each calls with the entries in the order of their keys until told to stop.
+// each calls a function for the entries in the order of their keys until it returns false.
 func (t *table) each(call func(entry) bool) {
 	for _, leaf := range t.leaves {
 		for len(leaf) > 0 {
--- a/internal/controlplane/revision/table_test.go
+++ b/internal/controlplane/revision/table_test.go
@@ -10,15 +10,15 @@
 	"pgregory.net/rapid"
 )
 
-// Guards the packed table against a map, through splits and joins of leaves, and the bound of a leaf.
-func TestTableIsAMapInOrder(t *testing.T) {
+// Checks the table against a map, through splits and merges of leaves, and the maximum size of a leaf.
+func TestTableMatchesSortedMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plain := map[string]string{}
 		var builder Builder
 		for i := range rapid.IntRange(0, 150).Draw(t, "packed") {
 			key, value := fmt.Sprintf("%04d", 2*i), strings.Repeat("v", i%120)
 			if !builder.Add(Record{Key: key, Value: []byte(value)}) || builder.Add(Record{Key: key}) {
-				t.Fatalf("%s: taken in no order, or not at all", key)
+				t.Fatalf("%s: rejected in order, or accepted out of order", key)
 			}
 			plain[key] = value
 		}
@@ -37,22 +37,22 @@
 		var keys []string
 		table.each(func(e entry) bool {
 			if plain[string(e.key)] != string(e.value) {
-				t.Fatalf("%s has %d bytes, not %d", e.key, len(e.value), len(plain[string(e.key)]))
+				t.Fatalf("%s has %d bytes, want %d", e.key, len(e.value), len(plain[string(e.key)]))
 			}
 			keys = append(keys, string(e.key))
 			return true
 		})
 		if !slices.Equal(keys, slices.Sorted(maps.Keys(plain))) || table.count != len(plain) {
-			t.Fatalf("%d keys of %d: %v", table.count, len(plain), keys)
+			t.Fatalf("%d keys, want %d: %v", table.count, len(plain), keys)
 		}
 		for key := range plain {
 			if e, p := table.find(key); p.size == 0 || string(e.key) != key {
-				t.Fatalf("%s is not found", key)
+				t.Fatalf("%s not found", key)
 			}
 		}
 		for _, leaf := range table.leaves {
 			if _, size := decodeEntry(leaf); len(leaf) > maxLeafBytes && size < len(leaf) {
-				t.Fatalf("a leaf of %d bytes", len(leaf))
+				t.Fatalf("a leaf of several entries has %d bytes", len(leaf))
 			}
 		}
 	})
