--- a/internal/controlplane/stream/stream_test.go
+++ b/internal/controlplane/stream/stream_test.go
@@ -108,7 +108,7 @@
 	eventually(t, clock, "the slow one's subscription", func() bool { return len(server.Subscribers()) == 1 })
 	quick := startClient(t, clock, "quick", nil, server.Addr())
 	quick.until(t, clock, 5)
-	for rev := uint64(6); server.logs.count("subscriber closed") == 0; rev++ {
+	for rev := uint64(6); server.logs.count("subscriber session closed") == 0; rev++ {
 		if rev > 10_000 {
 			t.Fatal("the slow reader is still there")
 		}
@@ -134,16 +134,16 @@
 		reason  pb.Closing_Reason
 		message string
 	}{
-		"over the limit":           {[]byte{0, 64, 0, 1}, pb.Closing_BAD_FRAME, "subscriber sent bad input, nothing changed"},
-		"no length":                {[]byte("GET / HTTP/1.1\r\n\r\n"), pb.Closing_BAD_FRAME, "subscriber sent bad input, nothing changed"},
-		"no protobuf":              {[]byte{0, 0, 0, 4, 255, 255, 255, 255}, pb.Closing_BAD_FRAME, "subscriber sent bad input, nothing changed"},
-		"of unknown kind":          {noBody, pb.Closing_BAD_FRAME, "subscriber sent bad input, nothing changed"},
-		"of a newer kind":          {[]byte{0, 0, 0, 2, 0x7a, 0}, pb.Closing_BAD_FRAME, "subscriber sent bad input, nothing changed"},
-		"before it has subscribed": {encoded(t, ack(1)), pb.Closing_BAD_FRAME, "subscriber sent bad input, nothing changed"},
+		"over the limit":           {[]byte{0, 64, 0, 1}, pb.Closing_BAD_FRAME, "rejected invalid input from a subscriber"},
+		"no length":                {[]byte("GET / HTTP/1.1\r\n\r\n"), pb.Closing_BAD_FRAME, "rejected invalid input from a subscriber"},
+		"no protobuf":              {[]byte{0, 0, 0, 4, 255, 255, 255, 255}, pb.Closing_BAD_FRAME, "rejected invalid input from a subscriber"},
+		"of unknown kind":          {noBody, pb.Closing_BAD_FRAME, "rejected invalid input from a subscriber"},
+		"of a newer kind":          {[]byte{0, 0, 0, 2, 0x7a, 0}, pb.Closing_BAD_FRAME, "rejected invalid input from a subscriber"},
+		"before it has subscribed": {encoded(t, ack(1)), pb.Closing_BAD_FRAME, "rejected invalid input from a subscriber"},
 		"an absurd ack": {slices.Concat(encoded(t, subscribe("x", "test")), encoded(t, ack(1e9))), pb.Closing_BAD_FRAME,
-			"subscriber sent bad input, nothing changed"},
-		"of another cluster": {encoded(t, subscribe("x", "other")), pb.Closing_WRONG_CLUSTER, "subscriber sent bad input, nothing changed"},
-		"from the future":    {encoded(t, future("x")), pb.Closing_FUTURE_REVISION, "subscriber closed"},
+			"rejected invalid input from a subscriber"},
+		"of another cluster": {encoded(t, subscribe("x", "other")), pb.Closing_WRONG_CLUSTER, "rejected invalid input from a subscriber"},
+		"from the future":    {encoded(t, future("x")), pb.Closing_FUTURE_REVISION, "subscriber session closed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := newStepClock()
@@ -179,7 +179,7 @@
 	good := startServer(t, clock, "127.0.0.1:0", nil)
 	good.Reset(5, []revision.Record{pair("a", "1")})
 	client := startClient(t, clock, "g1", nil, bad.Addr().String())
-	const badInput = "control stream: bad input from the server, nothing changed"
+	const badInput = "control stream: rejected invalid input from the server"
 	eventually(t, clock, "the bad server's line", func() bool { return client.logs.count(badInput) > 0 })
 	client.SetServers([]string{good.Addr(), bad.Addr().String()})
 	client.until(t, clock, 5)
--- a/internal/controlplane/subscription/acknowledge.go
+++ b/internal/controlplane/subscription/acknowledge.go
@@ -5,19 +5,20 @@
 	pb "aspenshed/internal/controlplane/controlpb"
 )
 
-// recordInForce has the server told what the data plane goes by.
+// recordInForce records which revision the data plane has in force and which changes it refused, and schedules an
+// acknowledgement.
 func (c *Client) recordInForce(now aspenshed.Nanos, e InForce) {
 	c.inForce = max(c.inForce, e.Revision)
 	c.pendingRefusals = append(c.pendingRefusals, e.Refused...)
-	if over := len(c.pendingRefusals) - maxPendingRefusals; over > 0 {
-		c.pendingRefusals = c.pendingRefusals[over:]
+	if excess := len(c.pendingRefusals) - maxPendingRefusals; excess > 0 {
+		c.pendingRefusals = c.pendingRefusals[excess:]
 	}
 	if c.phase == phaseConnected {
 		c.ackAt = min(c.ackAt, now+ackInterval)
 	}
 }
 
-// scheduleAck has what was received acknowledged soon, or at once where it is much.
+// scheduleAck counts received bytes and schedules an acknowledgement, at once if there are many of them.
 func (c *Client) scheduleAck(now aspenshed.Nanos, bytes int) {
 	c.unackedBytes += bytes
 	c.ackAt = min(c.ackAt, now+ackInterval)
@@ -26,14 +27,15 @@
 	}
 }
 
-// sendAck tells what was received and what is in force, as far as this connection has brought it.
+// sendAck acknowledges the received frames, and reports the revision in force as far as this connection has delivered
+// it.
 func (c *Client) sendAck() {
 	ack := &pb.Ack{Received: c.receivedFrames, InForce: min(c.inForce, c.streamRevision), Refused: c.pendingRefusals}
 	c.pendingRefusals, c.unackedBytes, c.ackAt = nil, 0, never
 	c.emit(Send{Frame: &pb.SubscriberFrame{Body: &pb.SubscriberFrame_Ack{Ack: ack}}})
 }
 
-// submit sends a batch to the server, or answers at once where it can't.
+// submit sends a batch to the server, or completes it at once with an error if it can't be sent.
 func (c *Client) submit(e SubmitCommands) {
 	switch {
 	case !c.Subscribed():
@@ -47,9 +49,9 @@
 	}
 }
 
-// rejectSubmit answers what comes after the end.
+// rejectSubmit completes a submission that comes after Stop with an error.
 func (c *Client) rejectSubmit(e Event) {
-	if submit, is := e.(SubmitCommands); is {
+	if submit, ok := e.(SubmitCommands); ok {
 		c.emit(SubmitDone{ID: submit.ID, Err: ErrStopped})
 	}
 }
--- a/internal/controlplane/subscription/badinput_test.go
+++ b/internal/controlplane/subscription/badinput_test.go
@@ -11,19 +11,19 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-func changes(m *pb.Changes) *pb.ServerFrame {
+func changesFrame(m *pb.Changes) *pb.ServerFrame {
 	return &pb.ServerFrame{Body: &pb.ServerFrame_Changes{Changes: m}}
 }
 
-func begin(m *pb.SnapshotBegin) *pb.ServerFrame {
+func beginFrame(m *pb.SnapshotBegin) *pb.ServerFrame {
 	return &pb.ServerFrame{Body: &pb.ServerFrame_SnapshotBegin{SnapshotBegin: m}}
 }
 
-func chunk(index uint32, records ...*pb.Record) *pb.ServerFrame {
+func chunkFrame(index uint32, records ...*pb.Record) *pb.ServerFrame {
 	return &pb.ServerFrame{Body: &pb.ServerFrame_SnapshotChunk{SnapshotChunk: &pb.SnapshotChunk{Index: index, Records: records}}}
 }
 
-func end(m *pb.SnapshotEnd) *pb.ServerFrame {
+func endFrame(m *pb.SnapshotEnd) *pb.ServerFrame {
 	return &pb.ServerFrame{Body: &pb.ServerFrame_SnapshotEnd{SnapshotEnd: m}}
 }
 
@@ -31,81 +31,81 @@
 	return &pb.Record{Key: revision.PairPrefix + key, Value: []byte(value)}
 }
 
-// isError reports whether an error of the type of want is in err.
+// isError reports whether err wraps an error of type T.
 func isError[T error](err error) bool {
 	var want T
 	return errors.As(err, &want)
 }
 
-// badFrames are what a client at revision 10 must refuse: the last frame of each is at fault. Frames are numbered as
-// they come, unless a number is set.
-var badFrames = map[string]struct {
-	frames []*pb.ServerFrame
-	is     func(error) bool
-	key    string
+// invalidFrames are sequences of frames that a client at revision 10 must reject, each because of its last frame.
+// Frames are numbered consecutively unless a number is set.
+var invalidFrames = map[string]struct {
+	frames  []*pb.ServerFrame
+	matches func(error) bool
+	key     string
 }{
 	"unknown kind":      {[]*pb.ServerFrame{{}}, func(err error) bool { return errors.Is(err, errUnknownMessage) }, ""},
 	"repeated number":   {[]*pb.ServerFrame{{Number: 2}}, isError[*SequenceError], ""},
 	"skipped number":    {[]*pb.ServerFrame{{Number: 7}}, isError[*SequenceError], ""},
-	"gap":               {[]*pb.ServerFrame{changes(&pb.Changes{From: 11, Through: 12})}, isError[*GapError], ""},
-	"repeated step":     {[]*pb.ServerFrame{changes(&pb.Changes{From: 9, Through: 10})}, isError[*GapError], ""},
-	"revision backward": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 9})}, isError[*StaleRevisionError], ""},
-	"wrong digest":      {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11, Digest: 5})}, isError[*DigestError], ""},
-	"empty key": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11, Changes: []*pb.Change{{Revision: 11}}})},
+	"gap":               {[]*pb.ServerFrame{changesFrame(&pb.Changes{From: 11, Through: 12})}, isError[*GapError], ""},
+	"repeated update":   {[]*pb.ServerFrame{changesFrame(&pb.Changes{From: 9, Through: 10})}, isError[*GapError], ""},
+	"revision backward": {[]*pb.ServerFrame{changesFrame(&pb.Changes{From: 10, Through: 9})}, isError[*StaleRevisionError], ""},
+	"wrong digest":      {[]*pb.ServerFrame{changesFrame(&pb.Changes{From: 10, Through: 11, Digest: 5})}, isError[*DigestError], ""},
+	"empty key": {[]*pb.ServerFrame{changesFrame(&pb.Changes{From: 10, Through: 11, Changes: []*pb.Change{{Revision: 11}}})},
 		isError[*InvalidMessageError], ""},
-	"long key": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11,
+	"long key": {[]*pb.ServerFrame{changesFrame(&pb.Changes{From: 10, Through: 11,
 		Changes: []*pb.Change{{Revision: 11, Key: strings.Repeat("k", maxKeyBytes+1)}}})}, isError[*InvalidMessageError], strings.Repeat("k", maxKeyBytes)},
-	"negative time": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11,
+	"negative time": {[]*pb.ServerFrame{changesFrame(&pb.Changes{From: 10, Through: 11,
 		Changes: []*pb.Change{{Revision: 11, Key: "rules", CommittedAt: -1}}})}, isError[*InvalidMessageError], "rules"},
-	"change outside its step": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11,
+	"change outside its update": {[]*pb.ServerFrame{changesFrame(&pb.Changes{From: 10, Through: 11,
 		Changes: []*pb.Change{{Revision: 12, Key: "rules"}}})}, isError[*InvalidMessageError], "rules"},
-	"changes out of order": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 13,
+	"changes out of order": {[]*pb.ServerFrame{changesFrame(&pb.Changes{From: 10, Through: 13,
 		Changes: []*pb.Change{{Revision: 13, Key: "a"}, {Revision: 12, Key: "b"}}})}, isError[*InvalidMessageError], "b"},
-	"removed with a value": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11,
+	"removed with a value": {[]*pb.ServerFrame{changesFrame(&pb.Changes{From: 10, Through: 11,
 		Changes: []*pb.Change{{Revision: 11, Key: "a", Removed: true, Value: []byte("x")}}})}, isError[*InvalidMessageError], "a"},
-	"member that is none": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 11,
+	"invalid member": {[]*pb.ServerFrame{changesFrame(&pb.Changes{From: 10, Through: 11,
 		Changes: []*pb.Change{{Revision: 11, Key: "member/a", Value: []byte{0xff}}}})}, isError[*InvalidMessageError], "member/a"},
-	"frame of another step": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 12, More: true}),
-		changes(&pb.Changes{From: 10, Through: 13})}, isError[*UnexpectedMessageError], ""},
-	"snapshot within a step": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: 12, More: true}),
-		begin(&pb.SnapshotBegin{Revision: 12})}, isError[*UnexpectedMessageError], ""},
-	"older snapshot":  {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 9})}, isError[*StaleRevisionError], ""},
-	"absurd counts":   {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Chunks: 1 << 31})}, isError[*InvalidMessageError], ""},
-	"absurd revision": {[]*pb.ServerFrame{changes(&pb.Changes{From: 10, Through: maxRevision + 1})}, isError[*InvalidMessageError], ""},
-	"absurd snapshot": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: maxRevision + 1})}, isError[*InvalidMessageError], ""},
-	"chunk alone":     {[]*pb.ServerFrame{chunk(0)}, isError[*UnexpectedMessageError], ""},
-	"end alone":       {[]*pb.ServerFrame{end(&pb.SnapshotEnd{Revision: 12})}, isError[*UnexpectedMessageError], ""},
-	"second snapshot": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12}), begin(&pb.SnapshotBegin{Revision: 12})}, isError[*UnexpectedMessageError], ""},
-	"changes within a snapshot": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12}),
-		changes(&pb.Changes{From: 10, Through: 12})}, isError[*UnexpectedMessageError], ""},
-	"missing chunk": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 2}),
-		chunk(1, pairRecord("a", ""))}, isError[*ChunkError], ""},
-	"repeated chunk": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 2}),
-		chunk(0, pairRecord("a", "")), chunk(0, pairRecord("a", ""))}, isError[*ChunkError], ""},
-	"chunk too many": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 1, Chunks: 1}),
-		chunk(0, pairRecord("a", "")), chunk(1, pairRecord("b", ""))}, isError[*ChunkError], ""},
-	"end too early": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 2}),
-		chunk(0, pairRecord("a", "")), end(&pb.SnapshotEnd{Revision: 12})}, isError[*ChunkError], ""},
-	"truncated chunk": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 1}),
-		chunk(0, pairRecord("a", "")), end(&pb.SnapshotEnd{Revision: 12})}, isError[*InvalidMessageError], ""},
-	"key twice in a snapshot": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 1}),
-		chunk(0, pairRecord("a", ""), pairRecord("a", ""))}, isError[*InvalidMessageError], "pair/a"},
-	"end of another revision": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 1, Chunks: 1}),
-		chunk(0, pairRecord("a", "")), end(&pb.SnapshotEnd{Revision: 13})}, isError[*InvalidMessageError], ""},
-	"wrong digest of a snapshot": {[]*pb.ServerFrame{begin(&pb.SnapshotBegin{Revision: 12, Records: 1, Chunks: 1}),
-		chunk(0, pairRecord("a", "")), end(&pb.SnapshotEnd{Revision: 12})}, isError[*DigestError], ""},
-	"answer to nothing": {[]*pb.ServerFrame{{Body: &pb.ServerFrame_Submitted{Submitted: &pb.Submitted{Id: 3}}}},
+	"frame of another update": {[]*pb.ServerFrame{changesFrame(&pb.Changes{From: 10, Through: 12, More: true}),
+		changesFrame(&pb.Changes{From: 10, Through: 13})}, isError[*UnexpectedMessageError], ""},
+	"snapshot within an update": {[]*pb.ServerFrame{changesFrame(&pb.Changes{From: 10, Through: 12, More: true}),
+		beginFrame(&pb.SnapshotBegin{Revision: 12})}, isError[*UnexpectedMessageError], ""},
+	"older snapshot":              {[]*pb.ServerFrame{beginFrame(&pb.SnapshotBegin{Revision: 9})}, isError[*StaleRevisionError], ""},
+	"too many chunks":             {[]*pb.ServerFrame{beginFrame(&pb.SnapshotBegin{Revision: 12, Chunks: 1 << 31})}, isError[*InvalidMessageError], ""},
+	"excessive revision":          {[]*pb.ServerFrame{changesFrame(&pb.Changes{From: 10, Through: maxRevision + 1})}, isError[*InvalidMessageError], ""},
+	"excessive snapshot revision": {[]*pb.ServerFrame{beginFrame(&pb.SnapshotBegin{Revision: maxRevision + 1})}, isError[*InvalidMessageError], ""},
+	"chunk without begin":         {[]*pb.ServerFrame{chunkFrame(0)}, isError[*UnexpectedMessageError], ""},
+	"end without begin":           {[]*pb.ServerFrame{endFrame(&pb.SnapshotEnd{Revision: 12})}, isError[*UnexpectedMessageError], ""},
+	"second snapshot":             {[]*pb.ServerFrame{beginFrame(&pb.SnapshotBegin{Revision: 12}), beginFrame(&pb.SnapshotBegin{Revision: 12})}, isError[*UnexpectedMessageError], ""},
+	"changes within a snapshot": {[]*pb.ServerFrame{beginFrame(&pb.SnapshotBegin{Revision: 12}),
+		changesFrame(&pb.Changes{From: 10, Through: 12})}, isError[*UnexpectedMessageError], ""},
+	"missing chunk": {[]*pb.ServerFrame{beginFrame(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 2}),
+		chunkFrame(1, pairRecord("a", ""))}, isError[*ChunkError], ""},
+	"repeated chunk": {[]*pb.ServerFrame{beginFrame(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 2}),
+		chunkFrame(0, pairRecord("a", "")), chunkFrame(0, pairRecord("a", ""))}, isError[*ChunkError], ""},
+	"extra chunk": {[]*pb.ServerFrame{beginFrame(&pb.SnapshotBegin{Revision: 12, Records: 1, Chunks: 1}),
+		chunkFrame(0, pairRecord("a", "")), chunkFrame(1, pairRecord("b", ""))}, isError[*ChunkError], ""},
+	"end too early": {[]*pb.ServerFrame{beginFrame(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 2}),
+		chunkFrame(0, pairRecord("a", "")), endFrame(&pb.SnapshotEnd{Revision: 12})}, isError[*ChunkError], ""},
+	"truncated chunk": {[]*pb.ServerFrame{beginFrame(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 1}),
+		chunkFrame(0, pairRecord("a", "")), endFrame(&pb.SnapshotEnd{Revision: 12})}, isError[*InvalidMessageError], ""},
+	"key twice in a snapshot": {[]*pb.ServerFrame{beginFrame(&pb.SnapshotBegin{Revision: 12, Records: 2, Chunks: 1}),
+		chunkFrame(0, pairRecord("a", ""), pairRecord("a", ""))}, isError[*InvalidMessageError], "pair/a"},
+	"end of another revision": {[]*pb.ServerFrame{beginFrame(&pb.SnapshotBegin{Revision: 12, Records: 1, Chunks: 1}),
+		chunkFrame(0, pairRecord("a", "")), endFrame(&pb.SnapshotEnd{Revision: 13})}, isError[*InvalidMessageError], ""},
+	"wrong digest of a snapshot": {[]*pb.ServerFrame{beginFrame(&pb.SnapshotBegin{Revision: 12, Records: 1, Chunks: 1}),
+		chunkFrame(0, pairRecord("a", "")), endFrame(&pb.SnapshotEnd{Revision: 12})}, isError[*DigestError], ""},
+	"reply without submission": {[]*pb.ServerFrame{{Body: &pb.ServerFrame_Submitted{Submitted: &pb.Submitted{Id: 3}}}},
 		isError[*UnexpectedMessageError], ""},
 	"negative retry": {[]*pb.ServerFrame{{Body: &pb.ServerFrame_Closing{Closing: &pb.Closing{RetryAfter: -1}}}},
 		isError[*InvalidMessageError], ""},
 }
 
-// Guards that bad input is refused with a typed error that names peer, revision and key, is logged once, changes
-// nothing and ends the connection, and that the client then comes back and goes on.
-func TestClientRefusesBadInput(t *testing.T) {
-	for name, bad := range badFrames {
+// Checks that invalid input is rejected with a typed error that names server, revision and key, is logged once, changes
+// nothing and ends the connection, and that the client then reconnects and continues.
+func TestClientRejectsInvalidFrames(t *testing.T) {
+	for name, bad := range invalidFrames {
 		t.Run(name, func(t *testing.T) {
-			p := newPair(t, ServerConfig{}, ClientConfig{})
+			p := newTestPair(t, ServerConfig{}, ClientConfig{})
 			p.server.Reset(10, records(5))
 			p.run(second)
 			digest, applied := p.client.State().Digest(revision.Scope{}), len(p.applied)
@@ -115,36 +115,36 @@
 					f.Number = p.client.receivedFrames + 1
 				}
 				if len(actions) > 0 {
-					t.Fatalf("refused too early: %+v", actions)
+					t.Fatalf("rejected too early: %+v", actions)
 				}
 				actions, _ = p.client.Step(p.now, Received{Frame: f, Bytes: 100})
 			}
-			p.lines = nil
-			p.act(actions)
-			if len(p.lines) != 1 || !bad.is(p.lines[0].Err) {
-				t.Fatalf("logged %+v", p.lines)
+			p.logLines = nil
+			p.perform(actions)
+			if len(p.logLines) != 1 || !bad.matches(p.logLines[0].Err) {
+				t.Fatalf("logged %+v", p.logLines)
 			}
 			var where *StreamError
-			if !errors.As(p.lines[0].Err, &where) || where.Server == "" || where.Revision != 10 || where.Key != bad.key {
-				t.Errorf("located %+v", where)
+			if !errors.As(p.logLines[0].Err, &where) || where.Server == "" || where.Revision != 10 || where.Key != bad.key {
+				t.Errorf("error location %+v", where)
 			}
 			if p.session != 0 || len(p.applied) != applied || p.client.State().Digest(revision.Scope{}) != digest || p.client.State().Revision() != 10 {
 				t.Errorf("session %d, applied %+v", p.session, p.applied[applied:])
 			}
 			p.server.Commit(11, []revision.Change{{Revision: 11, Record: records(6)[5], Binding: true}})
 			p.run(5 * second)
-			p.equal(revision.Scope{})
+			p.assertSynced(revision.Scope{})
 		})
 	}
 }
 
-func TestClientRefusesWhatIsNoFrame(t *testing.T) {
-	p := newPair(t, ServerConfig{}, ClientConfig{})
+func TestClientRejectsUndecodableInput(t *testing.T) {
+	p := newTestPair(t, ServerConfig{}, ClientConfig{})
 	p.run(second)
 	actions, _ := p.client.Step(p.now, BadFrame{errors.New("over the limit")})
-	p.act(actions)
-	if p.session != 0 || len(p.lines) != 1 || p.lines[0].Message != messageInvalidInput {
-		t.Errorf("session %d, logged %+v", p.session, p.lines)
+	p.perform(actions)
+	if p.session != 0 || len(p.logLines) != 1 || p.logLines[0].Message != messageInvalidInput {
+		t.Errorf("session %d, logged %+v", p.session, p.logLines)
 	}
 }
 
@@ -152,34 +152,35 @@
 	return append([]*pb.SubscriberFrame{{Body: &pb.SubscriberFrame_Subscribe{Subscribe: m}}}, others...)
 }
 
-func ack(m *pb.Ack) *pb.SubscriberFrame {
+func ackFrame(m *pb.Ack) *pb.SubscriberFrame {
 	return &pb.SubscriberFrame{Body: &pb.SubscriberFrame_Ack{Ack: m}}
 }
 
-// Guards that a server closes a session that sends bad input, with the reason, and nobody else is touched by it.
-func TestServerRefusesBadInput(t *testing.T) {
+// Checks that a server closes a session that sends invalid input, with the reason, and that no other session is
+// affected.
+func TestServerRejectsInvalidFrames(t *testing.T) {
 	good := &pb.Subscribe{Cluster: "c", Subscriber: "bad"}
 	long := strings.Repeat("x", maxNameBytes+1)
 	for name, bad := range map[string]struct {
 		frames []*pb.SubscriberFrame
 		reason pb.Closing_Reason
 	}{
-		"unknown kind":        {[]*pb.SubscriberFrame{{}}, pb.Closing_BAD_FRAME},
-		"wrong cluster":       {subscriberFrames(&pb.Subscribe{Cluster: "d", Subscriber: "bad"}), pb.Closing_WRONG_CLUSTER},
-		"no message":          {subscriberFrames(nil), pb.Closing_WRONG_CLUSTER},
-		"no name":             {subscriberFrames(&pb.Subscribe{Cluster: "c"}), pb.Closing_BAD_FRAME},
-		"long name":           {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: long}), pb.Closing_BAD_FRAME},
-		"long site":           {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Scope: &pb.Scope{Sites: []string{long}}}), pb.Closing_BAD_FRAME},
-		"huge scope":          {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Scope: &pb.Scope{Sites: make([]string, maxScopeEntries+1)}}), pb.Closing_BAD_FRAME},
-		"future revision":     {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Revision: 1 << 60}), pb.Closing_FUTURE_REVISION},
-		"acknowledged first":  {[]*pb.SubscriberFrame{ack(&pb.Ack{})}, pb.Closing_BAD_FRAME},
-		"submitted first":     {[]*pb.SubscriberFrame{{Body: &pb.SubscriberFrame_Submit{Submit: &pb.Submit{}}}}, pb.Closing_BAD_FRAME},
-		"subscribed twice":    {subscriberFrames(good, subscriberFrames(good)...), pb.Closing_BAD_FRAME},
-		"acknowledged unsent": {subscriberFrames(good, ack(&pb.Ack{Received: 1 << 40})), pb.Closing_BAD_FRAME},
-		"in force unsent":     {subscriberFrames(good, ack(&pb.Ack{InForce: 1 << 40})), pb.Closing_BAD_FRAME},
+		"unknown kind":             {[]*pb.SubscriberFrame{{}}, pb.Closing_BAD_FRAME},
+		"wrong cluster":            {subscriberFrames(&pb.Subscribe{Cluster: "d", Subscriber: "bad"}), pb.Closing_WRONG_CLUSTER},
+		"no message":               {subscriberFrames(nil), pb.Closing_WRONG_CLUSTER},
+		"no name":                  {subscriberFrames(&pb.Subscribe{Cluster: "c"}), pb.Closing_BAD_FRAME},
+		"long name":                {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: long}), pb.Closing_BAD_FRAME},
+		"long site":                {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Scope: &pb.Scope{Sites: []string{long}}}), pb.Closing_BAD_FRAME},
+		"huge scope":               {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Scope: &pb.Scope{Sites: make([]string, maxScopeEntries+1)}}), pb.Closing_BAD_FRAME},
+		"future revision":          {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Revision: 1 << 60}), pb.Closing_FUTURE_REVISION},
+		"ack before subscribe":     {[]*pb.SubscriberFrame{ackFrame(&pb.Ack{})}, pb.Closing_BAD_FRAME},
+		"submit before subscribe":  {[]*pb.SubscriberFrame{{Body: &pb.SubscriberFrame_Submit{Submit: &pb.Submit{}}}}, pb.Closing_BAD_FRAME},
+		"subscribed twice":         {subscriberFrames(good, subscriberFrames(good)...), pb.Closing_BAD_FRAME},
+		"ack of unsent frame":      {subscriberFrames(good, ackFrame(&pb.Ack{Received: 1 << 40})), pb.Closing_BAD_FRAME},
+		"unsent revision in force": {subscriberFrames(good, ackFrame(&pb.Ack{InForce: 1 << 40})), pb.Closing_BAD_FRAME},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPair(t, ServerConfig{}, ClientConfig{})
+			p := newTestPair(t, ServerConfig{}, ClientConfig{})
 			p.server.Reset(10, records(5))
 			p.run(second)
 			const id = 1000
@@ -196,7 +197,7 @@
 			if got := readFrame(t, last.Frame).GetClosing(); got.GetReason() != bad.reason || got.Detail == "" {
 				t.Errorf("closed with %v", got)
 			}
-			p.server.Receive(p.now, id, ack(&pb.Ack{})) // still on its way: dropped
+			p.server.Receive(p.now, id, ackFrame(&pb.Ack{})) // in flight when the session was closed: dropped
 			if out, _ := p.server.Step(p.now); len(out) != 0 || p.session == 0 || len(p.server.Subscribers()) != 1 {
 				t.Errorf("%+v, %d subscribers", out, len(p.server.Subscribers()))
 			}
@@ -204,7 +205,7 @@
 	}
 }
 
-func TestServerClosesWhatIsNoFrame(t *testing.T) {
+func TestServerRejectsUndecodableInput(t *testing.T) {
 	s := NewServer(ServerConfig{})
 	s.Open(0, 1)
 	s.BadFrame(0, 1, errors.New("over the limit"))
@@ -214,13 +215,13 @@
 	}
 }
 
-// A refused change comes back with its reason; one of a lost connection comes with the next.
+// A refused change is reported with its reason; a refusal that was lost with a connection is reported on the next one.
 func TestRefusalsReachTheServer(t *testing.T) {
-	p := newPair(t, ServerConfig{}, ClientConfig{})
+	p := newTestPair(t, ServerConfig{}, ClientConfig{})
 	p.server.Reset(10, records(5))
 	p.run(second)
 	actions, _ := p.client.Step(p.now, InForce{Revision: 10, Refused: []*pb.RefusedChange{{Revision: 10, Key: "config", Reason: "no such group"}}})
-	p.act(actions)
+	p.perform(actions)
 	p.run(second)
 	r := p.server.Rollout(10)
 	if len(r.Refusals) != 1 || r.Refusals[0].Key != "config" || r.Refusals[0].Subscriber != "s" || r.InForce != 1 {
@@ -228,7 +229,7 @@
 	}
 }
 
-// Too many unanswered submissions are refused, not queued; who reads nothing and submits on is closed.
+// Submissions beyond the limit are refused, not queued; a subscriber that submits on without reading is closed.
 func TestSubmissionsAreBounded(t *testing.T) {
 	s := NewServer(ServerConfig{Cluster: "c", WindowBytes: 1000})
 	s.Reset(1, nil)
@@ -250,7 +251,7 @@
 		}
 	}
 	if submits != maxSubmissions || refused == 0 || refused > 100 || closed != 1 {
-		t.Errorf("%d handed on, %d refused, %d closed", submits, refused, closed)
+		t.Errorf("%d forwarded, %d refused, %d closed", submits, refused, closed)
 	}
 	c := NewClient(ClientConfig{Servers: []string{"a:1"}})
 	if actions, _ := c.Step(0, SubmitCommands{ID: 1, Batch: &catalogpb.Batch{}}); !errors.Is(actions[0].(SubmitDone).Err, ErrNotConnected) {
@@ -258,7 +259,7 @@
 	}
 }
 
-// Sessions are bounded, and those beyond are told to come back.
+// The number of sessions is bounded; further ones are closed as BUSY with a time to retry.
 func TestSessionsAreBounded(t *testing.T) {
 	s := NewServer(ServerConfig{Cluster: "c", MaxSessions: 2})
 	for id := range SessionID(3) {
--- a/internal/controlplane/subscription/bench_test.go
+++ b/internal/controlplane/subscription/bench_test.go
@@ -14,10 +14,10 @@
 const (
 	benchSessions = 2400
 	benchMembers  = 21000
-	benchBurst    = 1105 // the primaries that change when a zone goes
+	benchBurst    = 1105 // primaries that change when a zone is lost
 )
 
-// benchServer has all the target's members and subscribers, each at the newest revision.
+// benchServer has all members and subscribers of the target deployment, each subscriber at the newest revision.
 type benchServer struct {
 	*Server
 	now     aspenshed.Nanos
@@ -44,7 +44,7 @@
 	return x
 }
 
-// step sends what is due and counts the bytes.
+// step advances the time, collects the due output and counts its bytes.
 func (x *benchServer) step() (bytes int) {
 	x.now += second / 2
 	for next := x.now; next <= x.now; {
@@ -60,12 +60,12 @@
 
 func (x *benchServer) acknowledgeAll() {
 	for id, sent := range x.sent {
-		x.Receive(x.now, SessionID(id), ack(&pb.Ack{Received: sent, InForce: x.rev}))
+		x.Receive(x.now, SessionID(id), ackFrame(&pb.Ack{Received: sent, InForce: x.rev}))
 	}
 	x.Step(x.now)
 }
 
-// commit changes so many members, each in a commit of its own.
+// commit changes n members, each in a commit of its own.
 func (x *benchServer) commit(n int) {
 	for range n {
 		x.rev++
@@ -89,7 +89,7 @@
 	}
 	b.ReportMetric(float64(bytes)/float64(b.N)/benchSessions, "bytes/session")
 	if x.step(); x.bySubscriber["gateway-7"].cursor != x.rev {
-		b.Fatal("not all was sent")
+		b.Fatal("a session has not been sent all changes")
 	}
 }
 
@@ -102,7 +102,7 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		id := i % benchSessions
-		x.Receive(x.now, SessionID(id), ack(&pb.Ack{Received: x.sent[id], InForce: x.rev}))
+		x.Receive(x.now, SessionID(id), ackFrame(&pb.Ack{Received: x.sent[id], InForce: x.rev}))
 		x.Step(x.now)
 	}
 }
@@ -123,9 +123,9 @@
 	}
 }
 
-// BenchmarkClientApply takes one change of one member.
+// BenchmarkClientApply measures applying one change of one member.
 func BenchmarkClientApply(b *testing.B) {
-	p := newPair(b, ServerConfig{}, ClientConfig{})
+	p := newTestPair(b, ServerConfig{}, ClientConfig{})
 	all := records(benchMembers)
 	p.server.Reset(10, all)
 	p.run(second)
@@ -144,13 +144,13 @@
 				b.Fatal(err)
 			}
 			actions, _ := p.client.Step(p.now, Received{Frame: f, Bytes: len(o.Frame)})
-			p.act(actions)
+			p.perform(actions)
 		}
 	}
-	p.equal(revision.Scope{})
+	p.assertSynced(revision.Scope{})
 }
 
-// BenchmarkClientSnapshot takes the whole state.
+// BenchmarkClientSnapshot measures receiving a snapshot of the whole state.
 func BenchmarkClientSnapshot(b *testing.B) {
 	x := newBenchServer(b)
 	var frames []*pb.ServerFrame
--- a/internal/controlplane/subscription/client.go
+++ b/internal/controlplane/subscription/client.go
@@ -12,31 +12,32 @@
 )
 
 const (
-	// ackInterval is how long an acknowledgement may wait for more to acknowledge, ns: small against the 11 s, and ten
-	// a second at most.
+	// ackInterval is how long an acknowledgement may be delayed to cover more frames, ns: short compared with the 11 s in
+	// which a change has to be in force, and ten acknowledgements a second at most.
 	ackInterval = 100 * millisecond
-	// ackThresholdBytes of frames are acknowledged at once, so that a quarter of the window at a time opens again.
+	// ackThresholdBytes is the number of unacknowledged bytes that are acknowledged at once, so that the window reopens a
+	// quarter at a time.
 	ackThresholdBytes = DefaultWindowBytes / 4
-	// maxClientSubmissions bounds the submissions of a client that wait for their answers; it is the server's bound.
+	// maxClientSubmissions bounds a client's pending submissions; it equals the server's limit.
 	maxClientSubmissions = maxSubmissions
-	// minStableDuration is how long a connection has to last until a loss counts as the first again, ns. A server whose stream
-	// goes wrong again and again, snapshots included, is thereby left alone for longer each time.
+	// minStableDuration is how long a connection has to last until its loss resets the backoff, ns. A server whose stream
+	// fails repeatedly, snapshots included, is thereby retried after longer and longer delays.
 	minStableDuration = 10 * second
-	// dialTimeout gives up a dial, ns: twice the round trip between the farthest regions and a lost SYN (1 s).
+	// dialTimeout ends a dial, ns: twice the round trip between the farthest regions and a lost SYN (1 s).
 	dialTimeout = 3 * second
 )
 
-// phase is how far a client's connection is.
+// phase is the state of a client's connection.
 type phase int
 
 const (
-	phaseWaiting   phase = iota // for the next dial
-	phaseDialing                // for the connection
-	phaseConnected              // what comes is checked and applied
+	phaseWaiting   phase = iota // until the next dial
+	phaseDialing                // a dial is in progress
+	phaseConnected              // subscribed; received frames are checked and applied
 	phaseStopped
 )
 
-// Client keeps a copy of the state. What it holds stays as it is while there is no connection, and after bad input.
+// Client keeps a copy of the state. The copy is kept unchanged while there is no connection and after invalid input.
 type Client struct {
 	config  ClientConfig
 	state   *revision.State
@@ -44,22 +45,22 @@
 	faults  faults
 	actions []Action
 
-	servers      []string // in the order of placement
-	serverIndex  int      // the one that is dialled, by its place there
-	failures     int      // in a row
-	closedAsBusy bool     // the last server asked to come back later
+	servers      []string // in the order of placement.Order
+	serverIndex  int      // index of the current one in servers
+	failures     int      // consecutive ones
+	closedAsBusy bool     // the last server closed the connection as BUSY
 	backoff      admission.Backoff
-	lossLogged   bool // the loss was logged, and its end will be
-	diverged     bool // the state has to be replaced by a snapshot
+	lossLogged   bool // the loss was logged, so the recovery has to be logged too
+	diverged     bool // the state differs from the server's and needs a snapshot
 
 	phase       phase
 	dialAt      aspenshed.Nanos
-	dialledAt   aspenshed.Nanos
+	dialedAt    aspenshed.Nanos
 	connectedAt aspenshed.Nanos
-	lastHeard   aspenshed.Nanos // when something came last
+	lastHeard   aspenshed.Nanos // when the last frame was received
 
-	receivedFrames     uint64 // the number of the last frame
-	streamRevision     uint64 // the revision that this connection has brought us to
+	receivedFrames     uint64 // number of the last received frame
+	streamRevision     uint64 // the revision reached through this connection
 	update             *partialUpdate
 	snapshot           *partialSnapshot
 	unackedBytes       int // bytes received since the last acknowledgement
@@ -69,10 +70,10 @@
 	pendingSubmissions map[uint64]bool
 }
 
-// maxPendingRefusals bounds the refusals that wait for a connection; the oldest go first.
+// maxPendingRefusals bounds the refusals that wait for a connection; the oldest are dropped first.
 const maxPendingRefusals = 256
 
-// NewClient has an empty state, and dials with the first Step.
+// NewClient returns a client with an empty state. It dials with the first Step.
 func NewClient(c ClientConfig) *Client {
 	c = c.withDefaults()
 	return &Client{config: c, state: revision.NewState(), random: random{c.Seed}, ackAt: never, dialAt: -never,
@@ -80,13 +81,14 @@
 		backoff: admission.Backoff{Min: c.MinBackoff, Max: c.MaxBackoff}}
 }
 
-// State is what the client holds. It is replaced, not changed, when an Apply is Whole.
+// State returns the client's copy. It is replaced rather than modified when an Apply is Full.
 func (c *Client) State() *revision.State { return c.state }
 
-// Subscribed reports whether a server serves the client.
+// Subscribed reports whether the client has received a frame from the server that it subscribed to.
 func (c *Client) Subscribed() bool { return c.phase == phaseConnected && c.receivedFrames > 0 }
 
-// Step takes what happened and tells what to do, and when to be called again at the latest.
+// Step processes events and returns the actions to perform, and the time at which it has to be called again at the
+// latest.
 func (c *Client) Step(now aspenshed.Nanos, events ...Event) (actions []Action, next aspenshed.Nanos) {
 	for _, e := range events {
 		c.handleEvent(now, e)
@@ -124,13 +126,13 @@
 
 func (c *Client) emit(a Action) { c.actions = append(c.actions, a) }
 
-// checkTimers does what is due: a dial, the end of a silent connection, an acknowledgement.
+// checkTimers does what is due: a dial, the end of an idle connection, an acknowledgement.
 func (c *Client) checkTimers(now aspenshed.Nanos) {
 	switch {
 	case c.phase == phaseWaiting && now >= c.dialAt && len(c.servers) > 0:
-		c.phase, c.dialledAt = phaseDialing, now
+		c.phase, c.dialedAt = phaseDialing, now
 		c.emit(Dial{Server: c.servers[c.serverIndex]})
-	case c.phase == phaseDialing && now >= c.dialledAt+dialTimeout:
+	case c.phase == phaseDialing && now >= c.dialedAt+dialTimeout:
 		c.handleFailure(now, ErrIdleTimeout, true)
 	case c.phase == phaseConnected && now >= c.lastHeard+c.config.IdleTimeout:
 		c.handleFailure(now, ErrIdleTimeout, true)
@@ -146,14 +148,14 @@
 			return c.dialAt
 		}
 	case phaseDialing:
-		return c.dialledAt + dialTimeout
+		return c.dialedAt + dialTimeout
 	case phaseConnected:
 		return min(c.lastHeard+c.config.IdleTimeout, c.ackAt)
 	}
 	return never
 }
 
-// onConnected subscribes: with what the client has, or with nothing if it has to be replaced.
+// onConnected subscribes from the client's revision, or from none if the state has to be replaced.
 func (c *Client) onConnected(now aspenshed.Nanos) {
 	if c.phase != phaseDialing {
 		return
@@ -188,7 +190,7 @@
 	c.handleFailure(now, err, false)
 }
 
-// rejectInput ends a connection on which something came that can't be right. Nothing of it was applied.
+// rejectInput closes a connection on which invalid input was received. None of that input was applied.
 func (c *Client) rejectInput(now aspenshed.Nanos, err error) {
 	if c.phase != phaseConnected {
 		return
@@ -199,11 +201,11 @@
 	} else {
 		c.log(Warn, messageInvalidInput, c.streamError(err))
 	}
-	c.lossLogged = true // it has been logged
+	c.lossLogged = true // logged above
 	c.handleFailure(now, err, true)
 }
 
-// markDiverged has the state replaced; it is logged once until that has been done.
+// markDiverged requests a replacement of the state; it is logged once until the state has been replaced.
 func (c *Client) markDiverged(err error) {
 	if !c.diverged {
 		c.log(Warn, messageDiverged, c.streamError(err))
@@ -211,7 +213,7 @@
 	c.diverged = true
 }
 
-// streamError is an error with its place.
+// streamError adds the server, the revision and the key, if there is one, to an error.
 func (c *Client) streamError(err error) error {
 	e := &StreamError{Server: c.serverName(), Revision: c.state.Revision(), Err: err}
 	var content *InvalidMessageError
@@ -238,9 +240,10 @@
 	c.emit(Log{line})
 }
 
-// handleFailure ends an attempt that went wrong, and has another server dialled after a backoff: the next in order, but the
-// client's own again after a subscription elsewhere, so that subscribers come back to a server that was away.
-func (c *Client) handleFailure(now aspenshed.Nanos, err error, hangUp bool) {
+// handleFailure ends a failed connection or dial and schedules the next dial after a backoff: to the next server in
+// order, or to the client's first choice after a stable subscription elsewhere, so that subscribers return to a server
+// that was unavailable.
+func (c *Client) handleFailure(now aspenshed.Nanos, err error, closeSocket bool) {
 	if !c.lossLogged {
 		c.log(Warn, messageLost, c.streamError(err))
 		c.lossLogged = true
@@ -249,24 +252,24 @@
 	if stable {
 		c.failures = 0
 	}
-	away := c.serverIndex != 0 && stable
-	c.closeConnection(err, hangUp)
+	returnToFirst := c.serverIndex != 0 && stable
+	c.closeConnection(err, closeSocket)
 	c.serverIndex = (c.serverIndex + 1) % max(1, len(c.servers))
-	if away {
+	if returnToFirst {
 		c.serverIndex = 0
 	}
 	c.scheduleDial(now)
 }
 
-// scheduleDial sets the instant of the next dial.
+// scheduleDial sets the time of the next dial.
 func (c *Client) scheduleDial(now aspenshed.Nanos) {
 	c.dialAt = now + c.backoff.Delay(c.failures, c.random.next())
 	c.failures++
 }
 
-// closeConnection forgets the connection and what was under way on it.
-func (c *Client) closeConnection(err error, hangUp bool) {
-	if hangUp && (c.phase == phaseDialing || c.phase == phaseConnected) {
+// closeConnection drops the connection, partially received data and pending submissions.
+func (c *Client) closeConnection(err error, closeSocket bool) {
+	if closeSocket && (c.phase == phaseDialing || c.phase == phaseConnected) {
 		c.emit(CloseConnection{})
 	}
 	c.phase = phaseWaiting
@@ -286,7 +289,7 @@
 	return out
 }
 
-// setServers takes new servers; a connection to one of them stays.
+// setServers replaces the servers. A connection to a server that is still listed is kept.
 func (c *Client) setServers(now aspenshed.Nanos, servers []string) {
 	current := c.serverName()
 	c.servers = placement.Order(c.config.Subscriber, servers)
--- a/internal/controlplane/subscription/commits_test.go
+++ b/internal/controlplane/subscription/commits_test.go
@@ -10,48 +10,48 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// truth is what the replicated log would hold: commits in order, and the state after each.
-type truth struct {
+// referenceLog stands for the replicated log: commits in order, and the state after each.
+type referenceLog struct {
 	rng     *rand.Rand
 	commits []commit
 	current map[string]revision.Record
 	keys    int
 }
 
-// commit is one entry, with the state that it leads to.
+// commit is one entry of the log and the resulting state.
 type commit struct {
 	revision uint64
 	changes  []revision.Change
-	after    map[string]revision.Record
+	state    map[string]revision.Record
 }
 
-func newTruth(rng *rand.Rand, keys int) *truth {
-	return &truth{rng: rng, current: map[string]revision.Record{}, keys: keys}
+func newReferenceLog(rng *rand.Rand, keys int) *referenceLog {
+	return &referenceLog{rng: rng, current: map[string]revision.Record{}, keys: keys}
 }
 
-func (w *truth) head() uint64 {
+func (w *referenceLog) head() uint64 {
 	if len(w.commits) == 0 {
 		return 1
 	}
 	return w.commits[len(w.commits)-1].revision
 }
 
-// commit makes an entry of a few changes; revisions have gaps, and some entries change nothing.
-func (w *truth) commit(most int) commit {
+// commit appends an entry of a few changes; revisions have gaps, and some entries change nothing.
+func (w *referenceLog) commit(maxChanges int) commit {
 	c := commit{revision: w.head() + 1 + w.rng.Uint64N(3)}
-	for range w.rng.IntN(most + 1) {
+	for range w.rng.IntN(maxChanges + 1) {
 		c.changes = append(c.changes, w.change(c.revision))
 	}
-	c.after = make(map[string]revision.Record, len(w.current))
+	c.state = make(map[string]revision.Record, len(w.current))
 	for key, r := range w.current {
-		c.after[key] = r
+		c.state[key] = r
 	}
 	w.commits = append(w.commits, c)
 	return c
 }
 
-// change sets or removes one key, and takes note of it.
-func (w *truth) change(rev uint64) revision.Change {
+// change sets or removes a random key and returns the change.
+func (w *referenceLog) change(rev uint64) revision.Change {
 	c := revision.Change{Revision: rev, CommittedAt: int64(rev), Binding: w.rng.IntN(3) == 0}
 	text := fmt.Sprint(rev, "/", w.rng.IntN(1000))
 	if i := w.rng.IntN(w.keys); i%5 == 4 {
@@ -74,9 +74,9 @@
 	return c
 }
 
-// digest is that of the records within a scope after a commit, worked out by a walk.
+// digest returns the digest of the records within a scope after the commit, summed over all records.
 func (c *commit) digest(scope revision.Scope) (sum revision.Digest) {
-	for key, r := range c.after {
+	for key, r := range c.state {
 		if scope.Contains(key, r.Placement) {
 			sum += revision.Hash(key, r.Value)
 		}
@@ -84,8 +84,8 @@
 	return sum
 }
 
-// at is the newest commit that is not after a revision.
-func (w *truth) at(rev uint64) *commit {
+// commitAt returns the newest commit that is not after a revision.
+func (w *referenceLog) commitAt(rev uint64) *commit {
 	found := &commit{}
 	for i := range w.commits {
 		if w.commits[i].revision <= rev {
@@ -95,8 +95,8 @@
 	return found
 }
 
-// anyScope is all, some groups, some sites, or both.
-func anyScope(rng *rand.Rand) (s revision.Scope) {
+// randomScope returns a scope of all members, some groups, some sites, or both.
+func randomScope(rng *rand.Rand) (s revision.Scope) {
 	for i := range rng.IntN(3) {
 		s.Groups = append(s.Groups, revision.Group{Wire: "mysql", ID: int32((i + rng.IntN(2)) % 3)})
 	}
@@ -106,27 +106,28 @@
 	return s
 }
 
-// Guards that whatever is committed, a connected client has it within its scope, by single steps.
-func TestCommitsReachTheClientWithinItsScope(t *testing.T) {
+// Checks that a connected client receives everything that is committed within its scope, without a snapshot or
+// reconnect.
+func TestClientReceivesCommitsWithinScope(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		scope := anyScope(rng)
-		w := newTruth(rng, 12)
-		p := newPair(t, ServerConfig{}, ClientConfig{Scope: scope, MaxBackoff: second / 2})
+		scope := randomScope(rng)
+		w := newReferenceLog(rng, 12)
+		p := newTestPair(t, ServerConfig{}, ClientConfig{Scope: scope, MaxBackoff: second / 2})
 		for range rapid.IntRange(1, 6).Draw(t, "rounds") {
 			for range rng.IntN(5) {
 				c := w.commit(4)
 				p.server.Commit(c.revision, c.changes)
 			}
 			p.run(DefaultHeartbeatInterval + second)
-			p.equal(scope)
-			if got, want := p.client.State().Digest(revision.Scope{}), w.at(w.head()).digest(scope); got != want {
-				t.Fatalf("digest %x, by a walk %x", got, want)
+			p.assertSynced(scope)
+			if got, want := p.client.State().Digest(revision.Scope{}), w.commitAt(w.head()).digest(scope); got != want {
+				t.Fatalf("digest %x, want %x", got, want)
 			}
 		}
-		if len(p.lines) > 0 {
-			t.Fatalf("logged %+v", p.lines)
+		if len(p.logLines) > 0 {
+			t.Fatalf("logged %+v", p.logLines)
 		}
 	})
 }
--- a/internal/controlplane/subscription/encode.go
+++ b/internal/controlplane/subscription/encode.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// maxFrameBytes is how large a frame of changes or of a snapshot grows: 64 KiB, a quarter of the window, so that a
-	// connection is shared fairly. One record that alone is larger has a frame of its own.
+	// maxFrameBytes is the size limit of a frame of changes or of a snapshot: 64 KiB, a quarter of the window, so that a
+	// connection is shared fairly. A larger record has a frame of its own.
 	maxFrameBytes = 64 << 10
-	// recordOverhead is the room that a record or change takes in a frame beside key and value: tags, lengths, revision
-	// and time.
+	// recordOverhead bounds the bytes that a record or change takes in a frame in addition to key and value: tags,
+	// lengths, revision and time.
 	recordOverhead = 40
-	// lengthBytes is the frame's length prefix.
+	// lengthBytes is the size of a frame's length prefix.
 	lengthBytes = 4
 	// frameNumberField is ServerFrame.number.
 	frameNumberField = 1
-	// frameOverhead is what a frame has beside its body at most: length prefix, tag and number.
+	// frameOverhead is the largest size of a frame in addition to its body: length prefix, tag and number.
 	frameOverhead = lengthBytes + 1 + 10
 )
 
-// body is an encoded ServerFrame without its number, shared by all sessions that are sent it.
+// body is an encoded ServerFrame without its number, shared by all sessions that it is sent to.
 type body []byte
 
 func encodeBody(f *pb.ServerFrame) body {
 	b, err := proto.Marshal(f)
-	if err != nil { // a string that is not UTF-8: all of ours were checked as they came in
+	if err != nil { // a string is not valid UTF-8; all strings were checked on input
 		return nil
 	}
 	return b
 }
 
-// withNumber makes a whole frame of a body: length prefix, withNumber, body.
+// withNumber returns a complete frame: length prefix, number, body.
 func (b body) withNumber(n uint64) []byte {
 	size := protowire.SizeTag(frameNumberField) + protowire.SizeVarint(n) + len(b)
 	out := make([]byte, 0, lengthBytes+size)
@@ -46,7 +46,7 @@
 	return append(out, b...)
 }
 
-// size is how large the frame of a body is at most.
+// size returns the largest size of a frame with this body.
 func (b body) size() int { return len(b) + frameOverhead }
 
 func totalSize(bodies []body) (sum int) {
@@ -56,7 +56,7 @@
 	return sum
 }
 
-// encodeChanges makes the frames of one step; without changes it is one frame, a heartbeat.
+// encodeChanges encodes the frames of one update; without changes it is a single frame, a heartbeat.
 func (e *encoder) encodeChanges(from, through uint64, digest revision.Digest, changes []revision.Change) (out []body) {
 	for {
 		n := countFitting(changes, e.frameBytes, func(c *revision.Change) int { return len(c.Key) + len(c.Value) })
@@ -82,7 +82,7 @@
 	return w
 }
 
-// countFitting is how many of the items go into one frame: at least one, if there is any.
+// countFitting returns how many of the items fit into one frame: at least one, if there is any.
 func countFitting[T any](items []T, frameBytes int, size func(*T) int) int {
 	bytes := 0
 	for i := range items {
@@ -94,10 +94,10 @@
 	return len(items)
 }
 
-// encodedSnapshot is the state within a scope at a revision, encoded once.
+// encodedSnapshot is the state within a scope at a revision, encoded as frames.
 type encodedSnapshot struct {
 	revision uint64
-	frames   []body // begin, chunks, end
+	frames   []body // SnapshotBegin, chunks, SnapshotEnd
 	bytes    int
 }
 
--- a/internal/controlplane/subscription/encoder.go
+++ b/internal/controlplane/subscription/encoder.go
@@ -9,26 +9,29 @@
 )
 
 const (
-	// maxCachedUpdates are kept encoded, a window's bytes each at most: 16 MiB. Sessions that keep up are all at one or two
-	// cursors; beyond the bound all are dropped and made again as they are needed.
+	// maxCachedUpdates bounds the cached encoded updates, each of a window's bytes at most: 16 MiB. Sessions that keep up
+	// are all at one or two cursors; at the limit the whole cache is dropped, and updates are encoded again when they are
+	// needed.
 	maxCachedUpdates = 64
-	// maxCachedScopes are remembered with their snapshots. Beyond it all are dropped, and sessions keep those that they hold.
+	// maxCachedScopes bounds the interned scopes and their cached snapshots. At the limit all are dropped; sessions keep
+	// the scopes and snapshots that they hold.
 	maxCachedScopes = 64
-	// maxCachedSnapshotBytes bounds the snapshots that are kept for the next who asks, in bytes: 25 of the whole state. Beyond it
-	// all are dropped but those that sessions are being sent.
+	// maxCachedSnapshotBytes bounds the cached snapshots, in bytes: 25 of the whole state. At the limit all are dropped,
+	// except those that are being sent to sessions.
 	maxCachedSnapshotBytes = 64 << 20
-	// snapshotReuseInterval is how long a snapshot serves those who ask for one though commits have come since, ns: encoding one
-	// of 21,000 members takes some 10 ms, so at one a second it stays at 1% of a core however many commits come.
+	// snapshotReuseInterval is how long a snapshot is reused for further sessions although there are newer commits, ns:
+	// encoding one of 21,000 members takes some 10 ms, so at one a second it stays at 1% of a core whatever the rate of
+	// commits.
 	snapshotReuseInterval = second
 )
 
-// encoder makes the frames that sessions are sent, each once for all sessions at the same cursor and scope.
+// encoder encodes the frames that are sent to sessions, once for all sessions at the same cursor and scope.
 type encoder struct {
 	state       *revision.State
 	log         *revision.Log
-	updateBytes int // how much one step may hold; a commit that alone is larger is a step of its own
-	frameBytes  int // maxFrameBytes, less in tests
-	cacheBytes  int // maxSnapshotsKept, less in tests
+	updateBytes int // limit of one update; a larger commit is an update of its own
+	frameBytes  int // maxFrameBytes; smaller in tests
+	cacheBytes  int // maxCachedSnapshotBytes; smaller in tests
 	updates     map[updateKey]*encodedUpdate
 	scopes      map[string]*sharedScope
 	snapshots   map[*sharedScope]*cachedSnapshot
@@ -36,7 +39,7 @@
 	faults      *faults
 }
 
-// sharedScope is a scope that sessions share.
+// sharedScope is a scope that sessions share. It is compared by its address.
 type sharedScope struct{ revision.Scope }
 
 type updateKey struct {
@@ -44,10 +47,10 @@
 	scope  *sharedScope
 }
 
-// encodedUpdate is encoded changes from one revision through another.
+// encodedUpdate holds the encoded changes from one revision through another.
 type encodedUpdate struct {
 	through uint64
-	head    uint64 // of the log when it was made
+	head    uint64 // of the log when it was encoded
 	changes int
 	frames  []body
 	bytes   int
@@ -67,13 +70,13 @@
 	return e
 }
 
-// reset forgets everything encoded.
+// reset drops everything encoded.
 func (e *encoder) reset() {
 	e.updates = map[updateKey]*encodedUpdate{}
 	e.snapshots = map[*sharedScope]*cachedSnapshot{}
 }
 
-// internScope is the one value that stands for equal scopes.
+// internScope returns the value that all equal scopes share.
 func (e *encoder) internScope(s revision.Scope) *sharedScope {
 	name := scopeKey(s)
 	if known := e.scopes[name]; known != nil {
@@ -83,9 +86,9 @@
 		clear(e.scopes)
 		clear(e.snapshots)
 	}
-	made := &sharedScope{s}
-	e.scopes[name] = made
-	return made
+	created := &sharedScope{s}
+	e.scopes[name] = created
+	return created
 }
 
 func scopeKey(s revision.Scope) string {
@@ -99,7 +102,8 @@
 	return b.String()
 }
 
-// digestAt is the scope's digest at a revision that the log still reaches back to: the newest without what came since.
+// digestAt returns the scope's digest at a revision that the log still reaches back to: the newest digest without the
+// changes since then.
 func (e *encoder) digestAt(rev uint64, scope *sharedScope) (revision.Digest, error) {
 	changes, err := e.log.Since(rev)
 	if err != nil {
@@ -108,7 +112,7 @@
 	return e.state.Digest(scope.Scope) - digestDelta(changes, scope.Scope), nil
 }
 
-// digestDelta is by how much changes moved the digest of a scope.
+// digestDelta returns the difference that the changes made to the digest of a scope.
 func digestDelta(changes []revision.Change, scope revision.Scope) (sum revision.Digest) {
 	for i := range changes {
 		c := &changes[i]
@@ -122,7 +126,8 @@
 	return sum
 }
 
-// update is the next update of a session from its cursor: through the newest revision, or as many commits as fit one update.
+// update returns the next update of a session from its cursor: through the newest revision, or as many commits as fit
+// one update.
 func (e *encoder) update(cursor uint64, scope *sharedScope) (*encodedUpdate, error) {
 	key := updateKey{cursor, scope}
 	if p := e.updates[key]; p != nil && (p.head == e.log.Head() || p.through < p.head) && cursor >= e.log.Oldest() {
@@ -138,14 +143,14 @@
 	if e.faults.coalesceBeforeProject {
 		changes = revision.Coalesce(changes)
 	}
-	seen, taken := e.selectCommits(changes, scope.Scope)
+	visible, end := e.selectCommits(changes, scope.Scope)
 	through := e.log.Head()
-	if taken < len(changes) {
-		through = changes[taken-1].Revision
+	if end < len(changes) {
+		through = changes[end-1].Revision
 	}
-	digest := e.state.Digest(scope.Scope) - digestDelta(changes[taken:], scope.Scope)
-	p := &encodedUpdate{through: through, head: e.log.Head(), changes: len(seen)}
-	p.frames = e.encodeChanges(cursor, through, digest, seen)
+	digest := e.state.Digest(scope.Scope) - digestDelta(changes[end:], scope.Scope)
+	p := &encodedUpdate{through: through, head: e.log.Head(), changes: len(visible)}
+	p.frames = e.encodeChanges(cursor, through, digest, visible)
 	p.bytes = totalSize(p.frames)
 	if len(e.updates) >= maxCachedUpdates {
 		clear(e.updates)
@@ -154,35 +159,36 @@
 	return p, nil
 }
 
-// selectCommits selects whole commits whose changes, as the scope sees them and coalesced, fit one step, but at least one.
-func (e *encoder) selectCommits(changes []revision.Change, scope revision.Scope) (seen []revision.Change, taken int) {
+// selectCommits selects whole commits whose changes, projected into the scope and coalesced, fit one update, but at
+// least one commit.
+func (e *encoder) selectCommits(changes []revision.Change, scope revision.Scope) (visible []revision.Change, end int) {
 	bytes := 0
-	newest := map[string]int{} // what each key's newest change that may yet be dropped counts for
-	for taken < len(changes) {
-		end := commitEnd(changes, taken)
-		visible := len(seen)
-		for _, c := range changes[taken:end] {
+	newest := map[string]int{} // the size of each key's newest change, if it may still be coalesced
+	for end < len(changes) {
+		next := commitEnd(changes, end)
+		first := len(visible)
+		for _, c := range changes[end:next] {
 			if c, within := scope.Project(c); within {
-				seen = append(seen, c)
+				visible = append(visible, c)
 			}
 		}
-		for _, c := range seen[visible:] {
+		for _, c := range visible[first:] {
 			size := len(c.Key) + len(c.Value) + recordOverhead
 			bytes += size - newest[c.Key]
 			if newest[c.Key] = size; c.Binding {
 				newest[c.Key] = 0
 			}
 		}
-		if bytes > e.updateBytes && taken > 0 {
-			seen = seen[:visible]
+		if bytes > e.updateBytes && end > 0 {
+			visible = visible[:first]
 			break
 		}
-		taken = end
+		end = next
 	}
-	return e.faults.coalesce(seen), taken
+	return e.faults.coalesce(visible), end
 }
 
-// commitEnd is the index after the last change of the commit that begins at an index.
+// commitEnd returns the index after the last change of the commit that begins at first.
 func commitEnd(changes []revision.Change, first int) int {
 	end := first
 	for end < len(changes) && changes[end].Revision == changes[first].Revision {
@@ -191,32 +197,32 @@
 	return end
 }
 
-// snapshot is the newest of a scope, or one made within the last second from which the log goes on.
+// snapshot returns the newest snapshot of a scope, or a cached one of the last second that the log reaches back to.
 func (e *encoder) snapshot(now aspenshed.Nanos, scope *sharedScope) *encodedSnapshot {
-	kept := e.snapshots[scope]
-	if kept != nil && kept.revision >= e.log.Oldest() &&
-		(kept.revision == e.state.Revision() || now < kept.encodedAt+snapshotReuseInterval) {
-		return kept.encodedSnapshot
+	cached := e.snapshots[scope]
+	if cached != nil && cached.revision >= e.log.Oldest() &&
+		(cached.revision == e.state.Revision() || now < cached.encodedAt+snapshotReuseInterval) {
+		return cached.encodedSnapshot
 	}
-	kept = &cachedSnapshot{encodedSnapshot: e.encodeSnapshot(scope.Scope), encodedAt: now}
-	e.cacheSnapshot(scope, kept)
-	return kept.encodedSnapshot
+	cached = &cachedSnapshot{encodedSnapshot: e.encodeSnapshot(scope.Scope), encodedAt: now}
+	e.cacheSnapshot(scope, cached)
+	return cached.encodedSnapshot
 }
 
-// cacheSnapshot remembers a scope's snapshot in place of an older one.
-func (e *encoder) cacheSnapshot(scope *sharedScope, made *cachedSnapshot) {
+// cacheSnapshot caches a scope's snapshot in place of an older one.
+func (e *encoder) cacheSnapshot(scope *sharedScope, created *cachedSnapshot) {
 	delete(e.snapshots, scope)
-	bytes := made.bytes
+	bytes := created.bytes
 	for _, other := range e.snapshots {
 		bytes += other.bytes
 	}
 	if bytes > e.cacheBytes {
 		clear(e.snapshots)
 	}
-	e.snapshots[scope] = made
+	e.snapshots[scope] = created
 }
 
-// snapshotBytes is how much a snapshot of the scope would be.
+// snapshotBytes returns the size of a snapshot of the scope.
 func (e *encoder) snapshotBytes(now aspenshed.Nanos, scope *sharedScope) int {
 	return e.snapshot(now, scope).bytes
 }
--- a/internal/controlplane/subscription/errors.go
+++ b/internal/controlplane/subscription/errors.go
@@ -9,11 +9,11 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// StreamError is what went wrong on a client's connection, with the place.
+// StreamError is an error of a client's connection, with the place where it occurred.
 type StreamError struct {
 	Server   string
-	Key      string // where one record is at fault
-	Revision uint64 // the client's own
+	Key      string // if the error concerns one record
+	Revision uint64 // the client's current one
 	Err      error
 }
 
@@ -26,11 +26,11 @@
 
 func (e *StreamError) Unwrap() error { return e.Err }
 
-// SubscriberError is what a subscriber did wrong, or why its session was closed.
+// SubscriberError is an error of a subscriber, or the reason for which its session was closed.
 type SubscriberError struct {
-	Subscriber string // empty: it has not said
+	Subscriber string // empty: not subscribed yet
 	Session    SessionID
-	Revision   uint64 // that it was sent last
+	Revision   uint64 // the last one that it was sent
 	Reason     pb.Closing_Reason
 	Err        error
 }
@@ -41,45 +41,45 @@
 
 func (e *SubscriberError) Unwrap() error { return e.Err }
 
-// SequenceError is a frame that is missing or came twice.
+// SequenceError reports a missing or repeated frame.
 type SequenceError struct{ Got, Want uint64 }
 
 func (e *SequenceError) Error() string {
-	return fmt.Sprintf("frame %d where %d was due", e.Got, e.Want)
+	return fmt.Sprintf("received frame %d, expected frame %d", e.Got, e.Want)
 }
 
-// GapError is changes that don't begin where the client is.
+// GapError reports changes that don't begin at the client's revision.
 type GapError struct{ From, Current uint64 }
 
 func (e *GapError) Error() string {
-	return fmt.Sprintf("changes from revision %d do not fit revision %d", e.From, e.Current)
+	return fmt.Sprintf("changes begin at revision %d, the client is at revision %d", e.From, e.Current)
 }
 
-// StaleRevisionError is a revision that goes backward.
+// StaleRevisionError reports a revision that goes backward.
 type StaleRevisionError struct{ Revision, Current uint64 }
 
 func (e *StaleRevisionError) Error() string {
-	return fmt.Sprintf("revision %d is older than %d", e.Revision, e.Current)
+	return fmt.Sprintf("revision %d is older than revision %d", e.Revision, e.Current)
 }
 
-// DigestError is a state that would differ from the server's.
+// DigestError reports a state that differs from the server's.
 type DigestError struct {
 	Revision  uint64
 	Got, Want revision.Digest
 }
 
 func (e *DigestError) Error() string {
-	return fmt.Sprintf("digest %016x at revision %d, the server has %016x", uint64(e.Got), e.Revision, uint64(e.Want))
+	return fmt.Sprintf("digest is %016x at revision %d, the server's is %016x", uint64(e.Got), e.Revision, uint64(e.Want))
 }
 
-// ChunkError is a chunk of a snapshot that is missing, came twice or is out of order.
+// ChunkError reports a chunk of a snapshot that is missing, repeated or out of order.
 type ChunkError struct{ Got, Want uint32 }
 
 func (e *ChunkError) Error() string {
-	return fmt.Sprintf("chunk %d of a snapshot where %d was due", e.Got, e.Want)
+	return fmt.Sprintf("received snapshot chunk %d, expected chunk %d", e.Got, e.Want)
 }
 
-// InvalidMessageError is a message whose content can't be true.
+// InvalidMessageError reports a message with invalid content.
 type InvalidMessageError struct {
 	Message string // the message's type
 	Key     string
@@ -93,12 +93,14 @@
 	return fmt.Sprintf("%s: %s", e.Message, e.Problem)
 }
 
-// UnexpectedMessageError is a message that may not come now, or is of no known kind.
+// UnexpectedMessageError reports a message that is not allowed in the current state, or of an unknown kind.
 type UnexpectedMessageError struct{ Message string }
 
-func (e *UnexpectedMessageError) Error() string { return fmt.Sprintf("%s is out of place", e.Message) }
+func (e *UnexpectedMessageError) Error() string {
+	return fmt.Sprintf("unexpected message: %s", e.Message)
+}
 
-// ClosedError is a connection that the server ended with a reason.
+// ClosedError reports that the server closed the connection with a reason.
 type ClosedError struct {
 	Reason     pb.Closing_Reason
 	Detail     string
@@ -109,11 +111,11 @@
 	return fmt.Sprintf("closed by the server: %v: %s", e.Reason, e.Detail)
 }
 
-// Errors without further content.
+// Errors without further details.
 var (
-	ErrIdleTimeout        = errors.New("nothing came in time")
+	ErrIdleTimeout        = errors.New("nothing received from the server in time")
 	ErrNotConnected       = errors.New("not subscribed to a server")
-	ErrConnectionLost     = errors.New("the connection was lost before the answer")
+	ErrConnectionLost     = errors.New("the connection was lost before the reply")
 	ErrTooManySubmissions = errors.New("too many submissions are unanswered")
 	ErrStopped            = errors.New("stopped")
 	ErrConnectionEnded    = errors.New("the connection ended")
--- a/internal/controlplane/subscription/faults.go
+++ b/internal/controlplane/subscription/faults.go
@@ -6,19 +6,19 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// faults are planted by tests alone, to show that the simulation finds them. The zero value plants none.
+// faults are injected by tests only, to show that the simulation detects them. The zero value injects none.
 type faults struct {
-	coalesceBinding       bool // the server drops binding changes that a newer change of the key follows
-	ignoreWindow          bool // the server sends whatever there is
-	coalesceBeforeProject bool // the server coalesces before it projects changes into the scope
+	coalesceBinding       bool // the server coalesces binding changes too
+	ignoreWindow          bool // the server sends regardless of the window
+	coalesceBeforeProject bool // the server coalesces before it projects into the scope
 	keepStalledSessions   bool // the server doesn't close sessions that acknowledge nothing
-	skipFirstCommit       bool // the server leaves out the first commit after what the subscriber has
-	applyFirstChunk       bool // the client takes a snapshot's first chunk for the whole
+	skipFirstCommit       bool // the server omits the first commit after the cursor
+	applyFirstChunk       bool // the client applies the first chunk of a snapshot alone
 	skipDigestCheck       bool // the client doesn't compare digests
-	acceptOlderSnapshot   bool // the client takes a snapshot that is older than what it has
+	acceptOlderSnapshot   bool // the client accepts a snapshot older than its state
 }
 
-// coalesce is revision.Coalesce, or what a planted fault makes of it.
+// coalesce is revision.Coalesce, or a faulty version of it.
 func (f *faults) coalesce(changes []revision.Change) []revision.Change {
 	if !f.coalesceBinding {
 		return revision.Coalesce(changes)
--- a/internal/controlplane/subscription/logline.go
+++ b/internal/controlplane/subscription/logline.go
@@ -1,19 +1,19 @@
 package subscription
 
-// Level is how much a LogLine matters.
+// Level is the severity of a LogLine.
 type Level int
 
-// The levels.
+// The severities of log lines.
 const (
 	Info Level = iota + 1
 	Warn
 )
 
-// LogLine is what a machine has to say to the operators: a constant message, and its fields as far as they apply.
+// LogLine is a log line of a state machine: a constant message, and the fields that apply.
 type LogLine struct {
 	Level      Level
 	Message    string
-	Session    SessionID // of a server
+	Session    SessionID // set by a server only
 	Subscriber string
 	Server     string
 	Key        string
@@ -21,14 +21,14 @@
 	Err        error
 }
 
-// The messages.
+// The constant messages of log lines.
 const (
 	messageConnected              = "control stream established"
 	messageLost                   = "control stream lost"
-	messageInvalidInput           = "control stream: bad input from the server, nothing changed"
+	messageInvalidInput           = "control stream: rejected invalid input from the server"
 	messageDiverged               = "control state diverged from the server's, resynchronizing"
 	messageResynced               = "control state resynchronized"
-	messageSessionClosed          = "subscriber closed"
-	messageInvalidSubscriberInput = "subscriber sent bad input, nothing changed"
-	messageDigestMismatch         = "subscriber's state differs from ours at its revision, sending a snapshot"
+	messageSessionClosed          = "subscriber session closed"
+	messageInvalidSubscriberInput = "rejected invalid input from a subscriber"
+	messageDigestMismatch         = "subscriber's digest does not match at its revision, sending a snapshot"
 )
--- a/internal/controlplane/subscription/messages.go
+++ b/internal/controlplane/subscription/messages.go
@@ -7,19 +7,20 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// SessionID names a connection of a server. It is never used twice.
+// SessionID identifies a connection of a server. IDs are never reused.
 type SessionID uint64
 
-// Output is what a server has to do for one session. Frame goes out first, then the connection is closed if Close.
+// Output is what has to be done for one session of a server. Frame is sent first, then the connection is closed if
+// Close is set.
 type Output struct {
 	Session SessionID
-	Frame   []byte // whole, with its length prefix
+	Frame   []byte // complete, with its length prefix
 	Close   bool
-	Submit  *pb.Submit // to be carried to the leader and answered by Server.Submitted
+	Submit  *pb.Submit // to be forwarded to the leader and answered through Server.Submitted
 	Log     *LogLine
 }
 
-// SubscriberStatus is one session as an operator sees it.
+// SubscriberStatus is the status of one session, for operators.
 type SubscriberStatus struct {
 	Session            SessionID
 	Subscriber         string
@@ -27,41 +28,42 @@
 	Region             string
 	Zone               string
 	Release            string
-	SentRevision       uint64 // the revision that it was brought to
+	SentRevision       uint64 // through which it was sent all changes
 	InForce            uint64
-	UnackedBytes       int  // bytes that it has not acknowledged
-	SnapshotInProgress bool // it is being sent one
+	UnackedBytes       int  // sent and not acknowledged
+	SnapshotInProgress bool // a snapshot is being sent
 }
 
-// Event is what happened to a client: one of the types below. The events of a connection end with Disconnected or
-// with the client's own HangUp; nothing of it may come after that.
+// Event is an input of a client: one of the types below. The events of a connection end with Disconnected or with the
+// client's own CloseConnection; no event of that connection may follow.
 type Event interface{ event() }
 
 type (
-	// Connected tells that the dialled server took the connection.
+	// Connected reports that the dial has succeeded.
 	Connected struct{}
-	// Disconnected tells that the connection ended or that the dial failed.
+	// Disconnected reports that the connection ended or that the dial failed.
 	Disconnected struct{ Err error }
 	// Received is one frame and its size on the wire.
 	Received struct {
 		Frame *pb.ServerFrame
 		Bytes int
 	}
-	// BadFrame tells that what came is no frame.
+	// BadFrame reports input that can't be decoded as a frame.
 	BadFrame struct{ Err error }
-	// InForce tells which revision the data plane goes by, and which changes it refused since the last InForce.
+	// InForce reports the revision that the data plane has in force, and the changes that it refused since the last
+	// InForce.
 	InForce struct {
 		Revision uint64
 		Refused  []*pb.RefusedChange
 	}
-	// SubmitCommands asks for a batch to be carried to the leader. IDs are never used twice.
+	// SubmitCommands requests that a batch is forwarded to the leader. IDs are never reused.
 	SubmitCommands struct {
 		ID    uint64
 		Batch *catalogpb.Batch
 	}
-	// SetServers replaces the servers; a connection to one that is no longer among them ends.
+	// SetServers replaces the servers; a connection to a server that is no longer listed is closed.
 	SetServers struct{ Servers []string }
-	// Stop ends the connection for good.
+	// Stop closes the connection for good.
 	Stop struct{}
 )
 
@@ -74,30 +76,30 @@
 func (SetServers) event()     {}
 func (Stop) event()           {}
 
-// Action is what a client wants done, in the order given: one of the types below.
+// Action is an output of a client: one of the types below. Actions have to be performed in the order given.
 type Action interface{ action() }
 
 type (
-	// Dial asks for a connection; Connected or Disconnected answers it.
+	// Dial opens a connection; its result is reported with Connected or Disconnected.
 	Dial struct{ Server string }
 	// Send sends a frame on the connection.
 	Send struct{ Frame *pb.SubscriberFrame }
-	// CloseConnection closes the connection, or gives up the dial.
+	// CloseConnection closes the connection, or cancels the dial.
 	CloseConnection struct{}
-	// Apply tells that Client.State has reached a revision by these changes, or was replaced whole.
+	// Apply reports that Client.State has reached a revision through these changes, or was replaced by a snapshot.
 	Apply struct {
 		Revision uint64
-		Full     bool // read Client.State; Changes is empty
+		Full     bool // replaced by a snapshot: read Client.State; Changes is empty
 		Changes  []revision.Change
 	}
-	// SubmitDone answers SubmitCommands. After an error the batch may still have been carried out; its origin and
-	// sequence numbers make a repeat harmless.
+	// SubmitDone completes SubmitCommands. After an error the batch may still have been executed; its origin and sequence
+	// numbers make a retry idempotent.
 	SubmitDone struct {
 		ID    uint64
 		Reply *catalogpb.Reply
 		Err   error
 	}
-	// Log is a line for the operators.
+	// Log writes a log line.
 	Log struct{ LogLine }
 )
 
@@ -108,10 +110,10 @@
 func (SubmitDone) action()      {}
 func (Log) action()             {}
 
-// never is an instant that doesn't come.
+// never is a deadline that is never reached.
 const never = aspenshed.Nanos(1<<63 - 1)
 
-// random draws from a seed by splitmix64.
+// random is a splitmix64 generator.
 type random struct{ state uint64 }
 
 func (r *random) next() float64 {
--- a/internal/controlplane/subscription/pack_test.go
+++ b/internal/controlplane/subscription/pack_test.go
@@ -12,7 +12,7 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-func packedChunk(t *testing.T, message []byte) *pb.SnapshotChunk {
+func compressedChunk(t *testing.T, message []byte) *pb.SnapshotChunk {
 	t.Helper()
 	var p chunkCompressor
 	packed, err := p.compress(message)
@@ -22,9 +22,9 @@
 	return &pb.SnapshotChunk{Packed: packed}
 }
 
-func TestChunksComeBackAsTheyWerePacked(t *testing.T) {
+func TestChunkCompressionRoundTrip(t *testing.T) {
 	var p chunkCompressor
-	for _, count := range []int{1, 2, 500, 3} { // one packer makes many chunks
+	for _, count := range []int{1, 2, 500, 3} { // one compressor encodes many chunks
 		var want []*pb.Record
 		for i := range count {
 			want = append(want, pairRecord(fmt.Sprintf("key-%04d", i), "a value like the others"))
@@ -35,26 +35,26 @@
 		}
 	}
 	if random := p.encodeChunk(0, []*pb.Record{{Key: "k", Value: []byte{1}}}); len(random.Packed) > 0 {
-		t.Error("what does not shrink is packed")
+		t.Error("a chunk is compressed although that makes it larger")
 	}
 }
 
-// Guards a subscriber against chunks that are not what a server packs, and against ones that would fill its memory.
-func TestBadPackedChunksAreRefused(t *testing.T) {
+// Checks that a client rejects chunks that no server would send, and ones that would exhaust its memory.
+func TestInvalidCompressedChunksAreRejected(t *testing.T) {
 	good, err := proto.Marshal(&pb.Records{Records: []*pb.Record{pairRecord("a", "b")}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	both := packedChunk(t, good)
+	both := compressedChunk(t, good)
 	both.Records = []*pb.Record{pairRecord("a", "b")}
-	truncated := packedChunk(t, bytes.Repeat(good, 100))
+	truncated := compressedChunk(t, bytes.Repeat(good, 100))
 	truncated.Packed = truncated.Packed[:len(truncated.Packed)/2]
 	for name, m := range map[string]*pb.SnapshotChunk{
-		"packed and not": both,
+		"both forms":     both,
 		"truncated":      truncated,
 		"not compressed": {Packed: []byte{0xff, 0xff, 0xff}},
-		"no records":     packedChunk(t, []byte{0xff}),
-		"endless":        packedChunk(t, make([]byte, maxDecompressedBytes+1)),
+		"no records":     compressedChunk(t, []byte{0xff}),
+		"too large":      compressedChunk(t, make([]byte, maxDecompressedBytes+1)),
 	} {
 		if _, _, err := new(chunkDecompressor).decodeRecords(m); !isError[*InvalidMessageError](err) {
 			t.Errorf("%s: %v", name, err)
@@ -62,9 +62,10 @@
 	}
 }
 
-// Guards the budget of 7 KB a second for a gateway's control traffic: one that starts takes a whole snapshot, and what
-// it costs must fit one minute of the budget. The records are as a fleet has them: ids, addresses, sites and start times.
-func TestASnapshotOfTheTargetFitsAMinuteOfTheBudget(t *testing.T) {
+// Checks the budget of 7 KB a second for a gateway's control traffic: a gateway that starts receives a whole snapshot,
+// which must fit one minute of the budget. The records are like those of a fleet: ids, addresses, sites and start
+// times.
+func TestSnapshotFitsTrafficBudget(t *testing.T) {
 	const minuteOfBudget = 60 * 7000
 	var all []revision.Record
 	for i := range 21000 {
@@ -82,6 +83,6 @@
 	bytes := s.encoder.encodeSnapshot(revision.Scope{}).bytes
 	t.Logf("%d bytes", bytes)
 	if bytes > minuteOfBudget {
-		t.Errorf("a snapshot of %d members takes %d bytes, %d are a minute's", len(all), bytes, minuteOfBudget)
+		t.Errorf("a snapshot of %d members takes %d bytes, more than the budget of %d", len(all), bytes, minuteOfBudget)
 	}
 }
--- a/internal/controlplane/subscription/receive.go
+++ b/internal/controlplane/subscription/receive.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// maxUpdateBytes bounds what a client holds of a step that is not complete. A server sends a window's bytes, or one
-	// commit: what one entry of the replicated log holds, 64 MB at most.
+	// maxUpdateBytes bounds the size of a partially received update. A server sends a window's bytes, or one commit: the
+	// size of one entry of the replicated log, 64 MB at most.
 	maxUpdateBytes = 64 << 20
-	// maxSnapshotBytes bounds what it holds of a snapshot: a hundred times the 2.5 MB of the target.
+	// maxSnapshotBytes bounds the size of a partially received snapshot: a hundred times the 2.5 MB of the target.
 	maxSnapshotBytes = 256 << 20
-	// maxRevision bounds a revision: a million commits a second for two thousand years. What claims to be beyond it would
-	// keep the client from every true server for good.
+	// maxRevision bounds a revision: a million commits a second for two thousand years. A client that accepted a greater
+	// one would reject every correct server from then on.
 	maxRevision = 1 << 56
 	// maxKeyBytes bounds a key: a prefix and an id.
 	maxKeyBytes = 1024
 )
 
-// partialUpdate is the part of a step that has come. It takes effect with its last frame.
+// partialUpdate is the received part of an update. It is applied with its last frame.
 type partialUpdate struct {
 	from, through uint64
 	changes       []revision.Change
 	bytes         int
 }
 
-// partialSnapshot is the part of a snapshot that has come. It takes effect with its end.
+// partialSnapshot is the received part of a snapshot. It is applied with its SnapshotEnd.
 type partialSnapshot struct {
 	begin        *pb.SnapshotBegin
 	chunks       uint32
@@ -37,7 +37,7 @@
 	bytes        int
 }
 
-// onFrame checks a frame and what it brings; nothing takes effect unless all of it fits.
+// onFrame checks a frame and its content; nothing is applied unless all of it is valid.
 func (c *Client) onFrame(now aspenshed.Nanos, e Received) {
 	if c.phase != phaseConnected {
 		return
@@ -47,7 +47,7 @@
 		c.rejectInput(now, &SequenceError{Got: got, Want: want})
 		return
 	}
-	if closing, is := e.Frame.GetBody().(*pb.ServerFrame_Closing); is {
+	if closing, ok := e.Frame.GetBody().(*pb.ServerFrame_Closing); ok {
 		c.handleClosing(now, closing.Closing)
 		return
 	}
@@ -77,14 +77,14 @@
 
 func (c *Client) handleSubmitted(m *pb.Submitted) error {
 	if !c.pendingSubmissions[m.GetId()] {
-		return &UnexpectedMessageError{Message: fmt.Sprintf("Submitted for %d, which was not submitted,", m.GetId())}
+		return &UnexpectedMessageError{Message: fmt.Sprintf("Submitted for unknown submission %d", m.GetId())}
 	}
 	delete(c.pendingSubmissions, m.Id)
 	c.emit(SubmitDone{ID: m.Id, Reply: m.Reply})
 	return nil
 }
 
-// handleChanges adds a frame to the step under way, and applies the step with its last frame.
+// handleChanges adds a frame to the partial update, and applies the update with its last frame.
 func (c *Client) handleChanges(m *pb.Changes, bytes int) error {
 	if c.snapshot != nil {
 		return &UnexpectedMessageError{Message: "Changes within a snapshot"}
@@ -92,58 +92,58 @@
 	if err := c.checkContinuity(m); err != nil {
 		return err
 	}
-	step := c.update
-	if step == nil {
-		step = &partialUpdate{from: m.From, through: m.Through}
+	update := c.update
+	if update == nil {
+		update = &partialUpdate{from: m.From, through: m.Through}
 	}
-	if step.bytes += bytes; step.bytes > maxUpdateBytes {
-		return &InvalidMessageError{Message: "Changes", Problem: "a step without an end"}
+	if update.bytes += bytes; update.bytes > maxUpdateBytes {
+		return &InvalidMessageError{Message: "Changes", Problem: "the update is too large"}
 	}
 	for _, w := range m.Changes {
-		change, err := decodeChange(w, step)
+		change, err := decodeChange(w, update)
 		if err != nil {
 			return err
 		}
-		step.changes = append(step.changes, change)
+		update.changes = append(update.changes, change)
 	}
-	if c.update = step; m.More {
+	if c.update = update; m.More {
 		return nil
 	}
 	return c.applyUpdate(revision.Digest(m.Digest))
 }
 
-// checkContinuity checks that changes continue what the client has, or the step under way.
+// checkContinuity checks that changes continue the client's revision, or the partial update.
 func (c *Client) checkContinuity(m *pb.Changes) error {
-	own := c.streamRevision
+	current := c.streamRevision
 	switch {
 	case c.diverged:
-		return &UnexpectedMessageError{Message: "Changes in place of a snapshot"}
+		return &UnexpectedMessageError{Message: "Changes instead of a snapshot"}
 	case m.Through < m.From:
 		return &StaleRevisionError{Revision: m.Through, Current: m.From}
-	case m.From != own:
-		return &GapError{From: m.From, Current: own}
+	case m.From != current:
+		return &GapError{From: m.From, Current: current}
 	case m.Through > maxRevision:
 		return &InvalidMessageError{Message: "Changes", Problem: "an absurd revision"}
 	case c.update != nil && (m.From != c.update.from || m.Through != c.update.through):
-		return &UnexpectedMessageError{Message: "Changes of another step"}
+		return &UnexpectedMessageError{Message: "Changes of another update"}
 	}
 	return nil
 }
 
-// decodeChange checks one change: its revision has to follow those before it in the step.
-func decodeChange(w *pb.Change, step *partialUpdate) (revision.Change, error) {
-	least := step.from + 1
-	if n := len(step.changes); n > 0 {
-		least = step.changes[n-1].Revision
+// decodeChange checks one change: its revision has to follow those before it in the update.
+func decodeChange(w *pb.Change, update *partialUpdate) (revision.Change, error) {
+	minRevision := update.from + 1
+	if n := len(update.changes); n > 0 {
+		minRevision = update.changes[n-1].Revision
 	}
 	switch {
-	case w.Revision < least || w.Revision > step.through:
-		problem := fmt.Sprintf("revision %d is not from %d to %d", w.Revision, least, step.through)
+	case w.Revision < minRevision || w.Revision > update.through:
+		problem := fmt.Sprintf("revision %d is not between %d and %d", w.Revision, minRevision, update.through)
 		return revision.Change{}, &InvalidMessageError{Message: "Change", Key: w.Key, Problem: problem}
 	case w.CommittedAt < 0:
-		return revision.Change{}, &InvalidMessageError{Message: "Change", Key: w.Key, Problem: "committed at a negative time"}
+		return revision.Change{}, &InvalidMessageError{Message: "Change", Key: w.Key, Problem: "negative commit time"}
 	case w.Removed && len(w.Value) > 0:
-		return revision.Change{}, &InvalidMessageError{Message: "Change", Key: w.Key, Problem: "removed, with a value"}
+		return revision.Change{}, &InvalidMessageError{Message: "Change", Key: w.Key, Problem: "removed record has a value"}
 	}
 	change := revision.Change{Revision: w.Revision, Removed: w.Removed, Binding: w.Binding, CommittedAt: w.CommittedAt}
 	var err error
@@ -154,7 +154,7 @@
 // decodeRecord checks key and value.
 func decodeRecord(message, key string, value []byte, removed bool) (revision.Record, error) {
 	if key == "" || len(key) > maxKeyBytes {
-		return revision.Record{}, &InvalidMessageError{Message: message, Key: key[:min(len(key), maxKeyBytes)], Problem: "a key of no valid length"}
+		return revision.Record{}, &InvalidMessageError{Message: message, Key: key[:min(len(key), maxKeyBytes)], Problem: "invalid key length"}
 	}
 	r := revision.Record{Key: key, Value: value}
 	if removed {
@@ -167,21 +167,21 @@
 	return r, nil
 }
 
-// applyUpdate applies the whole step if the state is then what the server has.
+// applyUpdate applies the update if the resulting digest is the server's.
 func (c *Client) applyUpdate(want revision.Digest) error {
-	step := c.update
+	update := c.update
 	c.update = nil
-	if got := c.state.DigestAfter(step.changes); got != want && !c.faults.skipDigestCheck {
-		return &DigestError{Revision: step.through, Got: got, Want: want}
+	if got := c.state.DigestAfter(update.changes); got != want && !c.faults.skipDigestCheck {
+		return &DigestError{Revision: update.through, Got: got, Want: want}
 	}
-	for _, change := range step.changes {
+	for _, change := range update.changes {
 		c.state.Apply(change)
 	}
-	c.state.Advance(step.through)
-	c.streamRevision = step.through
+	c.state.Advance(update.through)
+	c.streamRevision = update.through
 	c.markEstablished()
-	if step.through > step.from {
-		c.emit(Apply{Revision: step.through, Changes: step.changes})
+	if update.through > update.from {
+		c.emit(Apply{Revision: update.through, Changes: update.changes})
 	}
 	return nil
 }
@@ -189,7 +189,7 @@
 func (c *Client) handleSnapshotBegin(m *pb.SnapshotBegin) error {
 	switch {
 	case c.snapshot != nil || c.update != nil:
-		return &UnexpectedMessageError{Message: "SnapshotBegin within a snapshot or step"}
+		return &UnexpectedMessageError{Message: "SnapshotBegin within a snapshot or update"}
 	case m.Revision < c.state.Revision() && !c.faults.acceptOlderSnapshot:
 		return &StaleRevisionError{Revision: m.Revision, Current: c.state.Revision()}
 	case m.Revision > maxRevision:
@@ -214,7 +214,7 @@
 		return err
 	}
 	if s.bytes+bytes+unpacked > maxSnapshotBytes {
-		return &InvalidMessageError{Message: "SnapshotChunk", Problem: "a snapshot without an end"}
+		return &InvalidMessageError{Message: "SnapshotChunk", Problem: "the snapshot is too large"}
 	}
 	for _, w := range records {
 		r, err := decodeRecord("SnapshotChunk", w.Key, w.Value, false)
@@ -222,7 +222,7 @@
 			return err
 		}
 		if !s.records.Add(r) {
-			return &InvalidMessageError{Message: "SnapshotChunk", Key: r.Key, Problem: "the key is out of order"}
+			return &InvalidMessageError{Message: "SnapshotChunk", Key: r.Key, Problem: "key out of order"}
 		}
 	}
 	s.chunks++
@@ -234,18 +234,18 @@
 	return nil
 }
 
-// handleSnapshotEnd replaces the state if the whole snapshot has come.
+// handleSnapshotEnd replaces the state if the snapshot is complete.
 func (c *Client) handleSnapshotEnd(m *pb.SnapshotEnd) error {
 	s := c.snapshot
 	switch {
 	case s == nil:
 		return &UnexpectedMessageError{Message: "SnapshotEnd outside a snapshot"}
 	case m.Revision != s.begin.Revision:
-		return &InvalidMessageError{Message: "SnapshotEnd", Problem: "of another revision than its begin"}
+		return &InvalidMessageError{Message: "SnapshotEnd", Problem: "revision differs from that of SnapshotBegin"}
 	case s.chunks != s.begin.Chunks:
 		return &ChunkError{Got: s.begin.Chunks, Want: s.chunks}
 	case uint64(s.records.Len()) != s.begin.Records:
-		problem := fmt.Sprintf("%d records where %d were announced", s.records.Len(), s.begin.Records)
+		problem := fmt.Sprintf("%d records, SnapshotBegin announced %d", s.records.Len(), s.begin.Records)
 		return &InvalidMessageError{Message: "SnapshotEnd", Problem: problem}
 	}
 	state := s.records.State(m.Revision)
@@ -263,7 +263,7 @@
 	return nil
 }
 
-// markEstablished takes note that the connection has proved good.
+// markEstablished records that the connection has delivered a valid update or snapshot.
 func (c *Client) markEstablished() {
 	c.closedAsBusy = false
 	if c.lossLogged {
@@ -272,21 +272,21 @@
 	}
 }
 
-// handleClosing ends the connection as the server asks, and comes back when it says.
+// handleClosing closes the connection at the server's request, and schedules the next dial after the requested delay.
 func (c *Client) handleClosing(now aspenshed.Nanos, m *pb.Closing) {
 	err := &ClosedError{Reason: m.GetReason(), Detail: m.GetDetail(), RetryAfter: aspenshed.Nanos(m.GetRetryAfter())}
 	if m.GetRetryAfter() < 0 {
-		c.rejectInput(now, &InvalidMessageError{Message: "Closing", Problem: "a negative time to stay away"})
+		c.rejectInput(now, &InvalidMessageError{Message: "Closing", Problem: "negative RetryAfter"})
 		return
 	}
-	server, again := c.serverIndex, m.GetReason() == pb.Closing_BUSY && !c.closedAsBusy
+	server, retrySame := c.serverIndex, m.GetReason() == pb.Closing_BUSY && !c.closedAsBusy
 	c.handleFailure(now, err, true)
-	c.closedAsBusy = again
-	if again { // this server has promised to serve us then; a second time another is asked
+	c.closedAsBusy = retrySame
+	if retrySame { // the server holds a reservation for the retry; after a second BUSY the next server is tried
 		c.serverIndex = server
 	}
 	c.dialAt = max(c.dialAt, now+min(err.RetryAfter, maxRetryAfter))
 }
 
-// maxRetryAfter bounds how long a server can keep a client away, ns: twice the longest promise of admission.
+// maxRetryAfter bounds the delay that a server can request, ns: twice the longest wait of an admission ticket.
 const maxRetryAfter = 120 * second
--- a/internal/controlplane/subscription/server.go
+++ b/internal/controlplane/subscription/server.go
@@ -13,20 +13,22 @@
 	"aspenshed/internal/controlplane/rollout"
 )
 
-// scanInterval is how often all sessions are looked at for heartbeats and stalls at most, ns: a walk over 2,400 of them
-// takes well under 0.1 ms, ten times a second.
+// scanInterval is the shortest time between two scans of all sessions for heartbeats and stalls, ns: a scan of 2,400 of
+// them takes well under 0.1 ms, ten times a second.
 const scanInterval = 100 * millisecond
 
-// minBindingFlushInterval is the shortest time between two flushes for binding changes, ns: the first goes at once, and what follows
-// in a burst of commits goes fifty times a second rather than as a frame for each commit and subscriber.
+// minBindingFlushInterval is the shortest time between two flushes for binding changes, ns: the first one is flushed at
+// once, and those that follow in a burst of commits fifty times a second rather than as a frame for each commit and
+// subscriber.
 const minBindingFlushInterval = 20 * millisecond
 
-// maxStepOutputBytes is when a Step ends though more sessions wait, who come first in the next: a burst of 76 KB for each of
-// 2,400 sessions would be 180 MB at once, and hold up everything else for as long as that takes to write.
+// maxStepOutputBytes is the output size at which a Step ends although further sessions are due; they are served first
+// in the next Step. A burst of 76 KB for each of 2,400 sessions would be 180 MB at once, and delay everything else
+// until it is written.
 const maxStepOutputBytes = 8 << 20
 
-// Server serves the state to subscribers. Its methods take note of what happened; what has to be done about it is told
-// by Step, which has to follow them.
+// Server serves the state to subscribers. Its methods process inputs; Step has to follow them and returns the resulting
+// outputs.
 type Server struct {
 	config    ServerConfig
 	state     *revision.State
@@ -38,24 +40,24 @@
 	faults    faults
 
 	sessions     map[SessionID]*session
-	bySubscriber map[string]*session // those that have subscribed
-	dirty        []*session          // to be looked at in the next Step, each once
+	bySubscriber map[string]*session // sessions that have subscribed
+	dirty        []*session          // to be served in the next Step, without duplicates
 	outputs      []Output
-	outputBytes  int // of the frames in out
+	outputBytes  int // of the frames in outputs
 
-	maxOutputBytes int // maxStepOutput, less in tests
+	maxOutputBytes int // maxStepOutputBytes; smaller in tests
 
-	bindingPending  bool            // binding changes wait
-	changesPending  bool            // other changes wait
-	flushAt         aspenshed.Nanos // when these are due; never: not set yet
-	lastFlush       aspenshed.Nanos // the last flush
-	flushedRevision uint64          // the revision up to which sessions may be sent changes
+	bindingPending  bool            // binding changes wait for a flush
+	changesPending  bool            // any changes wait for a flush
+	flushAt         aspenshed.Nanos // the time of the next flush; never: not scheduled
+	lastFlush       aspenshed.Nanos // the time of the last flush
+	flushedRevision uint64          // sessions may be sent changes up to this revision
 	lastScan        aspenshed.Nanos
-	nextScan        aspenshed.Nanos // the earliest heartbeat or stall
+	nextScan        aspenshed.Nanos // the earliest heartbeat or stall timeout
 	stopping        bool
 }
 
-// NewServer has no state yet and is at revision 0: until Reset or the first Commit it serves nobody.
+// NewServer returns a server without a state, at revision 0. It serves no subscriber until Reset or the first Commit.
 func NewServer(c ServerConfig) *Server {
 	c = c.withDefaults()
 	s := &Server{config: c, state: revision.NewState(), log: revision.NewLog(c.LogBytes),
@@ -66,8 +68,8 @@
 	return s
 }
 
-// Reset replaces the state, after a start or a snapshot of the replicated log. Sessions that are not at this revision
-// are closed by the next Step, as there is no way from theirs to it.
+// Reset replaces the state, after a start or a snapshot of the replicated log. Sessions at other revisions are closed
+// by the next Step, as the log has no changes from their revisions to this one.
 func (s *Server) Reset(rev uint64, records []revision.Record) {
 	s.state.Reset(rev, records)
 	s.log.Reset(rev)
@@ -79,7 +81,7 @@
 	}
 }
 
-// Commit takes one commit's changes; commits come in the order of their revisions.
+// Commit applies one commit's changes; commits come in the order of their revisions.
 func (s *Server) Commit(rev uint64, changes []revision.Change) {
 	if rev <= s.log.Head() {
 		return
@@ -93,69 +95,69 @@
 	s.changesPending = s.changesPending || len(changes) > 0
 }
 
-// Open takes a connection.
+// Open adds a session for a new connection.
 func (s *Server) Open(now aspenshed.Nanos, id SessionID) {
-	x := &session{id: id, heartbeatAt: never, lastProgress: now}
-	s.sessions[id] = x
-	s.markDirty(x)
+	sess := &session{id: id, heartbeatAt: never, lastProgress: now}
+	s.sessions[id] = sess
+	s.markDirty(sess)
 	switch {
 	case s.stopping:
-		s.close(x, pb.Closing_SHUTTING_DOWN, errStopping, 0)
+		s.close(sess, pb.Closing_SHUTTING_DOWN, errStopping, 0)
 	case len(s.sessions) > s.config.MaxSessions:
-		s.close(x, pb.Closing_BUSY, errTooManySessions, s.jitter(s.config.StallTimeout))
+		s.close(sess, pb.Closing_BUSY, errTooManySessions, s.jitter(s.config.StallTimeout))
 	}
 }
 
-// Receive takes a frame of a session. Frames of one that has been closed are dropped.
+// Receive processes a frame of a session. Frames of closed sessions are dropped.
 func (s *Server) Receive(now aspenshed.Nanos, id SessionID, f *pb.SubscriberFrame) {
-	x := s.sessions[id]
-	if x == nil {
+	sess := s.sessions[id]
+	if sess == nil {
 		return
 	}
-	s.markDirty(x)
-	if err := s.handleFrame(now, x, f); err != nil {
-		s.closeInvalid(x, err)
+	s.markDirty(sess)
+	if err := s.handleFrame(now, sess, f); err != nil {
+		s.closeInvalid(sess, err)
 	}
 }
 
-func (s *Server) handleFrame(now aspenshed.Nanos, x *session, f *pb.SubscriberFrame) error {
+func (s *Server) handleFrame(now aspenshed.Nanos, sess *session, f *pb.SubscriberFrame) error {
 	switch m := f.GetBody().(type) {
 	case *pb.SubscriberFrame_Subscribe:
-		return s.handleSubscribe(now, x, m.Subscribe)
+		return s.handleSubscribe(now, sess, m.Subscribe)
 	case *pb.SubscriberFrame_Ack:
-		return s.handleAck(now, x, m.Ack)
+		return s.handleAck(now, sess, m.Ack)
 	case *pb.SubscriberFrame_Submit:
-		return s.handleSubmit(now, x, m.Submit)
+		return s.handleSubmit(now, sess, m.Submit)
 	}
 	return errUnknownMessage
 }
 
-// BadFrame ends a session from which something came that is no frame.
+// BadFrame closes a session that has sent input which can't be decoded as a frame.
 func (s *Server) BadFrame(_ aspenshed.Nanos, id SessionID, err error) {
-	if x := s.sessions[id]; x != nil {
-		s.closeInvalid(x, err)
+	if sess := s.sessions[id]; sess != nil {
+		s.closeInvalid(sess, err)
 	}
 }
 
-// Disconnected forgets a session whose connection has ended.
+// Disconnected removes a session whose connection has ended.
 func (s *Server) Disconnected(id SessionID) {
-	if x := s.sessions[id]; x != nil {
-		s.removeSession(x)
+	if sess := s.sessions[id]; sess != nil {
+		s.removeSession(sess)
 	}
 }
 
-// Submitted answers a session's Submit; an answer for one that has ended is dropped.
+// Submitted answers a session's Submit; the answer for a session that has ended is dropped.
 func (s *Server) Submitted(now aspenshed.Nanos, id SessionID, r *pb.Submitted) {
-	x := s.sessions[id]
-	if x == nil || x.pendingSubmissions == 0 {
+	sess := s.sessions[id]
+	if sess == nil || sess.pendingSubmissions == 0 {
 		return
 	}
-	x.pendingSubmissions--
-	s.sendFrame(now, x, encodeBody(&pb.ServerFrame{Body: &pb.ServerFrame_Submitted{Submitted: r}}))
-	s.markDirty(x)
+	sess.pendingSubmissions--
+	s.sendFrame(now, sess, encodeBody(&pb.ServerFrame{Body: &pb.ServerFrame_Submitted{Submitted: r}}))
+	s.markDirty(sess)
 }
 
-// Stop closes all sessions and those that come from now on.
+// Stop closes all sessions, and every session that is opened from now on.
 func (s *Server) Stop(aspenshed.Nanos) {
 	s.stopping = true
 	for _, id := range s.sessionIDs() {
@@ -163,7 +165,8 @@
 	}
 }
 
-// Step tells what is due, and when it has to be called again at the latest if nothing happens before.
+// Step returns the due outputs, and the time at which it has to be called again at the latest if there is no input
+// before.
 func (s *Server) Step(now aspenshed.Nanos) (out []Output, next aspenshed.Nanos) {
 	s.scheduleFlush(now)
 	switch {
@@ -182,7 +185,7 @@
 	return out, min(s.flushAt, max(s.nextScan, s.lastScan+scanInterval))
 }
 
-// scheduleFlush sets when waiting changes go out.
+// scheduleFlush sets the time of the next flush.
 func (s *Server) scheduleFlush(now aspenshed.Nanos) {
 	if s.changesPending && s.flushAt == never {
 		s.flushAt = now + s.config.FlushDelay
@@ -192,7 +195,7 @@
 	}
 }
 
-// scan looks at every session.
+// scan marks every session to be served.
 func (s *Server) scan(now aspenshed.Nanos) {
 	s.lastScan, s.nextScan = now, never
 	for _, id := range s.sessionIDs() {
@@ -200,7 +203,7 @@
 	}
 }
 
-// sessionIDs is in order, so that equal histories give equal outputs.
+// sessionIDs returns the ids in order, so that equal histories give equal outputs.
 func (s *Server) sessionIDs() []SessionID {
 	ids := make([]SessionID, 0, len(s.sessions))
 	for id := range s.sessions {
@@ -210,29 +213,29 @@
 	return ids
 }
 
-// serveDirty serves the sessions to be looked at in their turn, until one Step's output is full.
+// serveDirty serves the marked sessions in order, until the output of one Step is full.
 func (s *Server) serveDirty(now aspenshed.Nanos) {
 	served := 0
-	for _, x := range s.dirty {
+	for _, sess := range s.dirty {
 		if s.outputBytes >= s.maxOutputBytes {
 			break
 		}
 		served++
-		x.dirty = false
-		s.serve(now, x)
+		sess.dirty = false
+		s.serve(now, sess)
 	}
 	s.dirty = slices.Delete(s.dirty, 0, served)
 }
 
-func (s *Server) markDirty(x *session) {
-	if !x.dirty {
-		x.dirty = true
-		s.dirty = append(s.dirty, x)
+func (s *Server) markDirty(sess *session) {
+	if !sess.dirty {
+		sess.dirty = true
+		s.dirty = append(s.dirty, sess)
 	}
 }
 
-// Rollout is how far this server's subscribers are with a revision; 0 is the newest that changed anything. A commit that
-// changed nothing is in force where the change before it is.
+// Rollout returns the progress of this server's subscribers with a revision; 0 is the newest that changed anything. A
+// commit that changed nothing is in force where the change before it is.
 func (s *Server) Rollout(rev uint64) *catalogpb.RolloutStatus {
 	if rev == 0 {
 		rev = s.log.LastChange(s.log.Head())
@@ -240,42 +243,42 @@
 	return s.tracker.Status(rev, s.log.LastChange(rev))
 }
 
-// Subscribers lists the sessions that have subscribed, in the order of their names.
+// Subscribers lists the subscribed sessions by subscriber name.
 func (s *Server) Subscribers() []SubscriberStatus {
 	out := make([]SubscriberStatus, 0, len(s.bySubscriber))
-	for _, x := range s.bySubscriber {
-		out = append(out, x.status())
+	for _, sess := range s.bySubscriber {
+		out = append(out, sess.status())
 	}
 	slices.SortFunc(out, func(a, b SubscriberStatus) int { return cmp.Compare(a.Subscriber, b.Subscriber) })
 	return out
 }
 
-// closeInvalid ends a session for what it sent.
-func (s *Server) closeInvalid(x *session, err error) {
+// closeInvalid closes a session for its invalid input.
+func (s *Server) closeInvalid(sess *session, err error) {
 	reason := pb.Closing_BAD_FRAME
 	if errors.Is(err, errWrongCluster) {
 		reason = pb.Closing_WRONG_CLUSTER
 	}
-	s.close(x, reason, err, 0)
+	s.close(sess, reason, err, 0)
 }
 
-// close sends the reason as the session's last frame, and forgets the session.
-func (s *Server) close(x *session, reason pb.Closing_Reason, err error, retryAfter aspenshed.Nanos) {
-	x.sentFrames++
+// close sends the reason as the session's last frame, and removes the session.
+func (s *Server) close(sess *session, reason pb.Closing_Reason, err error, retryAfter aspenshed.Nanos) {
+	sess.sentFrames++
 	closing := &pb.Closing{Reason: reason, Detail: err.Error(), RetryAfter: int64(retryAfter)}
-	frame := encodeBody(&pb.ServerFrame{Body: &pb.ServerFrame_Closing{Closing: closing}}).withNumber(x.sentFrames)
-	out := Output{Session: x.id, Frame: frame, Close: true}
-	if reason != pb.Closing_SHUTTING_DOWN { // who stops says so once himself
-		out.Log = closeLogLine(x, reason, err)
+	frame := encodeBody(&pb.ServerFrame{Body: &pb.ServerFrame_Closing{Closing: closing}}).withNumber(sess.sentFrames)
+	out := Output{Session: sess.id, Frame: frame, Close: true}
+	if reason != pb.Closing_SHUTTING_DOWN { // a stopping server is logged once, by its owner
+		out.Log = closeLogLine(sess, reason, err)
 	}
 	s.outputs = append(s.outputs, out)
-	s.removeSession(x)
+	s.removeSession(sess)
 }
 
-// closeLogLine is what the operators hear of it: what the operation of the fleet brings along is no warning.
-func closeLogLine(x *session, reason pb.Closing_Reason, err error) *LogLine {
-	line := &LogLine{Level: Warn, Message: messageSessionClosed, Session: x.id, Subscriber: x.subscriber, Revision: x.cursor}
-	line.Err = &SubscriberError{Subscriber: x.subscriber, Session: x.id, Revision: x.cursor, Reason: reason, Err: err}
+// closeLogLine returns the log line for a closed session. Reasons that occur in normal operation are no warnings.
+func closeLogLine(sess *session, reason pb.Closing_Reason, err error) *LogLine {
+	line := &LogLine{Level: Warn, Message: messageSessionClosed, Session: sess.id, Subscriber: sess.subscriber, Revision: sess.cursor}
+	line.Err = &SubscriberError{Subscriber: sess.subscriber, Session: sess.id, Revision: sess.cursor, Reason: reason, Err: err}
 	switch reason {
 	case pb.Closing_BUSY, pb.Closing_FUTURE_REVISION:
 		line.Level = Info
@@ -285,15 +288,15 @@
 	return line
 }
 
-func (s *Server) removeSession(x *session) {
-	delete(s.sessions, x.id)
-	if x.subscriber != "" && s.bySubscriber[x.subscriber] == x {
-		delete(s.bySubscriber, x.subscriber)
-		s.tracker.Remove(x.subscriber)
+func (s *Server) removeSession(sess *session) {
+	delete(s.sessions, sess.id)
+	if sess.subscriber != "" && s.bySubscriber[sess.subscriber] == sess {
+		delete(s.bySubscriber, sess.subscriber)
+		s.tracker.Remove(sess.subscriber)
 	}
 }
 
-// jitter is between half of a span and all of it, at random.
+// jitter returns a random duration between half of span and span.
 func (s *Server) jitter(span aspenshed.Nanos) aspenshed.Nanos {
 	return span/2 + aspenshed.Nanos(s.random.next()*float64(span/2))
 }
--- a/internal/controlplane/subscription/simfaults_test.go
+++ b/internal/controlplane/subscription/simfaults_test.go
@@ -8,15 +8,15 @@
 	pb "aspenshed/internal/controlplane/controlpb"
 )
 
-func (s *simulation) someFaults() {
-	s.withRate(s.cuts, s.moveSide)
-	s.withRate(s.breaks, func() { s.breakLink(s.anySubscriber().link) })
+func (s *simulation) injectFaults() {
+	s.withRate(s.partitions, s.changePartition)
+	s.withRate(s.breaks, func() { s.breakConnection(s.randomSubscriber().conn) })
 	s.withRate(s.restarts, s.restart)
 	s.withRate(s.slow, func() {
-		x := s.anySubscriber()
-		x.slow, x.calm = !x.slow, never
+		x := s.randomSubscriber()
+		x.slow, x.undisturbedSince = !x.slow, never
 	})
-	s.withRate(s.corruptions, func() { s.corrupt(s.anySubscriber().link) })
+	s.withRate(s.corruptions, func() { s.corrupt(s.randomSubscriber().conn) })
 }
 
 func (s *simulation) withRate(thousandths int, fault func()) {
@@ -25,63 +25,63 @@
 	}
 }
 
-func (s *simulation) anySubscriber() *simSubscriber {
+func (s *simulation) randomSubscriber() *simSubscriber {
 	return s.subscribers[s.rng.IntN(len(s.subscribers))]
 }
 
-// moveSide moves a subscriber or a server to the other side of a split, or ends the split.
-func (s *simulation) moveSide() {
+// changePartition moves a subscriber or a server to the other side of the partition, or ends the partition.
+func (s *simulation) changePartition() {
 	switch s.rng.IntN(3) {
 	case 0:
-		x := s.anySubscriber()
-		x.side, x.calm = 1-x.side, never
+		x := s.randomSubscriber()
+		x.partition, x.undisturbedSince = 1-x.partition, never
 	case 1:
 		x := s.servers[s.rng.IntN(len(s.servers))]
-		x.side = 1 - x.side
-		s.disturb(x)
+		x.partition = 1 - x.partition
+		s.markDisturbed(x)
 	default:
-		s.joinSides()
+		s.endPartition()
 	}
 }
 
-func (s *simulation) joinSides() {
+func (s *simulation) endPartition() {
 	for _, x := range s.servers {
-		x.side = 0
+		x.partition = 0
 	}
 	for _, x := range s.subscribers {
-		x.side = 0
+		x.partition = 0
 	}
 }
 
-// disturb takes note that a server's subscribers may not hear at once.
-func (s *simulation) disturb(x *simServer) {
-	for _, c := range x.sides {
-		c.subscriber.calm = never
+// markDisturbed records that a server's subscribers may receive commits late.
+func (s *simulation) markDisturbed(x *simServer) {
+	for _, c := range x.connections {
+		c.subscriber.undisturbedSince = never
 	}
 }
 
-// breakLink loses some of what is on its way, and each end hears of it in its own time, or never.
-func (s *simulation) breakLink(c *connection) {
+// breakConnection drops some of what is in flight; each end notices the loss after a delay of its own, or never.
+func (s *simulation) breakConnection(c *simConnection) {
 	if c == nil {
 		return
 	}
-	c.subscriber.calm = never
-	c.up = c.up[:s.rng.IntN(len(c.up)+1)]
-	c.down = c.down[:s.rng.IntN(len(c.down)+1)]
+	c.subscriber.undisturbedSince = never
+	c.toServer = c.toServer[:s.rng.IntN(len(c.toServer)+1)]
+	c.toSubscriber = c.toSubscriber[:s.rng.IntN(len(c.toSubscriber)+1)]
 	if s.rng.IntN(2) == 0 {
-		s.add(&c.up, transit{})
+		s.enqueue(&c.toServer, packet{})
 	}
 	if s.rng.IntN(2) == 0 {
-		s.add(&c.down, transit{})
+		s.enqueue(&c.toSubscriber, packet{})
 	}
-	c.dead = true
+	c.broken = true
 }
 
 func (s *simulation) restart() {
 	if s.rng.IntN(2) == 0 {
-		x := s.anySubscriber()
-		s.breakLink(x.link)
-		x.link = nil
+		x := s.randomSubscriber()
+		s.breakConnection(x.conn)
+		x.conn = nil
 		s.startSubscriber(x, x.machine.servers)
 		return
 	}
@@ -90,39 +90,39 @@
 		s.startServer(x)
 		return
 	}
-	s.disturb(x)
-	for _, id := range sortedSessions(x.sides) {
-		c := x.sides[id]
-		s.breakLink(c)
-		s.endServer(c)
+	s.markDisturbed(x)
+	for _, id := range sortedSessions(x.connections) {
+		c := x.connections[id]
+		s.breakConnection(c)
+		s.closeServerEnd(c)
 	}
 	if x.up = s.rng.IntN(2) == 0; x.up {
 		s.startServer(x)
 	}
 }
 
-// corrupt changes, loses or doubles one frame on its way to a subscriber.
-func (s *simulation) corrupt(c *connection) {
-	if c == nil || len(c.down) == 0 {
+// corrupt changes, drops or duplicates one frame in flight to a subscriber.
+func (s *simulation) corrupt(c *simConnection) {
+	if c == nil || len(c.toSubscriber) == 0 {
 		return
 	}
-	i := s.rng.IntN(len(c.down))
-	if c.down[i].frame == nil {
+	i := s.rng.IntN(len(c.toSubscriber))
+	if c.toSubscriber[i].frame == nil {
 		return
 	}
-	c.subscriber.calm = never
+	c.subscriber.undisturbedSince = never
 	switch s.rng.IntN(3) {
 	case 0:
-		c.down = slices.Delete(c.down, i, i+1)
+		c.toSubscriber = slices.Delete(c.toSubscriber, i, i+1)
 	case 1:
-		c.down = slices.Insert(c.down, i, c.down[i])
+		c.toSubscriber = slices.Insert(c.toSubscriber, i, c.toSubscriber[i])
 	default:
-		c.down[i].frame = s.flip(c.down[i].frame)
+		c.toSubscriber[i].frame = s.corruptFrame(c.toSubscriber[i].frame)
 	}
 }
 
-// flip changes a byte of a value, or leaves out a record.
-func (s *simulation) flip(frame []byte) []byte {
+// corruptFrame changes a byte of a value, or drops a record.
+func (s *simulation) corruptFrame(frame []byte) []byte {
 	f := &pb.ServerFrame{}
 	if proto.Unmarshal(frame[lengthBytes:], f) != nil {
 		return frame
@@ -156,10 +156,10 @@
 	}
 }
 
-// heal ends all faults.
-func (s *simulation) heal() {
-	s.joinSides()
-	s.healed = true
+// endFaults ends all faults.
+func (s *simulation) endFaults() {
+	s.endPartition()
+	s.faultsEnded = true
 	for _, x := range s.servers {
 		if !x.up {
 			s.startServer(x)
--- a/internal/controlplane/subscription/simnet_test.go
+++ b/internal/controlplane/subscription/simnet_test.go
@@ -7,24 +7,24 @@
 	pb "aspenshed/internal/controlplane/controlpb"
 )
 
-// connection carries frames both ways, each way in order.
-type connection struct {
-	server     *simServer
-	subscriber *simSubscriber
-	id         SessionID
-	up, down   []transit // to the server, to the subscriber
-	serverEnd  bool      // the server has closed it or knows that it ended
-	clientEnd  bool
-	dead       bool // nothing that is sent now arrives
-	applied    bool // something took effect on it
-	wholeFits  bool // a snapshot is the right answer to its subscription
+// simConnection delivers frames in both directions, each in order.
+type simConnection struct {
+	server                 *simServer
+	subscriber             *simSubscriber
+	id                     SessionID
+	toServer, toSubscriber []packet // in flight
+	serverEnd              bool     // closed by the server, or the server knows that it has ended
+	clientEnd              bool
+	broken                 bool // what is sent from now on is lost
+	applied                bool // an update or snapshot was applied
+	snapshotExpected       bool // a snapshot is a correct response to its subscription
 }
 
-// transit is something on its way.
-type transit struct {
-	at    aspenshed.Nanos
-	frame []byte // none: the connection's end, or its beginning
-	open  bool
+// packet is a frame or an event in flight.
+type packet struct {
+	deliverAt aspenshed.Nanos
+	frame     []byte // nil: the connection's end, or its beginning if open
+	open      bool
 }
 
 func (s *simulation) dial(x *simSubscriber, name string) {
@@ -32,51 +32,53 @@
 		if server.name != name {
 			continue
 		}
-		server.last++
-		x.link = &connection{server: server, subscriber: x, id: server.last}
+		server.lastSession++
+		x.conn = &simConnection{server: server, subscriber: x, id: server.lastSession}
 		if !server.up {
-			s.send(x.link, &x.link.down, transit{})
+			s.send(x.conn, &x.conn.toSubscriber, packet{})
 			return
 		}
-		server.sides[server.last] = x.link
-		s.send(x.link, &x.link.up, transit{open: true})
+		server.connections[server.lastSession] = x.conn
+		s.send(x.conn, &x.conn.toServer, packet{open: true})
 	}
 }
 
-func (s *simulation) cut(c *connection) bool { return c.server.side != c.subscriber.side }
+func (s *simulation) partitioned(c *simConnection) bool {
+	return c.server.partition != c.subscriber.partition
+}
 
-func (s *simulation) delay() aspenshed.Nanos {
+func (s *simulation) deliveryTime() aspenshed.Nanos {
 	return s.now + millisecond + aspenshed.Nanos(s.rng.Int64N(int64(30*millisecond)))
 }
 
-// send puts something on its way, unless the connection is dead.
-func (s *simulation) send(c *connection, way *[]transit, t transit) {
-	if !c.dead {
-		s.add(way, t)
+// send puts a packet in flight, unless the connection is broken.
+func (s *simulation) send(c *simConnection, queue *[]packet, t packet) {
+	if !c.broken {
+		s.enqueue(queue, t)
 	}
 }
 
-// add puts something on its way, behind what is there already.
-func (s *simulation) add(way *[]transit, t transit) {
-	t.at = s.delay()
-	if n := len(*way); n > 0 {
-		t.at = max(t.at, (*way)[n-1].at)
+// enqueue puts a packet in flight, behind those that were sent before.
+func (s *simulation) enqueue(queue *[]packet, t packet) {
+	t.deliverAt = s.deliveryTime()
+	if n := len(*queue); n > 0 {
+		t.deliverAt = max(t.deliverAt, (*queue)[n-1].deliverAt)
 	}
-	*way = append(*way, t)
+	*queue = append(*queue, t)
 }
 
-// deliverFrom hands to a server what has come on one connection.
-func (s *simulation) deliverFrom(c *connection) (any bool) {
-	for len(c.up) > 0 && c.up[0].at <= s.now && !s.cut(c) && !c.serverEnd {
-		t := c.up[0]
-		c.up = c.up[1:]
+// deliverToServer delivers the packets that have arrived on one connection.
+func (s *simulation) deliverToServer(c *simConnection) (any bool) {
+	for len(c.toServer) > 0 && c.toServer[0].deliverAt <= s.now && !s.partitioned(c) && !c.serverEnd {
+		t := c.toServer[0]
+		c.toServer = c.toServer[1:]
 		any = true
 		switch {
 		case t.open:
 			c.server.machine.Open(s.now, c.id)
-			s.send(c, &c.down, transit{open: true})
+			s.send(c, &c.toSubscriber, packet{open: true})
 		case t.frame == nil:
-			s.endServer(c)
+			s.closeServerEnd(c)
 			c.server.machine.Disconnected(c.id)
 		default:
 			f := &pb.SubscriberFrame{}
@@ -84,7 +86,7 @@
 				s.fail("frame of %s: %v", c.subscriber.name, err)
 			}
 			if m := f.GetSubscribe(); m != nil {
-				c.wholeFits = m.Revision == 0 || c.server.machine.log.Oldest() > m.Revision || s.corruptions > 0
+				c.snapshotExpected = m.Revision == 0 || c.server.machine.log.Oldest() > m.Revision || s.corruptions > 0
 			}
 			c.server.machine.Receive(s.now, c.id, f)
 		}
@@ -92,38 +94,38 @@
 	return any
 }
 
-func (s *simulation) endServer(c *connection) {
+func (s *simulation) closeServerEnd(c *simConnection) {
 	c.serverEnd = true
-	delete(c.server.sides, c.id)
+	delete(c.server.connections, c.id)
 }
 
-func (s *simulation) output(x *simServer, o Output) {
+func (s *simulation) handleOutput(x *simServer, o Output) {
 	if o.Log != nil {
-		s.noteServerLine(o.Log)
+		s.checkServerLog(o.Log)
 	}
-	c := x.sides[o.Session]
+	c := x.connections[o.Session]
 	if c == nil {
 		return
 	}
 	if o.Frame != nil {
-		s.send(c, &c.down, transit{frame: o.Frame})
+		s.send(c, &c.toSubscriber, packet{frame: o.Frame})
 	}
 	if o.Close {
-		s.send(c, &c.down, transit{})
-		s.endServer(c)
+		s.send(c, &c.toSubscriber, packet{})
+		s.closeServerEnd(c)
 	}
 }
 
-// deliverTo hands to a subscriber what has come for it, if it reads.
-func (s *simulation) deliverTo(x *simSubscriber) {
-	for c := x.link; c != nil && c == x.link && len(c.down) > 0 && c.down[0].at <= s.now && !s.cut(c) && !x.slow; {
-		t := c.down[0]
-		c.down = c.down[1:]
+// deliverToSubscriber delivers the packets that have arrived for a subscriber, if it reads.
+func (s *simulation) deliverToSubscriber(x *simSubscriber) {
+	for c := x.conn; c != nil && c == x.conn && len(c.toSubscriber) > 0 && c.toSubscriber[0].deliverAt <= s.now && !s.partitioned(c) && !x.slow; {
+		t := c.toSubscriber[0]
+		c.toSubscriber = c.toSubscriber[1:]
 		switch {
 		case t.open:
 			s.stepSubscriber(x, Connected{})
 		case t.frame == nil:
-			x.link, x.calm = nil, never
+			x.conn, x.undisturbedSince = nil, never
 			c.clientEnd = true
 			s.stepSubscriber(x, Disconnected{})
 		default:
--- a/internal/controlplane/subscription/simulation_test.go
+++ b/internal/controlplane/subscription/simulation_test.go
@@ -9,7 +9,7 @@
 	pb "aspenshed/internal/controlplane/controlpb"
 )
 
-// drawProfile is a history with faults of all kinds at any rates.
+// drawProfile draws a history with faults of all kinds at any rates.
 func drawProfile(t *rapid.T) profile {
 	rate := rapid.SampledFrom([]int{0, 0, 20, 60, 150})
 	return profile{
@@ -18,19 +18,20 @@
 		subscribers: rapid.IntRange(1, 5).Draw(t, "subscribers"),
 		keys:        rapid.IntRange(1, 25).Draw(t, "keys"),
 		ticks:       rapid.IntRange(10, 120).Draw(t, "ticks"),
-		cuts:        rate.Draw(t, "cuts"),
+		partitions:  rate.Draw(t, "cuts"),
 		breaks:      rate.Draw(t, "breaks"),
 		restarts:    rate.Draw(t, "restarts"),
 		slow:        rate.Draw(t, "slow"),
 	}
 }
 
-// reasonsSeen are the closings that the histories have to bring about, so that they leave nothing out.
-var reasonsSeen = []pb.Closing_Reason{pb.Closing_FUTURE_REVISION, pb.Closing_TOO_SLOW, pb.Closing_BUSY, pb.Closing_REPLACED}
+// requiredReasons are the closing reasons that have to occur in the histories, so that all of them are covered.
+var requiredReasons = []pb.Closing_Reason{pb.Closing_FUTURE_REVISION, pb.Closing_TOO_SLOW, pb.Closing_BUSY, pb.Closing_REPLACED}
 
-// Guards the whole of it: whatever breaks, is cut, restarts or is slow, no subscriber ever holds what was not
-// committed, goes back, or misses a binding change that the log still has; and once all is healed all agree.
-func TestSubscribersHoldWhatWasCommitted(t *testing.T) {
+// Checks the main invariants: whatever breaks, is partitioned, restarts or is slow, no subscriber ever has a state that
+// was not committed, goes back, or misses a binding change that the log still has; and after all faults have ended, all
+// converge.
+func TestSubscribersConvergeToCommittedState(t *testing.T) {
 	t.Parallel()
 	snapshots, binding, closed := 0, 0, map[pb.Closing_Reason]int{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -45,18 +46,18 @@
 		}
 	})
 	t.Logf("%d snapshots, %d binding changes, closed: %v", snapshots, binding, closed)
-	for _, reason := range reasonsSeen {
+	for _, reason := range requiredReasons {
 		if closed[reason] == 0 {
 			t.Errorf("no session was closed as %v", reason)
 		}
 	}
 	if snapshots == 0 || binding == 0 {
-		t.Error("the histories leave something out")
+		t.Error("no snapshot or no binding change was applied")
 	}
 }
 
-// The same with frames that are changed, lost or doubled on their way: never applied, and healed.
-func TestCorruptFramesTakeNoEffect(t *testing.T) {
+// The same with frames that are changed, lost or duplicated in flight: they are never applied, and the stream recovers.
+func TestCorruptFramesAreNotApplied(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
 		p := drawProfile(t)
@@ -67,8 +68,8 @@
 	})
 }
 
-// Guards that a seed names a history: the verdict is the same each time.
-func TestEqualSeedsAreEqualHistories(t *testing.T) {
+// Checks that equal seeds give equal histories and results.
+func TestSimulationIsDeterministic(t *testing.T) {
 	t.Parallel()
 	for i := range 30 {
 		p := rapid.Custom(drawProfile).Example(i)
@@ -85,30 +86,30 @@
 	}
 }
 
-// Each planted fault must be found within so many histories: the simulation is able to fail.
-func TestPlantedFaultsAreFound(t *testing.T) {
+// Each injected fault must be detected within a number of histories. This shows that the checks can fail.
+func TestInjectedFaultsAreDetected(t *testing.T) {
 	const histories = 1000
-	for name, plant := range map[string]func(*profile){
-		"binding changes coalesced":        func(p *profile) { p.planted.coalesceBinding = true },
-		"window ignored":                   func(p *profile) { p.planted.ignoreWindow = true },
-		"resumed one commit too late":      func(p *profile) { p.planted.skipFirstCommit = true },
-		"half a snapshot applied":          func(p *profile) { p.planted.applyFirstChunk = true },
-		"digest skipped, frames corrupted": func(p *profile) { p.planted.skipDigestCheck, p.corruptions = true, 200 },
-		"older snapshot taken":             func(p *profile) { p.planted.acceptOlderSnapshot, p.corruptions = true, 200 },
-		"coalesced before projected":       func(p *profile) { p.planted.coalesceBeforeProject = true },
-		"stalled sessions kept":            func(p *profile) { p.planted.keepStalledSessions = true },
+	for name, inject := range map[string]func(*profile){
+		"binding changes coalesced":        func(p *profile) { p.injected.coalesceBinding = true },
+		"window ignored":                   func(p *profile) { p.injected.ignoreWindow = true },
+		"first commit skipped":             func(p *profile) { p.injected.skipFirstCommit = true },
+		"partial snapshot applied":         func(p *profile) { p.injected.applyFirstChunk = true },
+		"digest skipped, frames corrupted": func(p *profile) { p.injected.skipDigestCheck, p.corruptions = true, 200 },
+		"older snapshot accepted":          func(p *profile) { p.injected.acceptOlderSnapshot, p.corruptions = true, 200 },
+		"coalesced before projected":       func(p *profile) { p.injected.coalesceBeforeProject = true },
+		"stalled sessions kept":            func(p *profile) { p.injected.keepStalledSessions = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for i := range histories {
 				p := rapid.Custom(drawProfile).Example(i)
-				plant(&p)
+				inject(&p)
 				if err := newSimulation(p).run(); err != nil {
-					t.Logf("found in history %d: %v", i+1, err)
+					t.Logf("detected in history %d: %v", i+1, err)
 					return
 				}
 			}
-			t.Errorf("not found in %d histories", histories)
+			t.Errorf("not detected in %d histories", histories)
 		})
 	}
 }
--- a/internal/controlplane/subscription/stream_test.go
+++ b/internal/controlplane/subscription/stream_test.go
@@ -14,7 +14,7 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// member is a record of a member, with a text that makes its value differ.
+// member returns the record of a member; text makes its value differ.
 func member(id string, group int32, site, text string) revision.Record {
 	entry := &catalogpb.Entry{Id: id, Address: id + ":3306", Site: site, Group: group, Wire: "mysql", State: text}
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(&catalogpb.Member{Entry: entry})
@@ -25,7 +25,7 @@
 	return revision.Record{Key: revision.MemberPrefix + id, Value: value, Placement: place}
 }
 
-// readFrame takes a whole frame apart.
+// readFrame decodes a complete frame.
 func readFrame(t rapid.TB, b []byte) *pb.ServerFrame {
 	t.Helper()
 	f := &pb.ServerFrame{}
@@ -38,36 +38,36 @@
 	return f
 }
 
-// pair is one server and one client, joined without delay or loss.
-type pair struct {
-	t       rapid.TB
-	now     aspenshed.Nanos
-	server  *Server
-	client  *Client
-	session SessionID // 0: not connected
-	last    SessionID
-	dialled []string
-	frames  []*pb.ServerFrame
-	applied []Apply
-	lines   []LogLine
-	done    []SubmitDone
-	submits []*pb.Submit
-	filter  func(*pb.ServerFrame) // changes a frame on its way
+// testPair is one server and one client, connected without delay or loss.
+type testPair struct {
+	t           rapid.TB
+	now         aspenshed.Nanos
+	server      *Server
+	client      *Client
+	session     SessionID // 0: not connected
+	lastSession SessionID
+	dialed      []string
+	frames      []*pb.ServerFrame
+	applied     []Apply
+	logLines    []LogLine
+	results     []SubmitDone
+	submits     []*pb.Submit
+	filter      func(*pb.ServerFrame) // modifies a frame before it is delivered
 }
 
-func newPair(t rapid.TB, server ServerConfig, client ClientConfig) *pair {
+func newTestPair(t rapid.TB, server ServerConfig, client ClientConfig) *testPair {
 	server.Cluster, client.Cluster = "c", "c"
 	client.Subscriber = "s"
 	if client.Servers == nil {
 		client.Servers = []string{"a:1", "b:1"}
 	}
-	p := &pair{t: t, now: 1000 * second, server: NewServer(server), client: NewClient(client)}
-	p.server.Reset(1, nil) // without a state it would serve nobody
+	p := &testPair{t: t, now: 1000 * second, server: NewServer(server), client: NewClient(client)}
+	p.server.Reset(1, nil) // a server without a state rejects subscribers
 	return p
 }
 
-// run lets both ends do what is due, for so long.
-func (p *pair) run(span aspenshed.Nanos) {
+// run runs both ends for a span of time.
+func (p *testPair) run(span aspenshed.Nanos) {
 	for end := p.now + span; ; {
 		p.settle()
 		_, next := p.server.Step(p.now)
@@ -81,20 +81,20 @@
 	}
 }
 
-// settle steps both until neither has anything to say at this instant.
-func (p *pair) settle() {
+// settle steps both ends until neither has any output at this time.
+func (p *testPair) settle() {
 	for busy := true; busy; {
 		busy = p.stepServer()
 		actions, _ := p.client.Step(p.now)
-		busy = p.act(actions) || busy
+		busy = p.perform(actions) || busy
 	}
 }
 
-func (p *pair) stepServer() bool {
+func (p *testPair) stepServer() bool {
 	out, _ := p.server.Step(p.now)
 	for _, o := range out {
 		if o.Log != nil {
-			p.lines = append(p.lines, *o.Log)
+			p.logLines = append(p.logLines, *o.Log)
 		}
 		if o.Submit != nil {
 			p.submits = append(p.submits, o.Submit)
@@ -105,32 +105,32 @@
 		if o.Close && o.Session == p.session {
 			p.session = 0
 			actions, _ := p.client.Step(p.now, Disconnected{})
-			p.act(actions)
+			p.perform(actions)
 		}
 	}
 	return len(out) > 0
 }
 
-func (p *pair) deliver(b []byte) {
+func (p *testPair) deliver(b []byte) {
 	f := readFrame(p.t, b)
 	if p.filter != nil {
 		p.filter(f)
 	}
 	p.frames = append(p.frames, f)
 	actions, _ := p.client.Step(p.now, Received{Frame: f, Bytes: len(b)})
-	p.act(actions)
+	p.perform(actions)
 }
 
-func (p *pair) act(actions []Action) bool {
+func (p *testPair) perform(actions []Action) bool {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Dial:
-			p.dialled = append(p.dialled, a.Server)
-			p.last++
-			p.session = p.last
+			p.dialed = append(p.dialed, a.Server)
+			p.lastSession++
+			p.session = p.lastSession
 			p.server.Open(p.now, p.session)
 			more, _ := p.client.Step(p.now, Connected{})
-			p.act(more)
+			p.perform(more)
 		case Send:
 			p.server.Receive(p.now, p.session, proto.Clone(a.Frame).(*pb.SubscriberFrame))
 		case CloseConnection:
@@ -139,18 +139,18 @@
 		case Apply:
 			p.applied = append(p.applied, a)
 			more, _ := p.client.Step(p.now, InForce{Revision: a.Revision})
-			p.act(more)
+			p.perform(more)
 		case Log:
-			p.lines = append(p.lines, a.LogLine)
+			p.logLines = append(p.logLines, a.LogLine)
 		case SubmitDone:
-			p.done = append(p.done, a)
+			p.results = append(p.results, a)
 		}
 	}
 	return len(actions) > 0
 }
 
-// equal fails unless the client holds what the server has within the scope.
-func (p *pair) equal(scope revision.Scope) {
+// assertSynced fails unless the client has the server's records within the scope.
+func (p *testPair) assertSynced(scope revision.Scope) {
 	p.t.Helper()
 	if got, want := p.client.State().Revision(), p.server.state.Revision(); got != want {
 		p.t.Fatalf("client at revision %d, server at %d", got, want)
@@ -168,17 +168,17 @@
 }
 
 func TestSnapshotThenChanges(t *testing.T) {
-	p := newPair(t, ServerConfig{}, ClientConfig{})
+	p := newTestPair(t, ServerConfig{}, ClientConfig{})
 	p.server.Reset(7, records(3000))
 	p.run(second)
-	p.equal(revision.Scope{})
+	p.assertSynced(revision.Scope{})
 	if len(p.applied) != 1 || !p.applied[0].Full || p.applied[0].Revision != 7 {
 		t.Fatalf("applied %+v", p.applied)
 	}
 	changed := member("m00003", 0, "z3", "draining")
 	p.server.Commit(9, []revision.Change{{Revision: 9, Record: changed, Binding: true}})
 	p.settle()
-	p.equal(revision.Scope{})
+	p.assertSynced(revision.Scope{})
 	if len(p.applied) != 2 || len(p.applied[1].Changes) != 1 || p.applied[1].Changes[0].Key != changed.Key {
 		t.Fatalf("applied %+v", p.applied[1:])
 	}
@@ -186,23 +186,23 @@
 	if r := p.server.Rollout(0); r.Revision != 9 || r.Subscribers != 1 || r.InForce != 1 || len(r.Lagging) != 0 {
 		t.Errorf("rollout %v", r)
 	}
-	for _, l := range p.lines {
+	for _, l := range p.logLines {
 		t.Errorf("logged %+v", l)
 	}
 }
 
 func TestSubmissionsAreAnswered(t *testing.T) {
-	p := newPair(t, ServerConfig{}, ClientConfig{})
+	p := newTestPair(t, ServerConfig{}, ClientConfig{})
 	p.run(second)
 	actions, _ := p.client.Step(p.now, SubmitCommands{ID: 4, Batch: &catalogpb.Batch{}})
-	p.act(actions)
+	p.perform(actions)
 	p.settle()
 	if len(p.submits) != 1 || p.submits[0].Id != 4 {
 		t.Fatalf("submitted %v", p.submits)
 	}
 	p.server.Submitted(p.now, p.session, &pb.Submitted{Id: 4, Reply: &catalogpb.Reply{Index: 3}})
 	p.settle()
-	if len(p.done) != 1 || p.done[0].ID != 4 || p.done[0].Err != nil || p.done[0].Reply.GetIndex() != 3 {
-		t.Errorf("answered %+v", p.done)
+	if len(p.results) != 1 || p.results[0].ID != 4 || p.results[0].Err != nil || p.results[0].Reply.GetIndex() != 3 {
+		t.Errorf("answered %+v", p.results)
 	}
 }
