--- a/internal/controlplane/subscriber/apply.go
+++ b/internal/controlplane/subscriber/apply.go
@@ -12,12 +12,13 @@
 	"aspenshed/internal/controlplane/stream"
 )
 
-// maxReportedRefusals is the number of refused changes of one update that are told; further ones are counted in the last.
+// maxReportedRefusals is the number of refused changes of one update that are reported; further ones are counted in the
+// reason of the last.
 const maxReportedRefusals = 64
 
-const messageChangeRefused = "control state: a change is refused, what was held stays"
+const messageChangeRefused = "control state change refused, keeping the previous value"
 
-// apply takes an update over. What can't be taken is refused with its reason, and the rest still counts.
+// apply applies an update to the catalog. Invalid changes are refused with a reason; the other changes are applied.
 func (s *Subscriber) apply(u stream.Update) {
 	var refused []*controlpb.RefusedChange
 	s.mu.Lock()
@@ -56,41 +57,43 @@
 	return s.catalog.SetRecord(c.Record)
 }
 
-// replaceAll takes over every record that is good; the configuration that is held stays if the new one is not.
+// replaceAll replaces the catalog with the valid records of a snapshot. If the new configuration is invalid, the
+// current one is kept.
 func (s *Subscriber) replaceAll(u stream.Update) (refused []*controlpb.RefusedChange) {
 	config := s.catalog.Config()
 	scratch := catalog.New(s.config.Cluster)
-	var good []revision.Record
+	var valid []revision.Record
 	for r := range u.State.Records(revision.Scope{}) {
 		err := s.checkRecord(r)
 		if err == nil {
 			err = scratch.SetRecord(r)
 		}
 		if err == nil {
-			good = append(good, r)
+			valid = append(valid, r)
 			continue
 		}
 		refused = append(refused, &controlpb.RefusedChange{Revision: u.Revision, Key: r.Key, Reason: err.Error()})
 		if r.Key == revision.ConfigKey && config != nil {
-			good = append(good, configRecord(config))
+			valid = append(valid, configRecord(config))
 		}
 	}
-	if err := s.catalog.ResetRecords(u.Revision, good); err != nil {
+	if err := s.catalog.ResetRecords(u.Revision, valid); err != nil {
 		refused = append(refused, &controlpb.RefusedChange{Revision: u.Revision, Reason: err.Error()})
 	}
 	return refused
 }
 
-// configRecord is the record that a configuration came from.
+// configRecord returns the record that a configuration was decoded from.
 func configRecord(v *pb.ConfigVersion) revision.Record {
 	b, err := proto.Marshal(v)
-	if err != nil { // it was read from such bytes
+	if err != nil { // not possible: it was decoded from a record
 		return revision.Record{Key: revision.ConfigKey}
 	}
 	return revision.Record{Key: revision.ConfigKey, Value: b}
 }
 
-// checkRecord says what this gateway has against a record, beside what the catalog itself finds.
+// checkRecord returns an error if this gateway can't apply a record for other reasons than those that the catalog
+// checks.
 func (s *Subscriber) checkRecord(r revision.Record) error {
 	if r.Key != revision.ConfigKey || s.config.CheckConfig == nil {
 		return nil
@@ -102,7 +105,7 @@
 	return s.config.CheckConfig(version)
 }
 
-// reportRefused logs the first refusal of an update and sends all of them back.
+// reportRefused logs the first refusal of an update and reports all of them to the server.
 func (s *Subscriber) reportRefused(rev uint64, refused []*controlpb.RefusedChange) {
 	if len(refused) == 0 {
 		return
@@ -111,9 +114,9 @@
 		s.config.Log.WithField("revision", rev).WithField("key", refused[0].Key).WithField("reason", refused[0].Reason).
 			WithField("refused", len(refused)).Warn(messageChangeRefused)
 	}
-	if over := len(refused) - maxReportedRefusals; over > 0 {
+	if excess := len(refused) - maxReportedRefusals; excess > 0 {
 		refused = refused[:maxReportedRefusals]
-		refused[maxReportedRefusals-1].Reason += fmt.Sprintf(" (and %d more)", over)
+		refused[maxReportedRefusals-1].Reason += fmt.Sprintf(" (and %d more)", excess)
 	}
 	s.client.InForce(0, refused)
 }
--- a/internal/controlplane/subscriber/changed.go
+++ b/internal/controlplane/subscriber/changed.go
@@ -8,23 +8,23 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// maxChangedMembers bounds the changes of members that are remembered; who has not looked for longer reads all members. It is
-// seven times the largest rollout that is planned for, 1,105 members.
+// maxChangedMembers bounds the recorded changes of members; a reader that falls further behind reads all members. It is
+// seven times the largest planned rollout, 1,105 members.
 const maxChangedMembers = 8192
 
-// changedMembers remembers which members the newest updates have changed.
+// changedMembers records which members the newest updates have changed.
 type changedMembers struct {
 	mu      sync.Mutex
-	since   uint64 // changes after this revision are all there
+	since   uint64 // all changes after this revision are recorded
 	entries []changedMember
 }
 
 type changedMember struct {
-	revision uint64 // of the update that brought it
+	revision uint64 // of the update with the change
 	id       string
 }
 
-// add takes the changes of an update that brought the state to rev.
+// add records the changes of an update that advanced the state to rev.
 func (c *changedMembers) add(rev uint64, changes []revision.Change) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,20 +33,21 @@
 			c.entries = append(c.entries, changedMember{rev, id})
 		}
 	}
-	if over := len(c.entries) - maxChangedMembers; over > 0 {
-		c.since = c.entries[over-1].revision
-		c.entries = append(c.entries[:0], c.entries[over:]...)
+	if excess := len(c.entries) - maxChangedMembers; excess > 0 {
+		c.since = c.entries[excess-1].revision
+		c.entries = append(c.entries[:0], c.entries[excess:]...)
 	}
 }
 
-// reset takes note that everything may have changed.
+// reset records that any member may have changed.
 func (c *changedMembers) reset(rev uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.since, c.entries = rev, nil
 }
 
-// after returns each member that has changed after a revision once; false: that is no longer known.
+// after returns the members that have changed after a revision, without duplicates. It reports false if this is no
+// longer known.
 func (c *changedMembers) after(rev uint64) (ids []string, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,17 +56,17 @@
 	}
 	first := sort.Search(len(c.entries), func(i int) bool { return c.entries[i].revision > rev })
 	seen := map[string]bool{}
-	for _, x := range c.entries[first:] {
-		if !seen[x.id] {
-			seen[x.id] = true
-			ids = append(ids, x.id)
+	for _, entry := range c.entries[first:] {
+		if !seen[entry.id] {
+			seen[entry.id] = true
+			ids = append(ids, entry.id)
 		}
 	}
 	return ids, true
 }
 
-// ChangedMembers returns the members that have changed after a revision, each once; false: all may have. It may be
-// called within Read.
+// ChangedMembers returns the members that have changed after a revision, without duplicates. It reports false if any
+// member may have changed. It may be called within Read.
 func (s *Subscriber) ChangedMembers(rev uint64) (ids []string, known bool) {
 	return s.changed.after(rev)
 }
--- a/internal/controlplane/subscriber/inforce.go
+++ b/internal/controlplane/subscriber/inforce.go
@@ -2,10 +2,10 @@
 
 import "sync"
 
-// inForceTracker works out the revision that all pipelines go by.
+// inForceTracker determines the revision that all pipelines have in force.
 type inForceTracker struct {
 	mu           sync.Mutex
-	pipelines    map[string]uint64 // what each has reported
+	pipelines    map[string]uint64 // the revision that each has reported
 	lastReported uint64
 }
 
@@ -17,7 +17,7 @@
 	return f
 }
 
-// catalogApplied takes note of a revision that the catalog has come to. Without pipelines it is in force.
+// catalogApplied records a revision that the catalog has reached. Without pipelines it is in force.
 func (f *inForceTracker) catalogApplied(rev uint64) (uint64, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -27,26 +27,27 @@
 	return f.advance(rev)
 }
 
-// pipelineApplied takes note of a revision that one pipeline has come to go by.
+// pipelineApplied records a revision that one pipeline has in force.
 func (f *inForceTracker) pipelineApplied(pipeline string, rev uint64) (uint64, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.pipelines[pipeline] = max(f.pipelines[pipeline], rev)
-	least := rev
+	lowest := rev
 	for _, r := range f.pipelines {
-		least = min(least, r)
+		lowest = min(lowest, r)
 	}
-	return f.advance(least)
+	return f.advance(lowest)
 }
 
-// advance reports whether the servers have to be told.
+// advance reports whether the revision is new and has to be reported to the server.
 func (f *inForceTracker) advance(rev uint64) (uint64, bool) {
 	advanced := rev > f.lastReported
 	f.lastReported = max(f.lastReported, rev)
 	return rev, advanced
 }
 
-// InForce takes note that a pipeline goes by a revision, and tells the servers once all do. It does not block.
+// InForce records that a pipeline has a revision in force, and reports it to the server once all pipelines have. It
+// does not block.
 func (s *Subscriber) InForce(pipeline string, rev uint64) {
 	if rev, advanced := s.inForce.pipelineApplied(pipeline, rev); advanced {
 		s.client.InForce(rev, nil)
--- a/internal/controlplane/subscriber/subscriber.go
+++ b/internal/controlplane/subscriber/subscriber.go
@@ -1,6 +1,6 @@
-// Package subscriber is a gateway's side of the control plane where it does not vote: a copy of the catalog, kept from
-// the control stream, and a queue of commands that go up the same way. It needs no log and no disk. Without a server
-// it goes on by what it last held.
+// Package subscriber is the control plane client of a gateway that does not vote: a copy of the catalog that follows
+// the control stream, and a queue of commands that are sent through the same stream. It needs no log and no disk.
+// Without a server the copy is kept unchanged.
 package subscriber
 
 import (
@@ -22,40 +22,41 @@
 	"aspenshed/internal/netio"
 )
 
-// submitTimeout is for a batch to be agreed on: the leader's limit of 2 s, and the ways between regions.
+// submitTimeout is the time for a batch to be committed: the leader's limit of 2 s, and the round trips between
+// regions.
 const submitTimeout = 3 * time.Second
 
-// maxDials are open at once: the connection, and ones that were given up and are not closed yet.
+// maxDials bounds the open dials: the connection, and cancelled ones that are not closed yet.
 const maxDials = 8
 
-// ErrNotVoter is returned for what only an instance of the store can do.
+// ErrNotVoter is returned for operations that only an instance of the store can perform.
 var ErrNotVoter = errors.New("this instance subscribes to the store and has no vote, log or disk; ask a voter")
 
-// Config sets up a Subscriber.
+// Config configures a Subscriber.
 type Config struct {
 	Cluster, ID, Region, Zone, Release string
 	Scope                              revision.Scope
 	Servers                            []string
 	Seed                               uint64
-	// Pipelines name those that report what is in force. Without any, what is held is in force.
+	// Pipelines names those that report the revision in force. Without any, the catalog's revision is in force.
 	Pipelines []string
-	// CheckConfig says what is wrong with a configuration; nil: nothing ever is. One that is refused is not taken over.
+	// CheckConfig returns an error for an invalid configuration, which is then refused; nil: every one is valid.
 	CheckConfig func(*pb.ConfigVersion) error
-	// OnChange hears that the catalog has changed. It must not block; nil: nobody does.
+	// OnChange is called after each change of the catalog. It must not block; nil: not called.
 	OnChange func()
 
-	Log     *logrus.Entry   // nil: nowhere
-	Clock   eventloop.Clock // nil: the wall's
+	Log     *logrus.Entry   // nil: discarded
+	Clock   eventloop.Clock // nil: the system clock
 	Network stream.Network  // nil: sockets
 }
 
-// Subscriber is one gateway's. Its methods may be called from any goroutine.
+// Subscriber is one gateway's control plane client. Its methods may be called from any goroutine.
 type Subscriber struct {
 	config    Config
 	boot      string
 	client    *stream.Client
 	queue     *commandqueue.Queue
-	net       *netio.Net // nil: the network was given
+	net       *netio.Net // nil: Config.Network is used
 	closing   chan struct{}
 	workers   sync.WaitGroup
 	closeOnce sync.Once
@@ -67,7 +68,7 @@
 	inForce *inForceTracker
 }
 
-// Open starts a subscriber. It waits for nobody.
+// Open starts a subscriber. It does not wait for a connection.
 func Open(c Config) (*Subscriber, error) {
 	boot := make([]byte, 6)
 	if _, err := rand.Read(boot); err != nil {
@@ -85,7 +86,7 @@
 		}
 		s.config.Network = stream.NewNetwork(s.net)
 	}
-	ready := make(chan struct{}) // the client applies what comes from its own goroutine
+	ready := make(chan struct{}) // closed once s is complete: OnUpdate runs on the client's goroutine
 	machine := subscription.ClientConfig{Cluster: c.Cluster, Subscriber: c.ID, Boot: s.boot, Region: c.Region, Zone: c.Zone,
 		Release: c.Release, Scope: c.Scope, Servers: c.Servers, Seed: c.Seed}
 	s.client = stream.NewClient(stream.ClientConfig{Machine: machine, Network: s.config.Network, Log: c.Log, Clock: c.Clock,
@@ -103,40 +104,40 @@
 	return s, nil
 }
 
-// ID names this gateway.
+// ID returns the id of this gateway.
 func (s *Subscriber) ID() string { return s.config.ID }
 
-// Boot is new with each start.
+// Boot returns an id that is new with each start.
 func (s *Subscriber) Boot() string { return s.boot }
 
-// Read looks at the copy of the catalog. f must not keep what it sees nor change it.
+// Read calls f with the copy of the catalog. f must neither retain nor change it.
 func (s *Subscriber) Read(f func(*catalog.Catalog)) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	f(s.catalog)
 }
 
-// ReadLatest is for instances that can ask the leader; a subscriber returns ErrNoVote.
+// ReadLatest is for instances that can ask the leader; a subscriber returns ErrNotVoter.
 func (s *Subscriber) ReadLatest(time.Duration, func(*catalog.Catalog)) error { return ErrNotVoter }
 
-// Offer has a command carried out some time; a later one with the same key takes the place of one that still waits.
+// Offer queues a command to be executed later; a newer one with the same key replaces one that is still queued.
 func (s *Subscriber) Offer(key string, c *pb.Command) { s.queue.Offer(key, c) }
 
-// Submit has a command carried out and waits for its result.
+// Submit queues a command and waits for its result.
 func (s *Subscriber) Submit(c *pb.Command, limit time.Duration) (*pb.Result, error) {
 	return s.queue.Submit(c, limit)
 }
 
-// Waiting is the number of commands that have not gone up.
+// Waiting returns the number of commands that have not been sent.
 func (s *Subscriber) Waiting() int { return s.queue.Queued() }
 
-// Stats counts what went over the stream, and tells where it stands.
+// Stats returns the traffic and the state of the stream.
 func (s *Subscriber) Stats() stream.ClientStats { return s.client.Stats() }
 
 // SetServers replaces the servers.
 func (s *Subscriber) SetServers(servers []string) { s.client.SetServers(servers) }
 
-// Close ends the stream. Callers that wait get commandqueue.ErrClosed or ErrUnknown.
+// Close ends the stream. Waiting callers get commandqueue.ErrClosed or ErrUnknown.
 func (s *Subscriber) Close() {
 	s.closeOnce.Do(func() {
 		close(s.closing)
@@ -148,7 +149,7 @@
 	})
 }
 
-// forward takes a batch up to the server that the stream is with, which takes it to the leader.
+// forward sends a batch to the connected server, which forwards it to the leader.
 func (s *Subscriber) forward(b *pb.Batch) (results []*pb.Result, mayHaveRun bool, err error) {
 	reply, err := s.client.Submit(b, submitTimeout)
 	switch {
@@ -160,7 +161,7 @@
 	return reply.GetResults(), true, nil
 }
 
-// neverSent reports whether a batch stayed here.
+// neverSent reports whether an error means that the batch was not sent.
 func neverSent(err error) bool {
 	return errors.Is(err, subscription.ErrNotConnected) || errors.Is(err, subscription.ErrTooManySubmissions) || errors.Is(err, subscription.ErrStopped)
 }
--- a/internal/controlplane/subscriber/subscriber_test.go
+++ b/internal/controlplane/subscriber/subscriber_test.go
@@ -18,10 +18,10 @@
 	"aspenshed/internal/controlplane/stream"
 )
 
-// testLimit ends a test that waits in vain.
-const testLimit = 20 * time.Second
+// testTimeout bounds the waiting of a test.
+const testTimeout = 20 * time.Second
 
-// voter is a catalog with a control stream, as a voter has them.
+// voter is a catalog with a control stream server, as in a voter.
 type voter struct {
 	t       *testing.T
 	server  *stream.Server
@@ -44,7 +44,7 @@
 	return v
 }
 
-// commit carries commands out as the next entry and returns its revision.
+// commit executes commands as the next entry of the log and returns its revision.
 func (v *voter) commit(commands ...*pb.Command) uint64 {
 	v.t.Helper()
 	rev := v.catalog.Index() + 1
@@ -60,7 +60,7 @@
 	return rev
 }
 
-func open(t *testing.T, change func(*Config), servers ...string) (*Subscriber, *logtest.Hook) {
+func openSubscriber(t *testing.T, change func(*Config), servers ...string) (*Subscriber, *logtest.Hook) {
 	t.Helper()
 	log, hook := logtest.NewNullLogger()
 	c := Config{Cluster: "test", ID: "gw1", Servers: servers, Seed: 1, Log: logrus.NewEntry(log)}
@@ -75,12 +75,12 @@
 	return s, hook
 }
 
-// eventually looks again and again until something holds.
+// eventually polls until a condition holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testLimit); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", testLimit, what)
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 	return rev
 }
 
-func at(t *testing.T, s *Subscriber, rev uint64) {
+func waitForRevision(t *testing.T, s *Subscriber, rev uint64) {
 	t.Helper()
 	eventually(t, fmt.Sprint("revision ", rev), func() bool { return s.revision() >= rev })
 }
@@ -107,12 +107,12 @@
 	return &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: id, Start: start, Reason: "test"}}}
 }
 
-func config(base uint64, text string) *pb.Command {
+func putConfig(base uint64, text string) *pb.Command {
 	return &pb.Command{Body: &pb.Command_PutConfig{PutConfig: &pb.PutConfig{Base: base, Text: text, Author: "test"}}}
 }
 
-// ids are those of the members that are held, and which of them drain.
-func ids(s *Subscriber) (out string) {
+// memberIDs returns the ids of all members, each followed by - if the member is draining.
+func memberIDs(s *Subscriber) (out string) {
 	s.Read(func(c *catalog.Catalog) {
 		for _, m := range c.Members() {
 			out += m.Entry.Id
@@ -124,23 +124,23 @@
 	return out
 }
 
-func TestTheCatalogFollowsTheVoter(t *testing.T) {
+func TestCatalogFollowsVoter(t *testing.T) {
 	v := newVoter(t, "127.0.0.1:0")
 	first := v.commit(upsert(member("a", "z1", 1), member("b", "z2", 2)))
-	s, _ := open(t, nil, v.server.Addr())
-	at(t, s, first)
-	if got := ids(s); got != "ab" {
+	s, _ := openSubscriber(t, nil, v.server.Addr())
+	waitForRevision(t, s, first)
+	if got := memberIDs(s); got != "ab" {
 		t.Errorf("members %s", got)
 	}
 	var start int64
 	s.Read(func(c *catalog.Catalog) { start = c.Member("a").Start })
-	at(t, s, v.commit(drain("a", start)))
-	if got := ids(s); got != "a-b" {
+	waitForRevision(t, s, v.commit(drain("a", start)))
+	if got := memberIDs(s); got != "a-b" {
 		t.Errorf("after the drain: %s", got)
 	}
 	remove := &pb.Command{Body: &pb.Command_RemoveMembers{RemoveMembers: &pb.RemoveMembers{Members: []string{"b"}}}}
-	at(t, s, v.commit(remove, upsert(member("c", "z1", 1))))
-	if got := ids(s); got != "a-c" {
+	waitForRevision(t, s, v.commit(remove, upsert(member("c", "z1", 1))))
+	if got := memberIDs(s); got != "a-c" {
 		t.Errorf("after the removal: %s", got)
 	}
 }
@@ -148,53 +148,53 @@
 func TestScope(t *testing.T) {
 	v := newVoter(t, "127.0.0.1:0")
 	v.commit(upsert(member("a", "z1", 1), member("b", "z2", 2), member("c", "z3", 3)))
-	s, _ := open(t, func(c *Config) {
+	s, _ := openSubscriber(t, func(c *Config) {
 		c.Scope = revision.Scope{Groups: []revision.Group{{Wire: "mysql", ID: 1}}, Sites: []string{"z3"}}
 	}, v.server.Addr())
-	at(t, s, v.commit(upsert(member("d", "z2", 2), member("e", "z1", 1))))
-	if got := ids(s); got != "ace" {
+	waitForRevision(t, s, v.commit(upsert(member("d", "z2", 2), member("e", "z1", 1))))
+	if got := memberIDs(s); got != "ace" {
 		t.Errorf("members %s", got)
 	}
 }
 
-// What a gateway has seen goes up under its own origin; a repeat of a batch carries the same numbers.
-func TestCommandsGoUp(t *testing.T) {
+// Commands are sent under the gateway's own origin, with sequence numbers that stay the same if a batch is repeated.
+func TestSubmitForwardsCommands(t *testing.T) {
 	v := newVoter(t, "127.0.0.1:0")
 	rev := v.commit(upsert(member("a", "z1", 1)))
-	s, _ := open(t, nil, v.server.Addr())
-	at(t, s, rev)
-	if _, err := s.Submit(drain("a", 1), testLimit); err != nil {
+	s, _ := openSubscriber(t, nil, v.server.Addr())
+	waitForRevision(t, s, rev)
+	if _, err := s.Submit(drain("a", 1), testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	b := <-v.batches
 	if c := b.Commands[0]; c.Origin != "gw1/"+s.Boot() || c.Seq == 0 || c.GetDrain().GetMember() != "a" {
-		t.Errorf("went up: %v", c)
+		t.Errorf("forwarded %v", c)
 	}
-	if err := s.ReadLatest(testLimit, func(*catalog.Catalog) {}); !errors.Is(err, ErrNotVoter) {
-		t.Errorf("a read of the latest: %v", err)
+	if err := s.ReadLatest(testTimeout, func(*catalog.Catalog) {}); !errors.Is(err, ErrNotVoter) {
+		t.Errorf("ReadLatest: %v", err)
 	}
 }
 
-// Without a server a command is not carried out, and what is held stays; a server that comes back serves both.
-func TestTheServerIsGoneForAWhile(t *testing.T) {
+// Without a server a command fails and the catalog is kept; after the server's return both work again.
+func TestServerOutage(t *testing.T) {
 	v := newVoter(t, "127.0.0.1:0")
 	rev := v.commit(upsert(member("a", "z1", 1)))
-	s, hook := open(t, nil, v.server.Addr())
-	at(t, s, rev)
+	s, hook := openSubscriber(t, nil, v.server.Addr())
+	waitForRevision(t, s, rev)
 	v.server.Stop()
 	eventually(t, "the loss", func() bool { return !s.Stats().Subscribed })
 	if _, err := s.Submit(drain("a", 1), 50*time.Millisecond); !errors.Is(err, commandqueue.ErrUnavailable) && !errors.Is(err, commandqueue.ErrUnknown) {
 		t.Errorf("without a server: %v", err)
 	}
-	if got := ids(s); got != "a" {
-		t.Errorf("without a server it holds %q", got)
+	if got := memberIDs(s); got != "a" {
+		t.Errorf("members without a server: %q", got)
 	}
 	again := newVoter(t, v.server.Addr())
 	again.catalog = v.catalog
 	again.server.Reset(v.catalog.Index(), v.catalog.Records())
-	at(t, s, again.commit(upsert(member("b", "z1", 1))))
-	if got := ids(s); got != "ab" {
-		t.Errorf("after its return: %q", got)
+	waitForRevision(t, s, again.commit(upsert(member("b", "z1", 1))))
+	if got := memberIDs(s); got != "ab" {
+		t.Errorf("members after the server's return: %q", got)
 	}
 	lines := map[string]int{}
 	for _, e := range hook.AllEntries() {
@@ -205,9 +205,9 @@
 	}
 }
 
-// A configuration that this gateway can't read is refused: it keeps the last good one, the reason goes back, and other
-// changes count.
-func TestARefusedChangeGoesBackWithItsReason(t *testing.T) {
+// A configuration that this gateway rejects is refused: it keeps the last valid one, reports the reason, and applies
+// the other changes of the update.
+func TestRefusedChangeIsReportedWithReason(t *testing.T) {
 	v := newVoter(t, "127.0.0.1:0")
 	check := func(c *Config) {
 		c.CheckConfig = func(v *pb.ConfigVersion) error {
@@ -217,64 +217,64 @@
 			return nil
 		}
 	}
-	s, hook := open(t, check, v.server.Addr())
-	at(t, s, v.commit(config(0, "good")))
-	rev := v.commit(config(1, "bad"), upsert(member("a", "z1", 1)))
-	at(t, s, rev)
+	s, hook := openSubscriber(t, check, v.server.Addr())
+	waitForRevision(t, s, v.commit(putConfig(0, "good")))
+	rev := v.commit(putConfig(1, "bad"), upsert(member("a", "z1", 1)))
+	waitForRevision(t, s, rev)
 	text := func(s *Subscriber) (text string) {
 		s.Read(func(c *catalog.Catalog) { text = c.Config().GetText() })
 		return text
 	}
-	if text(s) != "good" || ids(s) != "a" {
-		t.Errorf("configuration %q, members %s", text(s), ids(s))
+	if text(s) != "good" || memberIDs(s) != "a" {
+		t.Errorf("configuration %q, members %s", text(s), memberIDs(s))
 	}
-	eventually(t, "the reason at the voter", func() bool {
+	eventually(t, "the reason to reach the voter", func() bool {
 		r := v.server.Rollout(rev).GetRefusals()
 		return len(r) == 1 && r[0].Subscriber == "gw1" && r[0].Key == "config" && strings.Contains(r[0].Reason, "no mapping")
 	})
 	if got := hook.LastEntry(); got == nil || got.Message != messageChangeRefused {
 		t.Errorf("logged %v", got)
 	}
-	other := newVoter(t, "127.0.0.1:0") // its snapshots hold the bad one alone
+	other := newVoter(t, "127.0.0.1:0") // its snapshots contain only the invalid configuration
 	other.server.Reset(rev, v.catalog.Records())
-	late, _ := open(t, func(c *Config) { check(c); c.ID = "gw2" }, other.server.Addr())
-	at(t, late, rev)
-	if text(late) != "" || ids(late) != "a" {
-		t.Errorf("after a snapshot: configuration %q, members %s", text(late), ids(late))
+	late, _ := openSubscriber(t, func(c *Config) { check(c); c.ID = "gw2" }, other.server.Addr())
+	waitForRevision(t, late, rev)
+	if text(late) != "" || memberIDs(late) != "a" {
+		t.Errorf("after a snapshot: configuration %q, members %s", text(late), memberIDs(late))
 	}
 }
 
-// A revision is in force once every pipeline goes by it.
-func TestInForceOnceAllPipelinesHaveIt(t *testing.T) {
+// A revision is in force once every pipeline has reported it.
+func TestInForceOnceAllPipelinesReported(t *testing.T) {
 	f := newInForceTracker([]string{"mysql", "postgres"})
-	type step struct {
+	type report struct {
 		pipeline string
 		rev      uint64
-		told     uint64 // 0: nothing new
+		want     uint64 // 0: not advanced
 	}
-	for _, x := range []step{{"mysql", 5, 0}, {"postgres", 4, 4}, {"postgres", 7, 5}, {"mysql", 6, 6}, {"mysql", 6, 0}, {"mysql", 9, 7}} {
+	for _, x := range []report{{"mysql", 5, 0}, {"postgres", 4, 4}, {"postgres", 7, 5}, {"mysql", 6, 6}, {"mysql", 6, 0}, {"mysql", 9, 7}} {
 		rev, advanced := f.pipelineApplied(x.pipeline, x.rev)
-		if advanced != (x.told != 0) || advanced && rev != x.told {
+		if advanced != (x.want != 0) || advanced && rev != x.want {
 			t.Errorf("%+v: revision %d, advanced %v", x, rev, advanced)
 		}
 	}
 	if _, advanced := f.catalogApplied(100); advanced {
-		t.Error("in force without the pipelines")
+		t.Error("in force although the pipelines have not reported it")
 	}
 	if rev, advanced := newInForceTracker(nil).catalogApplied(3); rev != 3 || !advanced {
-		t.Error("without pipelines what is held is in force")
+		t.Error("without pipelines the catalog's revision is not in force")
 	}
 }
 
-// A record of a kind that a later release adds is refused, and all others count.
-func TestARecordOfALaterRelease(t *testing.T) {
+// A record of a kind that a later release adds is refused, and all others are applied.
+func TestUnknownRecordKindIsRefused(t *testing.T) {
 	v := newVoter(t, "127.0.0.1:0")
 	v.commit(upsert(member("a", "z1", 1)))
 	records := append(v.catalog.Records(), revision.Record{Key: "weather/today", Value: []byte("rain")})
 	v.server.Reset(50, records)
-	s, _ := open(t, nil, v.server.Addr())
-	at(t, s, 50)
-	if got := ids(s); got != "a" {
+	s, _ := openSubscriber(t, nil, v.server.Addr())
+	waitForRevision(t, s, 50)
+	if got := memberIDs(s); got != "a" {
 		t.Errorf("members %s", got)
 	}
 	good, err := proto.Marshal(&pb.Pair{Key: "k", Value: []byte("v"), Version: 1})
@@ -283,7 +283,7 @@
 	}
 	v.server.Publish(51, []revision.Change{{Revision: 51, Record: revision.Record{Key: "weather/today", Value: []byte("sun")}, Before: &records[len(records)-1]},
 		{Revision: 51, Record: revision.Record{Key: "pair/k", Value: good}}})
-	at(t, s, 51)
+	waitForRevision(t, s, 51)
 	s.Read(func(c *catalog.Catalog) {
 		if string(c.Pair("k").GetValue()) != "v" {
 			t.Errorf("pair %v", c.Pair("k"))
@@ -291,7 +291,7 @@
 	})
 }
 
-// Who asks what has changed gets each member once, or hears that it is no longer known.
+// A reader gets each changed member once, or is told that the changes are no longer known.
 func TestChangedMembers(t *testing.T) {
 	var c changedMembers
 	c.reset(10)
@@ -313,9 +313,9 @@
 		c.add(rev, change(fmt.Sprint("m", rev)))
 	}
 	if _, known := c.after(14); known {
-		t.Error("more than is remembered is said to be known")
+		t.Error("changes beyond the limit are reported as known")
 	}
 	if ids, known := c.after(15); !known || len(ids) != maxChangedMembers {
-		t.Errorf("%d of them, known %v", len(ids), known)
+		t.Errorf("%d changed members, known %v", len(ids), known)
 	}
 }
