--- a/internal/controlplane/stream/client.go
+++ b/internal/controlplane/stream/client.go
@@ -16,31 +16,31 @@
 	"aspenshed/internal/protocol/frame"
 )
 
-const messageClientFailed = "control stream client failed, the gateway goes on by what it last held"
+const messageClientFailed = "control stream client failed, the gateway keeps its last control state"
 
-// ErrTimeout says that no answer came in time; the batch may have been carried out.
-var ErrTimeout = errors.New("control stream: no answer in time")
+// ErrTimeout reports that no reply was received in time; the batch may have been executed.
+var ErrTimeout = errors.New("control stream: no reply in time")
 
-// ClientConfig sets up a Client.
+// ClientConfig configures a Client.
 type ClientConfig struct {
 	Machine subscription.ClientConfig
 	Network Network
-	Log     *logrus.Entry   // nil: nowhere
-	Clock   eventloop.Clock // nil: the wall's
-	// OnUpdate hears of every new state, on the client's goroutine; nil: nobody does. It must not block.
+	Log     *logrus.Entry   // nil: discarded
+	Clock   eventloop.Clock // nil: the system clock
+	// OnUpdate is called with every new state, on the client's goroutine; nil: not called. It must not block.
 	OnUpdate func(Update)
 }
 
-// Update is a step of the state: changes, or a whole new one.
+// Update is a change of the state: some changes, or a whole new state.
 type Update struct {
 	Revision uint64
-	Full     bool // read State; there are no changes
+	Full     bool // replaced by a snapshot: read State; Changes is empty
 	Changes  []revision.Change
-	State    *revision.State // valid during the call alone
+	State    *revision.State // valid during the call only
 }
 
-// Client keeps a copy of the control state by subscribing to one of several servers. One that fails logs it once and
-// keeps what it held.
+// Client keeps a copy of the control state by subscribing to one of several servers. A client that fails logs this once
+// and keeps its copy.
 type Client struct {
 	config   ClientConfig
 	log      *logrus.Entry
@@ -53,21 +53,21 @@
 	mu    sync.Mutex
 	stats ClientStats
 
-	// The loop's own.
+	// Used on the loop only.
 	machine            *subscription.Client
-	conn               *serverConn // nil: neither connected nor dialling
+	conn               *serverConn // nil: neither connected nor dialing
 	timer              *eventloop.Timer
-	pendingSubmissions map[uint64]chan<- submitResult // of submissions; bounded by the machine
+	pendingSubmissions map[uint64]chan<- submitResult // by id; bounded by the state machine
 	failed             bool
 }
 
-// submitResult is what came of a submission.
+// submitResult is the result of a submission.
 type submitResult struct {
 	reply *catalogpb.Reply
 	err   error
 }
 
-// NewClient dials at once, and again whenever it has lost its server.
+// NewClient returns a client that dials at once, and again whenever it loses its server.
 func NewClient(c ClientConfig) *Client {
 	if c.Clock == nil {
 		c.Clock = eventloop.NewClock()
@@ -75,19 +75,20 @@
 	if c.OnUpdate == nil {
 		c.OnUpdate = func(Update) {}
 	}
-	x := &Client{config: c, log: loggerOrDiscard(c.Log), loop: eventloop.NewLoop(c.Clock), done: make(chan struct{}),
+	client := &Client{config: c, log: loggerOrDiscard(c.Log), loop: eventloop.NewLoop(c.Clock), done: make(chan struct{}),
 		machine: subscription.NewClient(c.Machine), pendingSubmissions: map[uint64]chan<- submitResult{}}
-	x.loop.AfterBatch = func() { x.step() }
-	x.loop.OnPanic = x.fail
-	x.loop.Post(func() {})
+	client.loop.AfterBatch = func() { client.step() }
+	client.loop.OnPanic = client.fail
+	client.loop.Post(func() {})
 	go func() {
-		defer close(x.done)
-		x.loop.Run()
+		defer close(client.done)
+		client.loop.Run()
 	}()
-	return x
+	return client
 }
 
-// InForce tells the servers which revision the data plane goes by, and what it refused since the last call.
+// InForce reports to the server which revision the data plane has in force, and which changes it refused since the last
+// call.
 func (c *Client) InForce(rev uint64, refused []*pb.RefusedChange) {
 	c.loop.Post(func() { c.step(subscription.InForce{Revision: rev, Refused: refused}) })
 }
@@ -97,15 +98,15 @@
 	c.loop.Post(func() { c.step(subscription.SetServers{Servers: servers}) })
 }
 
-// Submit has a batch carried to the leader and waits for the reply. Unless the error is one of subscription's
-// ErrNotConnected, ErrTooMany and ErrStopped, the batch may have been carried out.
+// Submit sends a batch to be forwarded to the leader and waits for the reply. Unless the error is one of subscription's
+// ErrNotConnected, ErrTooManySubmissions and ErrStopped, the batch may have been executed.
 func (c *Client) Submit(b *catalogpb.Batch, limit time.Duration) (*catalogpb.Reply, error) {
-	id, got := c.nextID.Add(1), make(chan submitResult, 1)
-	c.loop.Post(func() { c.submit(id, b, got) })
+	id, result := c.nextID.Add(1), make(chan submitResult, 1)
+	c.loop.Post(func() { c.submit(id, b, result) })
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
-	case a := <-got:
+	case a := <-result:
 		return a.reply, a.err
 	case <-timer.C:
 		c.loop.Post(func() { delete(c.pendingSubmissions, id) })
@@ -115,16 +116,16 @@
 	}
 }
 
-func (c *Client) submit(id uint64, b *catalogpb.Batch, got chan<- submitResult) {
+func (c *Client) submit(id uint64, b *catalogpb.Batch, result chan<- submitResult) {
 	if c.failed {
-		got <- submitResult{err: subscription.ErrStopped}
+		result <- submitResult{err: subscription.ErrStopped}
 		return
 	}
-	c.pendingSubmissions[id] = got
+	c.pendingSubmissions[id] = result
 	c.step(subscription.SubmitCommands{ID: id, Batch: b})
 }
 
-// Stats counts what the client has done, and tells where it stands.
+// Stats returns the counters and the state of the client.
 func (c *Client) Stats() ClientStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,7 +134,7 @@
 	return out
 }
 
-// Stop ends the connection and the client.
+// Stop closes the connection and stops the client.
 func (c *Client) Stop() {
 	c.stopOnce.Do(func() {
 		c.loop.Post(func() {
@@ -144,7 +145,8 @@
 	})
 }
 
-// step hands events to the machine, one at a time, so that none of a connection follows that connection's end.
+// step passes events to the state machine, one at a time, so that no event of a connection follows that connection's
+// end.
 func (c *Client) step(events ...subscription.Event) {
 	if c.failed {
 		return
@@ -154,11 +156,11 @@
 		c.perform(a)
 	}
 	c.loop.StopTimer(c.timer)
-	c.timer = c.loop.At(next, func() {}) // a step follows every batch
+	c.timer = c.loop.At(next, func() {}) // AfterBatch calls step after every batch
 	c.updateStats()
 }
 
-// updateStats keeps what Stats tells.
+// updateStats updates the state that Stats returns.
 func (c *Client) updateStats() {
 	state := c.machine.State()
 	c.mu.Lock()
@@ -194,8 +196,8 @@
 }
 
 func (c *Client) completeSubmission(a subscription.SubmitDone) {
-	if got := c.pendingSubmissions[a.ID]; got != nil {
-		got <- submitResult{a.Reply, a.Err}
+	if result := c.pendingSubmissions[a.ID]; result != nil {
+		result <- submitResult{a.Reply, a.Err}
 		delete(c.pendingSubmissions, a.ID)
 	}
 }
@@ -215,7 +217,7 @@
 	}
 }
 
-// fail ends the client after a defect; the gateway keeps what it holds.
+// fail stops the client after a panic; the gateway keeps its copy of the state.
 func (c *Client) fail(cause any) {
 	if c.failed {
 		return
@@ -223,8 +225,8 @@
 	c.failed = true
 	c.log.WithFields(panicFields(cause)).Error(messageClientFailed)
 	c.closeConnection()
-	for id, got := range c.pendingSubmissions {
-		got <- submitResult{err: subscription.ErrConnectionLost}
+	for id, result := range c.pendingSubmissions {
+		result <- submitResult{err: subscription.ErrConnectionLost}
 		delete(c.pendingSubmissions, id)
 	}
 }
--- a/internal/controlplane/stream/client_conn.go
+++ b/internal/controlplane/stream/client_conn.go
@@ -7,11 +7,11 @@
 	"aspenshed/internal/protocol/frame"
 )
 
-// maxPendingServerBytes bounds what waits of a server for the client's loop: two of the longest frames, many times a server's
-// window. Beyond it the connection is closed.
+// maxPendingServerBytes bounds the received bytes of a server that wait for the client's loop: two of the longest
+// frames, many times a server's window. Beyond it the connection is closed.
 const maxPendingServerBytes = 2 * frame.MaxSize
 
-// serverConn is the connection to a server, from its dial on. What comes of one that is no longer the client's is
+// serverConn is the connection to a server, from its dial on. Input of a connection that is no longer the client's is
 // dropped.
 type serverConn struct {
 	client   *Client
@@ -35,7 +35,7 @@
 	conn.socket = socket
 }
 
-// closeConnection closes the connection, or gives up the dial.
+// closeConnection closes the connection, or cancels the dial.
 func (c *Client) closeConnection() {
 	if c.conn != nil && c.conn.socket != nil {
 		c.conn.socket.Close()
@@ -43,7 +43,8 @@
 	c.conn = nil
 }
 
-// connectionLost tells the machine that a connection has ended. It may be called while the machine's actions are carried out.
+// connectionLost reports the end of a connection to the state machine. It may be called while the machine's actions are
+// performed.
 func (c *Client) connectionLost(conn *serverConn, err error) {
 	c.loop.Post(func() {
 		if conn == nil || c.conn != conn {
@@ -62,7 +63,7 @@
 	return err
 }
 
-// Up posts that the connection is there.
+// Up posts that the connection is established.
 func (c *serverConn) Up() {
 	c.client.loop.Post(func() {
 		if c.client.conn != c {
@@ -75,7 +76,7 @@
 	})
 }
 
-// Data posts the frames that have come whole.
+// Data posts the frames that are complete.
 func (c *serverConn) Data(b []byte) {
 	frames, err := c.receiver.decode(b)
 	if len(frames) == 0 && err == nil {
@@ -84,7 +85,7 @@
 	c.client.loop.Post(func() { c.handleFrames(frames, err) })
 }
 
-// handleFrames hands frames to the machine, which may end the connection with any of them.
+// handleFrames passes frames to the state machine, which may close the connection after any of them.
 func (c *serverConn) handleFrames(frames []receivedFrame[*pb.ServerFrame], err error) {
 	for _, f := range frames {
 		if c.client.conn == c {
@@ -97,7 +98,7 @@
 	}
 }
 
-// Closed posts the connection's end, or that it never came up.
+// Closed posts the connection's end, or the failure of the dial.
 func (c *serverConn) Closed(err error) { c.client.connectionLost(c, err) }
 
 var _ netio.Handler = (*serverConn)(nil)
--- a/internal/controlplane/stream/feed.go
+++ b/internal/controlplane/stream/feed.go
@@ -6,8 +6,9 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// maxQueuedBytes bounds the commits that wait for the server's loop. At an overflow they are dropped and the state is read
-// anew: 21,000 members take some 5 MB, so it takes a loop that has stood still for several replacements of all of them.
+// maxQueuedBytes bounds the commits that wait for the server's loop. On overflow they are dropped and the state is
+// reloaded. 21,000 members take some 5 MB, so it overflows only if the loop is blocked while all of them are replaced
+// several times.
 const maxQueuedBytes = 64 << 20
 
 // commitQueue is the queue between the replicated log's goroutine and the server's loop.
@@ -16,10 +17,10 @@
 	items         []queuedCommit
 	bytes         int
 	overflowed    bool
-	overflowCount uint64 // of overflows
+	overflowCount uint64
 }
 
-// queuedCommit is a commit, or a state that replaces what went before.
+// queuedCommit is a commit, or a state that replaces everything before.
 type queuedCommit struct {
 	revision uint64
 	changes  []revision.Change
@@ -27,12 +28,12 @@
 	records  []revision.Record
 }
 
-// push reports whether the loop has to be told: it has nothing else to take.
+// push adds a commit. It reports whether the loop has to be notified because the queue was empty.
 func (f *commitQueue) push(rev uint64, changes []revision.Change) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.overflowed {
-		return false // it is part of the state that will be read
+		return false // the commit is part of the state that will be reloaded
 	}
 	idle := len(f.items) == 0
 	for i := range changes {
@@ -47,7 +48,7 @@
 	return idle
 }
 
-// reset drops what waits: the new state replaces it.
+// reset replaces the queued commits by a state. It reports whether the loop has to be notified.
 func (f *commitQueue) reset(rev uint64, records []revision.Record) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/controlplane/stream/harness_test.go
+++ b/internal/controlplane/stream/harness_test.go
@@ -19,26 +19,26 @@
 	"aspenshed/internal/netio"
 )
 
-// testLimit ends a test that waits in vain.
-const testLimit = 20 * time.Second
+// testTimeout bounds the waiting of a test.
+const testTimeout = 20 * time.Second
 
-// stepClock stands still until a test advances it.
-type stepClock struct {
+// manualClock is a clock that a test advances.
+type manualClock struct {
 	mu    sync.Mutex
 	now   aspenshed.Nanos
 	loops []*eventloop.Loop
 }
 
-func newStepClock() *stepClock { return &stepClock{now: 1e18} }
+func newManualClock() *manualClock { return &manualClock{now: 1e18} }
 
-func (c *stepClock) Now() aspenshed.Nanos {
+func (c *manualClock) Now() aspenshed.Nanos {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-// advance moves the clock and has all loops look at their timers.
-func (c *stepClock) advance(d time.Duration) {
+// advance advances the clock and wakes all loops, so that they check their timers.
+func (c *manualClock) advance(d time.Duration) {
 	c.mu.Lock()
 	c.now += aspenshed.Nanos(d)
 	loops := slices.Clone(c.loops)
@@ -48,22 +48,22 @@
 	}
 }
 
-func (c *stepClock) drives(l *eventloop.Loop) {
+func (c *manualClock) attach(l *eventloop.Loop) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.loops = append(c.loops, l)
 }
 
-// logs collects lines.
-type logs struct{ hook *logtest.Hook }
+// logRecorder records log lines.
+type logRecorder struct{ hook *logtest.Hook }
 
-func newLogs() (*logrus.Entry, *logs) {
+func newLogRecorder() (*logrus.Entry, *logRecorder) {
 	log, hook := logtest.NewNullLogger()
-	return logrus.NewEntry(log), &logs{hook}
+	return logrus.NewEntry(log), &logRecorder{hook}
 }
 
-// count is how often a message was logged.
-func (l *logs) count(message string) (n int) {
+// count returns how often a message was logged.
+func (l *logRecorder) count(message string) (n int) {
 	for _, e := range l.hook.AllEntries() {
 		if e.Message == message {
 			n++
@@ -72,16 +72,16 @@
 	return n
 }
 
-// testServer is a server with what it was given.
+// testServer is a server that records the batches it receives.
 type testServer struct {
 	*Server
-	logs    *logs
+	logs    *logRecorder
 	batches chan *catalogpb.Batch
 }
 
-func startServer(t *testing.T, clock *stepClock, listen string, change func(*ServerConfig)) *testServer {
+func startServer(t *testing.T, clock *manualClock, listen string, change func(*ServerConfig)) *testServer {
 	t.Helper()
-	log, lines := newLogs()
+	log, lines := newLogRecorder()
 	x := &testServer{logs: lines, batches: make(chan *catalogpb.Batch, 1024)}
 	c := ServerConfig{Listen: listen, Cluster: "test", Log: log, Clock: clock, Forward: func(b *catalogpb.Batch) *catalogpb.Reply {
 		x.batches <- b
@@ -94,27 +94,27 @@
 	if x.Server, err = NewServer(c); err != nil {
 		t.Fatal(err)
 	}
-	clock.drives(x.loop)
+	clock.attach(x.loop)
 	t.Cleanup(x.Stop)
 	return x
 }
 
-// testClient is a client and what it has applied.
+// testClient is a client that records its updates.
 type testClient struct {
 	*Client
-	logs    *logs
+	logs    *logRecorder
 	updates chan Update
 }
 
 var sharedNet = sync.OnceValues(func() (*netio.Net, error) { return netio.New(netio.Config{Name: "test", MaxDials: 1024}) })
 
-func startClient(t *testing.T, clock *stepClock, name string, change func(*ClientConfig), servers ...string) *testClient {
+func startClient(t *testing.T, clock *manualClock, name string, change func(*ClientConfig), servers ...string) *testClient {
 	t.Helper()
 	n, err := sharedNet()
 	if err != nil {
 		t.Fatal(err)
 	}
-	log, lines := newLogs()
+	log, lines := newLogRecorder()
 	x := &testClient{logs: lines, updates: make(chan Update, 1024)}
 	c := ClientConfig{Network: NewNetwork(n), Log: log, Clock: clock, OnUpdate: func(u Update) { x.updates <- u },
 		Machine: subscription.ClientConfig{Cluster: "test", Subscriber: name, Boot: "1", Servers: servers, Seed: 7}}
@@ -122,40 +122,40 @@
 		change(&c)
 	}
 	x.Client = NewClient(c)
-	clock.drives(x.loop)
+	clock.attach(x.loop)
 	t.Cleanup(x.Stop)
 	return x
 }
 
-// until waits for a revision; the clock goes on meanwhile as heartbeats, flushes and backoffs need it.
-func (c *testClient) until(t *testing.T, clock *stepClock, rev uint64) {
+// waitForRevision waits for a revision and advances the clock, as heartbeats, flushes and backoffs need it.
+func (c *testClient) waitForRevision(t *testing.T, clock *manualClock, rev uint64) {
 	t.Helper()
 	eventually(t, clock, fmt.Sprint("revision ", rev), func() bool { return c.Stats().Revision >= rev })
 }
 
-// eventually advances the clock step by step until something holds.
-func eventually(t *testing.T, clock *stepClock, what string, holds func() bool) {
+// eventually advances the clock in steps until a condition holds.
+func eventually(t *testing.T, clock *manualClock, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testLimit); !holds(); {
+	for end := time.Now().Add(testTimeout); !holds(); {
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", testLimit, what)
+			t.Fatalf("not within %v: %s", testTimeout, what)
 		}
 		clock.advance(time.Millisecond)
-		time.Sleep(200 * time.Microsecond) // the sockets need real time: a fifth of what the clock shows, or more
+		time.Sleep(200 * time.Microsecond) // sockets need real time: at least a fifth of the simulated time
 	}
 }
 
-// pair is a record of a key.
-func pair(key, value string) revision.Record {
+// pairRecord returns the record of a pair.
+func pairRecord(key, value string) revision.Record {
 	return revision.Record{Key: revision.PairPrefix + key, Value: []byte(value)}
 }
 
-func set(rev uint64, key, value string) revision.Change {
-	return revision.Change{Revision: rev, Record: pair(key, value)}
+func pairChange(rev uint64, key, value string) revision.Change {
+	return revision.Change{Revision: rev, Record: pairRecord(key, value)}
 }
 
-// digestOf is that of pairs of keys and values.
-func digestOf(pairs ...string) (sum revision.Digest) {
+// pairsDigest returns the digest of pairs, given as keys and values.
+func pairsDigest(pairs ...string) (sum revision.Digest) {
 	for i := 0; i < len(pairs); i += 2 {
 		sum += revision.Hash(revision.PairPrefix+pairs[i], []byte(pairs[i+1]))
 	}
--- a/internal/controlplane/stream/log.go
+++ b/internal/controlplane/stream/log.go
@@ -9,7 +9,7 @@
 	"aspenshed/internal/controlplane/subscription"
 )
 
-// writeLogLine hands a machine's line to the log.
+// writeLogLine writes a log line of a state machine.
 func writeLogLine(log *logrus.Entry, line *subscription.LogLine) {
 	fields := logrus.Fields{"revision": line.Revision}
 	for name, value := range map[string]string{"subscriber": line.Subscriber, "server": line.Server, "key": line.Key} {
@@ -31,17 +31,17 @@
 	entry.Info(line.Message)
 }
 
-// panicFields say what went wrong and where.
+// panicFields returns the log fields for a panic: its value and the stack.
 func panicFields(p any) logrus.Fields {
 	return logrus.Fields{"panic": p, "stack": string(debug.Stack())}
 }
 
-// loggerOrDiscard is the log, or one that goes nowhere.
+// loggerOrDiscard returns log, or a logger that discards everything if it is nil.
 func loggerOrDiscard(log *logrus.Entry) *logrus.Entry {
 	if log != nil {
 		return log
 	}
-	nowhere := logrus.New()
-	nowhere.SetOutput(io.Discard)
-	return logrus.NewEntry(nowhere)
+	discard := logrus.New()
+	discard.SetOutput(io.Discard)
+	return logrus.NewEntry(discard)
 }
--- a/internal/controlplane/stream/raw_test.go
+++ b/internal/controlplane/stream/raw_test.go
@@ -12,7 +12,7 @@
 	"aspenshed/internal/protocol/frame"
 )
 
-// rawPeer is a connection whose bytes a test writes itself.
+// rawPeer is a connection on which a test writes raw bytes.
 type rawPeer struct {
 	t    *testing.T
 	conn net.Conn
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	if err := conn.SetDeadline(time.Now().Add(testLimit)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	return &rawPeer{t, conn}
@@ -40,8 +40,8 @@
 
 func (p *rawPeer) send(f *pb.SubscriberFrame) { p.write(encoded(p.t, f)) }
 
-// closing reads to the end of the connection and returns its last frame, which has to be a Closing.
-func (p *rawPeer) closing() *pb.Closing {
+// readClosing reads to the end of the connection and returns its last frame, which has to be a Closing.
+func (p *rawPeer) readClosing() *pb.Closing {
 	p.t.Helper()
 	all, err := io.ReadAll(p.conn)
 	if err != nil {
@@ -71,8 +71,8 @@
 	return &pb.SubscriberFrame{Body: &pb.SubscriberFrame_Subscribe{Subscribe: &pb.Subscribe{Cluster: cluster, Subscriber: name}}}
 }
 
-// future subscribes with a revision that the server has not reached.
-func future(name string) *pb.SubscriberFrame {
+// subscribeAhead returns a Subscribe with a revision that the server has not reached.
+func subscribeAhead(name string) *pb.SubscriberFrame {
 	f := subscribe(name, "test")
 	f.GetSubscribe().Revision = 1 << 40
 	return f
@@ -82,8 +82,8 @@
 	return &pb.SubscriberFrame{Body: &pb.SubscriberFrame_Ack{Ack: &pb.Ack{Received: received}}}
 }
 
-// answerWith answers each connection's first bytes with the same bytes.
-func answerWith(l net.Listener, answer []byte) {
+// respondWith responds to the first bytes of each connection with the same bytes.
+func respondWith(l net.Listener, answer []byte) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
--- a/internal/controlplane/stream/receive.go
+++ b/internal/controlplane/stream/receive.go
@@ -9,10 +9,11 @@
 	"aspenshed/internal/protocol/frame"
 )
 
-// decodedFrameOverhead is what a decoded frame is counted for beside its bytes.
+// decodedFrameOverhead is what a decoded frame counts in addition to its encoded size, in bytes.
 const decodedFrameOverhead = 256
 
-// errReceiveOverflow says that a peer sends faster than what it sends is taken up; the other end's window excludes that.
+// errReceiveOverflow reports that a peer sends faster than its frames are processed; the flow control window of a
+// correct peer excludes that.
 var errReceiveOverflow = errors.New("more bytes wait to be taken up than the peer may send at once")
 
 // receivedFrame is a decoded frame and its size on the wire.
@@ -21,19 +22,19 @@
 	bytes int
 }
 
-// receiver turns the bytes of one connection into frames. The poller's goroutine feeds it; the loop's tells it what has
-// been taken up.
+// receiver decodes the bytes of one connection into frames. The poller's goroutine calls decode; the loop's goroutine
+// calls release for processed frames.
 type receiver[M proto.Message] struct {
 	newFrame        func() M
 	counters        *counters
-	maxPendingBytes int64 // of the bytes that wait for the loop; beyond it the connection is closed
+	maxPendingBytes int64 // that wait for the loop; beyond it the connection is closed
 	reader          frame.Reader
 	pendingBytes    atomic.Int64
 	failed          bool
 }
 
-// decode returns the whole frames that b completes. After an error, which may come with frames that went before it,
-// nothing more comes.
+// decode returns the frames that b completes. After an error, which may be returned together with frames before it, it
+// returns nothing.
 func (r *receiver[M]) decode(b []byte) (frames []receivedFrame[M], err error) {
 	if r.failed {
 		return nil, nil
@@ -55,7 +56,7 @@
 	return frames, err
 }
 
-// release takes note that the loop has dealt with a frame.
+// release records that the loop has processed a frame.
 func (r *receiver[M]) release(f receivedFrame[M]) {
 	r.pendingBytes.Add(-int64(f.bytes - 4 + decodedFrameOverhead))
 }
--- a/internal/controlplane/stream/server.go
+++ b/internal/controlplane/stream/server.go
@@ -18,45 +18,47 @@
 )
 
 const (
-	// MaxSubscribers are served at once: 2,400 gateways that have all come to one of five voters, three times over.
-	// Who comes beyond is asked to come back later.
+	// MaxSubscribers is the number of subscribers served at once: 2,400 gateways that have all connected to one of five
+	// voters, three times over. Further ones are asked to retry later.
 	MaxSubscribers = 8192
-	// maxRefusedConnections connections beyond them are open for as long as it takes to say so; further ones are closed at once.
+	// maxRefusedConnections is the number of connections beyond MaxSubscribers that are kept open until they have been
+	// sent the reason; further ones are closed at once.
 	maxRefusedConnections = 256
-	// maxConcurrentBatches batches of subscribers are on their way to the leader at once.
+	// maxConcurrentBatches is the number of subscribers' batches that are being forwarded to the leader at once.
 	maxConcurrentBatches = 64
-	// maxQueuedBatches wait for that; further ones are refused at once and may be repeated.
+	// maxQueuedBatches is the number of batches that wait to be forwarded; further ones are refused at once and may be
+	// retried.
 	maxQueuedBatches = 4096
-	// closeTimeout is how long a connection that is closed may take to send its last frame, ns.
+	// closeTimeout is how long a connection that is being closed may take to send its last frame, ns.
 	closeTimeout = aspenshed.Nanos(1e9)
-	// closePollInterval is how often that is looked at, ns.
+	// closePollInterval is how often such a connection is checked, ns.
 	closePollInterval = aspenshed.Nanos(20e6)
-	// stopTimeout bounds the server's end: the last frames, and some scheduling.
+	// stopTimeout bounds the time that Stop takes: the last frames, and some scheduling.
 	stopTimeout = 2 * time.Second
 )
 
 const (
-	messageServerFailed  = "control stream server failed, this instance goes on without it"
-	messageStopping      = "control stream server stops"
-	messageQueueOverflow = "control stream server fell behind the log, reading the state anew"
+	messageServerFailed  = "control stream server failed, this instance continues without it"
+	messageStopping      = "control stream server stopping"
+	messageQueueOverflow = "control stream server fell behind the replicated log, reloading the state"
 )
 
-// ServerConfig sets up a Server.
+// ServerConfig configures a Server.
 type ServerConfig struct {
 	Listen  string
 	Cluster string
-	Log     *logrus.Entry   // nil: nowhere
-	Clock   eventloop.Clock // nil: the wall's
-	// Forward takes a subscriber's batch to the leader; it may block.
+	Log     *logrus.Entry   // nil: discarded
+	Clock   eventloop.Clock // nil: the system clock
+	// Forward sends a subscriber's batch to the leader and returns the reply; it may block.
 	Forward func(*catalogpb.Batch) *catalogpb.Reply
-	// Records reads all that is distributed, at its revision. It is called where commits came faster than they were
-	// taken up; without it the server then ends.
+	// Records returns all distributed records and their revision. It is called after the commit queue has overflowed; if
+	// it is nil, the server then fails.
 	Records func() (uint64, []revision.Record)
 	Machine subscription.ServerConfig
 }
 
-// Server serves the control stream. One that fails logs it once, closes its connections and leaves the rest of the
-// process running.
+// Server serves the control stream. A server that fails logs this once, closes its connections and leaves the rest of
+// the process running.
 type Server struct {
 	config           ServerConfig
 	log              *logrus.Entry
@@ -71,22 +73,22 @@
 	done             chan struct{}
 	stopOnce         sync.Once
 
-	// The loop's own.
+	// Used on the loop only.
 	machine         *subscription.Server
 	connections     map[subscription.SessionID]*subscriberConn
 	timer           *eventloop.Timer
-	queuedBatches   []submission // that wait to be carried
+	queuedBatches   []submission // waiting to be forwarded
 	inFlightBatches int
 	failed          bool
 }
 
-// submission is a batch of a session.
+// submission is a batch submitted by a session.
 type submission struct {
 	session subscription.SessionID
 	submit  *pb.Submit
 }
 
-// NewServer listens and serves. It has no state until the first Reset or Publish.
+// NewServer starts a server and listens. It has no state until the first Reset or Publish.
 func NewServer(c ServerConfig) (*Server, error) {
 	if c.Clock == nil {
 		c.Clock = eventloop.NewClock()
@@ -111,42 +113,43 @@
 	return s, nil
 }
 
-// Addr is where the server listens.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.net.Addr() }
 
-// Publish takes a commit. It doesn't block.
+// Publish queues a commit. It doesn't block.
 func (s *Server) Publish(rev uint64, changes []revision.Change) {
 	if s.commits.push(rev, changes) {
 		s.loop.Post(s.applyCommits)
 	}
 }
 
-// Reset replaces the state. It doesn't block.
+// Reset queues a replacement of the state. It doesn't block.
 func (s *Server) Reset(rev uint64, records []revision.Record) {
 	if s.commits.reset(rev, records) {
 		s.loop.Post(s.applyCommits)
 	}
 }
 
-// Rollout tells how far this server's subscribers are with a revision; 0 is the newest. It returns nil after the end.
+// Rollout returns the progress of this server's subscribers with a revision; 0 is the newest. It returns nil after the
+// server has stopped.
 func (s *Server) Rollout(rev uint64) (status *catalogpb.RolloutStatus) {
 	s.runOnLoop(func() { status = s.machine.Rollout(rev) })
 	return status
 }
 
-// Subscribers lists those that are subscribed, by name.
+// Subscribers lists the subscribed sessions by subscriber name.
 func (s *Server) Subscribers() (out []subscription.SubscriberStatus) {
 	s.runOnLoop(func() { out = s.machine.Subscribers() })
 	return out
 }
 
-// Stats counts what the server has done.
+// Stats returns the server's counters.
 func (s *Server) Stats() ServerStats {
 	return ServerStats{Traffic: s.counters.traffic(), Connections: s.net.ClientCount(), Opened: s.opened.Load(),
 		Closed: s.closed.Load(), Submitted: s.forwardedBatches.Load(), Overflows: s.commits.overflows()}
 }
 
-// Stop tells all subscribers that the server ends, and ends it.
+// Stop tells all subscribers that the server is stopping, and stops it.
 func (s *Server) Stop() {
 	s.stopOnce.Do(func() {
 		s.loop.Post(func() {
@@ -157,7 +160,7 @@
 		})
 		select {
 		case <-s.done:
-		case <-time.After(stopTimeout): // a clock of a test that stands still
+		case <-time.After(stopTimeout): // with a test's clock that doesn't advance
 		}
 		s.net.Stop()
 		s.loop.Post(s.loop.Quit)
@@ -165,16 +168,16 @@
 	})
 }
 
-// quitOnceClosed ends the loop when the last frames have left, or at the limit.
-func (s *Server) quitOnceClosed(limit aspenshed.Nanos) {
-	if len(s.connections) == 0 || s.loop.Now() >= limit {
+// quitOnceClosed ends the loop when the last frames have been sent, or at the deadline.
+func (s *Server) quitOnceClosed(deadline aspenshed.Nanos) {
+	if len(s.connections) == 0 || s.loop.Now() >= deadline {
 		s.loop.Quit()
 		return
 	}
-	s.loop.At(s.loop.Now()+closePollInterval, func() { s.quitOnceClosed(limit) })
+	s.loop.At(s.loop.Now()+closePollInterval, func() { s.quitOnceClosed(deadline) })
 }
 
-// runOnLoop has the loop call f and waits for it, unless the loop has ended.
+// runOnLoop runs f on the loop and waits for it, unless the loop has ended.
 func (s *Server) runOnLoop(f func()) {
 	done := make(chan struct{})
 	s.loop.Post(func() {
@@ -187,7 +190,7 @@
 	}
 }
 
-// applyCommits hands what was published to the machine.
+// applyCommits passes the queued commits to the state machine.
 func (s *Server) applyCommits() {
 	items, overflowed := s.commits.popAll()
 	if s.failed {
@@ -207,14 +210,14 @@
 
 func (s *Server) reloadState() {
 	if s.config.Records == nil {
-		s.fail("the feed of commits overflowed")
+		s.fail("the commit queue overflowed")
 		return
 	}
 	s.log.Warn(messageQueueOverflow)
 	s.machine.Reset(s.config.Records())
 }
 
-// step carries out what the machine says is due, and sets the timer for its next time.
+// step performs the due outputs of the state machine, and sets the timer for the next step.
 func (s *Server) step() {
 	if s.failed {
 		return
@@ -224,7 +227,7 @@
 		s.perform(&outputs[i])
 	}
 	s.loop.StopTimer(s.timer)
-	s.timer = s.loop.At(next, func() {}) // the step follows every batch
+	s.timer = s.loop.At(next, func() {}) // AfterBatch calls step after every batch
 }
 
 func (s *Server) perform(o *subscription.Output) {
@@ -244,7 +247,7 @@
 	}
 }
 
-// forward has a batch taken to the leader, now or once another has been.
+// forward forwards a batch to the leader now, or queues it until another batch is done.
 func (s *Server) forward(b submission) {
 	switch {
 	case s.inFlightBatches < maxConcurrentBatches:
@@ -257,7 +260,7 @@
 	}
 }
 
-// forwardBatch waits for the leader, away from the loop.
+// forwardBatch forwards a batch and waits for the reply, outside the loop.
 func (s *Server) forwardBatch(b submission) {
 	s.forwardedBatches.Add(1)
 	reply := s.config.Forward(b.submit.GetBatch())
@@ -276,7 +279,8 @@
 	s.machine.Submitted(s.loop.Now(), b.session, &pb.Submitted{Id: b.submit.GetId(), Reply: reply})
 }
 
-// fail ends the service after a defect; the process goes on, and subscribers find other servers.
+// fail stops the server after a panic, or if the state can't be reloaded; the process continues, and subscribers move
+// to other servers.
 func (s *Server) fail(cause any) {
 	if s.failed {
 		return
--- a/internal/controlplane/stream/server_conn.go
+++ b/internal/controlplane/stream/server_conn.go
@@ -12,12 +12,12 @@
 const (
 	// maxSubscriberFrameBytes bounds one frame of a subscriber: a batch of commands (512 kB, and one command beyond).
 	maxSubscriberFrameBytes = 1 << 20
-	// maxPendingSubscriberBytes bounds what waits of one subscriber for the loop: two such frames. Beyond it the connection is
-	// closed, as subscribers wait for answers and acknowledge ten times a second at most.
+	// maxPendingSubscriberBytes bounds the received bytes of one subscriber that wait for the loop: two such frames.
+	// Beyond it the connection is closed, as subscribers wait for replies and acknowledge ten times a second at most.
 	maxPendingSubscriberBytes = 2 * maxSubscriberFrameBytes
 )
 
-// subscriberConn is a connection of a subscriber.
+// subscriberConn is the connection of one subscriber.
 type subscriberConn struct {
 	server   *Server
 	id       subscription.SessionID
@@ -25,7 +25,7 @@
 	receiver receiver[*pb.SubscriberFrame]
 }
 
-// accept is called before anything is read from the socket.
+// accept is called for a new connection, before anything is read from it.
 func (s *Server) accept(socket *netio.Conn) netio.Handler {
 	c := &subscriberConn{server: s, id: subscription.SessionID(s.nextID.Add(1)), socket: socket}
 	c.receiver = receiver[*pb.SubscriberFrame]{newFrame: func() *pb.SubscriberFrame { return &pb.SubscriberFrame{} },
@@ -42,10 +42,10 @@
 	return c
 }
 
-// Up is part of netio.Handler; an accepted connection is up already.
+// Up is part of netio.Handler; an accepted connection is already established.
 func (c *subscriberConn) Up() {}
 
-// Data posts the frames that have come whole.
+// Data posts the frames that are complete.
 func (c *subscriberConn) Data(b []byte) {
 	frames, err := c.receiver.decode(b)
 	if len(frames) == 0 && err == nil {
@@ -71,26 +71,27 @@
 	})
 }
 
-// write sends a frame. One that can't be sent ends the connection, of which Closed tells.
+// write sends a frame. If that fails, the connection ends, which is reported through Closed.
 func (c *subscriberConn) write(b []byte) {
 	if err := c.socket.Write(b); err == nil {
 		c.server.counters.countSent(len(b))
 	}
 }
 
-// closeAfterFlush closes the connection once what was written has left, or at the limit. What still comes is read and dropped.
-func (c *subscriberConn) closeAfterFlush(limit aspenshed.Nanos) {
+// closeAfterFlush closes the connection once everything written has been sent, or at the deadline. Input is read and
+// dropped until then.
+func (c *subscriberConn) closeAfterFlush(deadline aspenshed.Nanos) {
 	s := c.server
 	switch {
 	case s.connections[c.id] != c:
-		return // it has ended by itself
+		return // it has ended already
 	case !c.socket.Unsent():
 		delete(s.connections, c.id)
 		c.socket.Shut(func() bool { return true })
-	case s.loop.Now() >= limit:
+	case s.loop.Now() >= deadline:
 		delete(s.connections, c.id)
 		c.socket.Close()
 	default:
-		s.loop.At(s.loop.Now()+closePollInterval, func() { c.closeAfterFlush(limit) })
+		s.loop.At(s.loop.Now()+closePollInterval, func() { c.closeAfterFlush(deadline) })
 	}
 }
--- a/internal/controlplane/stream/stats.go
+++ b/internal/controlplane/stream/stats.go
@@ -6,7 +6,7 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// Traffic counts what went over sockets, frames with their length prefixes.
+// Traffic counts what was sent and received over sockets, frames with their length prefixes.
 type Traffic struct {
 	BytesIn     uint64 `json:"bytes_in"`
 	BytesOut    uint64 `json:"bytes_out"`
@@ -14,30 +14,30 @@
 	MessagesOut uint64 `json:"messages_out"`
 }
 
-// ServerStats is what a server has done since its start.
+// ServerStats holds the counters of a server since its start.
 type ServerStats struct {
 	Traffic
-	Connections int    `json:"connections"` // open now, those included that are being closed
+	Connections int    `json:"connections"` // open now, including those that are being closed
 	Opened      uint64 `json:"opened"`
 	Closed      uint64 `json:"closed"` // by the server, with a reason
 	Submitted   uint64 `json:"submitted"`
-	Overflows   uint64 `json:"overflows"` // how often commits came faster than they were taken up
+	Overflows   uint64 `json:"overflows"` // of the commit queue
 }
 
-// ClientStats is what a client has done since its start, and where it stands.
+// ClientStats holds the counters of a client since its start, and its state.
 type ClientStats struct {
 	Traffic
 	Subscribed bool            `json:"subscribed"`
-	Server     string          `json:"server"` // that was dialled last
+	Server     string          `json:"server"` // that was dialed last
 	Connects   uint64          `json:"connects"`
 	Snapshots  uint64          `json:"snapshots"`
 	Revision   uint64          `json:"revision"`
 	InForce    uint64          `json:"in_force"`
-	Digest     revision.Digest `json:"digest"` // of what it holds within its scope
+	Digest     revision.Digest `json:"digest"` // of the state within its scope
 	Records    int             `json:"records"`
 }
 
-// counters are the counts that several goroutines add to.
+// counters are the counters that several goroutines update.
 type counters struct {
 	bytesIn, bytesOut, messagesIn, messagesOut atomic.Uint64
 }
@@ -47,7 +47,7 @@
 		MessagesOut: c.messagesOut.Load()}
 }
 
-// countSent counts one frame.
+// countSent counts one sent frame.
 func (c *counters) countSent(bytes int) {
 	c.bytesOut.Add(uint64(bytes))
 	c.messagesOut.Add(1)
