--- a/internal/controlplane/revision/record.go
+++ b/internal/controlplane/revision/record.go
@@ -41,7 +41,7 @@
 	Placement Placement
 }
 
-// Change is what a commit did to one key.
+// Change is the change of one key by a commit.
 type Change struct {
 	Revision uint64
 	Record           // the record from this revision on; of a removed one only Key and Placement are used
--- a/internal/controlplane/subscription/receive.go
+++ b/internal/controlplane/subscription/receive.go
@@ -123,7 +123,7 @@
 	case m.From != current:
 		return &GapError{From: m.From, Current: current}
 	case m.Through > maxRevision:
-		return &InvalidMessageError{Message: "Changes", Problem: "an absurd revision"}
+		return &InvalidMessageError{Message: "Changes", Problem: "revision out of range"}
 	case c.update != nil && (m.From != c.update.from || m.Through != c.update.through):
 		return &UnexpectedMessageError{Message: "Changes of another update"}
 	}
@@ -193,7 +193,7 @@
 	case m.Revision < c.state.Revision() && !c.faults.acceptOlderSnapshot:
 		return &StaleRevisionError{Revision: m.Revision, Current: c.state.Revision()}
 	case m.Revision > maxRevision:
-		return &InvalidMessageError{Message: "SnapshotBegin", Problem: "an absurd revision"}
+		return &InvalidMessageError{Message: "SnapshotBegin", Problem: "revision out of range"}
 	case uint64(m.Chunks) > m.Records:
 		return &InvalidMessageError{Message: "SnapshotBegin", Problem: "more chunks than records"}
 	}
