--- a/router.go
+++ b/router.go
@@ -102,7 +102,7 @@
 		// The router may count as notified of changes that an outdated list lacks.
 		r.nextCallAt = r.callSlot(r.settings.DrainGrace * 3 / 4)
 		for _, u := range r.settings.UnknownKeys {
-			r.emit(LogMessage{"unknown settings key: " + u})
+			r.emit(LogMessage{"setting not understood: " + u})
 		}
 	}
 	for _, e := range events {
@@ -836,7 +836,7 @@
 		q.maybeExecuted = slices.DeleteFunc(q.maybeExecuted, func(x *attempt) bool { return x == a })
 	}
 	if e.Outcome == UnknownOutcome {
-		r.emit(LogMessage{"unknown outcome: treated as possibly executed"})
+		r.emit(LogMessage{"outcome not understood: taken as one that may have run"})
 	}
 	r.observeAttempt(a, e)
 	if q.done || e.Final || e.Outcome == Served {
