--- a/api.go
+++ b/api.go
@@ -1,119 +1,121 @@
-// Package aspenshed decides where a client-side router sends the reads and
-// writes of a replicated store. It holds decisions only: the embedder owns the
-// sockets, the clock and the goroutine.
+// Package aspenshed makes the routing decisions of a gateway in front of
+// groups of replicated databases: which member serves a request, and when to
+// queue, retry, refuse or cancel it. The embedder owns the sockets, the clock
+// and the goroutine.
 //
-// A Router is made with New and driven with Step. It keeps no goroutine, reads
-// no clock and shares nothing: equal settings, seed and events give equal
-// actions. All policy is in router.go; this file is the interface.
+// A Router is made with New and driven with Step. It starts no goroutine,
+// reads no clock and shares no state: equal settings, seed and events give
+// equal actions. All policy is in router.go; this file is the interface.
 package aspenshed
 
-// Nanos is an instant on the embedder's monotonic clock, or a span of it, in
-// nanoseconds. The clock may start anywhere; it must only move forward.
+// Nanos is an instant on the embedder's monotonic clock, or a duration, in
+// nanoseconds. The clock may start anywhere; it must never go backward.
 type Nanos int64
 
-// Effect says what a repeat of a request may do.
-type Effect int
+// RetrySafety says whether a request may be executed more than once.
+type RetrySafety int
 
-// The effects. Safe requests may be repeated freely, Keyed ones where their
-// repeats are dropped, Unsafe ones only once it is proved that nothing ran.
+// The levels of retry safety. Safe requests may be repeated freely,
+// Deduplicated ones where members drop the duplicates, Unsafe ones only once
+// it is certain that no earlier attempt was executed.
 const (
-	Safe Effect = iota + 1
-	Keyed
+	Safe RetrySafety = iota + 1
+	Deduplicated
 	Unsafe
 )
 
-// Need says what a request needs of the member that serves it.
-type Need int
+// Consistency is what a request requires of the member that serves it.
+type Consistency int
 
-// The needs, from the most lenient.
+// The consistency levels, from the weakest. Linearizable and Write need the primary.
 const (
-	AnyData    Need = iota + 1 // every member will do
-	Bounded                    // data no older than Class.Bound at the send
-	OwnWrites                  // everything the session has written
-	AllWrites                  // everything written before the request arrived
-	WriteToIt                  // a write: the primary only
-	needsCount = int(WriteToIt)
+	Eventual         Consistency = iota + 1 // any member
+	BoundedStaleness                        // data no older than Class.MaxStaleness when the request is sent
+	ReadYourWrites                          // all writes of the session
+	Linearizable                            // all writes committed before the request arrived
+	Write                                   // a write
+	consistencyCount = int(Write)
 )
 
-// Scope names the members that drop the repeats of a Keyed request.
-type Scope int
+// DedupScope is the set of members that drop duplicates of a Deduplicated request.
+type DedupScope int
 
-// The scopes: every member, those of the first member's zone, or its group.
+// The scopes: all members, those in the zone of the first attempt's member, or those of its group.
 const (
-	ScopeAll Scope = iota
-	ScopeZone
-	ScopeGroup
+	DedupAll DedupScope = iota
+	DedupZone
+	DedupGroup
 )
 
 // Class describes one class of request.
 type Class struct {
-	Name         string
-	Need         Need
-	Bound        Nanos // Bounded only: how old the data may be
-	Aim          Nanos // an answer within this is worth Worth
-	GiveUp       Nanos // how long a client waits over all its tries
-	Worth        float64
-	LateWorth    float64 // part of Worth that a late answer still earns
-	Effect       Effect
-	RepeatScope  Scope // Keyed only
-	RepeatWindow Nanos // Keyed only, from the first attempt that may have run
+	Name          string
+	Consistency   Consistency
+	MaxStaleness  Nanos // BoundedStaleness only
+	LatencyTarget Nanos // a response within this time is worth Value
+	ClientTimeout Nanos // how long a client waits over all its retries
+	Value         float64
+	LateValue     float64 // fraction of Value that a response after LatencyTarget is still worth
+	RetrySafety   RetrySafety
+	DedupScope    DedupScope // Deduplicated only
+	DedupWindow   Nanos      // Deduplicated only, from the first attempt that may have been executed
 }
 
 // Tenant is a customer with a share of the service.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second at all routers together
+	Quota float64 // requests per second over all routers
 }
 
-// Settings is what a router is told at its start.
+// Settings configures a router at its start.
 type Settings struct {
-	Routers, Rank, Zone int
-	Quantum             Nanos // least time between two Steps
+	Routers, Rank, Zone int   // number of routers, this router's index among them, its zone
+	MinStepInterval     Nanos // the embedder calls Step no more often than this
 	Classes             []Class
 	Tenants             []Tenant
-	OverShareWorth      float64 // part of the worth left beyond a tenant's share
-
-	AskDiscovery    bool  // the member list comes only when asked for
-	AskWithin       Nanos // rule 3: the list counts as told after this long
-	ListTellsRole   bool  // the list names a primary, late or as at the start
-	PositionZero    Nanos // the instant that positions are counted from
-	AnswersPosition bool  // every answer carries a position
-	AnswersReport   bool  // answers carry load reports, not only probes
-	Remember        bool  // the router remembers sessions' writes (else told)
-	MembersCheck    bool  // members turn away reads they are too old for
-	CheckWait       Nanos // after waiting this long to catch up
-
-	MayProbe, MayCancel, MayCopy, RetryAdvice bool
-	MaxAttempts                               int
-	MaxRetryIn                                Nanos // the longest advice that clients follow
-	ConnectTimeout                            Nanos
-	IdleClose                                 Nanos // idle connections are closed after this long; 0: never
-
-	AnswerSlack    Nanos   // how late past the deadline a final answer may be
-	DrainGrace     Nanos   // after news of a drain
-	RemovalIsSoft  bool    // only a drain binds; absence from the list does not
-	StartCapacity  float64 // the least share of capacity of a fresh member
-	ColdFor        Nanos   // warm after this at the latest
-	FallMultiple   float64 // work over this multiple of present capacity ...
-	FallFor        Nanos   // ... for this long topples a cold member
-	SafeShare      float64 // of a cold member's budget: what this router may use without a lease. 0: no leases here
-	ColdLongest    Nanos   // with leases: a start without an agreed word is cold for this long from when it was heard of
-	PriceProbe     float64 // points for one probe a request
-	PriceCrossZone float64 // points for one zone crossing a request
-	PriceWaste     float64 // points for as much wasted work as was asked for
-	PriceLateFail  float64 // points for failing all after the aim
-
-	Unknown []string // settings keys and report columns that were not understood
+	OverQuotaValue      float64 // fraction of the value left for requests beyond a tenant's quota
+
+	WatchDiscovery        bool  // the member list arrives only after a Watch
+	NotifiedAfter         Nanos // rule 3: the router counts as notified of a change of the list after this long
+	ListHasRoles          bool  // the list names a primary, possibly an outdated one
+	PositionEpoch         Nanos // the instant from which positions are counted
+	ResponsesHavePosition bool  // every response carries a position
+	ResponsesHaveReport   bool  // responses carry load reports, not only probe results
+	TrackSessionWrites    bool  // the router tracks the commits of sessions; otherwise requests carry SinceCommit
+	MembersCheckStaleness bool  // members reject reads that they are too stale for
+	StalenessCheckWait    Nanos // how long a member waits to catch up before it rejects such a read
+
+	MayProbe, MayCancel, MayHedge, SendRetryAfter bool
+	MaxAttempts                                   int
+	MaxRetryAfter                                 Nanos // the longest retry delay that clients honor
+	ConnectTimeout                                Nanos
+	IdleTimeout                                   Nanos // idle connections are closed after this long; 0: never
+
+	ResponseSlack     Nanos   // how long after the deadline a final response may still come
+	DrainGrace        Nanos   // how long after a drain notice requests may still be sent to the member
+	RemovalIsAdvisory bool    // absence from the list does not stop sends to a member, only draining does
+	InitialCapacity   float64 // fraction of its capacity that a member has right after its start
+	WarmUpTime        Nanos   // a started member is warmed up after this long at the latest
+	OverloadFactor    float64 // work above this multiple of a warming member's present capacity ...
+	OverloadWindow    Nanos   // ... for this long overloads it
+	UnleasedShare     float64 // share of a warming member's budget that needs no lease; 0: leases are not used
+	MaxWarmUpTime     Nanos   // with leases: longest warm-up, from the notification, of a start without agreed state
+	ProbeCost         float64 // points for one probe per request
+	CrossZoneCost     float64 // points for one zone crossing per request
+	WastedWorkCost    float64 // points for as much wasted work as was requested
+	LateFailureCost   float64 // points if every request fails after its latency target
+
+	UnknownKeys []string // settings keys and report columns that were not recognized
 }
 
-// MemberState is what the member list says of a member.
+// MemberState is a member's state in the member list.
 type MemberState int
 
-// The states.
+// The member states.
 const (
 	Up MemberState = iota + 1
 	Draining
-	Gone
+	Removed
 )
 
 // Member is one entry of the member list.
@@ -121,86 +123,88 @@
 	ID        string
 	Group     int
 	Zone      int
-	Size      float64 // comparable between members; 1 where unknown
+	Weight    float64 // capacity relative to other members; 1 where unknown
 	StartedAt Nanos   // 0: long ago
 	State     MemberState
-	Primary   bool // the list's view of its role
+	Primary   bool // its role according to the list
 }
 
-// Report is what a member says of itself; each value may be absent.
+// Report is what a member reports about itself; each value may be absent.
 type Report struct {
-	HasPosition, HasRole, HasWaiting, HasHeld bool
-	Position                                  Nanos // instant up to which all commits are applied, as of the report
-	Primary                                   bool
-	Waiting                                   float64 // requests queued
-	Held                                      float64 // requests in progress
+	HasPosition, HasRole, HasQueued, HasInFlight bool
+	Position                                     Nanos // all commits up to this instant were applied at the report
+	Primary                                      bool
+	Queued                                       float64 // requests queued
+	InFlight                                     float64 // requests being executed
 }
 
 // Outcome says how an attempt or a probe ended.
 type Outcome int
 
-// The outcomes. Turned, Full, NoLink and NotSent prove that nothing ran.
+// The outcomes. Overloaded, ConnectFailed, NotSent and Ineligible prove that nothing was executed.
 const (
-	Served  Outcome = iota + 1 // answered
-	Errored                    // the member answered with an error; may have run
-	Full                       // turned away unseen
+	Served        Outcome = iota + 1
+	ErrorResponse         // the member responded with an error; may have been executed
+	Overloaded            // rejected without being read
 	TimedOut
-	NoLink    // no connection came about
-	LinkBroke // the connection broke while the attempt was out
+	ConnectFailed
+	ConnectionLost // the connection broke during the attempt
 	Cancelled
 	NotSent
-	Turned   // untouched: not the primary, or too far behind for the read
-	Rejected // the statement itself is at fault: its error is the answer, and says nothing of the member
-	Unknown  // an outcome this release does not know; treated as may have run
+	Ineligible     // rejected without being executed: not the primary, or too stale for the read
+	StatementError // the client's statement is invalid: its error is the response, and says nothing of the member
+	UnknownOutcome // an outcome that this release does not know; may have been executed
 )
 
-// neverRan tells whether the outcome proves that nothing ran.
-func (o Outcome) neverRan() bool { return o == Full || o == NoLink || o == NotSent || o == Turned }
+// notExecuted tells whether the outcome proves that the attempt was not executed.
+func (o Outcome) notExecuted() bool {
+	return o == Overloaded || o == ConnectFailed || o == NotSent || o == Ineligible
+}
 
-// Event is something a router is told. The types below are the only ones.
+// Event is an input of a router. The types below are the only ones.
 type Event interface{ isEvent() }
 
-// MemberList is news of the members: a change, or the whole list.
+// MemberList is an update of the members: changes, or the complete list.
 type MemberList struct {
-	Whole   bool // members that are not in it are gone
-	Remnant bool // the list as last held, maybe out of date; comes at the start
-	Members []Member
+	Complete bool // members that are not in it have been removed
+	Cached   bool // the last list that was stored, possibly outdated; sent at the start
+	Members  []Member
 }
 
-// DiscoveryBroke says that a Watch or Fetch failed or that the watch ended.
-type DiscoveryBroke struct {
-	// Heard is since when a watch that ended, or a call that fell silent, has told nothing, not even that nothing had
-	// changed; 0: discovery has turned the call down, or it is not known.
-	Heard     Nanos
-	Unreached bool // the call never came to discovery
+// DiscoveryFailed says that a Watch call failed or that the watch ended.
+type DiscoveryFailed struct {
+	// LastHeard is when a watch that ended, or a call that fell silent, last received anything, if only that nothing
+	// had changed; 0: discovery refused the call, or the time is not known.
+	LastHeard   Nanos
+	Unreachable bool // no connection to discovery was established
 }
 
-// Request is a request that a client has handed to this router.
+// Request is a request that a client has sent to this router.
 type Request struct {
 	ID          string
 	Class       int
 	Group       int
 	Tenant      int
 	Session     string
-	Remaining   Nanos // until the client gives this try up
-	SinceCommit Nanos // OwnWrites, told tokens: age of the session's last commit at arrival; 0: none
-	Repeat      bool  // the client says that it asks again
+	Remaining   Nanos // until the client gives this request up
+	SinceCommit Nanos // ReadYourWrites without TrackSessionWrites: age of the session's last commit at arrival; 0: none
+	IsRetry     bool  // the client marks it as a retry
 }
 
-// Answer ends one attempt. Over is set once the request needs nothing more.
-type Answer struct {
+// AttemptResult ends one attempt.
+type AttemptResult struct {
 	ID       string
 	Attempt  int
 	Member   string
 	Outcome  Outcome
-	Over     bool
-	Took     Nanos
+	Final    bool // the request needs no further attempt
+	Duration Nanos
 	Role     Role
-	Position Nanos // 0: not told. For a served write its commit, rounded up
+	Position Nanos // 0: not reported. For a served write its commit, rounded up
 	Report   Report
 }
 
-// Role is a member's part in its group.
+// Role is a member's role in its group.
 type Role int
 
 // The roles.
@@ -210,67 +214,67 @@
 	RoleReplica
 )
 
-// Left says that a request has ended without the router: nothing is owed.
-type Left struct{ ID string }
+// RequestWithdrawn says that a request has ended without the router: it needs no response.
+type RequestWithdrawn struct{ ID string }
 
-// Woke is the answer to a Wake.
-type Woke struct{ Label string }
+// TimerFired answers a SetTimer.
+type TimerFired struct{ Label string }
 
-// Probed ends a probe.
-type Probed struct {
-	Member  string
-	Outcome Outcome
-	Took    Nanos
-	Report  Report
+// ProbeResult ends a probe.
+type ProbeResult struct {
+	Member   string
+	Outcome  Outcome
+	Duration Nanos
+	Report   Report
 }
 
-// ColdShare is what the routers have agreed on for one start of a member, where Settings.SafeShare is set.
-type ColdShare struct {
-	Member    string
-	StartedAt Nanos
-	Warm      bool    // it is no longer cold
-	Part      float64 // of its budget that this router may use on top of SafeShare, until Until
-	Until     Nanos
-	Rate      float64 // work a second and size that its group's warm members answer for all routers; 0: not known
+// SlowStartShare is what the routers have agreed on for one start of a member, where Settings.UnleasedShare is set.
+type SlowStartShare struct {
+	Member      string
+	StartedAt   Nanos
+	WarmedUp    bool
+	LeasedShare float64 // share of its budget that this router may use on top of UnleasedShare, until Until
+	Until       Nanos
+	WorkRate    float64 // work per second and weight that the group's warmed-up members do for all routers; 0: unknown
 }
 
-func (MemberList) isEvent()     {}
-func (DiscoveryBroke) isEvent() {}
-func (Request) isEvent()        {}
-func (Answer) isEvent()         {}
-func (Left) isEvent()           {}
-func (Woke) isEvent()           {}
-func (Probed) isEvent()         {}
-func (ColdShare) isEvent()      {}
+func (MemberList) isEvent()       {}
+func (DiscoveryFailed) isEvent()  {}
+func (Request) isEvent()          {}
+func (AttemptResult) isEvent()    {}
+func (RequestWithdrawn) isEvent() {}
+func (TimerFired) isEvent()       {}
+func (ProbeResult) isEvent()      {}
+func (SlowStartShare) isEvent()   {}
 
-// Action is something a router wants done. The types below are the only ones.
+// Action is an output of a router. The types below are the only ones.
 type Action interface{ isAction() }
 
-// Send starts an attempt; attempts of a request are numbered from 0.
+// Send starts an attempt; the attempts of a request are numbered from 0.
 type Send struct {
 	ID, Member string
 	Attempt    int
-	GiveUpAt   Nanos // 0: when the client gives up
-	LeaveBy    Nanos // it must leave by then or not at all: later the data may be too old; 0: no matter
+	Deadline   Nanos // 0: when the client gives up
+	SendBy     Nanos // must be sent by then or not at all, as the member may be too stale afterwards; 0: no limit
 }
 
-// Refuse is a final answer: nothing ran, trying again is harmless.
+// Refuse is a final response: retrying the request is harmless.
 type Refuse struct {
-	ID      string
-	RetryIn Nanos // advice to the client; 0: none
+	ID         string
+	RetryAfter Nanos // retry delay for the client; 0: none
 }
 
-// Fail is a final answer that promises nothing.
+// Fail is a final response after which the request may or may not have been executed.
 type Fail struct{ ID string }
 
-// Cancel gives up waiting for one attempt; an Answer still follows.
+// Cancel stops waiting for one attempt; an AttemptResult still follows.
 type Cancel struct {
 	ID      string
 	Attempt int
 }
 
-// Wake asks for a Woke after a while.
-type Wake struct {
+// SetTimer asks for a TimerFired after a delay.
+type SetTimer struct {
 	After Nanos
 	Label string
 }
@@ -278,21 +282,21 @@
 // Probe asks a member for its report.
 type Probe struct{ Member string }
 
-// ClosePool closes this router's idle connections to a member.
-type ClosePool struct{ Member string }
+// CloseIdleConnections closes this router's idle connections to a member.
+type CloseIdleConnections struct{ Member string }
 
-// Watch asks discovery for changes from now on.
+// Watch subscribes to changes of the member list at discovery.
 type Watch struct{}
 
-// Note is a line for the embedder's log.
-type Note struct{ Text string }
-
-func (Send) isAction()      {}
-func (Refuse) isAction()    {}
-func (Fail) isAction()      {}
-func (Cancel) isAction()    {}
-func (Wake) isAction()      {}
-func (Probe) isAction()     {}
-func (ClosePool) isAction() {}
-func (Watch) isAction()     {}
-func (Note) isAction()      {}
+// LogMessage is a line for the embedder's log.
+type LogMessage struct{ Text string }
+
+func (Send) isAction()                 {}
+func (Refuse) isAction()               {}
+func (Fail) isAction()                 {}
+func (Cancel) isAction()               {}
+func (SetTimer) isAction()             {}
+func (Probe) isAction()                {}
+func (CloseIdleConnections) isAction() {}
+func (Watch) isAction()                {}
+func (LogMessage) isAction()           {}
--- a/cmd/aspenshed/gateway.go
+++ b/cmd/aspenshed/gateway.go
@@ -67,7 +67,7 @@
 		return nil, err
 	}
 	g.watcher = &discovery.Watcher{Loop: g.loop, Log: log, Net: g.net, Address: node.Discovery, Zones: node.Zones,
-		Version: node.Known.Generation, Pushed: !node.Settings.AskDiscovery}
+		Version: node.Known.Generation, Pushed: !node.Settings.WatchDiscovery}
 	g.watcher.LogFaults(log.WithField("version", node.Known.Generation), faults)
 	held := maxHeld
 	if node.MaxHeld > 0 {
@@ -78,7 +78,7 @@
 	g.watcher.OnUpdate = func(u discovery.Update) { g.pipeline.Members(u.List, u.Addresses) }
 	g.watcher.OnBreak = g.pipeline.DiscoveryFailed
 	g.front.Submit, g.front.Cancel, g.front.CountRejected = g.pipeline.Accept.Accept, g.pipeline.Abandon, g.pipeline.Accounting.CountRejected
-	known.List.Whole, known.List.Remnant = true, true
+	known.List.Complete, known.List.Cached = true, true
 	if err := g.pipeline.Start(known.List, known.Addresses); err != nil {
 		return nil, err
 	}
@@ -139,7 +139,7 @@
 // is longer, and 0.7 s.
 func (g *gateway) killDelay() (after aspenshed.Nanos) {
 	for _, c := range g.node.Settings.Classes {
-		after = max(after, c.GiveUp)
+		after = max(after, c.ClientTimeout)
 	}
 	return min(after, 3e9) + 700e6
 }
--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -30,7 +30,7 @@
 type Pipeline interface {
 	Members(aspenshed.MemberList, map[string]string)
 	Tell(aspenshed.Event)
-	Learned() (aspenshed.Learned, bool)
+	Learned() (aspenshed.LearnedState, bool)
 }
 
 // Store is what an agent needs of the control plane: an instance's own replica, or a subscriber's copy.
@@ -68,15 +68,15 @@
 	mu              sync.Mutex
 	merger          *roster.Merger
 	holder          *lease.Holder
-	learned         aspenshed.Learned
+	learned         aspenshed.LearnedState
 	localChanged    bool
-	hasWireMembers  bool                           // the catalog has named members of this wire
-	seenVersions    [3]uint64                      // versions of the catalog that the four below were taken at
-	warmingMembers  []*pb.Member                   // copies
-	starts          map[string]aspenshed.ColdShare // of all members that have told a start: whether it is warm
+	hasWireMembers  bool                                // the catalog has named members of this wire
+	seenVersions    [3]uint64                           // versions of the catalog that the four below were taken at
+	warmingMembers  []*pb.Member                        // copies
+	starts          map[string]aspenshed.SlowStartShare // of all members that have told a start: whether it is warm
 	groupSummaries  map[catalog.Group]catalog.GroupSummary
-	postedPrimaries map[string]bool                // as told
-	postedShares    map[string]aspenshed.ColdShare // as told
+	postedPrimaries map[string]bool                     // as told
+	postedShares    map[string]aspenshed.SlowStartShare // as told
 	drainReportedAt map[string]aspenshed.Nanos
 	lastLearnAt     aspenshed.Nanos
 	revision        uint64 // of the catalog, when it was last looked at
@@ -86,7 +86,7 @@
 // Start begins; own is the instance's own list, as far as it has one.
 func Start(c Config, own []roster.Entry) *Agent {
 	a := &Agent{cfg: c, wake: make(chan struct{}, 1), done: make(chan struct{}), stop: make(chan struct{}), merger: roster.New(),
-		postedShares: map[string]aspenshed.ColdShare{}, postedPrimaries: map[string]bool{}, starts: map[string]aspenshed.ColdShare{}, drainReportedAt: map[string]aspenshed.Nanos{},
+		postedShares: map[string]aspenshed.SlowStartShare{}, postedPrimaries: map[string]bool{}, starts: map[string]aspenshed.SlowStartShare{}, drainReportedAt: map[string]aspenshed.Nanos{},
 		holder: lease.NewHolder(c.Store.ID(), c.Store.Boot(), c.LeaseDuration)}
 	if own != nil {
 		a.SetLocalMembers(own)
@@ -189,17 +189,17 @@
 func (a *Agent) demand(group int32) float64 {
 	for _, g := range a.learned.Groups {
 		if g.Group == int(group) {
-			return g.Warm
+			return g.WorkRate
 		}
 	}
 	return 0
 }
 
 // nearlyEqual tells whether two shares differ in nothing but a rate that has changed by less than a tenth.
-func nearlyEqual(a, b aspenshed.ColdShare) bool {
-	d := a.Rate - b.Rate
-	a.Rate = b.Rate
-	return a == b && max(d, -d) < b.Rate/10
+func nearlyEqual(a, b aspenshed.SlowStartShare) bool {
+	d := a.WorkRate - b.WorkRate
+	a.WorkRate = b.WorkRate
+	return a == b && max(d, -d) < b.WorkRate/10
 }
 
 func (a *Agent) reportDrains(now aspenshed.Nanos) {
--- a/internal/controlplane/roster/changes.go
+++ b/internal/controlplane/roster/changes.go
@@ -44,7 +44,7 @@
 	held, there := m.catalog[id]
 	if !there {
 		delete(m.lastMerged, id)
-		was.State = aspenshed.Gone
+		was.State = aspenshed.Removed
 		return was, known
 	}
 	t = m.mergeEntry(held, m.local)
--- a/internal/dataplane/dispatch/pool.go
+++ b/internal/dataplane/dispatch/pool.go
@@ -34,11 +34,11 @@
 		if p.memberUp = !p.draining; p.draining {
 			s.ClosePool(p.memberID)
 		}
-		if m.State == aspenshed.Gone {
+		if m.State == aspenshed.Removed {
 			delete(s.pools, m.ID)
 		}
 	}
-	if !l.Whole {
+	if !l.Complete {
 		return
 	}
 	for _, p := range s.pools {
--- a/internal/dataplane/dispatch/probe.go
+++ b/internal/dataplane/dispatch/probe.go
@@ -21,7 +21,7 @@
 		var err error
 		if l, err = s.openConnection(p, true); err != nil {
 			s.Loop.Post(func() {
-				s.finishProbe(&connection{stage: s, pool: p, probeStartedAt: s.Loop.Now()}, request.Result{Outcome: aspenshed.NoLink})
+				s.finishProbe(&connection{stage: s, pool: p, probeStartedAt: s.Loop.Now()}, request.Result{Outcome: aspenshed.ConnectFailed})
 			})
 			return
 		}
@@ -41,5 +41,5 @@
 	l.probing = false
 	s.Loop.StopTimer(l.probeTimer)
 	s.OnProbeEnd(l.pool.memberID, r)
-	s.Emit(aspenshed.Probed{Member: l.pool.memberID, Outcome: r.Outcome, Took: s.Loop.Now() - l.probeStartedAt, Report: r.Report})
+	s.Emit(aspenshed.ProbeResult{Member: l.pool.memberID, Outcome: r.Outcome, Duration: s.Loop.Now() - l.probeStartedAt, Report: r.Report})
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -74,7 +74,7 @@
 // understood, with its place; the good part of the list stands beside it. A member of which it is not clear that it
 // is up and where takes nothing new: to send it something might break a drain.
 func Convert(l List, zones []string) (Update, error) {
-	u := Update{List: aspenshed.MemberList{Whole: l.Reset}, Addresses: map[string]string{}}
+	u := Update{List: aspenshed.MemberList{Complete: l.Reset}, Addresses: map[string]string{}}
 	var faults []error
 	at := map[string]int{}
 	for i, x := range l.Instances {
@@ -84,10 +84,10 @@
 		if x.decodeErr != nil {
 			fault(": %v", x.decodeErr)
 		}
-		m := aspenshed.Member{ID: x.ID, Group: x.Cell, Zone: max(slices.Index(zones, x.Zone), 0), Size: 1,
+		m := aspenshed.Member{ID: x.ID, Group: x.Cell, Zone: max(slices.Index(zones, x.Zone), 0), Weight: 1,
 			Primary: x.Recovery == "off"}
 		if x.Weight != nil && *x.Weight > 0 {
-			m.Size = *x.Weight
+			m.Weight = *x.Weight
 		}
 		if x.StartedAtMs > 0 {
 			m.StartedAt = eventloop.FromUnixMillis(x.StartedAtMs)
@@ -98,7 +98,7 @@
 		case "terminating":
 			m.State = aspenshed.Draining
 		case "terminated":
-			m.State = aspenshed.Gone
+			m.State = aspenshed.Removed
 		case "":
 			fault(".lifecycle missing: taken as draining")
 			m.State = aspenshed.Draining
@@ -163,7 +163,7 @@
 	Zones    []string
 	Version  int64 // the version that the gateway has
 	OnUpdate func(Update)
-	OnBreak  func(aspenshed.DiscoveryBroke)
+	OnBreak  func(aspenshed.DiscoveryFailed)
 	// Pushed: lists are pushed. An agent on this machine has them at no cost, and what it has counts as told: the watch
 	// is opened at once, and again whenever it breaks, and nobody else is asked.
 	Pushed bool
@@ -260,12 +260,12 @@
 	w := x.watcher
 	w.Log.WithError(err).WithFields(logrus.Fields{"told": x.gotList, "reached": x.connected}).Warn("discovery watch broke")
 	if !w.Pushed {
-		b := aspenshed.DiscoveryBroke{Unreached: !x.connected}
+		b := aspenshed.DiscoveryFailed{Unreachable: !x.connected}
 		if x.gotList || x.connected && err == errSilence { // else discovery itself has turned the call down
-			b.Heard = x.lastHeard
+			b.LastHeard = x.lastHeard
 		}
 		if x.movedAt > 0 {
-			b.Heard = x.movedAt - moveGrace
+			b.LastHeard = x.movedAt - moveGrace
 		}
 		if next := x.startedAt + minCallInterval; x.gotList && w.Loop.Now() < next {
 			w.Loop.At(next, func() { w.OnBreak(b) })
@@ -324,13 +324,13 @@
 	}
 	if !empty { // an empty line first: nothing has changed since
 		w.logList(version, u, faults)
-		if !u.List.Whole && version < w.Version && version >= x.version {
+		if !u.List.Complete && version < w.Version && version >= x.version {
 			return // known already, from the other of two watches
 		}
 		w.Version, x.version = version, version
 		w.applyDepartures(version, &u)
 	}
-	u.List.Remnant = x == w.previous // it may be behind, and the call that is planned to the new address stands
+	u.List.Cached = x == w.previous // it may be behind, and the call that is planned to the new address stands
 	w.OnUpdate(u)
 }
 
@@ -347,7 +347,7 @@
 				off = append(off, m.ID)
 			}
 		}
-		log.WithFields(logrus.Fields{"whole": u.List.Whole, "up": strings.Join(up, " "), "leaving": strings.Join(off, " ")}).Debug("discovery told")
+		log.WithFields(logrus.Fields{"whole": u.List.Complete, "up": strings.Join(up, " "), "leaving": strings.Join(off, " ")}).Debug("discovery told")
 	}
 }
 
--- a/internal/frontend/mysql/front.go
+++ b/internal/frontend/mysql/front.go
@@ -267,7 +267,7 @@
 	switch {
 	case st.PrepareOnly: // runs nothing: any member will do
 		q.ExternalID, q.Class, q.PrepareOnly = "", f.ClassIndex(f.Defaults.ReadClass), true
-	case isWrite(tag.SQL) && f.Settings.Classes[q.Class].Need != aspenshed.WriteToIt:
+	case isWrite(tag.SQL) && f.Settings.Classes[q.Class].Consistency != aspenshed.Write:
 		q.Class = f.ClassIndex(f.Defaults.WriteClass)
 	}
 	return q, nil
@@ -338,7 +338,7 @@
 		return x.Value.([]byte)
 	case x.Status == request.Refused: // 40001 is the state on which clients try again by themselves
 		m := "refused, nothing ran: " + x.Reason
-		if x.RetryAfter > 0 && f.Settings.RetryAdvice {
+		if x.RetryAfter > 0 && f.Settings.SendRetryAfter {
 			m += fmt.Sprintf("; retry in %d ms", int64(x.RetryAfter+999999)/1e6)
 		}
 		return mysqlwire.Error{Code: 1213, State: "40001", Message: m}.Packet(1)
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -121,7 +121,7 @@
 		return pgwire.AppendReadyForQuery(x.Value.([]byte))
 	case x.Status == request.Refused:
 		e.Code, e.Message = "53300", "refused: "+x.Reason
-		if x.RetryAfter > 0 && f.Settings.RetryAdvice {
+		if x.RetryAfter > 0 && f.Settings.SendRetryAfter {
 			e.Detail = strconv.FormatInt(int64(x.RetryAfter+999999)/1e6, 10)
 		}
 	case known && own.Code != "57P03": // a database's own error, where it does not read as a refusal
--- a/internal/protocol/simwire/encode.go
+++ b/internal/protocol/simwire/encode.go
@@ -40,15 +40,15 @@
 		case aspenshed.Send:
 			open("attempt", d.Instance)
 			text("ticket", a.ID)
-			if a.GiveUpAt != 0 {
-				number("abandonAtNs", int64(a.GiveUpAt))
+			if a.Deadline != 0 {
+				number("abandonAtNs", int64(a.Deadline))
 			}
 			text("member", a.Member)
 		case aspenshed.Refuse:
 			open("bounce", d.Instance)
 			text("ticket", a.ID)
-			if a.RetryIn > 0 {
-				number("retryInNs", int64(a.RetryIn))
+			if a.RetryAfter > 0 {
+				number("retryInNs", int64(a.RetryAfter))
 			}
 		case aspenshed.Fail:
 			open("finishError", d.Instance)
@@ -57,20 +57,20 @@
 			open("undoSend", d.Instance)
 			text("ticket", a.ID)
 			number("seqNo", int64(a.Attempt))
-		case aspenshed.Wake:
+		case aspenshed.SetTimer:
 			open("arm", d.Instance)
 			number("waitNs", int64(a.After))
 			text("label", a.Label)
 		case aspenshed.Probe:
 			open("probe", d.Instance)
 			text("member", a.Member)
-		case aspenshed.ClosePool:
+		case aspenshed.CloseIdleConnections:
 			open("closeIdle", d.Instance)
 			text("member", a.Member)
 		case aspenshed.Watch:
 			open("subscribe", d.Instance)
 			buf = append(buf, `,"on":true`...)
-		case aspenshed.Note:
+		case aspenshed.LogMessage:
 			open("trace", d.Instance)
 			text("msg", a.Text)
 		default:
--- a/router.go
+++ b/router.go
@@ -1,7 +1,8 @@
 package aspenshed
 
-// This file decides; its interface is api.go. Read it from Step: events update what is known, then sweep does
-// what time asks for and place sends. Section heads name a question's owner; mayAttempt keeps the rules.
+// This file makes the routing decisions; its interface is api.go, its state is state.go. Read it from
+// Step: events update the state, then runDue does what is due by time and dispatch sends requests.
+// mayAttempt enforces the rules.
 
 import (
 	"cmp"
@@ -13,245 +14,264 @@
 const (
 	ms = Nanos(1e6)
 
-	probeTimeout  = 200 * ms  // DESIGN: a member silent to a probe this long is passed over in a round
-	roundEvery    = 250 * ms  // between rounds without a primary; DESIGN leaves the timer open
-	roundRouters  = 40.0      // more routers than that begin rounds as often as that many
-	smallFleet    = 8         // routers for which the constants here were found
-	callSpacing   = 100 * ms  // between calls of a fleet, if time allows: discovery bore 16 a second of 60
-	knownAfter    = 6000 * ms // protocol: after it, what discovery has and can be asked counts as known
-	callDuration  = 2500 * ms // protocol: a call fails that waited for 2 s; and 0.5 s to connect
-	callFailure   = 3000 * ms // the longest that a call takes to fail: silence shows after that
-	leastRetry    = 250 * ms  // before a call that costs discovery nothing, as it never came there
-	holdEvery     = 10 * ms   // how often a held request is tried again
-	idleWake      = 1000 * ms // an idle router wakes only this often
-	safetyGap     = 1 * ms    // taken off every known position: the wire rounds to milliseconds
-	aimPart       = 0.35      // of an aim: answers slower than this on average shrink a member's window
-	overflow      = 0.6       // the same when turned away or timed out: the queue there is far too long
-	lossShare     = 0.08      // of attempts timed out at members that answer others: answers are being lost
-	coldShare     = 0.7       // what is used of the multiple that topples a cold member; routers differ
-	easeUp        = 1.2       // by how much more a cold member gets for each quick answer
-	easeMost      = 1.6       // at most: beyond what a fleet measures, whose answers come late
-	otherWarm     = 0.8       // of other groups' warm rate: what a group without one of its own goes by
-	coldMemory    = 20.0      // s: how long a group's warm rate is remembered once its members are all cold
-	rateOver      = 10.0      // s: time constant of moving rates
-	longRead      = 3.0       // times the shortest class's answer time: a read long enough to hold up a log
-	spillPart     = 0.5       // of an aim: answers of the primary slower than this turn reads away from it
-	startSpill    = 0.5       // chance to spill before anything is known of a primary
-	spillUp       = 0.03      // step of the chance to spill; it falls three times as fast
-	shrink        = 0.85      // window factor at a slow or full answer; gentle, as one slow answer is chance
-	startWindow   = 8.0       // attempts in flight a member gets before anything is known of it
-	freshWindow   = 4.0       // the same for a newly found primary: held writes are let go in steps
-	leastWindow   = 4.0       // a slow primary keeps this: one attempt at a time leaves its cores idle
-	silentAfter   = 4.0       // typical answer times without any reply that make a member suspect
-	leastBan      = 500 * ms  // a suspect is left alone this long, doubling up to maxBan
-	maxBan        = 4000 * ms
-	retryShare    = 0.15 // further attempts earned by each request; bounds load added in trouble
-	retryBurst    = 20.0 // further attempts that may be saved up
-	morePoints    = 0.01 // share of the result that probes for a second fresh replica may cost
-	dearProbe     = 0.04 // points for a probe a request from which the primary's spare room comes first
-	roomFrom      = 0.15 // answer time over the aim of a primary up to which it has room for all those reads
-	roomUpTo      = 0.35 // and for none
-	mostAsks      = 3    // probes that one read may cause
-	tie           = 0.85 // costs closer than this count as equal: the zone, then chance decides
-	farCost       = 10.0 // costs of a member in another zone, for each point that all crossing would cost
-	slowSetup     = 0.8  // typical answer times that a new connection adds from which free ones are preferred
-	idleAgain     = 30.0 // s: time constant in which a limit on idle connections is forgotten
-	easy          = 0.4  // mean answer time over the aim at which a group still is taken as quick
-	busy          = 10.0 // requests a second here from which windows bind as well
-	leastAdmitted = 0.05 // chance of a read to be taken on however full the group: somebody must look
-	strainOver    = 12.0 // s: a strain is forgotten so slowly; quiet routers hear little
-	paceOver      = 5.0  // s between answers of a member from which one alone tells its pace
-	learn         = 0.1  // weight of a new observation in moving averages
-	heldBack      = 0.3  // of the worth: the price of an answer after half the time without a send
+	probeTimeout        = 200 * ms  // given by the design: a round goes on to the next member after this long
+	minRoundInterval    = 250 * ms  // between rounds without a primary; not given by the design
+	roundFleetSize      = 40.0      // larger fleets start rounds as often as one of this size
+	smallFleet          = 8         // number of routers for which these constants were determined
+	callSpacing         = 100 * ms  // between calls of a fleet if time allows: discovery served 16 of 60/s
+	changeNotifiedAfter = 6000 * ms // protocol: notified of a change by then, if discovery is reachable
+	callDuration        = 2500 * ms // protocol: a call fails after waiting for 2 s; plus 0.5 s to connect
+	maxCallFailureTime  = 3000 * ms // longest time for a call to fail: the timeout of a silent call
+	minCallRetry        = 250 * ms  // before the next call after one that did not reach discovery
+	queueRetryInterval  = 10 * ms   // between dispatches of a queued request
+	idleStepInterval    = 1000 * ms // between Steps of an idle router
+	positionMargin      = 1 * ms    // subtracted from every known position: the wire rounds to milliseconds
+	slowLatencyRatio    = 0.35      // mean response time over latency target above which a window shrinks
+	overloadShrink      = 0.6       // window factor after an overload or timeout: the queue is far too long
+	lossThreshold       = 0.08      // loss rate above which timeouts count as lost responses
+	slowStartMargin     = 0.7       // fraction of the overload factor that is used, as estimates differ
+	boostStep           = 1.2       // factor on a warming member's boost for each quick response
+	maxBoost            = 1.6       // its limit: a fleet's responses come too late to measure more
+	otherGroupsRate     = 0.8       // of other groups' work rate: assumed for a group without one of its own
+	warmRateDecay       = 20.0      // s: decay of a group's recorded rate while its primary is warmed up
+	rateDecay           = 10.0      // s: time constant of moving rates
+	longReadRatio       = 3.0       // times the fastest class: such long reads may hold up a replica's log
+	spillLatencyRatio   = 0.5       // latency ratio of the primary above which fewer reads go to it
+	initialSpillChance  = 0.5       // chance that reads go to a primary before anything is known of it
+	spillStep           = 0.03      // step by which that chance rises; it falls three times as fast
+	windowShrink        = 0.85      // window factor at a slow response; close to 1, as one may be chance
+	initialWindow       = 8.0       // attempts in flight at a member before anything is known of it
+	newPrimaryWindow    = 4.0       // the same at a newly found primary: queued writes are sent in steps
+	minPrimaryWindow    = 4.0       // a slow primary keeps this: one attempt at a time leaves its cores idle
+	silenceRatio        = 4.0       // typical response times without any response that get a member ejected
+	minEjection         = 500 * ms  // shortest ejection; doubles up to maxEjection
+	maxEjection         = 4000 * ms
+	retriesPerRequest   = 0.15 // retries that each request adds to the budget; limits load added by failures
+	maxRetryBudget      = 20.0 // retries that may be saved up
+	extraProbeCost      = 0.01 // points per request that probes for a second fresh replica may cost
+	costlyProbe         = 0.04 // probe cost from which the primary's spare capacity is used first
+	spareLatencyRatio   = 0.15 // latency ratio up to which a primary takes reads before replicas are probed
+	busyLatencyRatio    = 0.35 // latency ratio from which it takes none
+	maxReadProbes       = 3    // probes that one read may cause
+	costTie             = 0.85 // costs closer than this count as equal: the zone, then chance decides
+	crossZoneFactor     = 10.0 // factor on the cost of a member in another zone, per point of CrossZoneCost
+	slowConnectRatio    = 0.8  // connect time over typical response time that makes connecting costly
+	idleLimitDecay      = 30.0 // s: time constant in which a limit on the idle time is relaxed
+	quickLatencyRatio   = 0.4  // latency ratio up to which a group is quick
+	busyRequestRate     = 10.0 // requests per second here from which windows limit as well
+	minAdmitChance      = 0.05 // chance of admission however overloaded the group: its recovery must show
+	latencyRatioDecay   = 12.0 // s: decay of latency ratios; slow, as little traffic gives few samples
+	fullWeightGap       = 5.0  // s since a member's last sample after which a single one tells its slowness
+	learningRate        = 0.1  // weight of a new sample in moving averages
+	queueWaitCost       = 0.3  // of the value: the cost of a response after half the time without a send
 )
 
-// New makes a router. Settings it cannot work with are an error.
+// New makes a router. It returns an error for settings that it does not support.
 func New(s Settings, seed uint64) (*Router, error) {
-	r := &Router{s: s, rng: seed*2 + 1, members: map[string]*member{}, groups: map[int]*group{},
-		reqs: map[string]*request{}, minBound: 400 * ms, budget: 2, dropped: -0.5,
-		firstTry: make([]patience, len(s.Classes)), seen: make([]float64, len(s.Classes))}
-	r.s.Quantum, r.s.IdleClose = max(r.s.Quantum, ms), cmp.Or(s.IdleClose, 3600*1000*ms)
-	r.safeIdle = r.s.IdleClose
+	r := &Router{settings: s, rngState: seed*2 + 1, members: map[string]*member{}, groups: map[int]*group{},
+		requests: map[string]*request{}, minStalenessBound: 400 * ms, retryBudget: 2, idleDropEvidence: -0.5,
+		firstTimeouts: make([]firstTimeout, len(s.Classes)), sampleCount: make([]float64, len(s.Classes))}
+	r.settings.MinStepInterval, r.settings.IdleTimeout =
+		max(r.settings.MinStepInterval, ms), cmp.Or(s.IdleTimeout, 3600*1000*ms)
+	r.maxSafeIdle = r.settings.IdleTimeout
 	for i, c := range s.Classes {
-		if c.Effect < Safe || c.Effect > Unsafe || c.Need < AnyData || c.Need > WriteToIt {
-			return nil, errors.New("aspenshed: class " + c.Name + ": unknown effect or need")
+		if c.RetrySafety < Safe || c.RetrySafety > Unsafe ||
+			c.Consistency < Eventual || c.Consistency > Write {
+			return nil, errors.New("aspenshed: class " + c.Name + ": unknown retry safety or consistency")
 		}
-		if c.Need == Bounded {
-			r.minBound = min(r.minBound, c.Bound)
+		if c.Consistency == BoundedStaleness {
+			r.minStalenessBound = min(r.minStalenessBound, c.MaxStaleness)
 		}
-		r.typ, r.seen[i] = append(r.typ, float64(c.Aim)/4), 1/learn // one quick answer is not typical
+		// The estimate starts with the weight of many samples, as one quick response is not typical.
+		r.typicalLatency, r.sampleCount[i] =
+			append(r.typicalLatency, float64(c.LatencyTarget)/4), 1/learningRate
 	}
 	if len(s.Classes) == 0 {
 		return nil, errors.New("aspenshed: no classes")
 	}
-	r.usual = r.typ[0] / 1e9
+	r.meanWork = r.typicalLatency[0] / 1e9
 	return r, nil
 }
 
-// Step tells the router what has happened and returns what it wants done, in order.
+// Step passes events to the router and returns the actions to take, in order.
 func (r *Router) Step(now Nanos, events []Event) []Action {
-	r.out = nil
+	r.actions = nil
 	r.now = max(now, r.now)
-	if !r.born {
-		r.born = true
-		r.callAt = r.turn(r.s.DrainGrace * 3 / 4) // what an old list lacks may count as known
-		for _, u := range r.s.Unknown {
-			r.do(Note{"setting not understood: " + u})
+	if !r.started {
+		r.started = true
+		// The router may count as notified of changes that an outdated list lacks.
+		r.nextCallAt = r.callSlot(r.settings.DrainGrace * 3 / 4)
+		for _, u := range r.settings.UnknownKeys {
+			r.emit(LogMessage{"setting not understood: " + u})
 		}
 	}
 	for _, e := range events {
 		switch e := e.(type) {
 		case MemberList:
-			r.list(e)
-		case DiscoveryBroke:
+			r.updateMembers(e)
+		case DiscoveryFailed:
 			r.callFailed(e)
 		case Request:
-			r.arrive(e)
-		case Answer:
-			r.answer(e)
-		case Left:
-			r.over(r.reqs[e.ID])
-		case Probed:
-			r.probed(e)
-		case ColdShare:
-			r.agreed(e)
-		case Woke: // maybe a little early, as timers are rounded
-			if r.wakeAt <= r.now+r.s.Quantum {
-				r.wakeAt = 0
+			r.accept(e)
+		case AttemptResult:
+			r.attemptEnded(e)
+		case RequestWithdrawn:
+			r.endRequest(r.requests[e.ID])
+		case ProbeResult:
+			r.probeEnded(e)
+		case SlowStartShare:
+			r.setSlowStartShare(e)
+		case TimerFired: // possibly a little early, as timers are rounded
+			if r.timerAt <= r.now+r.settings.MinStepInterval {
+				r.timerAt = 0
 			}
 		}
 	}
-	r.sweep()
-	return r.out
+	r.runDue()
+	return r.actions
 }
 
 // ---- discovery ----
 
-func (r *Router) list(e MemberList) {
-	if !e.Remnant {
-		r.callAt, r.retryCycle = 0, 0
+func (r *Router) updateMembers(e MemberList) {
+	if !e.Cached {
+		r.nextCallAt, r.retryCycle = 0, 0
 	}
 	seen := map[string]bool{}
-	for _, x := range e.Members {
-		seen[x.ID] = true
-		m := r.members[x.ID]
+	for _, listed := range e.Members {
+		seen[listed.ID] = true
+		m := r.members[listed.ID]
 		if m == nil {
-			if x.State == Gone {
+			if listed.State == Removed {
 				continue
 			}
-			g := r.group(x.Group)
-			m = &member{Member: x, g: g, pace: 1, ease: 1, pacedAt: r.now, win: startWindow}
-			r.members[x.ID], r.all, g.order = m, append(r.all, m), append(g.order, m)
-			r.returned(m, x.StartedAt)
-		}
-		if x.StartedAt > m.StartedAt {
-			m.pace, m.failing, m.bannedTill, m.ban, m.gone = 1, 0, 0, 0, false
-			r.returned(m, x.StartedAt)
-		}
-		was := m.Primary
-		m.Member = x
-		m.Size = max(x.Size, 0.01)
-		m.g.trusted = m.g.trusted && (x.State == Up || m != m.g.primary)
-		// The list's word on roles is old: it only says whom to ask first.
-		if r.s.ListTellsRole && x.Primary && (!was || m.g.primary == nil) && m.g.primary != m {
-			m.g.toHead(m)
-			if m.g.primary == nil && m.State == Up {
-				// Nothing better is known. A write at the wrong one is turned away untouched, and costs less
-				// than the questions of a whole fleet that has just started.
-				m.g.primary, m.g.trusted = m, true
-				m.win = r.share(freshWindow)
-			} else if !m.g.trusted {
-				m.g.inRound, m.g.nextOne = false, 0
+			g := r.group(listed.Group)
+			m = &member{Member: listed, group: g, slowness: 1, slowStartBoost: 1, slownessAt: r.now,
+				window: initialWindow}
+			r.members[listed.ID], r.memberList, g.probeOrder =
+				m, append(r.memberList, m), append(g.probeOrder, m)
+			r.startWarming(m, listed.StartedAt)
+		}
+		if listed.StartedAt > m.StartedAt {
+			m.slowness, m.failureRate, m.ejectedUntil, m.ejectionTime, m.unreachable = 1, 0, 0, 0, false
+			r.startWarming(m, listed.StartedAt)
+		}
+		wasPrimary := m.Primary
+		m.Member = listed
+		m.Weight = max(listed.Weight, 0.01)
+		m.group.primaryTrusted = m.group.primaryTrusted && (listed.State == Up || m != m.group.primary)
+		// The list's roles may be outdated: they only decide which member is probed first.
+		if r.settings.ListHasRoles && listed.Primary && (!wasPrimary || m.group.primary == nil) &&
+			m.group.primary != m {
+			m.group.moveToFront(m)
+			if m.group.primary == nil && m.State == Up {
+				// Nothing better is known. A write to the wrong member is rejected without being
+				// executed, and costs less than the probes of a whole fleet that has just started.
+				m.group.primary, m.group.primaryTrusted = m, true
+				m.window = r.windowShare(newPrimaryWindow)
+			} else if !m.group.primaryTrusted {
+				m.group.inRound, m.group.nextRoundAt = false, 0
 			}
 		}
 	}
-	for _, m := range r.all {
-		if e.Whole && !seen[m.ID] && m.State != Gone && !(r.s.RemovalIsSoft && m.State == Up) {
-			m.State, m.g.trusted = Gone, m.g.trusted && m.g.primary != m
+	for _, m := range r.memberList {
+		if e.Complete && !seen[m.ID] && m.State != Removed &&
+			!(r.settings.RemovalIsAdvisory && m.State == Up) {
+			m.State, m.group.primaryTrusted = Removed, m.group.primaryTrusted && m.group.primary != m
 		}
 	}
-	r.forgetGone()
+	r.dropRemoved()
 }
 
-// callFailed plans the next call to discovery after one that failed or a watch that ended. However it failed,
-// a change counts as known knownAfter later and binds DrainGrace after that: the next call is over by then.
-func (r *Router) callFailed(e DiscoveryBroke) {
+// callFailed schedules the next call to discovery after one that failed or a watch that ended. However
+// it failed, the router counts as notified of a change changeNotifiedAfter later and has to follow it
+// DrainGrace after that: the next call has ended by then.
+func (r *Router) callFailed(e DiscoveryFailed) {
 	switch {
-	case e.Unreached:
-		r.callAt = r.now + Nanos(float64(leastRetry)*(1+2*r.random()))
-	case r.callAt == 0: // a watch ended, as it may for a whole fleet at once
-		r.callAt = r.turn(cmp.Or(e.Heard, r.now) + r.callWithin() - r.now)
+	case e.Unreachable:
+		r.nextCallAt = r.now + Nanos(float64(minCallRetry)*(1+2*r.random()))
+	case r.nextCallAt == 0: // a watch ended, possibly for a whole fleet at once
+		r.nextCallAt = r.callSlot(cmp.Or(e.LastHeard, r.now) + r.maxCallInterval() - r.now)
 	default:
-		r.callAt = r.retryAt(cmp.Or(e.Heard, r.calledAt) + r.callWithin())
+		r.nextCallAt = r.retryCallAt(cmp.Or(e.LastHeard, r.lastCallAt) + r.maxCallInterval())
 	}
 }
 
-// callWithin is the time from a call, or from a watch's last line, within which the next call has to begin.
-func (r *Router) callWithin() Nanos {
-	return max(min(knownAfter, r.s.AskWithin)+r.s.DrainGrace-callDuration, leastRetry)
+// maxCallInterval is the time from a call, or from the last line of a watch, within which the next call
+// has to start.
+func (r *Router) maxCallInterval() Nanos {
+	return max(min(changeNotifiedAfter, r.settings.NotifiedAfter)+r.settings.DrainGrace-callDuration,
+		minCallRetry)
 }
 
-// retryAt is when this router's slot comes in a cycle that the fleet shares, as all clocks agree: few calls,
-// evenly spread, whenever each failed. If that is too late it calls sooner, so as to fail before its slot.
-func (r *Router) retryAt(latest Nanos) Nanos {
-	spaced := float64(callSpacing) * float64(r.s.Routers)
-	r.retryCycle = max(2*r.retryCycle, leastRetry, Nanos(min(spaced, float64(knownAfter))))
-	r.retryCycle = min(r.retryCycle, r.callWithin())
-	slot := Nanos(float64(r.s.Rank) / float64(max(r.s.Routers, 1)) * float64(r.retryCycle))
-	earliest := r.now + leastRetry/2
+// retryCallAt is the time of this router's call slot in a cycle that the fleet shares, as all routers
+// are given the same clock: few calls, evenly spread, whenever each of them failed. If the slot is too
+// late, the router calls earlier, so that the call fails before the slot.
+func (r *Router) retryCallAt(latest Nanos) Nanos {
+	fleetPeriod := float64(callSpacing) * float64(r.settings.Routers)
+	r.retryCycle = max(2*r.retryCycle, minCallRetry, Nanos(min(fleetPeriod, float64(changeNotifiedAfter))))
+	r.retryCycle = min(r.retryCycle, r.maxCallInterval())
+	slot := Nanos(float64(r.settings.Rank) / float64(max(r.settings.Routers, 1)) * float64(r.retryCycle))
+	earliest := r.now + minCallRetry/2
 	at := earliest + ((slot-earliest)%r.retryCycle+r.retryCycle)%r.retryCycle
 	if at > latest {
-		at -= callFailure + leastRetry
+		at -= maxCallFailureTime + minCallRetry
 	}
-	return min(max(at, earliest), max(latest, r.now)) // one that is late already is made at once
+	return min(max(at, earliest), max(latest, r.now)) // an overdue call is made at once
 }
 
-// turn is when this router calls, among all that begin to call now; most ends the last one's turn.
-func (r *Router) turn(most Nanos) Nanos {
-	slot := math.Mod((float64(r.s.Rank)+r.random())/float64(max(r.s.Routers, 1)), 1)
-	return r.now + Nanos(math.Abs(slot)*min(float64(callSpacing)*r.routersBeyond(), float64(max(most, 0))))
+// callSlot is the time of this router's call among all routers that start to call now; the last slot is
+// maxWait from now at the latest.
+func (r *Router) callSlot(maxWait Nanos) Nanos {
+	slot := math.Mod((float64(r.settings.Rank)+r.random())/float64(max(r.settings.Routers, 1)), 1)
+	return r.now + Nanos(math.Abs(slot)*min(float64(callSpacing)*r.routersAboveSmallFleet(),
+		float64(max(maxWait, 0))))
 }
 
-// ---- finding the primary ----
+// ---- probe rounds for the primary ----
 
-// rounds asks the members in list order, one at a time, while no primary is trusted.
-func (r *Router) rounds(g *group) {
-	if g.trusted || r.now > g.wantedAt+r.roundWait() {
+// runRound probes the members in probeOrder, one at a time, while no primary is trusted.
+func (r *Router) runRound(g *group) {
+	if g.primaryTrusted || r.now > g.primaryWantedAt+r.roundInterval() {
 		g.inRound = false
 		return
 	}
-	if i := slices.IndexFunc(g.order, isUp); !r.s.MayProbe && i >= 0 { // the writes themselves go round
-		if r.now >= g.nextOne {
-			m := g.order[i]
-			g.order = append(slices.Delete(g.order, i, i+1), m)
-			g.primary, g.trusted, g.nextOne = m, true, r.now+roundEvery/10
+	// Without probes the writes themselves try one member after the other.
+	if i := slices.IndexFunc(g.probeOrder, isUp); !r.settings.MayProbe && i >= 0 {
+		if r.now >= g.nextRoundAt {
+			m := g.probeOrder[i]
+			g.probeOrder = append(slices.Delete(g.probeOrder, i, i+1), m)
+			g.primary, g.primaryTrusted, g.nextRoundAt = m, true, r.now+minRoundInterval/10
 		}
 		return
 	}
 	if !g.inRound {
-		if r.now >= g.nextOne {
-			g.inRound, g.asked = true, -1
-			g.nextOne = r.now + Nanos(float64(r.roundWait())*(0.5+r.random()))
-			r.askNext(g)
+		if r.now >= g.nextRoundAt {
+			g.inRound, g.probeIndex = true, -1
+			g.nextRoundAt = r.now + Nanos(float64(r.roundInterval())*(0.5+r.random()))
+			r.probeNext(g)
 		}
-	} else if r.now >= g.askedAt+probeTimeout {
-		r.askNext(g)
+	} else if r.now >= g.roundProbedAt+probeTimeout {
+		r.probeNext(g)
 	}
-	r.wake(max(g.nextOne, g.askedAt+probeTimeout))
+	r.scheduleStep(max(g.nextRoundAt, g.roundProbedAt+probeTimeout))
 }
 
-// distrust ends the trust in m as a primary and has a round begin; rounds go on while a request wants one.
-func (r *Router) distrust(m *member) {
-	if g := m.g; m == g.primary {
-		g.trusted, g.wantedAt = false, r.now
+// distrustPrimary stops trusting m as the primary and lets a probe round start; rounds go on while
+// requests need a primary.
+func (r *Router) distrustPrimary(m *member) {
+	if g := m.group; m == g.primary {
+		g.primaryTrusted, g.primaryWantedAt = false, r.now
 	}
 }
 
-func (r *Router) askNext(g *group) {
-	for g.asked++; g.asked < len(g.order); g.asked++ {
-		// One that refused connections is asked seldom, but asked: nothing else may show that it is back.
-		if m := g.order[g.asked]; m.State == Up && (!m.gone || r.now > max(m.goneAt, m.probedAt)+maxBan) {
-			g.askedAt = r.now
+func (r *Router) probeNext(g *group) {
+	for g.probeIndex++; g.probeIndex < len(g.probeOrder); g.probeIndex++ {
+		// A member that refused connections is probed rarely, but probed: nothing else may show that it
+		// is back.
+		if m := g.probeOrder[g.probeIndex]; m.State == Up &&
+			(!m.unreachable || r.now > max(m.unreachableAt, m.probedAt)+maxEjection) {
+			g.roundProbedAt = r.now
 			r.probe(m)
 			return
 		}
@@ -259,745 +279,804 @@
 	g.inRound = false
 }
 
-// role takes word of a member's role, dated at. Newer word beats older.
-func (r *Router) role(m *member, primary bool, at Nanos) {
-	g := m.g
-	if at < m.roleAt && primary == m.saysPrimary { // an old report that only repeats a newer answer
-		at = m.roleAt
-	}
-	if at < m.roleAt || (primary && at <= g.denied && m == g.primary && !g.trusted) {
+// updateRole applies information on a member's role as of the time at. Newer information wins over
+// older.
+func (r *Router) updateRole(m *member, primary bool, at Nanos) {
+	g := m.group
+	if at < m.roleSeenAt && primary == m.claimsPrimary { // an older report that only repeats a newer response
+		at = m.roleSeenAt
+	}
+	if at < m.roleSeenAt || (primary && at <= g.primaryDeniedAt && m == g.primary && !g.primaryTrusted) {
 		return
 	}
-	m.saysPrimary, m.roleAt = primary, at
+	m.claimsPrimary, m.roleSeenAt = primary, at
 	if !primary {
 		if g.primary == m {
-			g.denied, g.trusted = at, false
+			g.primaryDeniedAt, g.primaryTrusted = at, false
 		}
 		return
 	}
-	p := g.primary
-	if m.State != Up || p != nil && p != m && p.saysPrimary && at <= p.roleAt {
+	former := g.primary
+	if m.State != Up || former != nil && former != m && former.claimsPrimary && at <= former.roleSeenAt {
 		return
 	}
-	if p != m {
-		if p != nil {
-			r.do(ClosePool{p.ID})
+	if former != m {
+		if former != nil {
+			r.emit(CloseIdleConnections{former.ID})
 		}
 		g.primary = m
-		// Of its cold budget nothing: what all routers may send to a replica would now come at once.
-		m.win, m.coldBudget = r.share(freshWindow), 0
+		// Its slow-start budget is emptied: what all routers may send to a replica would now arrive at
+		// once.
+		m.window, m.slowStartBudget = r.windowShare(newPrimaryWindow), 0
 	}
-	g.toHead(m)
-	g.trusted, g.inRound, g.nextOne = true, false, 0
+	g.moveToFront(m)
+	g.primaryTrusted, g.inRound, g.nextRoundAt = true, false, 0
 }
 
 func (r *Router) probe(m *member) {
-	if m.State != Up || m.probing && r.now < m.probedAt+2*probeTimeout {
+	if m.State != Up || m.probePending && r.now < m.probedAt+2*probeTimeout {
 		return
 	}
-	m.probing, m.probedAt = true, r.now
-	r.do(Probe{m.ID})
+	m.probePending, m.probedAt = true, r.now
+	r.emit(Probe{m.ID})
 }
 
-func (r *Router) probed(e Probed) {
+func (r *Router) probeEnded(e ProbeResult) {
 	m := r.members[e.Member]
 	if m == nil {
 		return
 	}
-	m.probing = false
-	r.probeTime += Nanos(learn * float64(e.Took-r.probeTime))
+	m.probePending = false
+	r.probeLatency += Nanos(learningRate * float64(e.Duration-r.probeLatency))
 	switch {
-	case m.cuts == 1 && e.Outcome == LinkBroke: // the probe was cut too: still no word from the member
-		m.cuts, m.g.askedAt = 2, r.now
+	case m.connectionLosses == 1 && e.Outcome == ConnectionLost:
+		// The probe's connection was lost too: there is still no response from the member.
+		m.connectionLosses, m.group.roundProbedAt = 2, r.now
 		r.probe(m)
 		return
-	case m.cuts > 0 && e.Outcome != Served:
-		r.suspect(m)
+	case m.connectionLosses > 0 && e.Outcome != Served:
+		r.eject(m)
 	}
-	m.cuts = 0
+	m.connectionLosses = 0
 	if e.Outcome == Served {
-		if m.gone { // there again
-			m.gone, m.ban, m.bannedTill, m.backAt = false, 0, 0, r.now
-			r.returned(m, r.now)
+		if m.unreachable { // reachable again
+			m.unreachable, m.ejectionTime, m.ejectedUntil, m.reachableAt = false, 0, 0, r.now
+			r.startWarming(m, r.now)
 		}
-		r.report(m, e.Report)
-		if m.ban <= r.firstBan() { // the first silence may be chance: then a sign of life counts
-			m.lastReply = r.now
+		r.applyReport(m, e.Report)
+		// A first silence may be chance: then a probe counts as a response.
+		if m.ejectionTime <= r.firstEjection() {
+			m.lastResponseAt = r.now
 		}
 	}
-	g := m.g
-	if g.inRound && !g.trusted && g.asked >= 0 && g.asked < len(g.order) && g.order[g.asked] == m {
-		r.askNext(g)
+	g := m.group
+	if g.inRound && !g.primaryTrusted && g.probeIndex >= 0 && g.probeIndex < len(g.probeOrder) &&
+		g.probeOrder[g.probeIndex] == m {
+		r.probeNext(g)
 	}
 }
 
 // ---- position and freshness ----
 
-// fresh tells whether m is known to hold all that q needs, if sent now.
-func (r *Router) fresh(q *request, m *member) bool {
-	switch q.c.Need {
-	case Bounded:
-		return m.pos >= r.now-q.c.Bound+safetyGap
-	case OwnWrites:
-		return q.need == 0 || m.pos >= q.need
-	}
-	return q.c.Need == AnyData
+// freshEnough tells whether m is known to have all the data that q requires, if sent now.
+func (r *Router) freshEnough(q *request, m *member) bool {
+	switch q.class.Consistency {
+	case BoundedStaleness:
+		return m.position >= r.now-q.class.MaxStaleness+positionMargin
+	case ReadYourWrites:
+		return q.minPosition == 0 || m.position >= q.minPosition
+	}
+	return q.class.Consistency == Eventual
 }
 
 // ---- member health ----
 
-// suspect takes a member out of the draw for a while. At its end single reads try it again.
-func (r *Router) suspect(m *member) {
-	if r.banned(m) {
+// eject takes a member out of selection for a while. After that, single reads try it again.
+func (r *Router) eject(m *member) {
+	if r.ejected(m) {
 		return
 	}
-	first := r.firstBan()
-	m.ban = min(max(2*m.ban, first), max(maxBan, 4*first))
-	m.bannedTill = r.now + Nanos(float64(m.ban)*(0.5+r.random())) // routers must not come all at once
-	if r.distrust(m); m.g.primary != m && r.s.MayProbe {
+	first := r.firstEjection()
+	m.ejectionTime = min(max(2*m.ejectionTime, first), max(maxEjection, 4*first))
+	// The length is random: routers must not return all at once.
+	m.ejectedUntil = r.now + Nanos(float64(m.ejectionTime)*(0.5+r.random()))
+	if r.distrustPrimary(m); m.group.primary != m && r.settings.MayProbe {
 		r.probe(m)
 	}
 }
 
-// broke takes note of a cut connection: maybe the network's doing, and it tells nothing of queues. A member
-// that dies answers no probe.
-func (r *Router) broke(m *member) {
-	if m.cuts = 1; r.s.MayProbe {
+// connectionLost handles a lost connection. The network may be the cause, and it says nothing about
+// queues. A member that has crashed answers no probe.
+func (r *Router) connectionLost(m *member) {
+	if m.connectionLosses = 1; r.settings.MayProbe {
 		r.probe(m)
 	} else {
-		r.suspect(m)
+		r.eject(m)
 	}
 }
 
-func (r *Router) healthy(m *member, took float64, c int) {
-	m.lastReply, m.ban, m.bannedTill, m.cuts = r.now, 0, 0, 0
-	r.seen[c] = min(r.seen[c]+1, 2/learn)
-	r.typ[c] += (took - r.typ[c]) / r.seen[c]
-	m.lately += r.weight(m) * (took/float64(r.s.Classes[c].Aim) - m.lately)
-	r.paced(m, took/r.typ[c])
-	m.failing -= learn * m.failing
-	if g := m.g; m == g.primary { // sparing the primary: reads join its own work only while that stays quick
-		if g.spill = min(1, g.spill+spillUp); took >= spillPart*float64(r.s.Classes[c].Aim) {
-			g.spill = max(spillUp, (g.spill-spillUp)*(1-3*spillUp))
+func (r *Router) observeResponse(m *member, duration float64, class int) {
+	m.lastResponseAt, m.ejectionTime, m.ejectedUntil, m.connectionLosses = r.now, 0, 0, 0
+	r.sampleCount[class] = min(r.sampleCount[class]+1, 2/learningRate)
+	r.typicalLatency[class] += (duration - r.typicalLatency[class]) / r.sampleCount[class]
+	m.recentLatencyRatio += r.sampleWeight(m) *
+		(duration/float64(r.settings.Classes[class].LatencyTarget) - m.recentLatencyRatio)
+	r.observeSlowness(m, duration/r.typicalLatency[class])
+	m.failureRate -= learningRate * m.failureRate
+	if g := m.group; m == g.primary { // reads are added to the primary's own work only while that stays quick
+		if g.spillChance = min(1, g.spillChance+spillStep); duration >=
+			spillLatencyRatio*float64(r.settings.Classes[class].LatencyTarget) {
+			g.spillChance = max(spillStep, (g.spillChance-spillStep)*(1-3*spillStep))
 		}
 	}
-	r.losing -= learn / 2 * r.losing
-	m.strain += learn * (took/float64(r.s.Classes[c].Aim) - m.strain)
-	if m.ease = min(m.ease*easeUp, easeMost); m.lately > spillPart {
-		m.ease = 1
+	r.lossRate -= learningRate / 2 * r.lossRate
+	m.latencyRatio += learningRate *
+		(duration/float64(r.settings.Classes[class].LatencyTarget) - m.latencyRatio)
+	if m.slowStartBoost = min(m.slowStartBoost*boostStep, maxBoost); m.recentLatencyRatio >
+		spillLatencyRatio {
+		m.slowStartBoost = 1
 	}
-	r.feel(m, took/float64(r.s.Classes[c].Aim))
+	r.observeReplicaLatency(m, duration/float64(r.settings.Classes[class].LatencyTarget))
 	switch {
-	case m.strain > aimPart:
-		r.narrow(m, shrink)
-	case float64(m.out+1) < m.win/2: // not tried: nothing learnt
+	case m.latencyRatio > slowLatencyRatio:
+		r.shrinkWindow(m, windowShrink)
+	case float64(m.inFlight+1) < m.window/2: // the window was not used: nothing is learned
 	default:
-		m.win += max(1/m.win, 2/startWindow)
+		m.window += max(1/m.window, 2/initialWindow)
 	}
 }
 
-// weight is that of a new observation of m. Where answers are seldom each counts for more: what a fleet knows
-// together, each of its routers else learns too late.
-func (r *Router) weight(m *member) float64 {
-	return min(max(learn, float64(r.now-m.pacedAt)/1e9/paceOver), 0.5)
+// sampleWeight is the weight of a new sample of m. Where responses are rare each counts for more:
+// otherwise each router would learn too late what the fleet as a whole has observed.
+func (r *Router) sampleWeight(m *member) float64 {
+	return min(max(learningRate, float64(r.now-m.slownessAt)/1e9/fullWeightGap), 0.5)
 }
 
-// paced learns how slow m is.
-func (r *Router) paced(m *member, slow float64) {
-	m.pace += r.weight(m) * (min(max(slow, 0.1), 10) - m.pace)
-	m.pacedAt = r.now
+// observeSlowness adds a sample of how slow m is.
+func (r *Router) observeSlowness(m *member, sample float64) {
+	m.slowness += r.sampleWeight(m) * (min(max(sample, 0.1), 10) - m.slowness)
+	m.slownessAt = r.now
 }
 
-// late takes an attempt that m turned away or left open as one that would have come later still: by its
-// answers alone a primary that gives none would seem as quick as it was.
-func (r *Router) late(m *member, took float64) {
-	m.lately, m.ease = m.lately+r.weight(m)*(min(took, 2)-m.lately), 1
+// observeOverload counts an attempt that m rejected or did not respond to as a slow response: judged by
+// its responses alone, a primary that gives none would seem as quick as before.
+func (r *Router) observeOverload(m *member, ratio float64) {
+	m.recentLatencyRatio, m.slowStartBoost =
+		m.recentLatencyRatio+r.sampleWeight(m)*(min(ratio, 2)-m.recentLatencyRatio), 1
 }
 
-// room is the chance of a bounded read to go to the primary before a replica is asked how far it is: where
-// probes are dear, as far as the primary is quick.
-func (r *Router) room(g *group) float64 {
-	if r.s.PriceProbe < dearProbe {
+// spareCapacity is the chance that a bounded-staleness read goes to the primary before a replica is
+// probed for its position: where probes are costly, the higher the quicker the primary is.
+func (r *Router) spareCapacity(g *group) float64 {
+	if r.settings.ProbeCost < costlyProbe {
 		return 0
 	}
-	return (roomUpTo - g.primary.lately) / (roomUpTo - roomFrom)
+	return (busyLatencyRatio - g.primary.recentLatencyRatio) / (busyLatencyRatio - spareLatencyRatio)
 }
 
-func (r *Router) narrow(m *member, by float64) {
-	if r.now < m.shrunkAt+Nanos(r.typ[0]) {
+func (r *Router) shrinkWindow(m *member, factor float64) {
+	if r.now < m.windowShrunkAt+Nanos(r.typicalLatency[0]) {
 		return
 	}
-	if m.shrunkAt, m.win = r.now, max(1, m.win*by); m == m.g.primary { // its writes have nowhere else to go
-		m.win = max(m.win, r.share(leastWindow))
+	if m.windowShrunkAt, m.window = r.now, max(1, m.window*factor); m == m.group.primary {
+		// A primary's writes have nowhere else to go.
+		m.window = max(m.window, r.windowShare(minPrimaryWindow))
 	}
 }
 
 // ---- member choice ----
 
-// cost compares members: expected crowding for their size, slowness, failures and the zone.
+// cost ranks members: expected load for their weight, slowness, failures and zone.
 func (r *Router) cost(m *member, q *request) float64 {
-	c := (1 + max(float64(m.out), m.waiting)) / m.Size * m.pace / math.Pow(1.05-m.failing, 2)
-	if q.c.Need != AnyData { // the nearer to the primary's data, the sooner fresh
-		c *= 1 + float64(m.heardAt-m.pos)/float64(r.minBound)
-		if m.heardAt == 0 && r.cold(m) { // a copy that is seconds old
+	c := (1 + max(float64(m.inFlight), m.reportedLoad)) / m.Weight * m.slowness /
+		math.Pow(1.05-m.failureRate, 2)
+	if q.class.Consistency != Eventual { // the less it lags, the sooner it is fresh enough
+		c *= 1 + float64(m.lastHeardAt-m.position)/float64(r.minStalenessBound)
+		if m.lastHeardAt == 0 && r.warming(m) { // its data is seconds old
 			c *= 5
 		}
 	}
-	if m.Zone != r.s.Zone {
-		c *= 1 + farCost*r.s.PriceCrossZone
+	if m.Zone != r.settings.Zone {
+		c *= 1 + crossZoneFactor*r.settings.CrossZoneCost
 	}
-	if slices.ContainsFunc(q.tries, func(a *attempt) bool { return a.m == m }) {
+	if slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.member == m }) {
 		c *= 4
 	}
 	return c
 }
 
-// twoChoices draws two of the candidates, by size, and takes the one with the lower cost.
-func (r *Router) twoChoices(q *request, from []*member) *member {
-	n := len(from)
+// twoChoices draws two of the candidates and returns the one with the lower cost.
+func (r *Router) twoChoices(q *request, candidates []*member) *member {
+	n := len(candidates)
 	if n == 0 {
 		return nil
 	}
 	i := int(r.random() * float64(n))
 	j := (i + 1 + int(r.random()*float64(max(n-1, 1)))) % n
-	a, b := from[i], from[j]
+	a, b := candidates[i], candidates[j]
 	ca, cb := r.cost(a, q), r.cost(b, q)
-	if cb < tie*ca || ca >= tie*cb && a.Zone != r.s.Zone && b.Zone == r.s.Zone {
+	if cb < costTie*ca || ca >= costTie*cb && a.Zone != r.settings.Zone && b.Zone == r.settings.Zone {
 		return b
 	}
 	return a
 }
 
-// longOnes keeps long reads that any member may answer to the half of the replicas furthest behind, the later
-// listed among equals: they may stop its log, so all routers leave the others fresh, and crowd no single one.
-func (r *Router) longOnes(q *request, from []*member) []*member {
-	few := max(1, (len(q.g.order)-1)/2) // of all: where most are cold, not all on the one that is warm
-	if q.c.Need != AnyData || r.typ[q.Class] < longRead*slices.Min(r.typ) || len(from) <= few {
-		return from
-	}
-	from = slices.Clone(from)
-	age := func(m *member) Nanos { return -m.pos / r.minBound }
-	slices.SortStableFunc(from, func(a, b *member) int { return cmp.Compare(age(a), age(b)) })
-	return from[len(from)-few:]
+// longReadCandidates keeps long reads that any member may serve to the half of the replicas that lags
+// most, among equals to those listed last. Such reads may stop a replica's log: this way all routers
+// leave the others fresh, and overload no single one.
+func (r *Router) longReadCandidates(q *request, candidates []*member) []*member {
+	// The half is one of all replicas: where most are warming, not all reads go to the one that is not.
+	half := max(1, (len(q.group.probeOrder)-1)/2)
+	if q.class.Consistency != Eventual ||
+		r.typicalLatency[q.Class] < longReadRatio*slices.Min(r.typicalLatency) || len(candidates) <= half {
+		return candidates
+	}
+	candidates = slices.Clone(candidates)
+	lag := func(m *member) Nanos { return -m.position / r.minStalenessBound }
+	slices.SortStableFunc(candidates, func(a, b *member) int { return cmp.Compare(lag(a), lag(b)) })
+	return candidates[len(candidates)-half:]
 }
 
-// pick names the member for q, or nil: then it is held.
-func (r *Router) pick(q *request) *member {
-	g, p := q.g, q.g.primary
+// pickMember returns the member for q; nil: q is queued.
+func (r *Router) pickMember(q *request) *member {
+	g, p := q.group, q.group.primary
 	if r.now < q.notBefore {
 		return nil
 	}
-	if q.c.Need >= AllWrites {
-		if g.trusted && p != nil && float64(p.out) < p.win && r.mayAttempt(q, p) {
+	if q.class.Consistency >= Linearizable {
+		if g.primaryTrusted && p != nil && float64(p.inFlight) < p.window && r.mayAttempt(q, p) {
 			return p
 		}
-		g.wantedAt = r.now
+		g.primaryWantedAt = r.now
 		return nil
 	}
-	if m := r.lucky(q); m != nil {
+	if m := r.pickWarming(q); m != nil {
 		return m
 	}
-	var known, other, suspects []*member
-	var full, asked bool
-	for _, m := range g.order {
+	var fresh, others, ejected []*member
+	var windowFull, probing bool
+	for _, m := range g.probeOrder {
 		if m == p || !r.mayAttempt(q, m) {
 			continue
 		}
 		switch {
-		case m.gone && !r.banned(m): // a probe shows cheaper than a read that it is back
-			r.suspect(m)
-		case r.banned(m) || (m.ban > 0 && m.out > 0):
-			suspects = append(suspects, m)
-		case float64(m.out) >= m.win: // full for now, but well
-			full = true
-		case q.c.Need == Bounded && m.heardAt-m.pos > q.c.Bound && r.now < m.heardAt+r.minBound/4: // behind
-		case r.fresh(q, m):
-			known = append(known, m)
+		case m.unreachable && !r.ejected(m): // a probe costs less than a read to show that it is back
+			r.eject(m)
+		case r.ejected(m) || (m.ejectionTime > 0 && m.inFlight > 0):
+			ejected = append(ejected, m)
+		case float64(m.inFlight) >= m.window: // window full, but healthy
+			windowFull = true
+		case q.class.Consistency == BoundedStaleness && m.lastHeardAt-m.position > q.class.MaxStaleness &&
+			r.now < m.lastHeardAt+r.minStalenessBound/4: // it lagged too much a moment ago
+		case r.freshEnough(q, m):
+			fresh = append(fresh, m)
 		default:
-			other = append(other, m)
+			others = append(others, m)
 		}
 	}
-	spare := g.trusted && p != nil && float64(p.out) < p.win/2 && !r.banned(p) && !r.cold(p) &&
-		p.lately < roomUpTo && r.mayAttempt(q, p)
-	if q.c.Need == Bounded && len(known) == 0 && spare && q.roll < r.room(g) {
+	primaryHasCapacity := g.primaryTrusted && p != nil && float64(p.inFlight) < p.window/2 &&
+		!r.ejected(p) && !r.warming(p) && p.recentLatencyRatio < busyLatencyRatio && r.mayAttempt(q, p)
+	if q.class.Consistency == BoundedStaleness && len(fresh) == 0 && primaryHasCapacity &&
+		q.spillDraw < r.spareCapacity(g) {
 		return p
-	} else if q.c.Need != AnyData {
-		most := 1 - len(known)
-		if r.askMore >= 1 && len(known) < 2 && r.s.PriceProbe < dearProbe { // a choice of two, if not dear
-			r.askMore--
-			most++
+	} else if q.class.Consistency != Eventual {
+		maxProbes := 1 - len(fresh)
+		// Where probes are cheap, a second fresh replica gives a choice of two.
+		if r.probeCredit >= 1 && len(fresh) < 2 && r.settings.ProbeCost < costlyProbe {
+			r.probeCredit--
+			maxProbes++
 		}
-		asked = most > 0 && r.refreshPositions(q, most)
+		probing = maxProbes > 0 && r.refreshPositions(q, maxProbes)
 	}
-	if linked := slices.DeleteFunc(slices.Clone(known), r.dear); len(linked) > 0 {
-		known = linked
+	if connected := slices.DeleteFunc(slices.Clone(fresh), r.connectionCostly); len(connected) > 0 {
+		fresh = connected
 	}
-	if len(known) > 0 {
-		return r.twoChoices(q, r.longOnes(q, known))
+	if len(fresh) > 0 {
+		return r.twoChoices(q, r.longReadCandidates(q, fresh))
 	}
-	if asked && r.now < q.arrived+q.c.Aim/8 {
-		return nil // an answer is on its way that may show a fresh replica
+	if probing && r.now < q.arrivedAt+q.class.LatencyTarget/8 {
+		return nil // a pending probe may show a replica that is fresh enough
 	}
-	g.wantedAt = r.now
-	if spare && q.roll < g.spill {
+	g.primaryWantedAt = r.now
+	if primaryHasCapacity && q.spillDraw < g.spillChance {
 		return p
 	}
-	if len(other) == 0 && !full && q.c.Need == AnyData { // never all members out at once
-		other = suspects
+	// Ejected members are used rather than none.
+	if len(others) == 0 && !windowFull && q.class.Consistency == Eventual {
+		others = ejected
 	}
-	return r.twoChoices(q, other)
+	return r.twoChoices(q, others)
 }
 
-// lucky names the cold member that a read gets as it comes: the warm ones may be swamped.
-func (r *Router) lucky(q *request) *member {
-	return r.twoChoices(q, slices.DeleteFunc(slices.Clone(q.g.order), func(m *member) bool {
-		return m == q.g.primary || !r.cold(m) || r.banned(m) || !r.mayAttempt(q, m)
+// pickWarming returns the warming member that q may use. It is tried first, as the others may be
+// overloaded.
+func (r *Router) pickWarming(q *request) *member {
+	return r.twoChoices(q, slices.DeleteFunc(slices.Clone(q.group.probeOrder), func(m *member) bool {
+		return m == q.group.primary || !r.warming(m) || r.ejected(m) || !r.mayAttempt(q, m)
 	}))
 }
 
-// askAgain is the time between probes of m: DESIGN's quarter of the shortest bound, longer for a member far
-// behind, as it can only catch up slowly.
-func (r *Router) askAgain(m *member) Nanos {
-	return max(r.minBound/4, min((m.heardAt-m.pos)/2, 2000*ms))
+// probeInterval is the time between probes of m: a quarter of the shortest staleness bound, as given by
+// the design; longer for a member that lags far behind, as it can only catch up slowly.
+func (r *Router) probeInterval(m *member) Nanos {
+	return max(r.minStalenessBound/4, min((m.lastHeardAt-m.position)/2, 2000*ms))
 }
 
-// refreshPositions has up to most replicas asked for their position, each at most every askAgain, and tells
-// whether an answer is on its way. The two-choice draw names whom: hundreds of routers must not all ask one.
-func (r *Router) refreshPositions(q *request, most int) (waiting bool) {
-	var from []*member
-	for _, m := range q.g.order {
+// refreshPositions probes up to maxProbes replicas for their position, each at most every
+// probeInterval, and tells whether a response is pending. twoChoices selects them: hundreds of routers
+// must not all probe the same one.
+func (r *Router) refreshPositions(q *request, maxProbes int) (pending bool) {
+	var candidates []*member
+	for _, m := range q.group.probeOrder {
 		switch {
-		case m.State != Up || m == q.g.primary || r.banned(m):
-		case m.probing && r.now < m.probedAt+20*ms+2*r.probeTime:
-			waiting = true
-			most--
-		case r.now >= max(m.heardAt, m.probedAt)+r.askAgain(m):
-			from = append(from, m)
-		}
-	}
-	asks := mostAsks
-	if !q.g.trusted { // all positions stand still until there is a primary
-		asks = 1
-	} else if r.s.PriceProbe >= dearProbe {
-		asks--
-	}
-	for ; most > 0 && len(from) > 0 && q.asks < asks && r.s.MayProbe; most-- {
-		m := r.twoChoices(q, from)
-		from = slices.DeleteFunc(from, func(x *member) bool { return x == m })
-		q.asks++
+		case m.State != Up || m == q.group.primary || r.ejected(m):
+		case m.probePending && r.now < m.probedAt+20*ms+2*r.probeLatency:
+			pending = true
+			maxProbes--
+		case r.now >= max(m.lastHeardAt, m.probedAt)+r.probeInterval(m):
+			candidates = append(candidates, m)
+		}
+	}
+	limit := maxReadProbes
+	if !q.group.primaryTrusted { // no position advances until there is a primary
+		limit = 1
+	} else if r.settings.ProbeCost >= costlyProbe {
+		limit--
+	}
+	for ; maxProbes > 0 && len(candidates) > 0 && q.probes < limit && r.settings.MayProbe; maxProbes-- {
+		m := r.twoChoices(q, candidates)
+		candidates = slices.DeleteFunc(candidates, func(x *member) bool { return x == m })
+		q.probes++
 		r.probe(m)
-		waiting = true
+		pending = true
 	}
-	return waiting
+	return pending
 }
 
-// ---- the guard ----
+// ---- rules ----
 
-// mayAttempt is the one place that keeps the rules: no send of q to m happens without it.
+// mayAttempt enforces the rules: q is sent to m only if it allows it. Rule 1: nothing is sent after the
+// final response. Rule 2: what may have been executed is sent again only as the class's RetrySafety
+// allows. Rule 3: nothing is sent to draining or removed members. Rule 4: a warming member gets no more
+// than its slow-start budget or random share. Rule 5: the member satisfies the class's Consistency.
 func (r *Router) mayAttempt(q *request, m *member) bool {
 	switch {
-	case q.done || r.now >= q.deadline, // rule 1: nothing after the final answer
-		m.g != q.g, m.State != Up, // the group; rule 3: drains and the gone
-		r.s.MaxAttempts > 0 && len(q.tries) >= r.s.MaxAttempts,
-		q.out > 0 && (!r.s.MayCopy || q.c.Effect == Unsafe), // no second copy
-		r.cold(m) && !r.coldRoom(q, m):                      // rule 4
+	case q.done || r.now >= q.deadline, // rule 1
+		m.group != q.group, m.State != Up, // rule 3
+		r.settings.MaxAttempts > 0 && len(q.attempts) >= r.settings.MaxAttempts,
+		q.inFlight > 0 && (!r.settings.MayHedge || q.class.RetrySafety == Unsafe), // no hedged attempt
+		r.warming(m) && !r.fitsSlowStart(q, m):                                    // rule 4
 		return false
 	}
-	if slices.ContainsFunc(q.tries, func(a *attempt) bool { return a.m == m && !a.ended }) {
+	if slices.ContainsFunc(q.attempts, func(a *attempt) bool { return a.member == m && !a.ended }) {
 		return false
 	}
-	for _, a := range q.mayHaveRun { // rule 2
-		if q.c.Effect == Unsafe || q.c.Effect == Keyed && (r.now >= a.at+q.c.RepeatWindow ||
-			q.c.RepeatScope == ScopeZone && a.m.Zone != m.Zone) {
+	for _, a := range q.maybeExecuted { // rule 2
+		if q.class.RetrySafety == Unsafe || q.class.RetrySafety == Deduplicated &&
+			(r.now >= a.sentAt+q.class.DedupWindow ||
+				q.class.DedupScope == DedupZone && a.member.Zone != m.Zone) {
 			return false
 		}
 	}
-	primary := m == m.g.primary && m.g.trusted
-	switch q.c.Need { // rule 5
-	case WriteToIt, AllWrites:
+	primary := m == m.group.primary && m.group.primaryTrusted
+	switch q.class.Consistency { // rule 5
+	case Write, Linearizable:
 		return primary
-	case Bounded, OwnWrites: // what a cold member turns away pushes it over too: it must be known as fresh
-		return primary || r.fresh(q, m) || r.s.MembersCheck && !r.cold(m)
+	case BoundedStaleness, ReadYourWrites:
+		// Reads that a warming member rejects load it too: it must be known to be fresh enough.
+		return primary || r.freshEnough(q, m) || r.settings.MembersCheckStaleness && !r.warming(m)
 	}
 	return true
 }
 
-// ---- cold members ----
-
-// earn gives cold members their part of what warm members of their size answer for this router: those of the
-// group, now or before all restarted together, else those of the other groups.
-func (r *Router) earn(dt float64) {
-	common, known := 0.0, 1e-9
-	for _, g := range r.gs {
-		w := r.answered(g)
-		if p := g.primary; p != nil && p.State == Up && !r.cold(p) { // the busiest, and members are alike
-			w = max(w, r.rateOf(p)/p.Size)
-			g.warm *= 1 - dt/coldMemory // without one there is nothing newer to go by
-		}
-		if g.warm = max(w, g.warm); g.warm > 0 {
-			common, known = common+g.warm, known+1
-		}
-	}
-	// Who has just started has no warm members to go by, but clients: their work, spread over all by size.
-	least := r.rate / (rateOver*r.known + 1e-9) * r.usual / r.size()
-	for _, m := range r.all {
-		if r.cold(m) {
-			part := r.s.StartCapacity + (1-r.s.StartCapacity)*float64(r.now-m.coldFrom)/float64(r.s.ColdFor)
-			part = min(max(part, r.s.StartCapacity), 1) * m.Size * r.coldPart(m)
-			part *= coldShare * r.s.FallMultiple * max(m.g.warm, m.agreed.Rate, otherWarm*common/known, least)
-			if most := part * float64(r.s.FallFor) / 1e9; most >= r.usual { // enough for whole requests
-				m.coldBudget, m.coldChance = min(m.coldBudget+dt*part, most), 0
-			} else { // saved up, parts of one would be one of every router at once: a chance at each draw
-				m.coldBudget, m.coldChance = 0, part/r.wantedOf(m)
+// ---- slow start ----
+
+// refillSlowStart gives warming members their share of the work that warmed-up members of their weight
+// do for this router: those of the group, now or before all restarted together, else those of the other
+// groups.
+func (r *Router) refillSlowStart(seconds float64) {
+	rateSum, groups := 0.0, 1e-9
+	for _, g := range r.groupList {
+		rate := r.warmWorkRate(g)
+		// The primary is the busiest member, and members are alike.
+		if p := g.primary; p != nil && p.State == Up && !r.warming(p) {
+			rate = max(rate, r.workRate(p)/p.Weight)
+			g.warmWorkRate *= 1 - seconds/warmRateDecay // without such a primary there is no newer rate
+		}
+		if g.warmWorkRate = max(rate, g.warmWorkRate); g.warmWorkRate > 0 {
+			rateSum, groups = rateSum+g.warmWorkRate, groups+1
+		}
+	}
+	// A router that has just started knows no work rate of members, only its clients' requests: their
+	// work is spread over all members by weight.
+	minRate := r.recentRequests / (rateDecay*r.rateCoverage + 1e-9) * r.meanWork / r.totalWeight()
+	for _, m := range r.memberList {
+		if r.warming(m) {
+			share := r.settings.InitialCapacity +
+				(1-r.settings.InitialCapacity)*float64(r.now-m.warmingSince)/float64(r.settings.WarmUpTime)
+			share = min(max(share, r.settings.InitialCapacity), 1) * m.Weight * r.slowStartShare(m)
+			share *= slowStartMargin * r.settings.OverloadFactor *
+				max(m.group.warmWorkRate, m.slowStart.WorkRate, otherGroupsRate*rateSum/groups, minRate)
+			if maxBudget := share * float64(r.settings.OverloadWindow) / 1e9; maxBudget >= r.meanWork {
+				m.slowStartBudget, m.randomShare = min(m.slowStartBudget+seconds*share, maxBudget), 0
+			} else {
+				// Too little for whole requests: saved up, the fractions would become one request of
+				// every router at once.
+				m.slowStartBudget, m.randomShare = 0, share/r.demandOn(m)
 			}
 		}
 	}
 }
 
-// ---- admission, attempts, refusals ----
+// ---- admission, dispatch, responses ----
 
-func (r *Router) arrive(e Request) {
-	if e.Class < 0 || e.Class >= len(r.s.Classes) || r.reqs[e.ID] != nil {
-		r.do(Refuse{ID: e.ID})
+func (r *Router) accept(e Request) {
+	if e.Class < 0 || e.Class >= len(r.settings.Classes) || r.requests[e.ID] != nil {
+		r.emit(Refuse{ID: e.ID})
 		return
 	}
-	c, g := &r.s.Classes[e.Class], r.group(e.Group)
-	q := &request{Request: e, c: c, g: g, roll: r.random(), arrived: r.now,
-		deadline: r.now + e.Remaining, aimAt: r.now + c.Aim}
-	r.rate++
-	r.usual += learn / 2 * (r.work(q) - r.usual)
-	r.draw(q)
-	r.askMore = min(r.askMore+morePoints/max(r.s.PriceProbe, 1e-3), 3)
-	r.budget = min(retryBurst, 2+retryShare*r.rate, r.budget+retryShare) // quiet routers must save up little
-	if q.need = g.tokens[e.Session]; q.need == 0 {
-		q.need = g.floor
+	c, g := &r.settings.Classes[e.Class], r.group(e.Group)
+	q := &request{Request: e, class: c, group: g, spillDraw: r.random(), arrivedAt: r.now,
+		deadline: r.now + e.Remaining, targetAt: r.now + c.LatencyTarget}
+	r.recentRequests++
+	r.meanWork += learningRate / 2 * (r.expectedWork(q) - r.meanWork)
+	r.drawRandomShare(q)
+	r.probeCredit = min(r.probeCredit+extraProbeCost/max(r.settings.ProbeCost, 1e-3), 3)
+	// Routers with little traffic must not save up much.
+	r.retryBudget = min(maxRetryBudget, 2+retriesPerRequest*r.recentRequests, r.retryBudget+retriesPerRequest)
+	if q.minPosition = g.sessionCommits[e.Session]; q.minPosition == 0 {
+		q.minPosition = g.commitFloor
 	}
 	if e.SinceCommit > 0 {
-		q.need = r.now - e.SinceCommit + safetyGap
-	}
-	// First tries have the same time left, later ones less: the most frequent value is the first's.
-	u := &r.firstTry[e.Class]
-	if d := e.Remaining - u.left; max(d, -d) < u.left/20 {
-		u.votes = min(u.votes+1, 20)
-	} else if u.votes -= 0.5; u.votes < 0 {
-		*u = patience{e.Remaining, 1}
-	} else if u.votes >= 3 {
-		q.aimAt -= max(c.GiveUp-e.Remaining, 0)
-	}
-	r.reqs[e.ID] = q
-	if c.LateWorth == 0 && r.now >= q.aimAt-c.Aim/8 || r.lucky(q) == nil && r.random() >= r.admit(q) {
-		r.finish(q)
+		q.minPosition = r.now - e.SinceCommit + positionMargin
+	}
+	// First requests have the same time remaining, clients' retries less: the most frequent value is
+	// that of the first.
+	first := &r.firstTimeouts[e.Class]
+	if difference := e.Remaining - first.remaining; max(difference, -difference) < first.remaining/20 {
+		first.confidence = min(first.confidence+1, 20)
+	} else if first.confidence -= 0.5; first.confidence < 0 {
+		*first = firstTimeout{e.Remaining, 1}
+	} else if first.confidence >= 3 {
+		q.targetAt -= max(c.ClientTimeout-e.Remaining, 0)
+	}
+	r.requests[e.ID] = q
+	if c.LateValue == 0 && r.now >= q.targetAt-c.LatencyTarget/8 ||
+		r.pickWarming(q) == nil && r.random() >= r.admitChance(q) {
+		r.refuseOrFail(q)
 		return
 	}
-	r.place(q)
+	r.dispatch(q)
 }
 
-// admit is the chance of a request to be taken on. Among hundreds of quiet routers no window binds: each must
-// send less by itself once its own answers say that the queues outlast the aims. The third power keeps those
-// near the aim whatever the excess: at n times the capacity they settle at the cube root of n.
-func (r *Router) admit(q *request) float64 {
-	strain := (q.g.strain + r.strain) / 2
-	if q.c.Need >= AllWrites && q.g.primary != nil {
-		strain = min(q.g.primary.strain, q.g.primary.lately)
-	}
-	quick := easy + 0.1*min(1, r.rate/rateOver/busy) // busy routers have their windows
-	return max(leastAdmitted, math.Pow(quick/max(strain, quick), 3))
+// admitChance is the chance that a request is admitted. With hundreds of routers of little traffic no
+// window limits the load: each must send less by itself once its own response times show that queueing
+// exceeds the latency targets. The third power keeps queueing near the targets whatever the overload:
+// at n times the capacity it settles at the cube root of n.
+func (r *Router) admitChance(q *request) float64 {
+	ratio := (q.group.latencyRatio + r.latencyRatio) / 2
+	if q.class.Consistency >= Linearizable && q.group.primary != nil {
+		ratio = min(q.group.primary.latencyRatio, q.group.primary.recentLatencyRatio)
+	}
+	// Busy routers are limited by their windows.
+	threshold := quickLatencyRatio + 0.1*min(1, r.recentRequests/rateDecay/busyRequestRate)
+	return max(minAdmitChance, math.Pow(threshold/max(ratio, threshold), 3))
 }
 
-// place sends q or holds it.
-func (r *Router) place(q *request) {
-	if m := r.pick(q); m != nil {
+// dispatch sends q or queues it.
+func (r *Router) dispatch(q *request) {
+	if m := r.pickMember(q); m != nil {
 		r.send(q, m)
-	} else if !q.held && q.out == 0 {
-		q.held, r.held = true, append(r.held, q)
+	} else if !q.queued && q.inFlight == 0 {
+		q.queued, r.queue = true, append(r.queue, q)
 	}
 }
 
 func (r *Router) send(q *request, m *member) {
-	a := &attempt{q: q, m: m, n: len(q.tries), at: r.now, work: r.work(q), idle: r.connection(m)}
-	q.tries, q.mayHaveRun = append(q.tries, a), append(q.mayHaveRun, a)
-	q.out, m.out = q.out+1, m.out+1
-	if r.cold(m) && m.coldChance == 0 {
-		m.coldBudget -= a.work
-	}
-	r.flying = append(r.flying, a)
-	x := Send{ID: q.ID, Member: m.ID, Attempt: a.n} // rules 5 and 2 bind when it leaves
-	if q.c.Need == Bounded && m != q.g.primary && !r.s.MembersCheck {
-		x.LeaveBy = m.pos + q.c.Bound - safetyGap
-	}
-	if q.c.Effect == Keyed && len(q.mayHaveRun) > 1 { // the first is the oldest
-		x.LeaveBy = min(cmp.Or(x.LeaveBy, math.MaxInt64), q.mayHaveRun[0].at+q.c.RepeatWindow-safetyGap)
-	}
-	r.do(x)
+	a := &attempt{request: q, member: m, number: len(q.attempts), sentAt: r.now, work: r.expectedWork(q),
+		connectionIdle: r.takeConnection(m)}
+	q.attempts, q.maybeExecuted = append(q.attempts, a), append(q.maybeExecuted, a)
+	q.inFlight, m.inFlight = q.inFlight+1, m.inFlight+1
+	if r.warming(m) && m.randomShare == 0 {
+		m.slowStartBudget -= a.work
+	}
+	r.inFlight = append(r.inFlight, a)
+	x := Send{ID: q.ID, Member: m.ID, Attempt: a.number} // rules 5 and 2 apply at the time of sending
+	if q.class.Consistency == BoundedStaleness && m != q.group.primary && !r.settings.MembersCheckStaleness {
+		x.SendBy = m.position + q.class.MaxStaleness - positionMargin
+	}
+	if q.class.RetrySafety == Deduplicated && len(q.maybeExecuted) > 1 { // the first is the oldest
+		x.SendBy = min(cmp.Or(x.SendBy, math.MaxInt64),
+			q.maybeExecuted[0].sentAt+q.class.DedupWindow-positionMargin)
+	}
+	r.emit(x)
 }
 
-// connection takes a free connection of m and tells how long it lay idle; 0: a new one is needed. One that
-// lay idle for longer than they live is left: something on the way drops them unseen.
-func (r *Router) connection(m *member) (idle Nanos) {
-	n := len(m.free)
+// takeConnection takes an idle connection of m and returns how long it was idle; 0: a new one is
+// needed. A connection that was idle for longer than maxSafeIdle is not used: the network may have
+// dropped it silently.
+func (r *Router) takeConnection(m *member) (idle Nanos) {
+	n := len(m.idleSince)
 	if n == 0 {
 		return 0
 	}
-	if idle = max(r.now-m.free[n-1], 1); idle > r.safeIdle && m.setup <= slowSetup*r.typ[0] {
-		m.free = nil
-		r.do(ClosePool{m.ID})
+	if idle = max(r.now-m.idleSince[n-1], 1); idle > r.maxSafeIdle &&
+		m.connectTime <= slowConnectRatio*r.typicalLatency[0] {
+		m.idleSince = nil
+		r.emit(CloseIdleConnections{m.ID})
 		return 0
 	}
-	m.free = m.free[:n-1]
+	m.idleSince = m.idleSince[:n-1]
 	return idle
 }
 
-// silent takes note of an attempt without an answer. If its connection had lain idle, that or the member is
-// to blame: an answer on a new connection will tell. Where those are dear, free ones are kept.
-func (r *Router) silent(a *attempt) {
-	if a.m.doubt = a.idle; a.idle > 0 && a.m.setup <= slowSetup*r.typ[0] {
-		a.m.doubtAt, a.m.free = r.now, nil
-		r.do(ClosePool{a.m.ID})
+// observeNoResponse handles an attempt without a response. If its connection had been idle, the
+// connection or the member is the cause: a response on a new connection will tell. Where connecting is
+// slow, idle connections are kept.
+func (r *Router) observeNoResponse(a *attempt) {
+	if a.member.suspectIdle = a.connectionIdle; a.connectionIdle > 0 &&
+		a.member.connectTime <= slowConnectRatio*r.typicalLatency[0] {
+		a.member.suspectIdleAt, a.member.idleSince = r.now, nil
+		r.emit(CloseIdleConnections{a.member.ID})
 	}
 }
 
-func (r *Router) answer(e Answer) {
-	q := r.reqs[e.ID]
-	if q == nil || e.Attempt < 0 || e.Attempt >= len(q.tries) || q.tries[e.Attempt].ended {
+func (r *Router) attemptEnded(e AttemptResult) {
+	q := r.requests[e.ID]
+	if q == nil || e.Attempt < 0 || e.Attempt >= len(q.attempts) || q.attempts[e.Attempt].ended {
 		return
 	}
-	a := q.tries[e.Attempt]
-	q.out, a.ended = q.out-1, true
+	a := q.attempts[e.Attempt]
+	q.inFlight, a.ended = q.inFlight-1, true
 	if !a.lost {
-		a.m.out--
+		a.member.inFlight--
 	}
-	idle := e.Outcome.neverRan()
-	if idle {
-		q.mayHaveRun = slices.DeleteFunc(q.mayHaveRun, func(x *attempt) bool { return x == a })
+	notExecuted := e.Outcome.notExecuted()
+	if notExecuted {
+		q.maybeExecuted = slices.DeleteFunc(q.maybeExecuted, func(x *attempt) bool { return x == a })
 	}
-	if e.Outcome == Unknown {
-		r.do(Note{"outcome not understood: taken as one that may have run"})
+	if e.Outcome == UnknownOutcome {
+		r.emit(LogMessage{"outcome not understood: taken as one that may have run"})
 	}
-	r.observe(a, e)
-	if q.done || e.Over || e.Outcome == Served {
-		r.over(q)
+	r.observeAttempt(a, e)
+	if q.done || e.Final || e.Outcome == Served {
+		r.endRequest(q)
 		return
-	} else if q.out > 0 {
+	} else if q.inFlight > 0 {
 		return
 	}
-	if e.Outcome == NotSent || r.now >= q.deadline-r.s.Quantum || !idle && q.c.Effect == Unsafe ||
-		e.Outcome != Turned && r.budget < 1 || r.s.MaxAttempts > 0 && len(q.tries) >= r.s.MaxAttempts {
-		r.finish(q)
+	if e.Outcome == NotSent || r.now >= q.deadline-r.settings.MinStepInterval ||
+		!notExecuted && q.class.RetrySafety == Unsafe || e.Outcome != Ineligible && r.retryBudget < 1 ||
+		r.settings.MaxAttempts > 0 && len(q.attempts) >= r.settings.MaxAttempts {
+		r.refuseOrFail(q)
 		return
 	}
-	if !idle {
-		r.budget--
-	} else if e.Outcome != Turned { // a connection and a rejection cost work too
-		r.budget -= 0.5
+	if !notExecuted {
+		r.retryBudget--
+	} else if e.Outcome != Ineligible { // a connection and a rejection cost work too
+		r.retryBudget -= 0.5
 	}
-	if len(q.tries) > 1 || e.Outcome == Full {
-		q.notBefore = r.now + Nanos(float64(len(q.tries))*(0.5+r.random())*float64(10*ms))
+	if len(q.attempts) > 1 || e.Outcome == Overloaded {
+		q.notBefore = r.now + Nanos(float64(len(q.attempts))*(0.5+r.random())*float64(10*ms))
 	}
-	r.place(q)
+	r.dispatch(q)
 }
 
-// observe learns from an attempt's end.
-func (r *Router) observe(a *attempt, e Answer) {
-	m, q := a.m, a.q
-	r.report(m, e.Report)
-	if e.Role != RoleUnknown { // answered: its connection is free
-		m.free = append(m.free, r.now)
-		r.role(m, e.Role == RolePrimary, r.now)
-	}
-	if q.c.Need != WriteToIt {
-		m.pos = max(m.pos, e.Position-safetyGap)
-	}
-	if (e.Outcome == TimedOut || e.Outcome == Cancelled) && (a.idle == 0 || r.dropped < 0) && // no dead link,
-		!a.lost && (!r.banned(m) || !r.well(q.g)) { // nor one sick member of a group that has others
-		r.feel(m, 1)
-	}
-	if (e.Outcome == TimedOut || e.Outcome == Cancelled || e.Outcome == Full) && !a.lost {
-		r.late(m, max(1, float64(e.Took)/float64(q.c.Aim)))
+// observeAttempt updates the estimates from the result of an attempt.
+func (r *Router) observeAttempt(a *attempt, e AttemptResult) {
+	m, q := a.member, a.request
+	r.applyReport(m, e.Report)
+	if e.Role != RoleUnknown { // it responded: its connection is idle again
+		m.idleSince = append(m.idleSince, r.now)
+		r.updateRole(m, e.Role == RolePrimary, r.now)
+	}
+	if q.class.Consistency != Write {
+		m.position = max(m.position, e.Position-positionMargin)
+	}
+	// Dropped connections do not count, nor does a failing member of a group that has healthy ones.
+	if (e.Outcome == TimedOut || e.Outcome == Cancelled) &&
+		(a.connectionIdle == 0 || r.idleDropEvidence < 0) &&
+		!a.lost && (!r.ejected(m) || !r.hasHealthyReplica(q.group)) {
+		r.observeReplicaLatency(m, 1)
+	}
+	if (e.Outcome == TimedOut || e.Outcome == Cancelled || e.Outcome == Overloaded) && !a.lost {
+		r.observeOverload(m, max(1, float64(e.Duration)/float64(q.class.LatencyTarget)))
 	}
 	switch e.Outcome {
 	case Served:
-		r.linkShown(a, e.Took)
-		if r.s.Remember && q.Session != "" && q.c.Need == WriteToIt {
-			q.g.remember(q.Session, cmp.Or(e.Position, r.now))
-		}
-		m.served += a.work
-		r.healthy(m, float64(e.Took), q.Class)
-	case Turned:
-		m.lastReply = r.now
-		if q.c.Need == WriteToIt && m == m.g.primary {
-			m.g.denied = r.now
-			r.distrust(m)
-		}
-	case Full, Errored: // a hung member turns work away at its door: that is no sign of life
-		if r.narrow(m, overflow); e.Outcome == Errored {
-			m.lastReply = r.now
+		r.observeConnection(a, e.Duration)
+		if r.settings.TrackSessionWrites && q.Session != "" && q.class.Consistency == Write {
+			q.group.recordCommit(q.Session, cmp.Or(e.Position, r.now))
+		}
+		m.servedWork += a.work
+		r.observeResponse(m, float64(e.Duration), q.Class)
+	case Ineligible:
+		m.lastResponseAt = r.now
+		if q.class.Consistency == Write && m == m.group.primary {
+			m.group.primaryDeniedAt = r.now
+			r.distrustPrimary(m)
+		}
+	case Overloaded, ErrorResponse:
+		// A hung member may still reject work: Overloaded does not count as a response.
+		if r.shrinkWindow(m, overloadShrink); e.Outcome == ErrorResponse {
+			m.lastResponseAt = r.now
 		} else {
-			r.feel(m, 1.5)
+			r.observeReplicaLatency(m, 1.5)
 		}
-		if m.failing += learn * (1 - m.failing); m.failing > 0.4 {
-			r.suspect(m)
+		if m.failureRate += learningRate * (1 - m.failureRate); m.failureRate > 0.4 {
+			r.eject(m)
 		}
-	case NoLink, LinkBroke, TimedOut, Unknown:
+	case ConnectFailed, ConnectionLost, TimedOut, UnknownOutcome:
 		if e.Outcome == TimedOut {
-			r.silent(a)
+			r.observeNoResponse(a)
 		}
-		if e.Outcome == NoLink {
-			m.setup = max(m.setup, float64(e.Took))
+		if e.Outcome == ConnectFailed {
+			m.connectTime = max(m.connectTime, float64(e.Duration))
 		}
-		m.failing += learn * (1 - m.failing)
-		r.distrust(m)
-		if e.Outcome == LinkBroke {
-			r.broke(m)
+		m.failureRate += learningRate * (1 - m.failureRate)
+		r.distrustPrimary(m)
+		if e.Outcome == ConnectionLost {
+			r.connectionLost(m)
 			break
 		}
-		if m.lastReply > a.at+Nanos(r.typ[q.Class]) {
-			r.losing += learn / 2 * (1 - r.losing) // others were answered meanwhile: lost, if many are so
+		if m.lastResponseAt > a.sentAt+Nanos(r.typicalLatency[q.Class]) {
+			// Others got responses meanwhile: this one was lost, if it happens often.
+			r.lossRate += learningRate / 2 * (1 - r.lossRate)
 		}
-		if e.Outcome == TimedOut && !a.lost && r.s.Routers > smallFleet {
-			r.paced(m, float64(e.Took)/r.typ[q.Class])
+		if e.Outcome == TimedOut && !a.lost && r.settings.Routers > smallFleet {
+			r.observeSlowness(m, float64(e.Duration)/r.typicalLatency[q.Class])
 		}
-		if r.losing < lossShare && !a.lost {
-			m.strain += learn * (2 - m.strain)
+		if r.lossRate < lossThreshold && !a.lost {
+			m.latencyRatio += learningRate * (2 - m.latencyRatio)
 		}
-		if m.strain > aimPart && !a.lost {
-			r.narrow(m, overflow)
+		if m.latencyRatio > slowLatencyRatio && !a.lost {
+			r.shrinkWindow(m, overloadShrink)
 		}
-		if e.Outcome == NoLink && e.Took < r.s.ConnectTimeout/2 && r.s.MayProbe && !m.gone {
-			m.gone, m.goneAt = true, r.now
+		if e.Outcome == ConnectFailed && e.Duration < r.settings.ConnectTimeout/2 && r.settings.MayProbe &&
+			!m.unreachable {
+			m.unreachable, m.unreachableAt = true, r.now
 		}
 		if e.Outcome != TimedOut {
-			r.suspect(m)
+			r.eject(m)
 		}
 	}
 }
 
-// finish gives the final answer: a refusal where a repeat does no harm, else a failure.
-func (r *Router) finish(q *request) {
-	if q.c.Effect == Safe || len(q.mayHaveRun) == 0 || q.c.Effect == Keyed && q.c.RepeatScope == ScopeAll {
+// refuseOrFail gives the final response: a refusal where a retry does no harm, else a failure.
+func (r *Router) refuseOrFail(q *request) {
+	if q.class.RetrySafety == Safe || len(q.maybeExecuted) == 0 ||
+		q.class.RetrySafety == Deduplicated && q.class.DedupScope == DedupAll {
 		x := Refuse{ID: q.ID}
-		if r.s.RetryAdvice {
-			x.RetryIn = Nanos(float64(r.s.MaxRetryIn) * (0.5 + r.random()/2)) // not all at once
+		if r.settings.SendRetryAfter {
+			// The delay is random: clients must not retry all at once.
+			x.RetryAfter = Nanos(float64(r.settings.MaxRetryAfter) * (0.5 + r.random()/2))
 		}
-		r.do(x)
+		r.emit(x)
 	} else {
-		r.do(Fail{ID: q.ID})
+		r.emit(Fail{ID: q.ID})
 	}
-	r.over(q)
+	r.endRequest(q)
 }
 
-// over ends q and cancels what is still out for it, where that does no harm.
-func (r *Router) over(q *request) {
+// endRequest ends q and cancels its attempts in flight, where that does no harm.
+func (r *Router) endRequest(q *request) {
 	if q == nil {
 		return
 	}
 	q.done = true
-	for _, a := range q.tries {
-		if !a.ended && !a.cancelled && r.s.MayCancel && q.c.Effect == Safe {
+	for _, a := range q.attempts {
+		if !a.ended && !a.cancelled && r.settings.MayCancel && q.class.RetrySafety == Safe {
 			a.cancelled = true
-			r.do(Cancel{q.ID, a.n})
+			r.emit(Cancel{q.ID, a.number})
 		}
 	}
-	if q.out == 0 {
-		delete(r.reqs, q.ID)
+	if q.inFlight == 0 {
+		delete(r.requests, q.ID)
 	}
 }
 
-// sweep does what time asks for and asks to be woken for what is due next: a fixed period costs every idle
-// router CPU, and a request that has less time left than the period its final answer (rule 1).
-func (r *Router) sweep() {
-	r.next = r.now + idleWake
-	r.fade()
-	if r.s.AskDiscovery && r.callAt > 0 {
-		if r.now >= r.callAt {
-			r.calledAt, r.callAt = r.now, r.now+r.callWithin() // if nothing comes of this one
-			r.do(Watch{})
+// runDue does what is due by now and sets a timer for what is due next. A fixed period would cost every
+// idle router CPU time, and a request with less time left than the period its final response.
+func (r *Router) runDue() {
+	r.nextDue = r.now + idleStepInterval
+	r.decay()
+	if r.settings.WatchDiscovery && r.nextCallAt > 0 {
+		if r.now >= r.nextCallAt {
+			r.lastCallAt, r.nextCallAt = r.now, r.now+r.maxCallInterval() // if this one gets no response
+			r.emit(Watch{})
 		}
-		r.wake(r.callAt)
+		r.scheduleStep(r.nextCallAt)
 	}
-	r.watchFlights()
-	for _, g := range r.gs {
-		r.rounds(g)
+	r.checkInFlight()
+	for _, g := range r.groupList {
+		r.runRound(g)
 	}
-	r.release()
-	if r.wakeAt <= r.now || r.next < r.wakeAt {
-		r.wakeAt = r.next
-		r.do(Wake{r.next - r.now, "sweep"})
+	r.dispatchQueue()
+	if r.timerAt <= r.now || r.nextDue < r.timerAt {
+		r.timerAt = r.nextDue
+		r.emit(SetTimer{r.nextDue - r.now, "sweep"})
 	}
 }
 
-// watchFlights finds members that have gone silent and moves their safe reads elsewhere.
-func (r *Router) watchFlights() {
-	r.flying = slices.DeleteFunc(r.flying, func(a *attempt) bool { return a.ended })
-	for _, a := range r.flying {
-		wait := Nanos(silentAfter * r.typ[a.q.Class] * max(1, a.m.pace))
-		if !a.lost && r.now > a.at+2*wait && a.m.lastReply > a.at+wait { // its connection fell silent:
-			a.lost = true // it takes no place at a member that goes on answering
-			a.m.out--
+// checkInFlight finds members that stopped responding and moves their safe reads elsewhere.
+func (r *Router) checkInFlight() {
+	r.inFlight = slices.DeleteFunc(r.inFlight, func(a *attempt) bool { return a.ended })
+	for _, a := range r.inFlight {
+		wait := Nanos(silenceRatio * r.typicalLatency[a.request.Class] * max(1, a.member.slowness))
+		if !a.lost && r.now > a.sentAt+2*wait && a.member.lastResponseAt > a.sentAt+wait {
+			// Its connection is dead: it does not count in the window of a member that still responds.
+			a.lost = true
+			a.member.inFlight--
 		}
-		if due := max(a.at, a.m.lastReply) + wait; r.now > due {
-			if !r.banned(a.m) {
-				r.silent(a)
+		if due := max(a.sentAt, a.member.lastResponseAt) + wait; r.now > due {
+			if !r.ejected(a.member) {
+				r.observeNoResponse(a)
 			}
-			r.suspect(a.m)
+			r.eject(a.member)
 		} else {
-			r.wake(due + 1)
+			r.scheduleStep(due + 1)
 		}
 	}
-	for _, a := range r.flying {
-		q := a.q
-		patience := 2 * r.typ[q.Class]
-		if !r.banned(a.m) { // a lone attempt without an answer, at a member that answers others
-			patience *= silentAfter / 2 * max(1, a.m.pace)
+	for _, a := range r.inFlight {
+		q := a.request
+		moveAfter := 2 * r.typicalLatency[q.Class]
+		if !r.ejected(a.member) { // a single attempt without a response, at a member that responds to others
+			moveAfter *= silenceRatio / 2 * max(1, a.member.slowness)
 		}
-		if q.done || a.cancelled || q.c.Effect != Safe || r.now >= q.aimAt || q.out > 1 || r.budget < 1 ||
-			!r.banned(a.m) && !a.lost && r.losing < lossShare {
+		if q.done || a.cancelled || q.class.RetrySafety != Safe || r.now >= q.targetAt ||
+			q.inFlight > 1 || r.retryBudget < 1 ||
+			!r.ejected(a.member) && !a.lost && r.lossRate < lossThreshold {
 			continue
 		}
-		if r.wake(max(a.at+Nanos(patience), r.now+holdEvery)); float64(r.now-a.at) < patience {
+		if r.scheduleStep(max(a.sentAt+Nanos(moveAfter), r.now+queueRetryInterval)); float64(r.now-a.sentAt) <
+			moveAfter {
 			continue
 		}
-		if r.s.MayCopy {
-			if m := r.pick(q); m != nil && m != a.m {
-				r.budget--
+		if r.settings.MayHedge {
+			if m := r.pickMember(q); m != nil && m != a.member {
+				r.retryBudget--
 				r.send(q, m)
 			}
-		} else if r.s.MayCancel {
+		} else if r.settings.MayCancel {
 			a.cancelled = true
-			r.do(Cancel{q.ID, a.n})
+			r.emit(Cancel{q.ID, a.number})
 		}
 	}
 }
 
-// release sends held requests, the most valuable first, and ends those that can no longer be served in time.
-func (r *Router) release() {
-	now := r.held
-	r.held = nil
-	for _, q := range now { // worth for expected work
-		if q.worth = q.c.Worth / r.typ[q.Class]; r.now > q.aimAt {
-			q.worth *= q.c.LateWorth
+// dispatchQueue sends queued requests, the most valuable first, and ends those that can no longer be
+// served in time.
+func (r *Router) dispatchQueue() {
+	queue := r.queue
+	r.queue = nil
+	for _, q := range queue { // by value per expected response time
+		if q.value = q.class.Value / r.typicalLatency[q.Class]; r.now > q.targetAt {
+			q.value *= q.class.LateValue
 		}
 	}
-	slices.SortStableFunc(now, func(a, b *request) int { return cmp.Compare(b.worth, a.worth) })
-	for _, q := range now {
-		q.held = false
-		last := q.deadline
-		if q.c.LateWorth == 0 {
-			last = min(last, q.aimAt)
+	slices.SortStableFunc(queue, func(a, b *request) int { return cmp.Compare(b.value, a.value) })
+	for _, q := range queue {
+		q.queued = false
+		latest := q.deadline
+		if q.class.LateValue == 0 {
+			latest = min(latest, q.targetAt)
 		}
-		last -= max(2*r.s.Quantum, Nanos(r.typ[q.Class]))  // later it would only be wasted work
-		if q.c.LateWorth < heldBack && len(q.tries) == 0 { // a client left waiting for nothing costs that
-			last = min(last, q.arrived+q.Remaining/2-2*holdEvery)
+		// A later attempt would only be wasted work.
+		latest -= max(2*r.settings.MinStepInterval, Nanos(r.typicalLatency[q.Class]))
+		// A client that waits for nothing costs more than a late response is worth.
+		if q.class.LateValue < queueWaitCost && len(q.attempts) == 0 {
+			latest = min(latest, q.arrivedAt+q.Remaining/2-2*queueRetryInterval)
 		}
 		switch {
 		case q.done:
-		case r.now >= last && q.out == 0:
-			r.finish(q)
+		case r.now >= latest && q.inFlight == 0:
+			r.refuseOrFail(q)
 		default:
-			if r.now >= q.drawn+r.s.FallFor {
-				r.draw(q)
+			if r.now >= q.drawnAt+r.settings.OverloadWindow {
+				r.drawRandomShare(q)
 			}
-			if r.place(q); q.held {
-				r.wake(min(last, max(q.notBefore, r.now+holdEvery)))
+			if r.dispatch(q); q.queued {
+				r.scheduleStep(min(latest, max(q.notBefore, r.now+queueRetryInterval)))
 			}
 		}
 	}
--- a/shapes_test.go
+++ b/shapes_test.go
@@ -6,28 +6,28 @@
 	"testing"
 )
 
-// shapes are the settings of the two kinds of deployment that routers serve: one whose members answer any read and are
-// asked how far they are, and one whose members check reads and report with every answer.
-var shapes = []func() Settings{testSettings, checkedSettings}
+// deployments are the settings of the two kinds of deployment: one whose members serve any read and are probed for
+// their position, and one whose members check the staleness of reads and report with every response.
+var deployments = []func() Settings{testSettings, checkingSettings}
 
-func checkedSettings() Settings {
+func checkingSettings() Settings {
 	s := testSettings()
-	s.MembersCheck, s.AnswersReport, s.PriceProbe = true, true, 0.034
-	s.ColdFor, s.StartCapacity, s.FallMultiple, s.FallFor = 14*sec, 0.15, 4, sec
+	s.MembersCheckStaleness, s.ResponsesHaveReport, s.ProbeCost = true, true, 0.034
+	s.WarmUpTime, s.InitialCapacity, s.OverloadFactor, s.OverloadWindow = 14*sec, 0.15, 4, sec
 	for i := range s.Classes {
-		s.Classes[i].Bound = 500 * ms
+		s.Classes[i].MaxStaleness = 500 * ms
 	}
 	return s
 }
 
-func eachShape(t *testing.T, f func(*testing.T, Settings)) {
-	for i, s := range shapes {
-		t.Run([]string{"asked", "checked"}[i], func(t *testing.T) { f(t, s()) })
+func forEachDeployment(t *testing.T, f func(*testing.T, Settings)) {
+	for i, s := range deployments {
+		t.Run([]string{"members are probed", "members check staleness"}[i], func(t *testing.T) { f(t, s()) })
 	}
 }
 
-// ask steps in one request and tells where it went; "": nowhere.
-func (g *rig) ask(after Nanos, class int) (q Request, member string) {
+// route passes in one request and returns the member it was sent to; "": none.
+func (g *harness) route(after Nanos, class int) (q Request, member string) {
 	q = g.request(class)
 	for _, x := range sends(g.step(after, q)) {
 		if x.ID == q.ID {
@@ -37,49 +37,55 @@
 	return q, member
 }
 
-// A report tells how far a member was when it was made: one that is older than that when it comes proves less.
-func TestAnOldReportIsNotTakenForFresh(t *testing.T) {
-	eachShape(t, func(t *testing.T, s Settings) {
-		bound := s.Classes[boundedClass].Bound
-		for _, cold := range []bool{false, true} { // members that check are tried where warm: the cold tell
-			g := newRig(t, s)
+// A report's position is as of when it was made: the older a report is on arrival, the less freshness it proves.
+func TestOldReportDoesNotProveFreshness(t *testing.T) {
+	forEachDeployment(t, func(t *testing.T, s Settings) {
+		bound := s.Classes[boundedClass].MaxStaleness
+		// Members that check staleness are tried if they are warmed up; if they are warming, the report decides.
+		for _, warming := range []bool{false, true} {
+			g := newHarness(t, s)
 			m := up("b")
-			if cold {
+			if warming {
 				m.StartedAt = g.now - 10*sec
 			}
-			g.step(0, whole(primary("a"), m))
-			g.served(0, writeClass, 20*ms, RolePrimary)
-			g.step(0, Probed{Member: "b", Outcome: Served, Took: ms, Report: Report{HasPosition: true, Position: g.now - 220*ms}})
-			b, q := g.r.members["b"], &request{c: &s.Classes[boundedClass], g: g.r.gs[0]}
-			if !g.r.fresh(q, b) {
-				t.Errorf("cold %t: not fresh right after a report 220 ms old", cold)
+			g.step(0, completeList(primary("a"), m))
+			g.serve(0, writeClass, 20*ms, RolePrimary)
+			g.step(0, ProbeResult{Member: "b", Outcome: Served, Duration: ms, Report: Report{HasPosition: true,
+				Position: g.now - 220*ms}})
+			b, q := g.router.members["b"], &request{class: &s.Classes[boundedClass], group: g.router.groupList[0]}
+			if !g.router.freshEnough(q, b) {
+				t.Errorf("warming %t: not fresh right after a report 220 ms old", warming)
 			}
-			if g.step(bound-220*ms, Woke{}); g.r.fresh(q, b) {
-				t.Errorf("cold %t: fresh %d ms after what it reported", cold, bound/ms)
+			if g.step(bound-220*ms, TimerFired{}); g.router.freshEnough(q, b) {
+				t.Errorf("warming %t: fresh %d ms after the position it reported", warming, bound/ms)
 			}
 		}
 	})
 }
 
-// All replicas over the bound: no cold or unchecked one is sent a bounded read, and those that check are not asked for ever.
-func TestAllReplicasOverTheBound(t *testing.T) {
-	eachShape(t, func(t *testing.T, s Settings) {
-		g := newRig(t, s)
-		g.step(0, whole(primary("a"), up("b"), up("c")))
-		g.served(0, writeClass, 20*ms, RolePrimary)
+// All replicas exceed the staleness bound: a replica that is warming or does not check staleness is sent no bounded
+// read, and those that check are not tried endlessly.
+func TestAllReplicasTooStale(t *testing.T) {
+	forEachDeployment(t, func(t *testing.T, s Settings) {
+		g := newHarness(t, s)
+		g.step(0, completeList(primary("a"), up("b"), up("c")))
+		g.serve(0, writeClass, 20*ms, RolePrimary)
 		attempts, finals := map[string]int{}, 0
 		for range 100 {
 			late := Report{HasPosition: true, Position: g.now - 5*sec}
-			events := []Event{Probed{Member: "b", Outcome: Served, Took: ms, Report: late}, Probed{Member: "c", Outcome: Served, Took: ms, Report: late}}
+			events := []Event{ProbeResult{Member: "b", Outcome: Served, Duration: ms, Report: late},
+				ProbeResult{Member: "c", Outcome: Served, Duration: ms, Report: late}}
 			q := g.request(boundedClass)
 			acts := g.step(50*ms, append(events, q)...)
-			for range s.MaxAttempts + 1 { // each answer may bring another attempt
+			for range s.MaxAttempts + 1 { // each result may cause another attempt
 				next := []Action{}
 				for _, x := range sends(acts) {
 					attempts[x.ID]++
-					a := Answer{ID: x.ID, Member: x.Member, Attempt: len(g.r.reqs[x.ID].tries) - 1, Outcome: Served, Over: true, Took: 20 * ms, Role: RolePrimary}
+					a := AttemptResult{ID: x.ID, Member: x.Member, Attempt: len(g.router.requests[x.ID].attempts) - 1,
+						Outcome: Served, Final: true, Duration: 20 * ms, Role: RolePrimary}
 					if x.Member != "a" {
-						if a = (Answer{ID: x.ID, Member: x.Member, Attempt: a.Attempt, Outcome: Turned, Took: ms, Role: RoleReplica, Report: late}); !s.MembersCheck {
+						if a = (AttemptResult{ID: x.ID, Member: x.Member, Attempt: a.Attempt, Outcome: Ineligible,
+							Duration: ms, Role: RoleReplica, Report: late}); !s.MembersCheckStaleness {
 							t.Fatalf("a read of data 5 s old at %s", x.Member)
 						}
 					}
@@ -95,38 +101,39 @@
 			}
 		}
 		if len(attempts) == 0 && finals == 0 {
-			t.Error("neither sent to the primary nor answered")
+			t.Error("neither sent to the primary nor refused")
 		}
 	})
 }
 
-// Guards replicas that check reads against being tried by every one, and reads against a turn at each: who was over the bound
-// a moment ago still is. After a pause a read shows whether it has caught up.
-func TestWhoWasBehindIsLeftAloneForAMoment(t *testing.T) {
-	s := checkedSettings()
-	g := newRig(t, s)
-	g.step(0, whole(up("a"), up("b"), up("c")))
+// Guards replicas that check staleness against being tried by every read, and reads against trying every replica: one
+// that exceeded the bound a moment ago still does. After a pause a read shows whether it has caught up.
+func TestLaggingReplicaIsSkippedBriefly(t *testing.T) {
+	s := checkingSettings()
+	g := newHarness(t, s)
+	g.step(0, completeList(up("a"), up("b"), up("c")))
 	late := Report{HasPosition: true, Position: g.now - 5*sec}
 	for _, id := range []string{"a", "b", "c"} {
-		q, _ := g.ask(0, anyClass)
-		g.step(0, Answer{ID: q.ID, Member: id, Outcome: Served, Over: true, Took: 20 * ms, Role: RoleReplica})
-		g.step(0, Probed{Member: id, Outcome: Served, Took: ms, Report: late})
+		q, _ := g.route(0, anyClass)
+		g.step(0, AttemptResult{ID: q.ID, Member: id, Outcome: Served, Final: true, Duration: 20 * ms,
+			Role: RoleReplica})
+		g.step(0, ProbeResult{Member: id, Outcome: Served, Duration: ms, Report: late})
 	}
-	if _, to := g.ask(10*ms, boundedClass); to != "" {
-		t.Errorf("a read went to %s, which was 5 s behind 10 ms ago", to)
+	if _, to := g.route(10*ms, boundedClass); to != "" {
+		t.Errorf("a read went to %s, which lagged by 5 s 10 ms ago", to)
 	}
-	if n := len(sends(g.step(100*ms, Woke{}))); n != 1 {
+	if n := len(sends(g.step(100*ms, TimerFired{}))); n != 1 {
 		t.Errorf("%d attempts after the pause, want 1", n)
 	}
 }
 
-// A primary that hangs for 20 s: what may have run is never sent again, what was held is answered in its time, a client's retry
-// under a new id is a request of its own, and once the primary answers, writes go to it.
-func TestAPrimaryThatHangs(t *testing.T) {
-	eachShape(t, func(t *testing.T, s Settings) {
-		g := newRig(t, s)
-		g.step(0, whole(primary("a"), up("b")))
-		g.served(0, writeClass, 20*ms, RolePrimary)
+// A primary hangs for 20 s: what may have been executed is never sent again, queued requests get a response in time,
+// a client's retry under a new id is a new request, and once the primary responds, writes go to it.
+func TestHungPrimary(t *testing.T) {
+	forEachDeployment(t, func(t *testing.T, s Settings) {
+		g := newHarness(t, s)
+		g.step(0, completeList(primary("a"), up("b")))
+		g.serve(0, writeClass, 20*ms, RolePrimary)
 		sent, final := map[string]int{}, map[string]int{}
 		due := map[string]Nanos{}
 		var events []Event
@@ -138,12 +145,12 @@
 				events = append(events, q)
 			}
 			for id, at := range due {
-				if at <= g.now && final[id] == 0 && sent[id] > 0 { // nothing came by its time
-					events = append(events, Answer{ID: id, Member: "a", Outcome: TimedOut, Took: 2 * sec})
+				if at <= g.now && final[id] == 0 && sent[id] > 0 { // no response by its deadline
+					events = append(events, AttemptResult{ID: id, Member: "a", Outcome: TimedOut, Duration: 2 * sec})
 					delete(due, id)
 				}
 			}
-			acts := g.step(50*ms, append(events, Woke{})...)
+			acts := g.step(50*ms, append(events, TimerFired{})...)
 			events = nil
 			for _, x := range acts {
 				switch x := x.(type) {
@@ -152,21 +159,23 @@
 						t.Fatalf("%s sent %d times, to %s", x.ID, sent[x.ID], x.Member)
 					}
 					if g.now >= hung {
-						events = append(events, Answer{ID: x.ID, Member: x.Member, Outcome: Served, Over: true, Took: 20 * ms, Role: RolePrimary})
+						events = append(events, AttemptResult{ID: x.ID, Member: x.Member, Outcome: Served, Final: true,
+							Duration: 20 * ms, Role: RolePrimary})
 						final[x.ID]++
 					}
 				case Cancel:
-					t.Fatalf("write %s cancelled: it may still run", x.ID)
+					t.Fatalf("write %s cancelled: it may still be executed", x.ID)
 				case Refuse:
 					if final[x.ID]++; sent[x.ID] > 0 {
-						t.Fatalf("%s refused though it may have run", x.ID)
+						t.Fatalf("%s refused although it may have been executed", x.ID)
 					}
 				case Fail:
 					final[x.ID]++
 				case Probe:
-					r := Probed{Member: x.Member, Outcome: TimedOut, Took: 200 * ms}
+					r := ProbeResult{Member: x.Member, Outcome: TimedOut, Duration: 200 * ms}
 					if x.Member == "b" || g.now >= hung {
-						r = Probed{Member: x.Member, Outcome: Served, Took: ms, Report: Report{HasRole: true, Primary: x.Member == "a", HasPosition: true, Position: g.now}}
+						r = ProbeResult{Member: x.Member, Outcome: Served, Duration: ms, Report: Report{HasRole: true,
+							Primary: x.Member == "a", HasPosition: true, Position: g.now}}
 					}
 					events = append(events, r)
 				}
@@ -175,81 +184,83 @@
 		served := 0
 		for id, n := range final {
 			if n > 1 {
-				t.Errorf("%s got %d final answers", id, n)
+				t.Errorf("%s got %d final responses", id, n)
 			}
 			if sent[id] > 0 {
 				served++
 			}
 		}
 		if served < 30 {
-			t.Errorf("%d writes got an answer after they were sent, most of the last 15 s should", served)
+			t.Errorf("%d writes got a response after they were sent, most of the last 15 s should", served)
 		}
 	})
 }
 
-// Everything 2.8 times slower at once tells nothing of any one member: not all may be left alone, and reads go on.
+// All members become 2.8 times slower at once, which says nothing about any single one: they are not all ejected, and
+// reads go on.
 func TestAllMembersSlowAtOnce(t *testing.T) {
-	eachShape(t, func(t *testing.T, s Settings) {
-		g := newRig(t, s)
-		g.step(0, whole(primary("a"), up("b"), up("c"), up("d")))
+	forEachDeployment(t, func(t *testing.T, s Settings) {
+		g := newHarness(t, s)
+		g.step(0, completeList(primary("a"), up("b"), up("c"), up("d")))
 		for i := range 400 {
 			took := 60 * ms
 			if i > 200 {
 				took = took * 28 / 10
 			}
-			if g.served(20*ms, anyClass, took, RoleReplica) == "" && i > 200 {
-				t.Fatalf("request %d went nowhere", i)
+			if g.serve(20*ms, anyClass, took, RoleReplica) == "" && i > 200 {
+				t.Fatalf("request %d was not sent", i)
 			}
-			banned := 0
-			for _, m := range g.r.all {
-				if g.r.banned(m) {
-					banned++
+			ejected := 0
+			for _, m := range g.router.memberList {
+				if g.router.ejected(m) {
+					ejected++
 				}
 			}
-			if banned > 1 {
-				t.Fatalf("%d of 4 members left alone", banned)
+			if ejected > 1 {
+				t.Fatalf("%d of 4 members ejected", ejected)
 			}
 		}
 	})
 }
 
-// Sizes have no unit: what a cold member may get must not grow with the number that all of them are given. Guards it against
-// the work of clients spread over members by their count: at sizes of 5 the budget was five times the part.
-func TestTheUnitOfSizesDoesNotMatter(t *testing.T) {
-	eachShape(t, func(t *testing.T, s Settings) {
+// Weights have no unit: the budget of a warming member must not grow with the weight that all members have. Guards
+// against spreading the clients' work over the number of members: at weights of 5 the budget was five times the
+// share.
+func TestUnitOfWeightsDoesNotMatter(t *testing.T) {
+	forEachDeployment(t, func(t *testing.T, s Settings) {
 		var got []float64
 		for _, size := range []float64{1, 5} {
-			g := newRig(t, s)
+			g := newHarness(t, s)
 			var all []Member
 			for _, m := range []Member{primary("a"), up("b"), up("c"), up("d")} {
-				m.Size = size
+				m.Weight = size
 				all = append(all, m)
 			}
 			all[3].StartedAt = g.now - 3*sec
-			g.step(0, whole(all...))
-			for range 100 { // clients come, nothing is answered yet
-				g.step(20*ms, g.request(writeClass), Woke{})
+			g.step(0, completeList(all...))
+			for range 100 { // requests arrive, none has a response yet
+				g.step(20*ms, g.request(writeClass), TimerFired{})
 			}
-			d := g.r.members["d"]
-			got = append(got, d.coldBudget+d.coldChance)
+			d := g.router.members["d"]
+			got = append(got, d.slowStartBudget+d.randomShare)
 		}
 		if got[0] <= 0 || got[1] > 1.01*got[0] || got[1] < 0.99*got[0] {
-			t.Errorf("budget or chance %.4f and, at five times the sizes, %.4f", got[0], got[1])
+			t.Errorf("budget or random share %.4f and, at five times the weights, %.4f", got[0], got[1])
 		}
 	})
 }
 
-// A gateway that suddenly carries half of all traffic learns what warm members do for it while the others still remember
-// what they did for them: together they must not push a member over that starts in those seconds.
-func TestAHotGatewayAndAColdMember(t *testing.T) {
-	eachShape(t, func(t *testing.T, s Settings) {
+// A gateway that suddenly carries half of all traffic measures a higher work rate while the others still remember
+// theirs from before: together they must not overload a member that starts in those seconds.
+func TestBusyGatewayAndWarmingMember(t *testing.T) {
+	forEachDeployment(t, func(t *testing.T, s Settings) {
 		const routers, rps, replicas = 5, 150, 5
 		s.Routers = routers
-		list := whole(primary("a"), up("b"), up("c"), up("d"), up("e"), up("f"))
-		rs := fleetOf(t, routers, s, list)
-		told := map[*rig][]Event{}
+		list := completeList(primary("a"), up("b"), up("c"), up("d"), up("e"), up("f"))
+		rs := newFleetOf(t, routers, s, list)
+		pending := map[*harness][]Event{}
 		rng := rand.New(rand.NewSource(7))
-		cold := rs[0].now + 16*sec // told at once
+		startedAt := rs[0].now + 16*sec // notified at once
 		var at []Nanos
 		for now := Nanos(0); now < 26*sec; now += 20 * ms {
 			for left := rng.ExpFloat64(); left < rps*0.02; left += rng.ExpFloat64() {
@@ -257,43 +268,47 @@
 				if now > 12*sec && rng.Intn(2) == 0 {
 					g = rs[0]
 				}
-				told[g] = append(told[g], g.request(anyClass))
+				pending[g] = append(pending[g], g.request(anyClass))
 			}
 			for _, g := range rs {
-				events := append(told[g], Woke{})
+				events := append(pending[g], TimerFired{})
 				if now == 16*sec {
 					m := up("f")
-					m.StartedAt = cold
+					m.StartedAt = startedAt
 					events = append(events, MemberList{Members: []Member{m}})
 				}
-				told[g] = nil
+				pending[g] = nil
 				for _, x := range g.step(20*ms, events...) {
 					send, ok := x.(Send)
 					if !ok {
 						continue
 					}
-					if send.Member == "f" && g.now > cold {
+					if send.Member == "f" && g.now > startedAt {
 						at = append(at, g.now)
 					}
-					told[g] = append(told[g], Answer{ID: send.ID, Member: send.Member, Attempt: len(g.r.reqs[send.ID].tries) - 1, Outcome: Served, Over: true, Took: 40 * ms, Role: RoleReplica})
+					pending[g] = append(pending[g], AttemptResult{ID: send.ID, Member: send.Member,
+						Attempt: len(g.router.requests[send.ID].attempts) - 1, Outcome: Served, Final: true,
+						Duration: 40 * ms, Role: RoleReplica})
 				}
 			}
 		}
-		warm := rps / float64(replicas) // requests a second of a warm member, which can do more
+		warmedUpRate := rps / float64(replicas) // requests per second of a warmed-up member, which can do more
 		for i, from := range at {
 			n := 0.0
 			for _, x := range at[i:] {
-				if x < from+s.FallFor {
+				if x < from+s.OverloadWindow {
 					n++
 				}
 			}
-			part := s.StartCapacity + (1-s.StartCapacity)*float64(from-cold)/float64(s.ColdFor)
-			if most := s.FallMultiple*part*warm*float64(s.FallFor)/1e9 + 3*math.Sqrt(s.FallMultiple*part*warm) + 3; n > most {
-				t.Fatalf("%.0f requests in the window that begins %d ms after the start, %.1f topple it", n, (from-cold)/ms, most)
+			capacity := s.InitialCapacity + (1-s.InitialCapacity)*float64(from-startedAt)/float64(s.WarmUpTime)
+			if most := s.OverloadFactor*capacity*warmedUpRate*float64(s.OverloadWindow)/1e9 +
+				3*math.Sqrt(s.OverloadFactor*capacity*warmedUpRate) + 3; n > most {
+				t.Fatalf("%.0f requests in the window that begins %d ms after the start, %.1f overload it", n,
+					(from-startedAt)/ms, most)
 			}
 		}
 		if len(at) < 30 {
-			t.Errorf("%d requests for the cold member in 10 s", len(at))
+			t.Errorf("%d requests for the warming member in 10 s", len(at))
 		}
 	})
 }
