--- a/internal/dataplane/request/request.go
+++ b/internal/dataplane/request/request.go
@@ -1,5 +1,5 @@
-// Package request holds what the stages of a request share: requests, attempts,
-// outcomes, and the loop that owns them. It knows no wire.
+// Package request defines the types that the stages of the data plane share: requests, responses,
+// results of attempts, and connections to members. It is independent of any wire protocol.
 package request
 
 import (
@@ -8,36 +8,36 @@
 	"aspenshed/internal/dataplane/eventloop"
 )
 
-// Query is a request as a front has parsed it.
+// Query is a request as parsed by a front.
 type Query struct {
-	ExternalID           string // as its client names it; empty: it has no name
+	ExternalID           string // chosen by the client; empty if it gave none
 	Class, Group, Tenant int
 	Session              string
-	Timeout              aspenshed.Nanos // how long the client will wait
-	SinceCommit          aspenshed.Nanos // age of the session's last commit; 0: none
+	Timeout              aspenshed.Nanos // how long the client waits for the response
+	SinceCommit          aspenshed.Nanos // age of the session's last commit; 0 if there is none
 	IsRetry              bool
-	PrepareOnly          bool // no request of its own: a statement that is only prepared
-	Statement            any  // what a member is sent; only a wire knows its form
+	PrepareOnly          bool // only prepares a statement; not counted as a request
+	Statement            any  // sent to a member; its type depends on the wire protocol
 	Client               Client
 }
 
-// Request is a query from its taking to its final answer. The loop owns it.
+// Request is a query from its acceptance to its response. It is owned by the event loop.
 type Request struct {
 	Query
 	ID                  string
 	ArrivedAt, Deadline aspenshed.Nanos
-	Attempts            int  // given to Send so far
-	InFlight            bool // an attempt's last byte may have left, and it has not ended
-	MayHaveRun          bool // an ended attempt was not proved never to have run
-	LastError           any  // a member's, as its wire gives it
+	Attempts            int  // started so far
+	InFlight            bool // the last byte of an attempt may have been sent and the attempt has not ended
+	MayHaveRun          bool // an attempt has ended without proof that its statement did not run
+	LastError           any  // the last error of a member, in the form of its wire protocol
 	Responded           bool
 	DeadlineTimer       *eventloop.Timer
 }
 
-// Status says how a request ended.
+// Status is how a request ended.
 type Status int
 
-// The verdicts, and ClientGone where the client went first.
+// ClientGone means that the client left before the response.
 const (
 	Served Status = iota + 1
 	Refused
@@ -45,43 +45,43 @@
 	ClientGone
 )
 
-// Response is the one final answer of a request.
+// Response is the single final response to a request.
 type Response struct {
 	Status     Status
-	Value      any             // Served: what the member answered; Failed: its last error, if there is one
-	RetryAfter aspenshed.Nanos // Refused: advice to the client; 0: none
-	Reason     string          // Refused and Failed
-	Invalid    bool            // Failed: it was no request at all
+	Value      any             // Served: the response of the member; Failed: the last error of a member, if any
+	RetryAfter aspenshed.Nanos // Refused: when the client may retry; 0 if not known
+	Reason     string          // set for Refused and Failed
+	Invalid    bool            // Failed: the query was not a valid request
 }
 
-// Client takes the final answer of its request, once, on the loop.
+// Client receives the response to its request. Respond is called exactly once, on the event loop.
 type Client interface{ Respond(Response) }
 
-// Result is how an attempt or a probe ended.
+// Result is the result of an attempt or a probe.
 type Result struct {
 	Outcome         aspenshed.Outcome
 	Role            aspenshed.Role
 	Position        aspenshed.Nanos
 	Report          aspenshed.Report
 	Value           any
-	CloseConnection bool   // the connection is of no more use
+	CloseConnection bool   // the connection can't be reused
 	Detail          string // for the log
 	Elapsed         aspenshed.Nanos
-	IdleTime        aspenshed.Nanos // how long the link had lain idle; 0: it was new
+	IdleTime        aspenshed.Nanos // how long the connection had been idle; 0 for a new one
 }
 
-// ConnectionLoss says how a link came to its end.
+// ConnectionLoss is how a connection failed.
 type ConnectionLoss int
 
-// The ends. What was out on the link can have run only after LostAfterSend.
+// Only after LostAfterSend can the statement that was sent have run.
 const (
-	ConnectFailed  ConnectionLoss = iota // refused, or never up: the member's doing
-	LostBeforeSend                       // broken before the last byte of what was out could leave
+	ConnectFailed  ConnectionLoss = iota // refused or not established in time: attributed to the member
+	LostBeforeSend                       // lost before the last byte of the statement could be sent
 	LostAfterSend
 )
 
-// ClassifyLoss tells the ends apart: by whether the last byte of what was out may have left, and whether the member
-// refused the connection.
+// ClassifyLoss returns the kind of loss. sent is whether the last byte of the statement may have been sent, refused
+// whether the member refused the connection.
 func ClassifyLoss(sent, refused bool) ConnectionLoss {
 	switch {
 	case sent:
@@ -92,31 +92,33 @@
 	return LostBeforeSend
 }
 
-// Connection is a connection to a member. It carries one attempt at a time.
+// Connection is a connection to a member. It carries one attempt or probe at a time.
 type Connection interface {
-	// Send has the member show that the link is alive and that nothing else waits on it. Then it asks Leave, and lets
-	// the statement's last byte go. False: the link is no more.
+	// Send starts to send a statement. It first has the member show that the connection is alive and that no other
+	// statement is queued on it, then calls AllowSend, and then sends the statement's last byte. It returns false if
+	// the connection is closed.
 	Send(statement any, wait aspenshed.Nanos) bool
-	// Probe asks for role, position and load.
+	// Probe asks the member for its role, position and load. It returns false if the connection is closed.
 	Probe() bool
-	// MayHaveSent tells whether the last byte of what is out may have left.
+	// MayHaveSent reports whether the last byte of the statement or probe in flight may have been sent.
 	MayHaveSent() bool
-	// Close gives up at once what is out; no event follows.
+	// Close drops what is in flight and closes the connection. No event follows.
 	Close()
 }
 
-// ConnectionEvents hears of a link, on the loop.
+// ConnectionEvents receives the events of a connection, on the event loop.
 type ConnectionEvents interface {
 	Ready()
-	// AllowSend is asked when the last byte of what is out is about to leave. False: it must not.
+	// AllowSend is called right before the last byte of a statement is sent. If it returns false, the byte must not
+	// be sent.
 	AllowSend() bool
 	Done(Result)
-	// Lost says that the link is no more.
+	// Lost is called when the connection has ended.
 	Lost(how ConnectionLoss, err error)
 }
 
-// Backend opens links. An error means that there is no descriptor for it or that it was refused at once.
+// Backend opens connections. Open fails if no file descriptor is available or the connection is refused at once.
 type Backend interface {
-	// probe: it may use the descriptors that are kept back for probes.
+	// probe allows the use of the file descriptors reserved for probes.
 	Open(address string, limit aspenshed.Nanos, probe bool, ev ConnectionEvents) (Connection, error)
 }
