--- a/internal/dataplane/eventloop/eventloop.go
+++ b/internal/dataplane/eventloop/eventloop.go
@@ -1,3 +1,4 @@
+// Package eventloop provides the single-threaded event loop that owns a router and its requests.
 package eventloop
 
 import (
@@ -8,23 +9,23 @@
 	"aspenshed"
 )
 
-// Clock is monotonic. Its instants are Unix nanoseconds as of the start, so
-// positions and start times on the wire compare with it directly.
+// Clock is a monotonic clock. Its values are Unix nanoseconds, anchored at its creation, so they compare directly with
+// positions and start times on the wire.
 type Clock interface{ Now() aspenshed.Nanos }
 
 type wallClock struct{ start time.Time }
 
-// NewClock maps Unix time to the monotonic clock once.
+// NewClock returns a Clock that reads the Unix time once and follows the monotonic clock from then on.
 func NewClock() Clock { return wallClock{time.Now()} }
 
 func (c wallClock) Now() aspenshed.Nanos {
 	return aspenshed.Nanos(c.start.UnixNano() + int64(time.Since(c.start)))
 }
 
-// FromUnixMillis is the instant of a Unix time in milliseconds.
+// FromUnixMillis converts a Unix time in milliseconds.
 func FromUnixMillis(ms int64) aspenshed.Nanos { return aspenshed.Nanos(ms * 1e6) }
 
-// Timer is a pending call of a Loop.
+// Timer is a scheduled callback of a Loop.
 type Timer struct {
 	at       aspenshed.Nanos
 	seq      uint64
@@ -32,13 +33,12 @@
 	callback func()
 }
 
-// Loop is the one goroutine that owns a Router and all request state. Other
-// goroutines only Post to its mailbox.
+// Loop runs on the single goroutine that owns a router and all request state. Other goroutines may only call Post.
 type Loop struct {
 	Clock
-	// AfterBatch runs once all that was at hand has been handled.
+	// AfterBatch is called after each batch of posted functions and due timers.
 	AfterBatch func()
-	// OnPanic hears of a panic in what the loop calls; the loop goes on.
+	// OnPanic is called with the value of a panic in a callback; the loop continues.
 	OnPanic func(any)
 
 	mu      sync.Mutex
@@ -49,12 +49,12 @@
 	quit    bool
 }
 
-// NewLoop makes a Loop; Run or Turn drives it.
+// NewLoop returns a Loop, which Run or RunPending drives.
 func NewLoop(c Clock) *Loop {
 	return &Loop{Clock: c, AfterBatch: func() {}, OnPanic: func(p any) { panic(p) }, notify: make(chan struct{}, 1)}
 }
 
-// Post has the loop call f. Any goroutine may call it.
+// Post queues f to be called by the loop. It may be called from any goroutine.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.queue = append(l.queue, f)
@@ -65,7 +65,7 @@
 	}
 }
 
-// At calls f at that time. Only the loop's goroutine may call it.
+// At schedules a call of f. It may only be called from the loop's goroutine.
 func (l *Loop) At(at aspenshed.Nanos, f func()) *Timer {
 	l.lastSeq++
 	t := &Timer{at: at, seq: l.lastSeq, callback: f}
@@ -73,7 +73,7 @@
 	return t
 }
 
-// StopTimer takes a timer back. A nil timer or one that has run is ignored.
+// StopTimer cancels a timer. A nil timer, or one that has fired, is ignored.
 func (l *Loop) StopTimer(t *Timer) {
 	if t != nil && t.index >= 0 {
 		heap.Remove(&l.timers, t.index)
@@ -83,18 +83,18 @@
 // Quit ends Run after the current batch.
 func (l *Loop) Quit() { l.quit = true }
 
-// RunPending handles all that is at hand and reports when the next timer is due; 0: never.
+// RunPending runs all posted functions and due timers, and returns when the next timer is due; 0 if there is none.
 func (l *Loop) RunPending() (next aspenshed.Nanos) {
 	for {
 		l.mu.Lock()
-		box := l.queue
+		batch := l.queue
 		l.queue = nil
 		l.mu.Unlock()
-		for _, f := range box {
+		for _, f := range batch {
 			l.call(f)
 		}
 		now := l.Now()
-		ran := len(box) > 0
+		ran := len(batch) > 0
 		for len(l.timers) > 0 && l.timers[0].at <= now {
 			l.call(heap.Pop(&l.timers).(*Timer).callback)
 			ran = true
@@ -110,8 +110,8 @@
 	return l.timers[0].at
 }
 
-// call guards the gateway against a defect in one stage or front: all other
-// requests go on, and relay's timer still answers the one it struck.
+// call runs f and recovers from a panic, so that a defect in one stage or front doesn't affect other requests. The
+// request concerned still gets a response from its deadline timer in the response stage.
 func (l *Loop) call(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -121,7 +121,7 @@
 	f()
 }
 
-// Run drives the loop in real time until Quit.
+// Run drives the loop in real time until Quit is called.
 func (l *Loop) Run() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
