--- a/internal/dataplane/accept/accept.go
+++ b/internal/dataplane/accept/accept.go
@@ -1,5 +1,5 @@
-// Package accept is the first stage: it takes a parsed query in, turns away
-// what the settings do not know, and names the request.
+// Package accept is the first stage: it validates a parsed query against the settings and makes it a request with
+// a unique ID.
 package accept
 
 import (
@@ -11,36 +11,36 @@
 	"aspenshed/internal/dataplane/request"
 )
 
-// Stage takes queries in.
+// Stage accepts queries.
 type Stage struct {
 	Loop     *eventloop.Loop
 	Settings *aspenshed.Settings
-	// KnownGroup tells whether some member list has named the group.
+	// KnownGroup reports whether the group has appeared in a member list.
 	KnownGroup func(int) bool
-	// Reject answers a query that is no request; Next is the stage after this one.
+	// Reject responds to an invalid query; Next passes a request to the next stage.
 	Reject func(request.Query, string)
 	Next   func(*request.Request)
 
 	accepted uint64
-	openIDs  map[string]bool // names of requests that hold something here or at a member
+	openIDs  map[string]bool // client-chosen IDs of requests without a response or with a running attempt
 }
 
-// Accept runs on the loop. It returns nil for a query that it has rejected.
-// arrived is when the query's last byte was read.
-func (s *Stage) Accept(q request.Query, arrived aspenshed.Nanos) *request.Request {
-	if problem := s.validate(&q); problem != "" {
-		s.Reject(q, problem)
+// Accept validates a query and passes it on as a request. It returns nil if the query is rejected. arrivedAt is when
+// the last byte of the query was read. Accept must be called on the event loop.
+func (s *Stage) Accept(q request.Query, arrivedAt aspenshed.Nanos) *request.Request {
+	if reason := s.validate(&q); reason != "" {
+		s.Reject(q, reason)
 		return nil
 	}
 	s.accepted++
-	// Clients name requests as they like, maybe twice: the module gets a name of our own.
+	// Client-chosen IDs need not be unique over time, so the router gets a generated one.
 	if q.ExternalID != "" {
 		if s.openIDs == nil {
 			s.openIDs = map[string]bool{}
 		}
 		s.openIDs[q.ExternalID] = true
 	}
-	req := &request.Request{Query: q, ID: strconv.FormatUint(s.accepted, 36), ArrivedAt: arrived, Deadline: arrived + q.Timeout}
+	req := &request.Request{Query: q, ID: strconv.FormatUint(s.accepted, 36), ArrivedAt: arrivedAt, Deadline: arrivedAt + q.Timeout}
 	s.Next(req)
 	return req
 }
@@ -54,14 +54,14 @@
 	case !s.KnownGroup(q.Group):
 		return fmt.Sprintf("unknown group %d", q.Group)
 	case q.Timeout <= 0:
-		return "no time to wait"
+		return "timeout is not positive"
 	case s.openIDs[q.ExternalID]:
-		// Guards "one attempt out per request": a member can't tell this one from a second copy of the first.
-		return "id of a request that is still open"
+		// A member couldn't tell this request from a second copy of the first, of which only one attempt may run.
+		return "request id is still in use"
 	}
 	q.Timeout = min(q.Timeout, s.Settings.Classes[q.Class].ClientTimeout)
 	return ""
 }
 
-// ReleaseID says that a request has its answer and no attempt of it is out: its name may come again.
+// ReleaseID frees the client-chosen ID of a request that has its response and no running attempt.
 func (s *Stage) ReleaseID(r *request.Request) { delete(s.openIDs, r.ExternalID) }
