--- a/internal/dataplane/routing/routing.go
+++ b/internal/dataplane/routing/routing.go
@@ -1,5 +1,5 @@
-// Package routing is the third stage: it turns what has happened into the
-// decision module's events and hands the module's actions on.
+// Package routing is the third stage: it passes events to the router, which takes all decisions, and executes the
+// actions that it returns.
 package routing
 
 import (
@@ -15,42 +15,42 @@
 	"aspenshed/internal/dataplane/request"
 )
 
-// Executor carries out what the module decides.
+// Executor executes the actions of the router.
 type Executor interface {
-	Send(id, member string, attempt int, giveUpAt, leaveBy aspenshed.Nanos)
+	Send(id, member string, attempt int, deadline, sendBy aspenshed.Nanos)
 	Cancel(id string, attempt int)
 	Probe(member string)
 	ClosePool(member string)
-	Refuse(id string, retryIn aspenshed.Nanos)
+	Refuse(id string, retryAfter aspenshed.Nanos)
 	Fail(id string)
 	Watch()
 }
 
-// Decider is the decision module.
+// Decider takes the decisions. It is an aspenshed.Router, except in tests.
 type Decider interface {
 	Step(now aspenshed.Nanos, events []aspenshed.Event) []aspenshed.Action
 }
 
-// Stage owns the Router. All of it runs on the loop.
+// Stage owns the router. All methods must be called on the event loop.
 type Stage struct {
 	Loop     *eventloop.Loop
 	Log      *logrus.Entry
 	Settings aspenshed.Settings
 	Seed     uint64
 	Executor Executor
-	// NewDecider makes a Decider; nil: the Router.
+	// NewDecider creates the Decider; nil for an aspenshed.Router.
 	NewDecider func(aspenshed.Settings, uint64) (Decider, error)
-	// OnPanic ends all requests at hand after the module has panicked.
+	// OnPanic ends all pending requests after the Decider has panicked.
 	OnPanic func()
 
 	decider       Decider
 	pendingEvents []aspenshed.Event
-	members       map[string]aspenshed.Member // as last told, for a new Router
+	members       map[string]aspenshed.Member // the current members, with which a new router starts
 	memberOrder   []string
 	knownGroups   map[int]bool
 }
 
-// Start makes the Router and gives it the list as last known.
+// Start creates the router and gives it the last known member list.
 func (s *Stage) Start(known []aspenshed.Member) error {
 	s.members, s.knownGroups = map[string]aspenshed.Member{}, map[int]bool{}
 	if err := s.resetDecider(); err != nil {
@@ -70,36 +70,36 @@
 	return err
 }
 
-// KnownGroup tells whether some list has named the group.
+// KnownGroup reports whether the group has appeared in a member list.
 func (s *Stage) KnownGroup(g int) bool { return s.knownGroups[g] }
 
-// Submit asks the module about a request.
+// Submit passes a request to the router.
 func (s *Stage) Submit(r *request.Request) {
 	s.AddEvent(aspenshed.Request{ID: r.ID, Class: r.Class, Group: r.Group, Tenant: r.Tenant, Session: r.Session,
 		Remaining: max(r.Deadline-s.Loop.Now(), 1), SinceCommit: r.SinceCommit, IsRetry: r.IsRetry})
 }
 
-// UpdateMembers takes news of the member list.
-func (s *Stage) UpdateMembers(l aspenshed.MemberList) {
-	if l.Complete {
+// UpdateMembers applies an update of the member list and passes it to the router.
+func (s *Stage) UpdateMembers(list aspenshed.MemberList) {
+	if list.Complete {
 		s.members, s.memberOrder = map[string]aspenshed.Member{}, nil
 	}
-	for _, m := range l.Members {
-		_, old := s.members[m.ID]
+	for _, m := range list.Members {
+		_, listed := s.members[m.ID]
 		switch s.knownGroups[m.Group] = true; {
-		case m.State == aspenshed.Removed: // ids are always new: those that left must not be kept
+		case m.State == aspenshed.Removed: // IDs are never reused, so keeping removed members would leak memory
 			delete(s.members, m.ID)
 			s.memberOrder = slices.DeleteFunc(s.memberOrder, func(id string) bool { return id == m.ID })
 			continue
-		case !old:
+		case !listed:
 			s.memberOrder = append(s.memberOrder, m.ID)
 		}
 		s.members[m.ID] = m
 	}
-	s.AddEvent(l)
+	s.AddEvent(list)
 }
 
-// Learned is what the Router has learned; false: another Decider is in its place.
+// Learned returns the state that the router has learned, or false if the Decider is not an aspenshed.Router.
 func (s *Stage) Learned() (aspenshed.LearnedState, bool) {
 	if r, ok := s.decider.(*aspenshed.Router); ok {
 		return r.Learned(), true
@@ -107,10 +107,10 @@
 	return aspenshed.LearnedState{}, false
 }
 
-// AddEvent keeps an event for the next Step.
+// AddEvent queues an event for the next Step.
 func (s *Stage) AddEvent(e aspenshed.Event) { s.pendingEvents = append(s.pendingEvents, e) }
 
-// Step gives the module all events at hand and carries out its actions. It runs after every batch.
+// Step passes all queued events to the router and executes its actions. It is called after each batch of the loop.
 func (s *Stage) Step() {
 	events := s.pendingEvents
 	s.pendingEvents = nil
@@ -124,7 +124,8 @@
 	}
 }
 
-func (s *Stage) callDecider(events []aspenshed.Event) (out []aspenshed.Action, err error) {
+// callDecider turns a panic of the Decider into an error.
+func (s *Stage) callDecider(events []aspenshed.Event) (actions []aspenshed.Action, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = fmt.Errorf("%v\n%s", p, debug.Stack())
@@ -133,13 +134,13 @@
 	return s.decider.Step(s.Loop.Now(), events), nil
 }
 
-// restart guards against a defect in the module: every request at hand still gets its one answer, and a new
-// Router starts from the member list.
+// restart recovers from a panic of the Decider: every pending request still gets its response, and a new Decider starts
+// from the current member list.
 func (s *Stage) restart(err error) {
-	s.Log.WithError(err).Error("decision module panicked: requests at hand fail, a new one starts")
+	s.Log.WithError(err).Error("decision module panicked: failing all pending requests and restarting it")
 	s.OnPanic()
 	if err := s.resetDecider(); err != nil {
-		s.Log.WithError(err).Error("decision module did not start again")
+		s.Log.WithError(err).Error("decision module failed to restart")
 		return
 	}
 	s.pendingEvents = nil
@@ -147,7 +148,7 @@
 	s.Loop.Post(func() {})
 }
 
-// LastMembers is the member list as last told.
+// LastMembers returns the current members in the order in which they were added.
 func (s *Stage) LastMembers() []aspenshed.Member {
 	out := make([]aspenshed.Member, 0, len(s.memberOrder))
 	for _, id := range s.memberOrder {
