--- a/internal/dataplane/dispatch/attempt.go
+++ b/internal/dataplane/dispatch/attempt.go
@@ -9,39 +9,39 @@
 	"aspenshed/internal/dataplane/request"
 )
 
-// attempt is one of a request: at most one is out.
+// attempt is an attempt of a request. A request has at most one running attempt.
 type attempt struct {
 	request          *request.Request
 	number           int
 	pool             *pool
 	conn             *connection
 	startedAt        aspenshed.Nanos
-	giveUpAt         aspenshed.Nanos // when it is given up
-	sendBy           aspenshed.Nanos // it must not leave later: what is known of the member's data is too old then; 0: no matter
-	connIdleTime     aspenshed.Nanos // how long its connection had lain idle; 0: a new one
-	connectionsTried int             // taken up so far
+	giveUpAt         aspenshed.Nanos // when it times out
+	sendBy           aspenshed.Nanos // the statement must not be sent later: the member's data may be too stale; 0: no limit
+	connIdleTime     aspenshed.Nanos // how long its connection had been idle; 0 for a new one
+	connectionsTried int
 	giveUpTimer      *eventloop.Timer
-	livenessTimer    *eventloop.Timer // ends a connection that does not show that it is alive
+	livenessTimer    *eventloop.Timer // closes a connection whose member shows no sign of life
 	ended            bool
 }
 
-// Send starts an attempt, the n-th of its request. leaveBy: when its statement must have left, if at all; 0: no matter.
-func (s *Stage) Send(id, member string, n int, giveUpAt, leaveBy aspenshed.Nanos) {
+// Send starts attempt n of a request. Its statement must not be sent after sendBy; 0 for no limit.
+func (s *Stage) Send(id, member string, n int, giveUpAt, sendBy aspenshed.Nanos) {
 	r, p := s.FindRequest(id), s.pools[member]
-	if r == nil { // its client left while the module decided, in the same batch: what that counted is given back
+	if r == nil { // the client left in the same batch: the router must still be told that the attempt has ended
 		s.Loop.Post(func() {
 			s.Emit(aspenshed.AttemptResult{ID: id, Attempt: n, Member: member, Outcome: aspenshed.NotSent, Final: true})
 		})
 		return
 	}
 	if p == nil || s.attempts[id] != nil {
-		// Guards the rules: never a second copy, never a send to a member that the list does not know.
-		s.Log.WithFields(logrus.Fields{"request": id, "member": member}).Error("send refused: unknown or out already")
+		// A request must never have two running attempts, nor be sent to a member that is not in the list.
+		s.Log.WithFields(logrus.Fields{"request": id, "member": member}).Error("attempt refused: unknown member or a second attempt")
 		s.finishLater(&attempt{request: r, number: n, pool: p, startedAt: s.Loop.Now()}, request.Result{Outcome: aspenshed.NotSent})
 		r.Attempts++
 		return
 	}
-	a := &attempt{request: r, number: n, pool: p, startedAt: s.Loop.Now(), giveUpAt: r.Deadline, sendBy: leaveBy}
+	a := &attempt{request: r, number: n, pool: p, startedAt: s.Loop.Now(), giveUpAt: r.Deadline, sendBy: sendBy}
 	r.Attempts++
 	s.attempts[id] = a
 	if giveUpAt > 0 {
@@ -51,14 +51,16 @@
 	s.acquireConnection(a)
 }
 
-// acquireConnection takes up the newest idle connection for an attempt, or a new one.
+// acquireConnection assigns the newest idle connection to an attempt, or opens a new one. Without a free descriptor it
+// closes the oldest idle connection and tries again, at once and after descriptorWait. The last connection that an
+// attempt may try is always a new one.
 func (s *Stage) acquireConnection(a *attempt) {
 	a.connectionsTried++
-	l := s.takeIdle(a.pool)
-	if l == nil || a.connectionsTried == maxConnectionsPerAttempt {
+	c := s.takeIdle(a.pool)
+	if c == nil || a.connectionsTried == maxConnectionsPerAttempt {
 		var err error
-		if l, err = s.openConnection(a.pool, false); err != nil && s.closeOldestIdle() {
-			if l, err = s.openConnection(a.pool, false); err != nil && a.connectionsTried < maxConnectionsPerAttempt {
+		if c, err = s.openConnection(a.pool, false); err != nil && s.closeOldestIdle() {
+			if c, err = s.openConnection(a.pool, false); err != nil && a.connectionsTried < maxConnectionsPerAttempt {
 				s.Loop.At(s.Loop.Now()+descriptorWait, func() {
 					if !a.ended {
 						s.acquireConnection(a)
@@ -67,54 +69,55 @@
 				return
 			}
 		}
-		if err != nil { // our own want of descriptors: nothing against the member, and no use to wait for it
+		if err != nil { // a lack of local descriptors: the member is not to blame, and more waiting would not help
 			s.finishLater(a, request.Result{Outcome: aspenshed.NotSent, Detail: err.Error()})
 			return
 		}
 	}
-	a.conn, l.attempt, a.connIdleTime = l, a, 0
-	if l.idleSince > 0 {
-		a.connIdleTime = max(s.Loop.Now()-l.idleSince, 1)
+	a.conn, c.attempt, a.connIdleTime = c, a, 0
+	if c.idleSince > 0 {
+		a.connIdleTime = max(s.Loop.Now()-c.idleSince, 1)
 	}
-	if l.ready {
-		l.send()
+	if c.ready {
+		c.send()
 	}
 }
 
-// retryConnection ends a connection on which the attempt's statement did not leave. The attempt takes up another one, as members and
-// the network drop connections unseen; where the member can't be reached, or all are retryConnection, it has not run.
-func (s *Stage) retryConnection(a *attempt, how request.ConnectionLoss, detail string) {
+// retryConnection closes a connection on which the statement was not sent, and tries another one, as members and the
+// network drop idle connections without notice. If the member can't be reached, or maxConnectionsPerAttempt connections
+// have failed, the attempt ends as not executed.
+func (s *Stage) retryConnection(a *attempt, loss request.ConnectionLoss, detail string) {
 	s.Loop.StopTimer(a.livenessTimer)
 	a.conn.attempt = nil
 	a.conn.close()
-	a.conn, a.request.InFlight = nil, false // its last byte was let go, maybe, but could not be written
-	if how == request.LostBeforeSend && a.connectionsTried < maxConnectionsPerAttempt && !a.pool.draining {
+	a.conn, a.request.InFlight = nil, false // AllowSend may have returned true, but the write failed
+	if loss == request.LostBeforeSend && a.connectionsTried < maxConnectionsPerAttempt && !a.pool.draining {
 		s.acquireConnection(a)
 		return
 	}
 	s.finishLater(a, request.Result{Outcome: aspenshed.ConnectFailed, Detail: detail})
 }
 
-// Cancel gives one attempt up.
+// Cancel aborts attempt n of a request, if it is running.
 func (s *Stage) Cancel(id string, n int) {
 	if a := s.attempts[id]; a != nil && a.number == n {
 		s.abort(a, aspenshed.Cancelled)
 	}
 }
 
-// abort closes the attempt's connection before anything else may be sent for its request.
-func (s *Stage) abort(a *attempt, o aspenshed.Outcome) {
-	if o == aspenshed.TimedOut && (a.conn == nil || !a.conn.ready || !a.conn.backendConn.MayHaveSent()) {
-		o = aspenshed.ConnectFailed // the statement never left: no connection came up in time
+// abort ends an attempt and closes its connection, so that another attempt of the request can be sent.
+func (s *Stage) abort(a *attempt, outcome aspenshed.Outcome) {
+	if outcome == aspenshed.TimedOut && (a.conn == nil || !a.conn.ready || !a.conn.backendConn.MayHaveSent()) {
+		outcome = aspenshed.ConnectFailed // the statement was not sent: no connection was ready in time
 	}
 	if a.conn != nil {
 		a.conn.close()
 	}
-	s.finish(a, request.Result{Outcome: o})
+	s.finish(a, request.Result{Outcome: outcome})
 }
 
-// Withdraw takes an attempt back whose request has its answer, or none to wait for it, before the statement has left:
-// nothing may leave for it any more. One that is out is for the module to cancel or to let run.
+// Withdraw ends the attempt of a request that has its response, or whose client has left, if the statement has not been
+// sent. If it may have been sent, the router decides whether to cancel the attempt.
 func (s *Stage) Withdraw(r *request.Request) {
 	if a := s.attempts[r.ID]; a != nil && !r.InFlight {
 		if a.conn != nil {
@@ -122,11 +125,11 @@
 			a.conn.close()
 		}
 		s.finish(a, request.Result{Outcome: aspenshed.NotSent})
-		s.Loop.Post(func() {}) // the module hears of it though this be one of its own actions
+		s.Loop.Post(func() {}) // forces another batch, so that the router gets the event even if it caused this call
 	}
 }
 
-// AbortAll gives up all attempts; nothing is told.
+// AbortAll closes the connections of all attempts, without an event for the router.
 func (s *Stage) AbortAll() {
 	for id, a := range s.attempts {
 		s.Loop.StopTimer(a.giveUpTimer)
@@ -141,16 +144,16 @@
 	}
 }
 
-// HasAttempt tells whether an attempt of the request is out.
+// HasAttempt reports whether the request has a running attempt.
 func (s *Stage) HasAttempt(r *request.Request) bool { return s.attempts[r.ID] != nil }
 
-// finishLater ends an attempt in the next batch, so that no decision is taken inside another's actions.
+// finishLater ends an attempt in the next batch, so that the router is not told while its actions are executed.
 func (s *Stage) finishLater(a *attempt, r request.Result) {
 	s.Loop.Post(func() { s.finish(a, r) })
 }
 
 func (s *Stage) finish(a *attempt, res request.Result) {
-	if a.ended { // given up while its end was on the way
+	if a.ended { // aborted while a finishLater was queued
 		return
 	}
 	a.ended = true
@@ -163,10 +166,10 @@
 	if a.pool != nil {
 		member = a.pool.memberID
 	}
-	neverRan := res.Outcome == aspenshed.Overloaded || res.Outcome == aspenshed.ConnectFailed || res.Outcome == aspenshed.NotSent || res.Outcome == aspenshed.Ineligible
+	notExecuted := res.Outcome == aspenshed.Overloaded || res.Outcome == aspenshed.ConnectFailed || res.Outcome == aspenshed.NotSent || res.Outcome == aspenshed.Ineligible
 	a.request.InFlight = false
 	res.Elapsed, res.IdleTime = s.Loop.Now()-a.startedAt, a.connIdleTime
-	a.request.MayHaveRun = a.request.MayHaveRun || !neverRan
+	a.request.MayHaveRun = a.request.MayHaveRun || !notExecuted
 	s.OnAttemptEnd(a.request, member, res)
 	if a.request.Responded {
 		s.OnSettled(a.request)
--- a/internal/dataplane/dispatch/connection.go
+++ b/internal/dataplane/dispatch/connection.go
@@ -10,7 +10,7 @@
 	"aspenshed/internal/dataplane/request"
 )
 
-// connection is one to a member, and what is out on it.
+// connection is a connection to a member, with the attempt or probe that uses it.
 type connection struct {
 	stage          *Stage
 	pool           *pool
@@ -18,56 +18,57 @@
 	ready          bool
 	closed         bool
 	attempt        *attempt
-	idleSince      aspenshed.Nanos // since when; 0: it has served nothing yet
-	probing        bool            // a probe's connection, and one is out
-	probeStartedAt aspenshed.Nanos // that probe
+	idleSince      aspenshed.Nanos // 0 if it has served nothing yet
+	probing        bool            // a probe is running on it
+	probeStartedAt aspenshed.Nanos
 	probeTimer     *eventloop.Timer
 }
 
-// send sends what the connection was opened or taken for.
-func (l *connection) send() {
-	s, a := l.stage, l.attempt
+// send sends the statement or probe for which the connection was opened or taken from the pool.
+func (c *connection) send() {
+	s, a := c.stage, c.attempt
 	switch {
-	case l.pool.draining: // the word came while the connection did: not a byte more
+	case c.pool.draining: // the drain notice came while the connection was opened: send nothing
 		if a != nil {
-			l.deny(reasonDraining)
+			c.deny(reasonDraining)
 			return
 		}
-		if l.close(); l.probing {
-			s.Loop.Post(func() { s.finishProbe(l, request.Result{Outcome: aspenshed.NotSent}) })
+		if c.close(); c.probing {
+			s.Loop.Post(func() { s.finishProbe(c, request.Result{Outcome: aspenshed.NotSent}) })
 		}
 	case a != nil:
 		limit := cmp.Or(s.ConnectTimeout, probeTimeout)
 		a.livenessTimer = s.Loop.At(s.Loop.Now()+limit, func() {
-			how := request.ConnectFailed
-			if a.connIdleTime > 0 { // an old connection may have been dropped unseen: only a new one tells
-				how, a.connectionsTried = request.LostBeforeSend, maxConnectionsPerAttempt-1
+			loss := request.ConnectFailed
+			// An idle connection may have been dropped without notice: only a new one shows whether the member is alive.
+			if a.connIdleTime > 0 {
+				loss, a.connectionsTried = request.LostBeforeSend, maxConnectionsPerAttempt-1
 			}
-			s.retryConnection(a, how, "link does not show that it is alive")
+			s.retryConnection(a, loss, "connection timed out without a sign of life")
 		})
-		if !l.backendConn.Send(a.request.Statement, a.giveUpAt-s.Loop.Now()) { // the attempt's own remaining wait
-			s.retryConnection(a, request.LostBeforeSend, "link closed before the statement left")
+		if !c.backendConn.Send(a.request.Statement, a.giveUpAt-s.Loop.Now()) { // the remaining time of the attempt
+			s.retryConnection(a, request.LostBeforeSend, "connection closed before the statement was sent")
 		}
-	case l.probing:
-		if !l.backendConn.Probe() {
-			l.close()
-			s.Loop.Post(func() { s.finishProbe(l, request.Result{Outcome: aspenshed.ConnectFailed}) })
+	case c.probing:
+		if !c.backendConn.Probe() {
+			c.close()
+			s.Loop.Post(func() { s.finishProbe(c, request.Result{Outcome: aspenshed.ConnectFailed}) })
 		}
 	}
 }
 
-// AllowSend is asked when the attempt's last byte is about to leave.
-func (l *connection) AllowSend() bool {
-	s, a := l.stage, l.attempt
-	if l.closed || a == nil {
+// AllowSend is called right before the last byte of the statement is sent.
+func (c *connection) AllowSend() bool {
+	s, a := c.stage, c.attempt
+	if c.closed || a == nil {
 		return false
 	}
 	s.Loop.StopTimer(a.livenessTimer)
 	switch {
-	case l.pool.draining: // guards drains: the word came after the statement's first bytes
-		l.deny(reasonDraining)
-	case a.sendBy > 0 && s.Loop.Now() > a.sendBy: // guards the age of data and the time for repeats
-		l.deny("it took too long to get here")
+	case c.pool.draining: // the drain notice came after the first bytes were sent
+		c.deny(reasonDraining)
+	case a.sendBy > 0 && s.Loop.Now() > a.sendBy: // the data may be too stale, or the time for retries over
+		c.deny("the statement was not sent in time")
 	default:
 		a.request.InFlight = true
 		return true
@@ -75,91 +76,91 @@
 	return false
 }
 
-const reasonDraining = "the member was told to leave meanwhile"
+const reasonDraining = "the member started to drain"
 
-// deny ends the attempt before its statement has left: it must not.
-func (l *connection) deny(why string) {
-	a := l.attempt
-	l.attempt = nil
-	l.close()
-	l.stage.finishLater(a, request.Result{Outcome: aspenshed.Ineligible, Detail: why})
+// deny ends an attempt whose statement must not be sent any more.
+func (c *connection) deny(reason string) {
+	a := c.attempt
+	c.attempt = nil
+	c.close()
+	c.stage.finishLater(a, request.Result{Outcome: aspenshed.Ineligible, Detail: reason})
 }
 
 // Ready is called when the member is ready for a statement.
-func (l *connection) Ready() {
-	if l.closed {
+func (c *connection) Ready() {
+	if c.closed {
 		return
 	}
-	l.ready = true
-	l.send()
+	c.ready = true
+	c.send()
 }
 
-// Done is called when what was out has ended.
-func (l *connection) Done(r request.Result) {
-	if l.closed {
+// Done is called when the attempt or probe has ended.
+func (c *connection) Done(r request.Result) {
+	if c.closed {
 		return
 	}
 	if r.CloseConnection {
-		l.close()
+		c.close()
 	}
-	l.idleSince = l.stage.Loop.Now()
-	if a := l.attempt; a != nil {
-		l.attempt = nil
-		l.release()
-		l.stage.finish(a, r)
-	} else if l.probing {
-		l.release()
-		l.stage.finishProbe(l, r)
+	c.idleSince = c.stage.Loop.Now()
+	if a := c.attempt; a != nil {
+		c.attempt = nil
+		c.release()
+		c.stage.finish(a, r)
+	} else if c.probing {
+		c.release()
+		c.stage.finishProbe(c, r)
 	}
 }
 
-// release leaves the connection to the next attempt or probe.
-func (l *connection) release() {
-	if l.pool.probeConn == l {
-		l.pool.probeConn = nil
+// release puts the connection into the pool for the next attempt or probe.
+func (c *connection) release() {
+	if c.pool.probeConn == c {
+		c.pool.probeConn = nil
 	}
 	switch {
-	case l.closed:
-	case l.pool.memberUp:
-		l.pool.idle = append(l.pool.idle, l)
+	case c.closed:
+	case c.pool.memberUp:
+		c.pool.idle = append(c.pool.idle, c)
 	default:
-		l.close()
+		c.close()
 	}
 }
 
-// Lost is called when the connection is no more.
-func (l *connection) Lost(how request.ConnectionLoss, err error) {
-	if l.closed {
+// Lost is called when the connection has ended.
+func (c *connection) Lost(loss request.ConnectionLoss, err error) {
+	if c.closed {
 		return
 	}
-	l.close()
+	c.close()
 	detail := ""
 	if err != nil {
 		detail = err.Error()
 	}
 	r := request.Result{Outcome: aspenshed.ConnectFailed, Detail: detail}
-	if how == request.LostAfterSend {
+	if loss == request.LostAfterSend {
 		r.Outcome = aspenshed.ConnectionLost
 	}
-	switch a := l.attempt; {
-	case a != nil && how == request.LostAfterSend:
-		l.attempt = nil
-		l.stage.finish(a, r)
+	switch a := c.attempt; {
+	case a != nil && loss == request.LostAfterSend:
+		c.attempt = nil
+		c.stage.finish(a, r)
 	case a != nil:
-		l.stage.retryConnection(a, how, detail)
-	case l.probing:
-		l.stage.finishProbe(l, r)
+		c.stage.retryConnection(a, loss, detail)
+	case c.probing:
+		c.stage.finishProbe(c, r)
 	}
 }
 
-func (l *connection) close() {
-	if l.closed {
+func (c *connection) close() {
+	if c.closed {
 		return
 	}
-	l.closed = true
-	l.backendConn.Close()
-	if l.pool.probeConn == l {
-		l.pool.probeConn = nil
+	c.closed = true
+	c.backendConn.Close()
+	if c.pool.probeConn == c {
+		c.pool.probeConn = nil
 	}
-	l.pool.idle = slices.DeleteFunc(l.pool.idle, func(x *connection) bool { return x == l })
+	c.pool.idle = slices.DeleteFunc(c.pool.idle, func(other *connection) bool { return other == c })
 }
--- a/internal/dataplane/dispatch/dispatch.go
+++ b/internal/dataplane/dispatch/dispatch.go
@@ -1,5 +1,5 @@
-// Package dispatch is the stage that carries attempts and probes to the members:
-// it keeps a pool of connections to each, one attempt on a connection, and its time-outs.
+// Package dispatch is the stage that sends attempts and probes to the members. It keeps a pool of connections to each
+// member, with at most one attempt or probe on a connection at a time, and enforces their timeouts.
 package dispatch
 
 import (
@@ -13,40 +13,41 @@
 
 const (
 	probeTimeout             = aspenshed.Nanos(250e6)
-	idleCloseMargin          = aspenshed.Nanos(1e9) // idle connections close this long before the member would
+	idleCloseMargin          = aspenshed.Nanos(1e9) // idle connections are closed this long before the member would
 	sweepInterval            = aspenshed.Nanos(500e6)
-	maxConnectionsPerAttempt = 3                    // that an attempt takes up, as long as its statement has not left on any
-	descriptorWait           = aspenshed.Nanos(2e6) // for the descriptor of a connection that was closed to be given back: its poller does that
+	maxConnectionsPerAttempt = 3 // connections that an attempt tries until its statement is sent on one
+	// descriptorWait is how long to wait for the descriptor of a closed connection: the poller releases it asynchronously.
+	descriptorWait = aspenshed.Nanos(2e6)
 )
 
-// Stage sends. All of it runs on the loop.
+// Stage sends attempts and probes. All methods must be called on the event loop.
 type Stage struct {
 	Loop              *eventloop.Loop
 	Log               *logrus.Entry
 	Backend           request.Backend
 	ConnectTimeout    aspenshed.Nanos
-	IdleClose         aspenshed.Nanos // 0: members never close idle connections
-	RemovalNotBinding bool            // absence from the list does not end a member
+	IdleClose         aspenshed.Nanos // after which members close idle connections; 0 for never
+	RemovalNotBinding bool            // a member that is absent from a complete list still finishes what was sent to it
 	FindRequest       func(id string) *request.Request
 	Emit              func(aspenshed.Event)
-	// OnAnswer has a request answered; Settled hears of one that had its answer before its last attempt ended;
-	// Attempted and Probed hear of every end.
+	// OnAnswer is called with a result that answers its request. OnSettled is called when the last attempt of a request
+	// ends that already has its response. OnAttemptEnd and OnProbeEnd are called for every attempt and probe.
 	OnAnswer     func(*request.Request, request.Result)
 	OnSettled    func(*request.Request)
-	OnAttemptEnd func(q *request.Request, member string, r request.Result)
-	OnProbeEnd   func(member string, r request.Result)
+	OnAttemptEnd func(r *request.Request, member string, res request.Result)
+	OnProbeEnd   func(member string, res request.Result)
 
 	pools    map[string]*pool
-	attempts map[string]*attempt // the one that is out, by request
+	attempts map[string]*attempt // the running attempt, by request ID
 }
 
-// Start begins the sweep of idle connections.
+// Start initializes the stage and starts the periodic close of idle connections.
 func (s *Stage) Start() {
 	s.pools, s.attempts = map[string]*pool{}, map[string]*attempt{}
 	s.sweepIdle()
 }
 
-// PendingSends is the number of probes that are out and of attempts whose statement has not left yet.
+// PendingSends returns the number of running probes plus that of attempts whose statement has not been sent yet.
 func (s *Stage) PendingSends() (n int) {
 	for _, p := range s.pools {
 		if p.probeConn != nil {
--- a/internal/dataplane/dispatch/dispatch_test.go
+++ b/internal/dataplane/dispatch/dispatch_test.go
@@ -20,191 +20,192 @@
 
 func (c *clock) Now() aspenshed.Nanos { return c.now }
 
-// fake is a link and the log of what was done to it.
-type fake struct {
-	ev     request.ConnectionEvents
-	asked  bool // a statement waits for the link to show that it is alive
-	sent   bool
-	closed bool
-	broken bool // writes fail
+// fakeConn is a request.Connection that records what was done to it.
+type fakeConn struct {
+	events      request.ConnectionEvents
+	sendPending bool // a statement waits for a sign of life of the connection
+	sent        bool
+	closed      bool
+	broken      bool // writes fail
 }
 
-func (f *fake) Send(any, aspenshed.Nanos) bool { f.asked = !f.broken; return f.asked }
-func (f *fake) Probe() bool                    { f.sent = !f.broken; return f.sent }
-func (f *fake) MayHaveSent() bool              { return f.sent }
-func (f *fake) Close()                         { f.closed = true }
+func (f *fakeConn) Send(any, aspenshed.Nanos) bool { f.sendPending = !f.broken; return f.sendPending }
+func (f *fakeConn) Probe() bool                    { f.sent = !f.broken; return f.sent }
+func (f *fakeConn) MayHaveSent() bool              { return f.sent }
+func (f *fakeConn) Close()                         { f.closed = true }
 
-// up brings the link up; alive shows that it is alive, so that the statement leaves.
-func (f *fake) up()    { f.ev.Ready() }
-func (f *fake) alive() { f.sent = f.asked && f.ev.AllowSend() }
+// ready makes the connection ready; alive gives a sign of life, so that the statement is sent.
+func (f *fakeConn) ready() { f.events.Ready() }
+func (f *fakeConn) alive() { f.sent = f.sendPending && f.events.AllowSend() }
 
-func (f *fake) done() {
-	f.asked, f.sent = false, false
-	f.ev.Done(request.Result{Outcome: aspenshed.Served})
+func (f *fakeConn) done() {
+	f.sendPending, f.sent = false, false
+	f.events.Done(request.Result{Outcome: aspenshed.Served})
 }
 
-// rig is a stage over fake links.
-type rig struct {
+// harness is a stage over fake connections.
+type harness struct {
 	*Stage
-	t       *testing.T
-	clock   *clock
-	links   []*fake
-	live    map[string]*request.Request
-	ends    []aspenshed.AttemptResult
-	most    int // links open at once
-	lag     int // closed links whose descriptors have yet to be given back
-	leaveBy aspenshed.Nanos
+	t          *testing.T
+	clock      *clock
+	conns      []*fakeConn
+	requests   map[string]*request.Request
+	results    []aspenshed.AttemptResult
+	maxOpen    int // limit of open connections
+	unreleased int // closed connections whose descriptors are not released yet
+	sendBy     aspenshed.Nanos
 }
 
-func (g *rig) Open(_ string, _ aspenshed.Nanos, _ bool, ev request.ConnectionEvents) (request.Connection, error) {
-	open := g.lag
-	for _, f := range g.links {
+func (h *harness) Open(_ string, _ aspenshed.Nanos, _ bool, events request.ConnectionEvents) (request.Connection, error) {
+	open := h.unreleased
+	for _, f := range h.conns {
 		if !f.closed {
 			open++
 		}
 	}
-	if open >= g.most {
+	if open >= h.maxOpen {
 		return nil, errors.New("no descriptor")
 	}
-	f := &fake{ev: ev}
-	g.links = append(g.links, f)
+	f := &fakeConn{events: events}
+	h.conns = append(h.conns, f)
 	return f, nil
 }
 
-func newRig(t *testing.T) *rig {
-	g := &rig{t: t, clock: &clock{1000 * ms}, live: map[string]*request.Request{}, most: 100}
+func newHarness(t *testing.T) *harness {
+	h := &harness{t: t, clock: &clock{1000 * ms}, requests: map[string]*request.Request{}, maxOpen: 100}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	none := func(string, request.Result) {}
-	g.Stage = &Stage{Loop: eventloop.NewLoop(g.clock), Log: logrus.NewEntry(log), Backend: g, ConnectTimeout: 250 * ms, IdleClose: 15000 * ms,
-		FindRequest: func(id string) *request.Request { return g.live[id] }, OnAnswer: func(*request.Request, request.Result) {}, OnSettled: func(*request.Request) {}, OnAttemptEnd: func(*request.Request, string, request.Result) {}, OnProbeEnd: none,
+	noop := func(string, request.Result) {}
+	h.Stage = &Stage{Loop: eventloop.NewLoop(h.clock), Log: logrus.NewEntry(log), Backend: h, ConnectTimeout: 250 * ms, IdleClose: 15000 * ms,
+		FindRequest: func(id string) *request.Request { return h.requests[id] }, OnAnswer: func(*request.Request, request.Result) {}, OnSettled: func(*request.Request) {}, OnAttemptEnd: func(*request.Request, string, request.Result) {}, OnProbeEnd: noop,
 		Emit: func(e aspenshed.Event) {
 			if a, ok := e.(aspenshed.AttemptResult); ok {
-				g.ends = append(g.ends, a)
+				h.results = append(h.results, a)
 			}
 		}}
-	g.Start()
-	g.UpdateMembers(aspenshed.MemberList{Complete: true, Members: []aspenshed.Member{{ID: "a", State: aspenshed.Up}}}, map[string]string{"a": "h:1"})
-	return g
+	h.Start()
+	h.UpdateMembers(aspenshed.MemberList{Complete: true, Members: []aspenshed.Member{{ID: "a", State: aspenshed.Up}}}, map[string]string{"a": "h:1"})
+	return h
 }
 
-// attempt sends a new request to a and returns the link it got.
-func (g *rig) attempt(id string) *fake {
-	g.live[id] = &request.Request{ID: id, Deadline: g.clock.now + 900*ms}
-	g.Send(id, "a", g.live[id].Attempts, 0, g.leaveBy)
-	if len(g.links) == 0 {
+// startAttempt sends a new request to member a and returns the connection that it uses.
+func (h *harness) startAttempt(id string) *fakeConn {
+	h.requests[id] = &request.Request{ID: id, Deadline: h.clock.now + 900*ms}
+	h.Send(id, "a", h.requests[id].Attempts, 0, h.sendBy)
+	if len(h.conns) == 0 {
 		return nil
 	}
-	return g.links[len(g.links)-1]
+	return h.conns[len(h.conns)-1]
 }
 
-// idle is a link that has served a request and lies idle.
-func (g *rig) idle(id string) *fake {
-	f := g.attempt(id)
-	f.up()
+// idleConn returns an idle connection that has served a request.
+func (h *harness) idleConn(id string) *fakeConn {
+	f := h.startAttempt(id)
+	f.ready()
 	f.alive()
 	f.done()
-	g.ended(aspenshed.Served)
+	h.wantResult(aspenshed.Served)
 	return f
 }
 
-func (g *rig) pass(d aspenshed.Nanos) {
-	g.clock.now += d
-	g.Loop.RunPending()
+func (h *harness) advance(d aspenshed.Nanos) {
+	h.clock.now += d
+	h.Loop.RunPending()
 }
 
-func (g *rig) ended(want aspenshed.Outcome) {
-	g.t.Helper()
-	g.Loop.RunPending()
-	if len(g.ends) != 1 || g.ends[0].Outcome != want {
-		g.t.Fatalf("ended as %+v, want outcome %d once", g.ends, want)
+func (h *harness) wantResult(want aspenshed.Outcome) {
+	h.t.Helper()
+	h.Loop.RunPending()
+	if len(h.results) != 1 || h.results[0].Outcome != want {
+		h.t.Fatalf("results %+v, want outcome %d once", h.results, want)
 	}
-	g.ends = nil
+	h.results = nil
 }
 
-// Guards rule 2: what may have run and what never did are told apart by whether the last byte may have left.
-func TestHasItRun(t *testing.T) {
+// An attempt counts as possibly executed if and only if the last byte of its statement may have been sent.
+func TestMayHaveRun(t *testing.T) {
 	for name, c := range map[string]struct {
-		do   func(*rig, *fake)
+		do   func(*harness, *fakeConn)
 		want aspenshed.Outcome
 	}{
-		"the member refuses":               {func(_ *rig, f *fake) { f.ev.Lost(request.ConnectFailed, io.EOF) }, aspenshed.ConnectFailed},
-		"cut before the statement leaves":  {func(g *rig, f *fake) { g.cutAll(f) }, aspenshed.ConnectFailed},
-		"cut after the statement has left": {func(_ *rig, f *fake) { f.up(); f.alive(); f.ev.Lost(request.LostAfterSend, io.EOF) }, aspenshed.ConnectionLost},
-		"no sign of life":                  {func(g *rig, f *fake) { f.up(); g.pass(250 * ms) }, aspenshed.ConnectFailed},
-		"no answer by the deadline":        {func(g *rig, f *fake) { f.up(); f.alive(); g.pass(900 * ms) }, aspenshed.TimedOut},
-		"no link by the deadline":          {func(g *rig, f *fake) { g.pass(900 * ms) }, aspenshed.ConnectFailed},
-		"given up by the module":           {func(g *rig, f *fake) { f.up(); f.alive(); g.Cancel("q", 0) }, aspenshed.Cancelled},
+		"connection refused":                {func(_ *harness, f *fakeConn) { f.events.Lost(request.ConnectFailed, io.EOF) }, aspenshed.ConnectFailed},
+		"lost before the statement is sent": {func(h *harness, f *fakeConn) { h.loseAll(f) }, aspenshed.ConnectFailed},
+		"lost after the statement is sent":  {func(_ *harness, f *fakeConn) { f.ready(); f.alive(); f.events.Lost(request.LostAfterSend, io.EOF) }, aspenshed.ConnectionLost},
+		"no sign of life":                   {func(h *harness, f *fakeConn) { f.ready(); h.advance(250 * ms) }, aspenshed.ConnectFailed},
+		"no response by the deadline":       {func(h *harness, f *fakeConn) { f.ready(); f.alive(); h.advance(900 * ms) }, aspenshed.TimedOut},
+		"no connection by the deadline":     {func(h *harness, f *fakeConn) { h.advance(900 * ms) }, aspenshed.ConnectFailed},
+		"cancelled by the router":           {func(h *harness, f *fakeConn) { f.ready(); f.alive(); h.Cancel("q", 0) }, aspenshed.Cancelled},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t)
-			f := g.attempt("q")
-			c.do(g, f)
-			g.ended(c.want)
-			if f = g.links[len(g.links)-1]; !f.closed {
-				t.Error("the link is still open: a second copy could be out")
+			h := newHarness(t)
+			f := h.startAttempt("q")
+			c.do(h, f)
+			h.wantResult(c.want)
+			if f = h.conns[len(h.conns)-1]; !f.closed {
+				t.Error("the connection is still open: a second attempt could run beside it")
 			}
-			if f.ev.Done(request.Result{Outcome: aspenshed.Served}); len(g.ends) > 0 {
-				t.Error("an answer after the end counted")
+			if f.events.Done(request.Result{Outcome: aspenshed.Served}); len(h.results) > 0 {
+				t.Error("a response after the end of the attempt was counted")
 			}
 			ran := c.want != aspenshed.ConnectFailed
-			if g.live["q"].MayHaveRun != ran || g.live["q"].InFlight {
+			if h.requests["q"].MayHaveRun != ran || h.requests["q"].InFlight {
 				t.Errorf("may have run: %t, want %t", !ran, ran)
 			}
 		})
 	}
-	g := newRig(t)
-	g.most = 0
-	g.attempt("q")
-	g.ended(aspenshed.NotSent)
+	h := newHarness(t)
+	h.maxOpen = 0
+	h.startAttempt("q")
+	h.wantResult(aspenshed.NotSent)
 }
 
-// cutAll cuts each link that an attempt takes up, before the statement leaves.
-func (g *rig) cutAll(f *fake) {
-	for n := 0; n != len(g.links); f = g.links[len(g.links)-1] {
-		n = len(g.links)
-		f.up()
-		f.ev.Lost(request.LostBeforeSend, io.EOF)
+// loseAll loses each connection that an attempt tries, before the statement is sent.
+func (h *harness) loseAll(f *fakeConn) {
+	for n := 0; n != len(h.conns); f = h.conns[len(h.conns)-1] {
+		n = len(h.conns)
+		f.ready()
+		f.events.Lost(request.LostBeforeSend, io.EOF)
 	}
 }
 
-// Guards bookings against links that members or the network drop unseen: what has not left goes by another link.
-func TestCutBeforeTheStatementLeavesTakesAnotherLink(t *testing.T) {
-	g := newRig(t)
-	old := g.attempt("q")
-	old.up()
+// Members and the network drop idle connections without notice: a statement that has not been sent must go over another
+// connection, within the same attempt.
+func TestLossBeforeSendTriesAnotherConnection(t *testing.T) {
+	h := newHarness(t)
+	old := h.startAttempt("q")
+	old.ready()
 	old.alive()
 	old.done()
-	g.ended(aspenshed.Served)
-	g.pass(100 * ms)
-	if g.attempt("r"); !old.asked || len(g.links) != 1 {
-		t.Fatal("the idle link was not taken")
-	}
-	old.ev.Lost(request.LostBeforeSend, io.EOF)
-	next := g.links[len(g.links)-1]
-	next.up()
+	h.wantResult(aspenshed.Served)
+	h.advance(100 * ms)
+	if h.startAttempt("r"); !old.sendPending || len(h.conns) != 1 {
+		t.Fatal("the idle connection was not used")
+	}
+	old.events.Lost(request.LostBeforeSend, io.EOF)
+	next := h.conns[len(h.conns)-1]
+	next.ready()
 	next.alive()
 	next.done()
-	if g.ended(aspenshed.Served); len(g.links) != 2 || g.live["r"].Attempts != 1 {
-		t.Errorf("%d links, %d attempts", len(g.links), g.live["r"].Attempts)
+	if h.wantResult(aspenshed.Served); len(h.conns) != 2 || h.requests["r"].Attempts != 1 {
+		t.Errorf("%d connections, %d attempts", len(h.conns), h.requests["r"].Attempts)
 	}
-	next.ev.Lost(request.LostBeforeSend, io.EOF) // while it is idle: nobody's end
-	if len(g.ends) != 0 {
-		t.Errorf("%+v", g.ends)
+	next.events.Lost(request.LostBeforeSend, io.EOF) // while it is idle: ends no attempt
+	if len(h.results) != 0 {
+		t.Errorf("%+v", h.results)
 	}
-	g.attempt("s").up()
-	g.pass(250 * ms)
-	g.ended(aspenshed.ConnectFailed)
+	h.startAttempt("s").ready()
+	h.advance(250 * ms)
+	h.wantResult(aspenshed.ConnectFailed)
 }
 
-// Guards the age of data: a read whose link was slow to come up does not leave.
-func TestTooLateToLeave(t *testing.T) {
+// Guards the bound on stale data: a read whose connection was established too late must not be sent.
+func TestStatementIsNotSentAfterSendBy(t *testing.T) {
 	for wait, want := range map[aspenshed.Nanos]aspenshed.Outcome{20 * ms: aspenshed.Served, 21 * ms: aspenshed.Ineligible} {
-		g := newRig(t)
-		g.leaveBy = g.clock.now + 20*ms
-		f := g.attempt("q")
-		g.pass(wait)
-		f.up()
+		h := newHarness(t)
+		h.sendBy = h.clock.now + 20*ms
+		f := h.startAttempt("q")
+		h.advance(wait)
+		f.ready()
 		f.alive()
 		if f.sent != (want == aspenshed.Served) || f.closed == f.sent {
 			t.Errorf("after %d ms: sent %t, closed %t", wait/ms, f.sent, f.closed)
@@ -212,250 +213,255 @@
 		if f.sent {
 			f.done()
 		}
-		g.ended(want)
+		h.wantResult(want)
 	}
 }
 
-// Guards members against being thought ill of for our own want of descriptors: idle links make room.
-// Guards rule 3: the word of a drain may come while an attempt waits for its link, and nothing leaves after it. Who is
-// only absent from a list, where that does not bind, still gets what was on its way.
-func TestNothingLeavesAfterTheWordOfADrain(t *testing.T) {
+// A drain notice may come while an attempt waits for its connection: nothing may be sent after it. A member that is only
+// absent from a list still gets the statement if removal is not binding.
+func TestNothingIsSentAfterADrainNotice(t *testing.T) {
 	for name, c := range map[string]struct {
 		list aspenshed.MemberList
 		soft bool
-		want aspenshed.Outcome // 0: it leaves
+		want aspenshed.Outcome // 0: the statement is sent
 	}{
-		"draining":     {aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Draining}}}, true, aspenshed.Ineligible},
-		"gone":         {aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Removed}}}, false, aspenshed.Ineligible},
-		"absent":       {aspenshed.MemberList{Complete: true}, false, aspenshed.Ineligible},
-		"only absent":  {aspenshed.MemberList{Complete: true}, true, 0},
-		"another word": {aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Up}}}, false, 0},
+		"draining":    {aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Draining}}}, true, aspenshed.Ineligible},
+		"removed":     {aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Removed}}}, false, aspenshed.Ineligible},
+		"absent":      {aspenshed.MemberList{Complete: true}, false, aspenshed.Ineligible},
+		"not binding": {aspenshed.MemberList{Complete: true}, true, 0},
+		"still up":    {aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Up}}}, false, 0},
 	} {
-		g := newRig(t)
-		g.RemovalNotBinding = c.soft
-		f := g.attempt("q")
-		g.UpdateMembers(c.list, nil)
-		f.up()
+		h := newHarness(t)
+		h.RemovalNotBinding = c.soft
+		f := h.startAttempt("q")
+		h.UpdateMembers(c.list, nil)
+		f.ready()
 		if f.alive(); f.sent != (c.want == 0) {
 			t.Errorf("%s: sent %t", name, f.sent)
 		}
 		if c.want != 0 {
-			g.ended(c.want)
+			h.wantResult(c.want)
 		}
 	}
 }
 
-func TestIdleLinksMakeRoom(t *testing.T) {
-	g := newRig(t)
-	g.most = 2
-	g.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "b", State: aspenshed.Up}}}, map[string]string{"b": "h:2"})
-	idle := g.idle("q")
+// A local lack of descriptors must not count against a member: an idle connection is closed to make room.
+func TestIdleConnectionIsClosedForAnother(t *testing.T) {
+	h := newHarness(t)
+	h.maxOpen = 2
+	h.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "b", State: aspenshed.Up}}}, map[string]string{"b": "h:2"})
+	idle := h.idleConn("q")
 	for _, id := range []string{"r", "s", "t"} {
-		g.live[id] = &request.Request{ID: id, Deadline: g.clock.now + 900*ms}
+		h.requests[id] = &request.Request{ID: id, Deadline: h.clock.now + 900*ms}
 	}
-	g.Send("r", "b", 0, 0, 0)
-	if g.Send("s", "b", 0, 0, 0); !idle.closed || len(g.links) != 3 {
-		t.Errorf("%d links, the idle one closed: %t", len(g.links), idle.closed)
+	h.Send("r", "b", 0, 0, 0)
+	if h.Send("s", "b", 0, 0, 0); !idle.closed || len(h.conns) != 3 {
+		t.Errorf("%d connections, the idle one closed: %t", len(h.conns), idle.closed)
 	}
-	g.Send("t", "b", 0, 0, 0)
-	g.ended(aspenshed.NotSent)
+	h.Send("t", "b", 0, 0, 0)
+	h.wantResult(aspenshed.NotSent)
 }
 
-// Guards what is owed where descriptors are scarce: that of a closed link comes back a moment later.
-func TestRoomIsWaitedFor(t *testing.T) {
-	for _, back := range []bool{true, false} {
-		g := newRig(t)
-		g.most = 1
-		g.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "b", State: aspenshed.Up}}}, map[string]string{"b": "h:2"})
-		idle := g.idle("q")
-		g.lag = 1
-		g.live["r"] = &request.Request{ID: "r", Deadline: g.clock.now + 900*ms}
-		if g.Send("r", "b", 0, 0, 0); !idle.closed || len(g.links) != 1 || len(g.ends) != 0 {
-			t.Fatalf("idle link closed %t, %d links, ended %+v", idle.closed, len(g.links), g.ends)
+// Guards requests when descriptors are scarce: that of a closed connection is released a moment later, so the attempt
+// must wait for it.
+func TestAttemptWaitsForADescriptor(t *testing.T) {
+	for _, released := range []bool{true, false} {
+		h := newHarness(t)
+		h.maxOpen = 1
+		h.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "b", State: aspenshed.Up}}}, map[string]string{"b": "h:2"})
+		idle := h.idleConn("q")
+		h.unreleased = 1
+		h.requests["r"] = &request.Request{ID: "r", Deadline: h.clock.now + 900*ms}
+		if h.Send("r", "b", 0, 0, 0); !idle.closed || len(h.conns) != 1 || len(h.results) != 0 {
+			t.Fatalf("idle connection closed %t, %d connections, results %+v", idle.closed, len(h.conns), h.results)
 		}
-		if back {
-			g.lag = 0
+		if released {
+			h.unreleased = 0
 		}
-		if g.pass(descriptorWait); !back {
-			g.ended(aspenshed.NotSent)
-		} else if len(g.links) != 2 {
-			t.Errorf("%d links", len(g.links))
+		if h.advance(descriptorWait); !released {
+			h.wantResult(aspenshed.NotSent)
+		} else if len(h.conns) != 2 {
+			t.Errorf("%d connections", len(h.conns))
 		}
 	}
 }
 
-// Guards "one attempt out per request, and none for a request that has its answer".
-func TestNoSecondCopy(t *testing.T) {
-	g := newRig(t)
-	g.attempt("q").up()
-	g.Send("q", "a", 1, 0, 0)
-	g.ended(aspenshed.NotSent)
-	g.Send("gone", "a", 3, 0, 0)
-	if len(g.links) != 1 {
-		t.Errorf("%d links opened", len(g.links))
+// A request must have at most one running attempt, and none once it has its response.
+func TestNoSecondAttempt(t *testing.T) {
+	h := newHarness(t)
+	h.startAttempt("q").ready()
+	h.Send("q", "a", 1, 0, 0)
+	h.wantResult(aspenshed.NotSent)
+	h.Send("gone", "a", 3, 0, 0)
+	if len(h.conns) != 1 {
+		t.Errorf("%d connections opened", len(h.conns))
 	}
-	g.Loop.RunPending()
-	if len(g.ends) != 1 || g.ends[0] != (aspenshed.AttemptResult{ID: "gone", Attempt: 3, Member: "a", Outcome: aspenshed.NotSent, Final: true}) {
-		t.Errorf("the module heard %+v of the request whose client had left: it would count the attempt for ever", g.ends)
+	h.Loop.RunPending()
+	if len(h.results) != 1 || h.results[0] != (aspenshed.AttemptResult{ID: "gone", Attempt: 3, Member: "a", Outcome: aspenshed.NotSent, Final: true}) {
+		t.Errorf("events %+v for the request whose client had left: the router would count the attempt forever", h.results)
 	}
 }
 
-// Guards "not sent on once its client has left", and refusals: what has its answer must not run after it. At whatever
-// point before the last byte it is withdrawn, nothing leaves and all is given back once.
-func TestNothingLeavesForARequestThatHasItsAnswer(t *testing.T) {
-	for name, reach := range map[string]func(*rig, *fake){
-		"no link yet":           func(*rig, *fake) {},
-		"link just up":          func(_ *rig, f *fake) { f.up() },
-		"another link":          func(_ *rig, f *fake) { f.up(); f.ev.Lost(request.LostBeforeSend, io.EOF) },
-		"last byte not written": func(_ *rig, f *fake) { f.up(); f.ev.AllowSend(); f.ev.Lost(request.LostBeforeSend, io.EOF) },
-		"end on its way":        func(g *rig, f *fake) { g.most = 1; f.up(); f.ev.Lost(request.LostBeforeSend, io.EOF) },
+// A request whose client has left, or that was refused, must not run afterwards. At whatever point before the last byte
+// its attempt is withdrawn, nothing is sent and its resources are released once.
+func TestNothingIsSentAfterTheResponse(t *testing.T) {
+	for name, reach := range map[string]func(*harness, *fakeConn){
+		"no connection yet":  func(*harness, *fakeConn) {},
+		"connection ready":   func(_ *harness, f *fakeConn) { f.ready() },
+		"another connection": func(_ *harness, f *fakeConn) { f.ready(); f.events.Lost(request.LostBeforeSend, io.EOF) },
+		"last byte not written": func(_ *harness, f *fakeConn) {
+			f.ready()
+			f.events.AllowSend()
+			f.events.Lost(request.LostBeforeSend, io.EOF)
+		},
+		"result queued": func(h *harness, f *fakeConn) { h.maxOpen = 1; f.ready(); f.events.Lost(request.LostBeforeSend, io.EOF) },
 	} {
-		g := newRig(t)
-		f := g.attempt("q")
-		reach(g, f)
-		r := g.live["q"]
+		h := newHarness(t)
+		f := h.startAttempt("q")
+		reach(h, f)
+		r := h.requests["q"]
 		r.Responded = true
-		g.Withdraw(r)
-		for _, l := range g.links { // a link comes up late, its sign of life later still
-			l.ev.Ready()
-			if l.ev.AllowSend() {
-				t.Errorf("%s: the statement left", name)
+		h.Withdraw(r)
+		for _, c := range h.conns { // a connection becomes ready late, and its sign of life comes later still
+			c.events.Ready()
+			if c.events.AllowSend() {
+				t.Errorf("%s: the statement was sent", name)
 			}
 		}
-		g.ended(aspenshed.NotSent)
-		g.pass(1500 * ms)
-		if len(g.ends) != 0 || r.MayHaveRun || g.HasAttempt(r) || g.PendingSends() != 0 {
-			t.Errorf("%s: ended again as %+v, may have run %t, busy %d", name, g.ends, r.MayHaveRun, g.PendingSends())
+		h.wantResult(aspenshed.NotSent)
+		h.advance(1500 * ms)
+		if len(h.results) != 0 || r.MayHaveRun || h.HasAttempt(r) || h.PendingSends() != 0 {
+			t.Errorf("%s: ended again as %+v, may have run %t, pending sends %d", name, h.results, r.MayHaveRun, h.PendingSends())
 		}
 	}
-	g := newRig(t)
-	f := g.attempt("q")
-	f.up()
+	h := newHarness(t)
+	f := h.startAttempt("q")
+	f.ready()
 	f.alive()
-	g.live["q"].Responded = true
-	if g.Withdraw(g.live["q"]); f.closed || len(g.ends) != 0 {
-		t.Error("an attempt that is out was withdrawn: that is the module's to decide")
+	h.requests["q"].Responded = true
+	if h.Withdraw(h.requests["q"]); f.closed || len(h.results) != 0 {
+		t.Error("a sent attempt was withdrawn: that is for the router to decide")
 	}
 }
 
-// Guards drains: the member's state is asked again before the first byte, of a statement as of a probe.
-func TestNoByteLeavesForALeavingMember(t *testing.T) {
+// Guards drains: the member's state is checked again before the first byte, of a statement as of a probe.
+func TestNothingIsSentToADrainingMember(t *testing.T) {
 	for _, state := range []aspenshed.MemberState{aspenshed.Draining, aspenshed.Removed} {
-		g := newRig(t)
-		statement := g.attempt("q")
-		g.Probe("a")
-		probe := g.links[1]
-		g.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: state}}}, nil)
-		statement.up()
-		probe.up()
-		if statement.asked || probe.sent || !statement.closed || !probe.closed {
-			t.Errorf("state %d: statement asked %t, probe sent %t", state, statement.asked, probe.sent)
+		h := newHarness(t)
+		statement := h.startAttempt("q")
+		h.Probe("a")
+		probe := h.conns[1]
+		h.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: state}}}, nil)
+		statement.ready()
+		probe.ready()
+		if statement.sendPending || probe.sent || !statement.closed || !probe.closed {
+			t.Errorf("state %d: statement pending %t, probe sent %t", state, statement.sendPending, probe.sent)
 		}
-		g.ended(aspenshed.Ineligible)
-		if g.PendingSends() != 0 {
-			t.Errorf("%d are busy", g.PendingSends())
+		h.wantResult(aspenshed.Ineligible)
+		if h.PendingSends() != 0 {
+			t.Errorf("%d pending sends", h.PendingSends())
 		}
 	}
 }
 
-func TestIdleLinksAreUsedAgainAndClosedInTime(t *testing.T) {
-	g := newRig(t)
-	first := g.attempt("q")
-	first.up()
+func TestIdleConnectionsAreReusedAndClosedInTime(t *testing.T) {
+	h := newHarness(t)
+	first := h.startAttempt("q")
+	first.ready()
 	first.alive()
 	first.done()
-	g.ended(aspenshed.Served)
-	if g.attempt("r"); len(g.links) != 1 || !first.asked {
-		t.Fatal("the idle link was not used again")
+	h.wantResult(aspenshed.Served)
+	if h.startAttempt("r"); len(h.conns) != 1 || !first.sendPending {
+		t.Fatal("the idle connection was not reused")
 	}
 	first.alive()
 	first.done()
-	g.ended(aspenshed.Served)
-	for past := aspenshed.Nanos(0); past < 14500*ms; past += sweepInterval { // the member closes after 15 s
-		g.pass(sweepInterval)
+	h.wantResult(aspenshed.Served)
+	for elapsed := aspenshed.Nanos(0); elapsed < 14500*ms; elapsed += sweepInterval { // the member closes after 15 s
+		h.advance(sweepInterval)
 	}
 	if !first.closed {
-		t.Error("the link lay idle until the member closed it")
+		t.Error("the connection stayed idle until the member would have closed it")
 	}
-	next := g.attempt("s")
-	next.up()
+	next := h.startAttempt("s")
+	next.ready()
 	next.alive()
 	next.done()
-	g.ended(aspenshed.Served)
-	g.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Draining}}}, nil)
+	h.wantResult(aspenshed.Served)
+	h.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Draining}}}, nil)
 	if !next.closed {
-		t.Error("a draining member keeps an idle link")
+		t.Error("a draining member keeps an idle connection")
 	}
 }
 
-func TestSilentProbeEndsAndTheNextUsesANewLink(t *testing.T) {
-	g := newRig(t)
+func TestProbeTimeoutClosesTheConnection(t *testing.T) {
+	h := newHarness(t)
 	var got []aspenshed.ProbeResult
-	tell := g.Emit
-	g.Emit = func(e aspenshed.Event) {
+	tell := h.Emit
+	h.Emit = func(e aspenshed.Event) {
 		if p, ok := e.(aspenshed.ProbeResult); ok {
 			got = append(got, p)
 		}
 		tell(e)
 	}
-	g.Probe("a")
-	g.links[0].ev.Ready()
-	if g.PendingSends() != 1 {
-		t.Error("a probe that is out is not counted")
+	h.Probe("a")
+	h.conns[0].events.Ready()
+	if h.PendingSends() != 1 {
+		t.Error("a running probe is not counted")
 	}
-	g.pass(probeTimeout)
-	if len(got) != 1 || got[0].Outcome != aspenshed.TimedOut || !g.links[0].closed || g.PendingSends() != 0 {
+	h.advance(probeTimeout)
+	if len(got) != 1 || got[0].Outcome != aspenshed.TimedOut || !h.conns[0].closed || h.PendingSends() != 0 {
 		t.Fatalf("silent probe: %+v", got)
 	}
-	g.Probe("a")
-	if len(g.links) != 2 {
-		t.Error("the silent link was used again")
+	h.Probe("a")
+	if len(h.conns) != 2 {
+		t.Error("the connection of the probe that timed out was reused")
 	}
 }
 
-// Guards memory on long days: members come under new ids.
-func TestPoolsOfTheGoneAreForgotten(t *testing.T) {
-	g := newRig(t)
-	f := g.attempt("q")
-	f.up()
+// Guards against a memory leak: every replaced member comes back under a new ID.
+func TestPoolsOfRemovedMembersAreDeleted(t *testing.T) {
+	h := newHarness(t)
+	f := h.startAttempt("q")
+	f.ready()
 	f.alive()
 	for i := range 100 {
 		id := fmt.Sprint("n", i)
-		g.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, State: aspenshed.Up}}}, map[string]string{id: "h:2"})
-		g.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, State: aspenshed.Removed}}}, nil)
+		h.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, State: aspenshed.Up}}}, map[string]string{id: "h:2"})
+		h.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, State: aspenshed.Removed}}}, nil)
 	}
-	g.UpdateMembers(aspenshed.MemberList{Complete: true, Members: []aspenshed.Member{{ID: "b", State: aspenshed.Up}}}, map[string]string{"b": "h:3"})
-	if len(g.pools) != 1 {
-		t.Errorf("%d pools, want that of the one member", len(g.pools))
+	h.UpdateMembers(aspenshed.MemberList{Complete: true, Members: []aspenshed.Member{{ID: "b", State: aspenshed.Up}}}, map[string]string{"b": "h:3"})
+	if len(h.pools) != 1 {
+		t.Errorf("%d pools, want that of the one member", len(h.pools))
 	}
-	f.ev.Done(request.Result{Outcome: aspenshed.Served})
-	if g.ended(aspenshed.Served); !f.closed {
-		t.Error("the link of a member that is gone is kept")
+	f.events.Done(request.Result{Outcome: aspenshed.Served})
+	if h.wantResult(aspenshed.Served); !f.closed {
+		t.Error("the connection to a removed member is kept")
 	}
 }
 
-// Guards members short of connections, and the price of new ones: with 80 gateways a link of each kept for probes
-// alone doubled them. A probe goes out on an idle link and leaves it to the next attempt; only with none it opens one.
-func TestProbesAndAttemptsShareLinks(t *testing.T) {
-	g := newRig(t)
-	g.Probe("a")
-	f := g.links[0]
-	f.up()
+// Guards members with few connections, and the cost of new ones: with 80 gateways, a connection of each kept for probes
+// alone doubled their number. A probe uses an idle connection, or opens one, and leaves it to the next attempt.
+func TestProbesAndAttemptsShareConnections(t *testing.T) {
+	h := newHarness(t)
+	h.Probe("a")
+	f := h.conns[0]
+	f.ready()
 	f.done()
 	for range 3 {
-		if got := g.attempt("q"); got != f || len(g.links) != 1 {
-			t.Fatalf("the attempt opened another link: %d", len(g.links))
+		if got := h.startAttempt("q"); got != f || len(h.conns) != 1 {
+			t.Fatalf("the attempt opened another connection: %d", len(h.conns))
 		}
 		f.alive()
 		f.done()
-		g.ended(aspenshed.Served)
-		g.Probe("a")
-		if f.done(); len(g.links) != 1 {
-			t.Fatalf("the probe opened another link: %d", len(g.links))
+		h.wantResult(aspenshed.Served)
+		h.Probe("a")
+		if f.done(); len(h.conns) != 1 {
+			t.Fatalf("the probe opened another connection: %d", len(h.conns))
 		}
 	}
-	g.attempt("r") // out on the link: a probe does not wait for it
-	if g.Probe("a"); len(g.links) != 2 {
-		t.Errorf("%d links, want a second one for the probe beside an attempt", len(g.links))
+	h.startAttempt("r") // uses the connection: a probe does not wait for it
+	if h.Probe("a"); len(h.conns) != 2 {
+		t.Errorf("%d connections, want a second one for the probe beside an attempt", len(h.conns))
 	}
 }
--- a/internal/dataplane/dispatch/pool.go
+++ b/internal/dataplane/dispatch/pool.go
@@ -6,20 +6,20 @@
 	"aspenshed"
 )
 
-// pool is a member's connections.
+// pool holds the connections to a member.
 type pool struct {
 	memberID, address string
-	memberUp          bool          // the list has it up
-	draining          bool          // the list has said that it drains or is gone: nothing leaves for it from then on
-	idle              []*connection // the newest last
-	probeConn         *connection   // on which a probe is out
+	memberUp          bool          // the member list has it up
+	draining          bool          // the member list has it draining or removed: nothing more is sent to it
+	idle              []*connection // newest last
+	probeConn         *connection   // on which a probe is running
 }
 
-// UpdateMembers keeps addresses, and closes what is idle at members that are not up. Those that are gone are forgotten,
-// as ids are always new; what is still out there holds its pool itself.
-func (s *Stage) UpdateMembers(l aspenshed.MemberList, addresses map[string]string) {
+// UpdateMembers updates the addresses of members, and closes idle connections to members that are not up. Pools of
+// removed members are deleted, as member IDs are never reused; connections in use keep a reference to their pool.
+func (s *Stage) UpdateMembers(list aspenshed.MemberList, addresses map[string]string) {
 	listed := map[string]bool{}
-	for _, m := range l.Members {
+	for _, m := range list.Members {
 		listed[m.ID] = true
 		p := s.pools[m.ID]
 		if p == nil {
@@ -38,7 +38,7 @@
 			delete(s.pools, m.ID)
 		}
 	}
-	if !l.Complete {
+	if !list.Complete {
 		return
 	}
 	for _, p := range s.pools {
@@ -55,27 +55,27 @@
 
 func (s *Stage) takeIdle(p *pool) *connection {
 	for n := len(p.idle); n > 0; n = len(p.idle) {
-		l := p.idle[n-1]
+		c := p.idle[n-1]
 		p.idle = p.idle[:n-1]
-		if !s.idleExpired(l) {
-			return l
+		if !s.idleExpired(c) {
+			return c
 		}
-		l.close()
+		c.close()
 	}
 	return nil
 }
 
-func (s *Stage) idleExpired(l *connection) bool {
-	return s.IdleClose > 0 && s.Loop.Now() >= l.idleSince+max(s.IdleClose-idleCloseMargin, s.IdleClose/2)
+func (s *Stage) idleExpired(c *connection) bool {
+	return s.IdleClose > 0 && s.Loop.Now() >= c.idleSince+max(s.IdleClose-idleCloseMargin, s.IdleClose/2)
 }
 
-// closeOldestIdle closes the connection that has lain idle for longest, of whichever member.
+// closeOldestIdle closes the connection that has been idle the longest, of any member. It returns false if there is none.
 func (s *Stage) closeOldestIdle() bool {
 	var oldest *connection
 	for _, p := range s.pools {
-		for _, l := range p.idle {
-			if oldest == nil || l.idleSince < oldest.idleSince {
-				oldest = l
+		for _, c := range p.idle {
+			if oldest == nil || c.idleSince < oldest.idleSince {
+				oldest = c
 			}
 		}
 	}
@@ -86,30 +86,30 @@
 }
 
 func (s *Stage) openConnection(p *pool, probe bool) (*connection, error) {
-	l := &connection{stage: s, pool: p}
-	c, err := s.Backend.Open(p.address, s.ConnectTimeout, probe, l)
+	c := &connection{stage: s, pool: p}
+	backendConn, err := s.Backend.Open(p.address, s.ConnectTimeout, probe, c)
 	if err != nil {
 		return nil, err
 	}
-	l.backendConn = c
-	return l, nil
+	c.backendConn = backendConn
+	return c, nil
 }
 
-// ClosePool closes a member's idle connections.
+// ClosePool closes the idle connections to a member.
 func (s *Stage) ClosePool(member string) {
 	if p := s.pools[member]; p != nil {
-		for _, l := range slices.Clone(p.idle) {
-			l.close()
+		for _, c := range slices.Clone(p.idle) {
+			c.close()
 		}
 	}
 }
 
-// sweepIdle closes connections before the member does: a statement that crosses the close would be lost.
+// sweepIdle closes idle connections before the member does, as a statement sent at that moment would be lost.
 func (s *Stage) sweepIdle() {
 	for _, p := range s.pools {
-		for _, l := range slices.Clone(p.idle) {
-			if s.idleExpired(l) {
-				l.close()
+		for _, c := range slices.Clone(p.idle) {
+			if s.idleExpired(c) {
+				c.close()
 			}
 		}
 	}
--- a/internal/dataplane/dispatch/probe.go
+++ b/internal/dataplane/dispatch/probe.go
@@ -5,41 +5,41 @@
 	"aspenshed/internal/dataplane/request"
 )
 
-// Probe asks a member on an idle connection, or a new one. Connections are dear to a member that many gateways ask: the next
-// attempt there goes out on the same one.
+// Probe sends a probe on an idle connection, or a new one, and leaves it in the pool for the next attempt: a connection
+// kept for probes alone would be expensive for a member that many gateways probe.
 func (s *Stage) Probe(member string) {
 	p := s.pools[member]
 	if p == nil {
 		return
 	}
-	if l := p.probeConn; l != nil {
-		l.close()
-		s.finishProbe(l, request.Result{Outcome: aspenshed.TimedOut})
+	if c := p.probeConn; c != nil {
+		c.close()
+		s.finishProbe(c, request.Result{Outcome: aspenshed.TimedOut})
 	}
-	l := s.takeIdle(p)
-	if l == nil {
+	c := s.takeIdle(p)
+	if c == nil {
 		var err error
-		if l, err = s.openConnection(p, true); err != nil {
+		if c, err = s.openConnection(p, true); err != nil {
 			s.Loop.Post(func() {
 				s.finishProbe(&connection{stage: s, pool: p, probeStartedAt: s.Loop.Now()}, request.Result{Outcome: aspenshed.ConnectFailed})
 			})
 			return
 		}
 	}
-	p.probeConn = l
-	l.probing, l.probeStartedAt = true, s.Loop.Now()
-	l.probeTimer = s.Loop.At(l.probeStartedAt+probeTimeout, func() {
-		l.close()
-		s.finishProbe(l, request.Result{Outcome: aspenshed.TimedOut})
+	p.probeConn = c
+	c.probing, c.probeStartedAt = true, s.Loop.Now()
+	c.probeTimer = s.Loop.At(c.probeStartedAt+probeTimeout, func() {
+		c.close()
+		s.finishProbe(c, request.Result{Outcome: aspenshed.TimedOut})
 	})
-	if l.ready {
-		l.send()
+	if c.ready {
+		c.send()
 	}
 }
 
-func (s *Stage) finishProbe(l *connection, r request.Result) {
-	l.probing = false
-	s.Loop.StopTimer(l.probeTimer)
-	s.OnProbeEnd(l.pool.memberID, r)
-	s.Emit(aspenshed.ProbeResult{Member: l.pool.memberID, Outcome: r.Outcome, Duration: s.Loop.Now() - l.probeStartedAt, Report: r.Report})
+func (s *Stage) finishProbe(c *connection, r request.Result) {
+	c.probing = false
+	s.Loop.StopTimer(c.probeTimer)
+	s.OnProbeEnd(c.pool.memberID, r)
+	s.Emit(aspenshed.ProbeResult{Member: c.pool.memberID, Outcome: r.Outcome, Duration: s.Loop.Now() - c.probeStartedAt, Report: r.Report})
 }
