--- a/internal/dataplane/dispatch/attempt.go
+++ b/internal/dataplane/dispatch/attempt.go
@@ -17,7 +17,7 @@
 	conn             *connection
 	startedAt        aspenshed.Nanos
 	giveUpAt         aspenshed.Nanos // when it times out
-	sendBy           aspenshed.Nanos // the statement must not be sent later: the member's data may be too stale; 0: no limit
+	sendBy           aspenshed.Nanos // latest time to send the statement, as data goes stale; 0: no limit
 	connIdleTime     aspenshed.Nanos // how long its connection had been idle; 0 for a new one
 	connectionsTried int
 	giveUpTimer      *eventloop.Timer
--- a/internal/dataplane/dispatch/dispatch_test.go
+++ b/internal/dataplane/dispatch/dispatch_test.go
@@ -217,8 +217,8 @@
 	}
 }
 
-// A drain notice may come while an attempt waits for its connection: nothing may be sent after it. A member that is only
-// absent from a list still gets the statement if removal is not binding.
+// A drain notice may come while an attempt waits for its connection: nothing may be sent after it. A member that is
+// only absent from a list still gets the statement if removal is not binding.
 func TestNothingIsSentAfterADrainNotice(t *testing.T) {
 	for name, c := range map[string]struct {
 		list aspenshed.MemberList
--- a/internal/dataplane/dispatch/pool.go
+++ b/internal/dataplane/dispatch/pool.go
@@ -69,7 +69,7 @@
 	return s.IdleClose > 0 && s.Loop.Now() >= c.idleSince+max(s.IdleClose-idleCloseMargin, s.IdleClose/2)
 }
 
-// closeOldestIdle closes the connection that has been idle the longest, of any member. It returns false if there is none.
+// closeOldestIdle closes the connection of any member that has been idle the longest; false if there is none.
 func (s *Stage) closeOldestIdle() bool {
 	var oldest *connection
 	for _, p := range s.pools {
--- a/internal/dataplane/response/response.go
+++ b/internal/dataplane/response/response.go
@@ -1,5 +1,5 @@
-// Package response is the stage that answers: it knows every request that is owed
-// a final answer and gives each exactly one, in time.
+// Package response is the stage that tracks all pending requests and gives each exactly one response, shortly after its
+// deadline at the latest.
 package response
 
 import (
@@ -12,25 +12,25 @@
 	"aspenshed/internal/dataplane/request"
 )
 
-// Stage owes the final answers. All of it runs on the loop.
+// Stage tracks the pending requests. All methods must be called on the event loop.
 type Stage struct {
 	Loop *eventloop.Loop
-	// Grace past the deadline after which a request is answered without the module.
+	// Grace is how long after its deadline a request gets a response without the router.
 	Grace aspenshed.Nanos
-	// OnResponse hears of every final answer; Overdue of requests that the module has not answered.
+	// OnResponse is called for every response, OnDeadline for each request that the router has left without one.
 	OnResponse func(*request.Request, request.Response)
 	OnDeadline func(*request.Request)
 
 	pending map[string]*request.Request
 }
 
-// Track begins a request's time.
+// Track starts to track a request until its response.
 func (s *Stage) Track(r *request.Request) {
 	if s.pending == nil {
 		s.pending = map[string]*request.Request{}
 	}
 	s.pending[r.ID] = r
-	// Guards rule 1: whatever goes wrong above, the client gets an answer before it gives up.
+	// Whatever goes wrong elsewhere, the client gets a response before it gives up.
 	r.DeadlineTimer = s.Loop.At(r.Deadline+s.Grace, func() {
 		r.DeadlineTimer = nil
 		s.Respond(r, s.FallbackResponse(r, "deadline passed"))
@@ -38,27 +38,28 @@
 	})
 }
 
-// Pending is the number of requests owed an answer.
+// Pending returns the number of pending requests.
 func (s *Stage) Pending() int { return len(s.pending) }
 
-// Get returns a live request or nil.
+// Get returns a pending request, or nil.
 func (s *Stage) Get(id string) *request.Request { return s.pending[id] }
 
-// Respond gives the final answer; later ones are dropped.
-func (s *Stage) Respond(r *request.Request, f request.Response) {
+// Respond sends the response to a request. Later responses to it are dropped.
+func (s *Stage) Respond(r *request.Request, resp request.Response) {
 	if r == nil || r.Responded {
 		return
 	}
 	r.Responded = true
 	delete(s.pending, r.ID)
 	s.Loop.StopTimer(r.DeadlineTimer)
-	if f.Status != request.ClientGone {
-		r.Client.Respond(f)
+	if resp.Status != request.ClientGone {
+		r.Client.Respond(resp)
 	}
-	s.OnResponse(r, f)
+	s.OnResponse(r, resp)
 }
 
-// FallbackResponse is the answer that may be given whatever the class: a refusal only where nothing has run, as by what is only prepared.
+// FallbackResponse returns a response that is correct for every class: a refusal if nothing can have run, which is also
+// so for a statement that was only prepared, and a failure otherwise.
 func (s *Stage) FallbackResponse(r *request.Request, reason string) request.Response {
 	if !r.PrepareOnly && (r.MayHaveRun || r.InFlight) {
 		return request.Response{Status: request.Failed, Reason: reason}
@@ -66,5 +67,5 @@
 	return request.Response{Status: request.Refused, Reason: reason}
 }
 
-// AllPending are the live requests.
+// AllPending returns the pending requests.
 func (s *Stage) AllPending() []*request.Request { return slices.Collect(maps.Values(s.pending)) }
