--- a/internal/dataplane/accounting/accounting.go
+++ b/internal/dataplane/accounting/accounting.go
@@ -1,5 +1,5 @@
-// Package accounting is the last stage: it counts what became of requests and
-// attempts and writes the lines that on-call staff read.
+// Package accounting is the last stage: it counts the results of requests, attempts and probes, and logs them for
+// operators.
 package accounting
 
 import (
@@ -22,22 +22,22 @@
 	Outcomes, ProbeOutcomes                                 [aspenshed.UnknownOutcome + 1]uint64
 }
 
-// Stage counts. All of it runs on the loop.
+// Stage counts results. All methods must be called on the event loop.
 type Stage struct {
 	Loop   *eventloop.Loop
 	Log    *logrus.Entry
 	Counts Counts
 	last   Counts
 
-	rejectLogLimit rate.Sometimes // bad clients come by hundreds: they must not fill the log
+	rejectLogLimit rate.Sometimes // hundreds of broken clients must not flood the log
 	unlogged       int
-	loggedNames    map[string]bool // what a request named that is not known here, as logged
+	loggedNames    map[string]bool // rejection reasons with an unknown name that were logged
 }
 
-// maxLoggedNames is how many unknown names are logged: clients may send any number of them.
+// maxLoggedNames bounds how many unknown names are logged, as clients may send any number of them.
 const maxLoggedNames = 64
 
-// New makes a Stage.
+// New returns a Stage.
 func New(loop *eventloop.Loop, log *logrus.Entry) Stage {
 	return Stage{Loop: loop, Log: log, rejectLogLimit: rate.Sometimes{First: 10, Interval: time.Second}}
 }
@@ -48,7 +48,7 @@
 
 var statusNames = [...]string{request.Served: "served", request.Refused: "refused", request.Failed: "failed", request.ClientGone: "left"}
 
-// CountRequest counts a request.
+// CountRequest counts a request that was accepted.
 func (s *Stage) CountRequest(r *request.Request) {
 	if r.PrepareOnly {
 		s.Counts.PrepareOnly++
@@ -57,12 +57,12 @@
 	}
 }
 
-// CountResponse counts a final answer.
-func (s *Stage) CountResponse(r *request.Request, f request.Response) {
+// CountResponse counts a response and logs it at debug level.
+func (s *Stage) CountResponse(r *request.Request, resp request.Response) {
 	if r.PrepareOnly {
 		return
 	}
-	switch f.Status {
+	switch resp.Status {
 	case request.Served:
 		s.Counts.Served++
 	case request.Refused:
@@ -74,73 +74,73 @@
 	}
 	if s.debugEnabled() {
 		now := s.Loop.Now()
-		s.Log.WithFields(logrus.Fields{"id": r.ExternalID, "class": r.Class, "group": r.Group, "verdict": statusNames[f.Status],
-			"attempts": r.Attempts, "reason": f.Reason, "took_ms": (now - r.ArrivedAt) / 1e6, "left_ms": (r.Deadline - now) / 1e6}).
+		s.Log.WithFields(logrus.Fields{"id": r.ExternalID, "class": r.Class, "group": r.Group, "verdict": statusNames[resp.Status],
+			"attempts": r.Attempts, "reason": resp.Reason, "took_ms": (now - r.ArrivedAt) / 1e6, "left_ms": (r.Deadline - now) / 1e6}).
 			Debug("request ended")
 	}
 }
 
-// debugEnabled guards the ordinary path against the cost of lines that nobody reads.
+// debugEnabled saves the cost of debug lines that would be dropped.
 func (s *Stage) debugEnabled() bool { return s.Log.Logger.IsLevelEnabled(logrus.DebugLevel) }
 
-// CountRejected counts bad input. What is not known here, a class or tenant say, is logged once by its name.
+// CountRejected counts an invalid query. An unknown name, such as that of a class or tenant, is logged once.
 func (s *Stage) CountRejected(reason string) {
 	s.Counts.Rejected++
 	s.unlogged++
-	line := func() {
+	logLine := func() {
 		s.Log.WithFields(logrus.Fields{"reason": reason, "more": s.unlogged - 1}).Warn("bad request rejected")
 		s.unlogged = 0
 	}
 	switch {
 	case !strings.HasPrefix(reason, "unknown "):
-		s.rejectLogLimit.Do(line)
+		s.rejectLogLimit.Do(logLine)
 	case !s.loggedNames[reason] && len(s.loggedNames) < maxLoggedNames:
 		if s.loggedNames == nil {
 			s.loggedNames = map[string]bool{}
 		}
 		s.loggedNames[reason] = true
-		line()
+		logLine()
 	}
 }
 
-// CountAttempt counts an attempt's end.
-func (s *Stage) CountAttempt(q *request.Request, member string, r request.Result) {
+// CountAttempt counts the result of an attempt and logs it at debug level.
+func (s *Stage) CountAttempt(r *request.Request, member string, res request.Result) {
 	s.Counts.Attempts++
-	s.Counts.Outcomes[r.Outcome]++
+	s.Counts.Outcomes[res.Outcome]++
 	if s.debugEnabled() {
-		s.Log.WithFields(logrus.Fields{"id": q.ExternalID, "class": q.Class, "member": member, "outcome": outcomeNames[r.Outcome],
-			"detail": r.Detail, "took_ms": r.Elapsed / 1e6, "lay_ms": r.IdleTime / 1e6, "role": r.Role,
-			"begun_ms": (s.Loop.Now() - r.Elapsed - q.ArrivedAt) / 1e6}).Debug("attempt ended")
+		s.Log.WithFields(logrus.Fields{"id": r.ExternalID, "class": r.Class, "member": member, "outcome": outcomeNames[res.Outcome],
+			"detail": res.Detail, "took_ms": res.Elapsed / 1e6, "lay_ms": res.IdleTime / 1e6, "role": res.Role,
+			"begun_ms": (s.Loop.Now() - res.Elapsed - r.ArrivedAt) / 1e6}).Debug("attempt ended")
 	}
 }
 
-// CountProbe counts a probe's end.
-func (s *Stage) CountProbe(member string, r request.Result) {
+// CountProbe counts the result of a probe.
+func (s *Stage) CountProbe(member string, res request.Result) {
 	s.Counts.Probes++
-	s.Counts.ProbeOutcomes[r.Outcome]++
+	s.Counts.ProbeOutcomes[res.Outcome]++
 }
 
-// LogCounts logs what has changed since the last time.
-func (s *Stage) LogCounts(live int) {
+// LogCounts logs the changes since its last call, if there are any.
+func (s *Stage) LogCounts(pending int) {
 	c := s.Counts
 	if c == s.last {
 		return
 	}
-	f := logrus.Fields{"live": live, "taken": c.Accepted - s.last.Accepted, "served": c.Served - s.last.Served,
+	fields := logrus.Fields{"live": pending, "taken": c.Accepted - s.last.Accepted, "served": c.Served - s.last.Served,
 		"refused": c.Refused - s.last.Refused, "failed": c.Failed - s.last.Failed, "left": c.ClientGone - s.last.ClientGone,
 		"rejected": c.Rejected - s.last.Rejected}
-	add := func(prefix string, now, old [aspenshed.UnknownOutcome + 1]uint64) {
+	add := func(prefix string, now, before [aspenshed.UnknownOutcome + 1]uint64) {
 		for i, n := range now {
-			if n > old[i] {
-				f[prefix+outcomeNames[i]] = n - old[i]
+			if n > before[i] {
+				fields[prefix+outcomeNames[i]] = n - before[i]
 			}
 		}
 	}
 	if n := c.PrepareOnly - s.last.PrepareOnly; n > 0 {
-		f["prepared"] = n
+		fields["prepared"] = n
 	}
 	add("a_", c.Outcomes, s.last.Outcomes)
 	add("p_", c.ProbeOutcomes, s.last.ProbeOutcomes)
 	s.last = c
-	s.Log.WithFields(f).Info("counts")
+	s.Log.WithFields(fields).Info("counts")
 }
--- a/internal/dataplane/accounting/accounting_test.go
+++ b/internal/dataplane/accounting/accounting_test.go
@@ -10,7 +10,8 @@
 	"aspenshed/internal/dataplane/eventloop"
 )
 
-// Guards the log: an unknown class or tenant is named at once, and once, whatever else is rejected; the names are bounded.
+// An unknown class or tenant must be logged at once, and only once, whatever else is rejected. The number of names that
+// are logged must be bounded, as clients may send any number of them.
 func TestUnknownNamesAreLoggedOnce(t *testing.T) {
 	var out strings.Builder
 	log := logrus.New()
@@ -24,12 +25,12 @@
 		s.CountRejected(`unknown tenant "b"`)
 		s.CountRejected(fmt.Sprintf("unknown class \"x%d\"", i))
 	}
-	for word, want := range map[string]int{"class \\\"a\\\"": 1, "tenant \\\"b\\\"": 1, "unknown": maxLoggedNames} {
-		if got := strings.Count(out.String(), word); got != want {
-			t.Errorf("%s is in %d lines, want %d", word, got, want)
+	for text, want := range map[string]int{"class \\\"a\\\"": 1, "tenant \\\"b\\\"": 1, "unknown": maxLoggedNames} {
+		if got := strings.Count(out.String(), text); got != want {
+			t.Errorf("%s is in %d lines, want %d", text, got, want)
 		}
 	}
 	if s.Counts.Rejected != 20+6*maxLoggedNames {
-		t.Errorf("%d counted", s.Counts.Rejected)
+		t.Errorf("counted %d rejections", s.Counts.Rejected)
 	}
 }
