--- a/internal/dataplane/pipeline/pipeline.go
+++ b/internal/dataplane/pipeline/pipeline.go
@@ -1,5 +1,5 @@
-// Package pipeline wires the chain of stages for one pipeline: one Router, one
-// member list, one backend. Each front has an pipeline of its own, of the same code.
+// Package pipeline connects the stages of the data plane into a pipeline with one router, one member list and one
+// backend. Each front has its own pipeline.
 package pipeline
 
 import (
@@ -19,7 +19,7 @@
 
 const countsInterval = aspenshed.Nanos(10e9)
 
-// Config is what an pipeline is made of.
+// Config configures a Pipeline.
 type Config struct {
 	Loop       *eventloop.Loop
 	Log        *logrus.Entry
@@ -27,10 +27,10 @@
 	Seed       uint64
 	MaxPending int
 	Backend    request.Backend
-	Watch      func() // asks for the member list, where it must be asked for
+	Watch      func() // requests the member list, if it must be requested
 }
 
-// Pipeline is the chain: take in, admit, route, send, relay, book.
+// Pipeline is the chain of stages: accept, admission, routing, dispatch, response, accounting.
 type Pipeline struct {
 	Loop       *eventloop.Loop
 	Accept     accept.Stage
@@ -42,126 +42,126 @@
 	config     Config
 }
 
-// New wires an pipeline.
+// New returns a Pipeline whose stages are connected.
 func New(c Config) *Pipeline {
-	c.Settings.MayHedge = false // send carries one attempt of a request at a time, wherever more are allowed
-	e := &Pipeline{Loop: c.Loop, config: c}
-	e.Accounting = accounting.New(c.Loop, c.Log)
-	e.Response = response.Stage{Loop: c.Loop, Grace: c.Settings.ResponseSlack / 2, OnResponse: func(r *request.Request, f request.Response) {
-		e.Accounting.CountResponse(r, f)
-		e.Dispatch.Withdraw(r)
-		if !e.Dispatch.HasAttempt(r) {
-			e.Accept.ReleaseID(r)
+	c.Settings.MayHedge = false // dispatch runs one attempt of a request at a time, even if the settings allow more
+	p := &Pipeline{Loop: c.Loop, config: c}
+	p.Accounting = accounting.New(c.Loop, c.Log)
+	p.Response = response.Stage{Loop: c.Loop, Grace: c.Settings.ResponseSlack / 2, OnResponse: func(r *request.Request, resp request.Response) {
+		p.Accounting.CountResponse(r, resp)
+		p.Dispatch.Withdraw(r)
+		if !p.Dispatch.HasAttempt(r) {
+			p.Accept.ReleaseID(r)
 		}
 	}, OnDeadline: func(r *request.Request) {
 		c.Log.WithFields(logrus.Fields{"request": r.ID, "class": r.Class}).Warn("request answered at its deadline without the decision module")
-		e.Routing.AddEvent(aspenshed.RequestWithdrawn{ID: r.ID})
+		p.Routing.AddEvent(aspenshed.RequestWithdrawn{ID: r.ID})
 	}}
-	e.Dispatch = dispatch.Stage{Loop: c.Loop, Log: c.Log, Backend: c.Backend, ConnectTimeout: c.Settings.ConnectTimeout,
-		IdleClose: c.Settings.IdleTimeout, RemovalNotBinding: c.Settings.RemovalIsAdvisory, FindRequest: e.Response.Get, Emit: e.Routing.AddEvent,
+	p.Dispatch = dispatch.Stage{Loop: c.Loop, Log: c.Log, Backend: c.Backend, ConnectTimeout: c.Settings.ConnectTimeout,
+		IdleClose: c.Settings.IdleTimeout, RemovalNotBinding: c.Settings.RemovalIsAdvisory, FindRequest: p.Response.Get, Emit: p.Routing.AddEvent,
 		OnAnswer: func(r *request.Request, res request.Result) {
-			f := request.Response{Status: request.Served, Value: res.Value}
+			resp := request.Response{Status: request.Served, Value: res.Value}
 			if res.Outcome == aspenshed.StatementError {
-				f.Status, f.Reason = request.Failed, res.Detail
+				resp.Status, resp.Reason = request.Failed, res.Detail
 			}
-			e.Response.Respond(r, f)
+			p.Response.Respond(r, resp)
 		},
-		OnSettled: e.Accept.ReleaseID, OnAttemptEnd: e.Accounting.CountAttempt, OnProbeEnd: e.Accounting.CountProbe}
-	e.Routing = routing.Stage{Loop: c.Loop, Log: c.Log, Settings: c.Settings, Seed: c.Seed, Executor: e, OnPanic: func() {
-		e.FailAll("decision module panicked")
-		e.Dispatch.AbortAll()
+		OnSettled: p.Accept.ReleaseID, OnAttemptEnd: p.Accounting.CountAttempt, OnProbeEnd: p.Accounting.CountProbe}
+	p.Routing = routing.Stage{Loop: c.Loop, Log: c.Log, Settings: c.Settings, Seed: c.Seed, Executor: p, OnPanic: func() {
+		p.FailAll("decision module panicked")
+		p.Dispatch.AbortAll()
 	}}
-	e.Admission = admission.Stage{MaxPending: c.MaxPending, Pending: e.Response.Pending, Track: func(r *request.Request) {
-		e.Accounting.CountRequest(r)
-		e.Response.Track(r)
-	}, Refuse: e.Response.Respond, Next: e.Routing.Submit}
-	e.Accept = accept.Stage{Loop: c.Loop, Settings: &e.config.Settings, KnownGroup: e.Routing.KnownGroup,
-		Next: e.Admission.Admit, Reject: func(q request.Query, problem string) {
-			e.Accounting.CountRejected(problem)
-			q.Client.Respond(request.Response{Status: request.Failed, Reason: problem, Invalid: true})
+	p.Admission = admission.Stage{MaxPending: c.MaxPending, Pending: p.Response.Pending, Track: func(r *request.Request) {
+		p.Accounting.CountRequest(r)
+		p.Response.Track(r)
+	}, Refuse: p.Response.Respond, Next: p.Routing.Submit}
+	p.Accept = accept.Stage{Loop: c.Loop, Settings: &p.config.Settings, KnownGroup: p.Routing.KnownGroup,
+		Next: p.Admission.Admit, Reject: func(q request.Query, reason string) {
+			p.Accounting.CountRejected(reason)
+			q.Client.Respond(request.Response{Status: request.Failed, Reason: reason, Invalid: true})
 		}}
-	return e
+	return p
 }
 
-// Start begins with the members as last known.
-func (e *Pipeline) Start(known aspenshed.MemberList, addresses map[string]string) error {
-	e.Dispatch.Start()
-	e.Dispatch.UpdateMembers(known, addresses)
-	if err := e.Routing.Start(known.Members); err != nil {
+// Start starts the stages with the last known member list.
+func (p *Pipeline) Start(known aspenshed.MemberList, addresses map[string]string) error {
+	p.Dispatch.Start()
+	p.Dispatch.UpdateMembers(known, addresses)
+	if err := p.Routing.Start(known.Members); err != nil {
 		return err
 	}
-	after := e.Loop.AfterBatch
-	e.Loop.AfterBatch = func() {
-		after()
-		e.Routing.Step()
+	afterBatch := p.Loop.AfterBatch
+	p.Loop.AfterBatch = func() {
+		afterBatch()
+		p.Routing.Step()
 	}
-	e.logCounts()
+	p.logCounts()
 	return nil
 }
 
-func (e *Pipeline) logCounts() {
-	e.Accounting.LogCounts(e.Response.Pending())
-	e.Loop.At(e.Loop.Now()+countsInterval, e.logCounts)
+func (p *Pipeline) logCounts() {
+	p.Accounting.LogCounts(p.Response.Pending())
+	p.Loop.At(p.Loop.Now()+countsInterval, p.logCounts)
 }
 
-// Members takes news of the member list.
-func (e *Pipeline) Members(l aspenshed.MemberList, addresses map[string]string) {
-	e.Dispatch.UpdateMembers(l, addresses)
-	e.Routing.UpdateMembers(l)
+// Members applies an update of the member list.
+func (p *Pipeline) Members(list aspenshed.MemberList, addresses map[string]string) {
+	p.Dispatch.UpdateMembers(list, addresses)
+	p.Routing.UpdateMembers(list)
 }
 
-// Tell hands the module an event that comes from no wire.
-func (e *Pipeline) Tell(x aspenshed.Event) { e.Routing.AddEvent(x) }
+// Tell passes an event to the router.
+func (p *Pipeline) Tell(event aspenshed.Event) { p.Routing.AddEvent(event) }
 
-// Learned is what the module has learned, where it is one that tells.
-func (e *Pipeline) Learned() (aspenshed.LearnedState, bool) { return e.Routing.Learned() }
+// Learned returns the state that the router has learned, if it is an aspenshed.Router.
+func (p *Pipeline) Learned() (aspenshed.LearnedState, bool) { return p.Routing.Learned() }
 
-// DiscoveryFailed says that the list cannot be had just now.
-func (e *Pipeline) DiscoveryFailed(b aspenshed.DiscoveryFailed) { e.Routing.AddEvent(b) }
+// DiscoveryFailed reports that the member list is currently unavailable.
+func (p *Pipeline) DiscoveryFailed(event aspenshed.DiscoveryFailed) { p.Routing.AddEvent(event) }
 
-// Abandon says that a request's client has gone.
-func (e *Pipeline) Abandon(r *request.Request) {
+// Abandon reports that the client of a request has left.
+func (p *Pipeline) Abandon(r *request.Request) {
 	if !r.Responded {
-		e.Response.Respond(r, request.Response{Status: request.ClientGone})
-		e.Routing.AddEvent(aspenshed.RequestWithdrawn{ID: r.ID})
+		p.Response.Respond(r, request.Response{Status: request.ClientGone})
+		p.Routing.AddEvent(aspenshed.RequestWithdrawn{ID: r.ID})
 	}
 }
 
-// FailAll ends every request at hand.
-func (e *Pipeline) FailAll(reason string) {
-	for _, r := range e.Response.AllPending() {
-		e.Response.Respond(r, e.Response.FallbackResponse(r, reason))
-		e.Routing.AddEvent(aspenshed.RequestWithdrawn{ID: r.ID})
+// FailAll ends every pending request.
+func (p *Pipeline) FailAll(reason string) {
+	for _, r := range p.Response.AllPending() {
+		p.Response.Respond(r, p.Response.FallbackResponse(r, reason))
+		p.Routing.AddEvent(aspenshed.RequestWithdrawn{ID: r.ID})
 	}
 }
 
-// The module's actions.
+// The methods below implement routing.Executor.
 
 // Send starts an attempt.
-func (e *Pipeline) Send(id, member string, attempt int, giveUpAt, leaveBy aspenshed.Nanos) {
-	e.Dispatch.Send(id, member, attempt, giveUpAt, leaveBy)
+func (p *Pipeline) Send(id, member string, attempt int, deadline, sendBy aspenshed.Nanos) {
+	p.Dispatch.Send(id, member, attempt, deadline, sendBy)
 }
 
-// Cancel gives one up.
-func (e *Pipeline) Cancel(id string, attempt int) { e.Dispatch.Cancel(id, attempt) }
+// Cancel aborts an attempt.
+func (p *Pipeline) Cancel(id string, attempt int) { p.Dispatch.Cancel(id, attempt) }
 
-// Probe asks a member.
-func (e *Pipeline) Probe(member string) { e.Dispatch.Probe(member) }
+// Probe sends a probe to a member.
+func (p *Pipeline) Probe(member string) { p.Dispatch.Probe(member) }
 
-// ClosePool closes idle links.
-func (e *Pipeline) ClosePool(member string) { e.Dispatch.ClosePool(member) }
+// ClosePool closes the idle connections to a member.
+func (p *Pipeline) ClosePool(member string) { p.Dispatch.ClosePool(member) }
 
-// Watch asks for the member list.
-func (e *Pipeline) Watch() { e.config.Watch() }
+// Watch requests the member list.
+func (p *Pipeline) Watch() { p.config.Watch() }
 
-// Refuse ends a request that has not run.
-func (e *Pipeline) Refuse(id string, retryIn aspenshed.Nanos) {
-	e.Response.Respond(e.Response.Get(id), request.Response{Status: request.Refused, RetryAfter: retryIn, Reason: "try again"})
+// Refuse ends a request that has not been executed.
+func (p *Pipeline) Refuse(id string, retryAfter aspenshed.Nanos) {
+	p.Response.Respond(p.Response.Get(id), request.Response{Status: request.Refused, RetryAfter: retryAfter, Reason: "try again"})
 }
 
-// Fail ends a request that may have run.
-func (e *Pipeline) Fail(id string) {
-	if r := e.Response.Get(id); r != nil {
-		e.Response.Respond(r, request.Response{Status: request.Failed, Reason: "no answer that counts", Value: r.LastError})
+// Fail ends a request that may have been executed.
+func (p *Pipeline) Fail(id string) {
+	if r := p.Response.Get(id); r != nil {
+		p.Response.Respond(r, request.Response{Status: request.Failed, Reason: "no attempt succeeded", Value: r.LastError})
 	}
 }
--- a/internal/dataplane/pipeline/pipeline_test.go
+++ b/internal/dataplane/pipeline/pipeline_test.go
@@ -20,165 +20,168 @@
 
 func (c *clock) Now() aspenshed.Nanos { return c.now }
 
-// silent is a backend whose links never come up.
-type silent struct{}
+// silentBackend is a backend whose connections never become ready.
+type silentBackend struct{}
 
-func (silent) Open(string, aspenshed.Nanos, bool, request.ConnectionEvents) (request.Connection, error) {
-	return silent{}, nil
+func (silentBackend) Open(string, aspenshed.Nanos, bool, request.ConnectionEvents) (request.Connection, error) {
+	return silentBackend{}, nil
 }
-func (silent) Send(any, aspenshed.Nanos) bool { return true }
-func (silent) Probe() bool                    { return true }
-func (silent) MayHaveSent() bool              { return false }
-func (silent) Close()                         {}
+func (silentBackend) Send(any, aspenshed.Nanos) bool { return true }
+func (silentBackend) Probe() bool                    { return true }
+func (silentBackend) MayHaveSent() bool              { return false }
+func (silentBackend) Close()                         {}
 
-// client counts its answers.
-type client struct{ got []request.Response }
+// client records its responses.
+type client struct{ responses []request.Response }
 
-func (c *client) Respond(f request.Response) { c.got = append(c.got, f) }
+func (c *client) Respond(resp request.Response) { c.responses = append(c.responses, resp) }
 
-// brittle panics when it is told so.
-type brittle struct {
+// panickingDecider panics in the next Step once panicNext is set.
+type panickingDecider struct {
 	routing.Decider
-	now *bool
+	panicNext *bool
 }
 
-func (b brittle) Step(now aspenshed.Nanos, events []aspenshed.Event) []aspenshed.Action {
-	if *b.now {
-		*b.now = false
-		panic("a defect in the module")
+func (d panickingDecider) Step(now aspenshed.Nanos, events []aspenshed.Event) []aspenshed.Action {
+	if *d.panicNext {
+		*d.panicNext = false
+		panic("a defect in the router")
 	}
-	return b.Decider.Step(now, events)
+	return d.Decider.Step(now, events)
 }
 
-func start(t *testing.T, most int) (*Pipeline, *clock, *bool) {
+func startPipeline(t *testing.T, maxPending int) (*Pipeline, *clock, *bool) {
 	c := &clock{1000 * ms}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	e := New(Config{Loop: eventloop.NewLoop(c), Log: logrus.NewEntry(log), MaxPending: most, Backend: silent{}, Watch: func() {}, Settings: aspenshed.Settings{
+	p := New(Config{Loop: eventloop.NewLoop(c), Log: logrus.NewEntry(log), MaxPending: maxPending, Backend: silentBackend{}, Watch: func() {}, Settings: aspenshed.Settings{
 		MayProbe: true, MaxAttempts: 3, ResponseSlack: 20 * ms, Classes: []aspenshed.Class{{Name: "booking", Consistency: aspenshed.Write, LatencyTarget: 400 * ms,
 			ClientTimeout: 2000 * ms, Value: 1, LateValue: 0.5, RetrySafety: aspenshed.Unsafe}}}})
-	var fail bool
-	e.Routing.NewDecider = func(s aspenshed.Settings, seed uint64) (routing.Decider, error) {
+	var panicNext bool
+	p.Routing.NewDecider = func(s aspenshed.Settings, seed uint64) (routing.Decider, error) {
 		r, err := aspenshed.New(s, seed)
-		return brittle{r, &fail}, err
+		return panickingDecider{r, &panicNext}, err
 	}
-	if err := e.Start(aspenshed.MemberList{Complete: true, Members: []aspenshed.Member{{ID: "a", Group: 1, State: aspenshed.Up}}}, map[string]string{"a": "h:1"}); err != nil {
+	if err := p.Start(aspenshed.MemberList{Complete: true, Members: []aspenshed.Member{{ID: "a", Group: 1, State: aspenshed.Up}}}, map[string]string{"a": "h:1"}); err != nil {
 		t.Fatal(err)
 	}
-	return e, c, &fail
+	return p, c, &panicNext
 }
 
-func (c *client) ask(e *Pipeline) *request.Request {
-	return e.Accept.Accept(request.Query{Group: 1, Timeout: 900 * ms, Client: c}, e.Loop.Now())
+func (c *client) send(p *Pipeline) *request.Request {
+	return p.Accept.Accept(request.Query{Group: 1, Timeout: 900 * ms, Client: c}, p.Loop.Now())
 }
 
-// Guards rule 1 against a defect in the module: whoever waits gets an answer, and the next request is decided.
-func TestPanicInTheModuleAnswersEverybody(t *testing.T) {
-	e, _, fail := start(t, 10)
+// After a panic of the router, every pending request must get a response and the next request must be decided on.
+func TestRouterPanicAnswersAllRequests(t *testing.T) {
+	p, _, panicNext := startPipeline(t, 10)
 	var c client
-	c.ask(e)
-	e.Loop.Post(func() {})
-	e.Loop.RunPending()
-	if len(c.got) != 0 {
-		t.Fatalf("answered at once: %+v", c.got)
+	c.send(p)
+	p.Loop.Post(func() {})
+	p.Loop.RunPending()
+	if len(c.responses) != 0 {
+		t.Fatalf("response at once: %+v", c.responses)
 	}
-	*fail = true
-	e.Loop.Post(func() {})
-	e.Loop.RunPending()
-	if len(c.got) != 1 || c.got[0].Status != request.Refused || e.Response.Pending() != 0 {
-		t.Fatalf("after the panic: %+v", c.got)
+	*panicNext = true
+	p.Loop.Post(func() {})
+	p.Loop.RunPending()
+	if len(c.responses) != 1 || c.responses[0].Status != request.Refused || p.Response.Pending() != 0 {
+		t.Fatalf("after the panic: %+v", c.responses)
 	}
-	c.ask(e)
-	e.Loop.Post(func() {})
-	e.Loop.RunPending()
-	if e.Response.Pending() != 1 || len(c.got) != 1 {
-		t.Errorf("the next request was not held: %+v", c.got)
+	c.send(p)
+	p.Loop.Post(func() {})
+	p.Loop.RunPending()
+	if p.Response.Pending() != 1 || len(c.responses) != 1 {
+		t.Errorf("the next request is not pending: %+v", c.responses)
 	}
 }
 
-// Guards rule 1 against a module that says nothing: the answer at the deadline promises only what is known.
-func TestDeadlineAnswersWithoutTheModule(t *testing.T) {
-	for out, want := range map[bool]request.Status{true: request.Failed, false: request.Refused} {
-		e, clock, _ := start(t, 10)
+// If the router stays silent, the client must still get a response at its deadline: a refusal only if nothing can have
+// run, else a failure.
+func TestDeadlineAnswersWithoutTheRouter(t *testing.T) {
+	for inFlight, want := range map[bool]request.Status{true: request.Failed, false: request.Refused} {
+		p, clock, _ := startPipeline(t, 10)
 		var c client
-		r := c.ask(e)
-		r.InFlight = out
+		r := c.send(p)
+		r.InFlight = inFlight
 		clock.now += 910 * ms
-		e.Loop.AfterBatch = func() {} // the module is not asked
-		e.Loop.RunPending()
-		if len(c.got) != 1 || c.got[0].Status != want {
-			t.Errorf("out %t: %+v", out, c.got)
+		p.Loop.AfterBatch = func() {} // the router is not called
+		p.Loop.RunPending()
+		if len(c.responses) != 1 || c.responses[0].Status != want {
+			t.Errorf("in flight %t: %+v", inFlight, c.responses)
 		}
-		e.Fail(r.ID)
-		e.Abandon(r)
-		if len(c.got) != 1 {
-			t.Errorf("%d answers", len(c.got))
+		p.Fail(r.ID)
+		p.Abandon(r)
+		if len(c.responses) != 1 {
+			t.Errorf("%d responses", len(c.responses))
 		}
 	}
 }
 
-func TestMoreThanMayBeHeldIsRefused(t *testing.T) {
-	e, _, _ := start(t, 1)
+func TestRequestsBeyondMaxPendingAreRefused(t *testing.T) {
+	p, _, _ := startPipeline(t, 1)
 	var a, b client
-	a.ask(e)
-	b.ask(e)
-	if len(a.got) != 0 || len(b.got) != 1 || b.got[0].Status != request.Refused {
-		t.Errorf("first %+v, second %+v", a.got, b.got)
+	a.send(p)
+	b.send(p)
+	if len(a.responses) != 0 || len(b.responses) != 1 || b.responses[0].Status != request.Refused {
+		t.Errorf("first %+v, second %+v", a.responses, b.responses)
 	}
 }
 
-// Guards all other requests against a defect in one stage or front.
-func TestPanicOnTheLoopIsSurvived(t *testing.T) {
-	e, clock, _ := start(t, 10)
-	var said []any
-	e.Loop.OnPanic = func(p any) { said = append(said, p) }
+// A panic in one stage or front must not affect the other requests.
+func TestPanicOnTheLoopIsRecovered(t *testing.T) {
+	p, clock, _ := startPipeline(t, 10)
+	var panics []any
+	p.Loop.OnPanic = func(v any) { panics = append(panics, v) }
 	var c client
-	e.Loop.Post(func() { c.ask(e) })
-	e.Loop.Post(func() { panic("a defect") })
-	e.Loop.RunPending()
+	p.Loop.Post(func() { c.send(p) })
+	p.Loop.Post(func() { panic("a defect") })
+	p.Loop.RunPending()
 	clock.now += 910 * ms
-	if e.Loop.RunPending(); len(said) != 1 || len(c.got) != 1 {
-		t.Errorf("heard of %v, answers %+v", said, c.got)
+	if p.Loop.RunPending(); len(panics) != 1 || len(c.responses) != 1 {
+		t.Errorf("panics %v, responses %+v", panics, c.responses)
 	}
 }
 
-// Guards memory on long days: what a new Router would start from holds the members there are, not all there were.
-func TestMembersThatLeftAreNotKept(t *testing.T) {
-	e, _, _ := start(t, 10)
+// Guards against a memory leak: the members with which a new router would start must not include removed ones.
+func TestRemovedMembersAreNotKept(t *testing.T) {
+	p, _, _ := startPipeline(t, 10)
 	for i := range 50 {
 		id := fmt.Sprint("n", i)
-		e.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, Group: 1, State: aspenshed.Up}}}, map[string]string{id: "h:2"})
-		e.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, Group: 1, State: aspenshed.Removed}}}, nil)
+		p.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, Group: 1, State: aspenshed.Up}}}, map[string]string{id: "h:2"})
+		p.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, Group: 1, State: aspenshed.Removed}}}, nil)
 	}
-	if got := e.Routing.LastMembers(); len(got) != 1 || got[0].ID != "a" {
-		t.Errorf("kept %+v", got)
+	if kept := p.Routing.LastMembers(); len(kept) != 1 || kept[0].ID != "a" {
+		t.Errorf("kept %+v", kept)
 	}
 }
 
-// Guards "one attempt out per request" where settings allow more: the module must know that a silent attempt is to be given
-// up before the next goes out. Asked for a copy, send would refuse it, and the read stay where nobody answers.
-func TestTheModuleAsksForNoCopies(t *testing.T) {
-	var told []aspenshed.Settings
-	e := New(Config{Loop: eventloop.NewLoop(&clock{1000 * ms}), Log: logrus.NewEntry(logrus.New()), Backend: silent{}, Watch: func() {},
+// Guards the rule of one running attempt per request where the settings allow more: the router must know that it has to
+// cancel a silent attempt before the next one. Dispatch would refuse a second attempt, and the read would wait for a
+// member that doesn't answer.
+func TestRouterDoesNotHedge(t *testing.T) {
+	var settings []aspenshed.Settings
+	p := New(Config{Loop: eventloop.NewLoop(&clock{1000 * ms}), Log: logrus.NewEntry(logrus.New()), Backend: silentBackend{}, Watch: func() {},
 		Settings: aspenshed.Settings{MayHedge: true, MayCancel: true, Classes: []aspenshed.Class{{Name: "x", Consistency: aspenshed.Eventual, LatencyTarget: ms, ClientTimeout: ms, RetrySafety: aspenshed.Safe}}}})
-	e.Routing.NewDecider = func(s aspenshed.Settings, seed uint64) (routing.Decider, error) {
-		told = append(told, s)
+	p.Routing.NewDecider = func(s aspenshed.Settings, seed uint64) (routing.Decider, error) {
+		settings = append(settings, s)
 		return aspenshed.New(s, seed)
 	}
-	if err := e.Start(aspenshed.MemberList{}, nil); err != nil || len(told) != 1 || told[0].MayHedge || !told[0].MayCancel {
-		t.Errorf("%v: the module was told %+v", err, told)
+	if err := p.Start(aspenshed.MemberList{}, nil); err != nil || len(settings) != 1 || settings[0].MayHedge || !settings[0].MayCancel {
+		t.Errorf("%v: settings of the router: %+v", err, settings)
 	}
 }
 
-// Guards clients that prepare a statement as the gateway ends: nothing has run, so they may come again elsewhere.
-func TestWhatIsOnlyPreparedIsRefused(t *testing.T) {
-	for auxiliary, want := range map[bool]request.Status{true: request.Refused, false: request.Failed} {
-		e, _, _ := start(t, 10)
+// A client that prepares a statement while the gateway stops must be refused, not failed: nothing has run, so it may
+// retry elsewhere.
+func TestPreparingIsRefusedNotFailed(t *testing.T) {
+	for prepareOnly, want := range map[bool]request.Status{true: request.Refused, false: request.Failed} {
+		p, _, _ := startPipeline(t, 10)
 		var c client
-		r := c.ask(e)
-		r.PrepareOnly, r.InFlight = auxiliary, true
-		if e.FailAll("the gateway ends"); len(c.got) != 1 || c.got[0].Status != want {
-			t.Errorf("only prepared %t: answered %+v, want %d", auxiliary, c.got, want)
+		r := c.send(p)
+		r.PrepareOnly, r.InFlight = prepareOnly, true
+		if p.FailAll("the gateway ends"); len(c.responses) != 1 || c.responses[0].Status != want {
+			t.Errorf("only prepared %t: responses %+v, want %d", prepareOnly, c.responses, want)
 		}
 	}
 }
