--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -14,50 +14,52 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Conn is one connection. Its methods may be called from any goroutine.
+// Conn is a connection. Its methods may be called from any goroutine.
 type Conn struct {
-	mu          sync.Mutex // held while the poller comes to know c: before that nobody may close it
-	nbConn      *nbio.Conn // nil while the dial is on
+	mu          sync.Mutex // held while nbConn is registered with the poller: it must not be closed before
+	nbConn      *nbio.Conn // nil while dialing
 	handler     Handler
-	closed      atomic.Bool  // the handler hears nothing more
-	unsentBytes atomic.Int64 // bytes that Write has taken and the system not yet
-	descriptors *atomic.Int64
+	closed      atomic.Bool   // the handler gets no more calls
+	unsentBytes atomic.Int64  // bytes accepted by Write but not by the kernel
+	descriptors *atomic.Int64 // count of the connections in the same direction
 	queue       writeQueue
 	flusher     *flusher
-	cancelDial  context.CancelFunc // of the dial
+	cancelDial  context.CancelFunc
 
-	readMu sync.Mutex // held from a read to the end of its Data: Shut knows by it that nothing lies between the two
+	readMu sync.Mutex // held from a read until its Data returns, so that Shut finds no data between the two
 }
 
-// closeViaPoller ends sending at once and has the poller close c. A descriptor that anybody else closed could be another
-// connection's before the poller comes to what the system had told it of this one, and that one would end for it.
-func closeViaPoller(c *nbio.Conn) {
-	c.Lock() // it can't be closed meanwhile
-	defer c.Unlock()
-	closeViaPollerLocked(c)
+// closeViaPoller shuts the socket down and has the poller close it. If another goroutine closed the descriptor, the
+// kernel could reuse its number before the poller has handled the pending events of the old connection, which would
+// then end the new one.
+func closeViaPoller(nb *nbio.Conn) {
+	nb.Lock() // prevents a concurrent close
+	defer nb.Unlock()
+	closeViaPollerLocked(nb)
 }
 
-// closeViaPollerLocked is hangUp for one who holds c's lock.
-func closeViaPollerLocked(c *nbio.Conn) {
-	if done, _ := c.IsClosed(); !done {
-		_ = syscall.Shutdown(c.Hash(), syscall.SHUT_RDWR) // where that fails the poller has the end before it already
+// closeViaPollerLocked is closeViaPoller for callers that hold the lock of the nbio connection.
+func closeViaPollerLocked(nb *nbio.Conn) {
+	if done, _ := nb.IsClosed(); !done {
+		_ = syscall.Shutdown(nb.Hash(), syscall.SHUT_RDWR) // on an error the poller already has the close event
 	}
 }
 
-func (x *Conn) loadConn() *nbio.Conn {
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	return x.nbConn
+// loadConn returns the nbio connection, or nil while dialing.
+func (c *Conn) loadConn() *nbio.Conn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.nbConn
 }
 
-// Unsent tells whether some of what was written still waits for the peer to read. Close would drop it.
-func (x *Conn) Unsent() bool { return x.unsentBytes.Load() > 0 }
+// Unsent reports whether written data is still queued. Close would drop it.
+func (c *Conn) Unsent() bool { return c.unsentBytes.Load() > 0 }
 
-// read hands on what has come; the caller holds reading. whole: until nothing is left, though that costs one more call.
-// An error means that nothing more will come.
-func (x *Conn) read(c *nbio.Conn, buf []byte, whole bool) error {
+// read passes received data to the handler. The caller holds readMu. If drain is set, it reads until the kernel has no
+// more data, which costs an extra system call. An error means that no more data will come.
+func (c *Conn) read(nb *nbio.Conn, buf []byte, drain bool) error {
 	for range maxReadsPerEvent {
-		n, err := c.Read(buf)
+		n, err := nb.Read(buf)
 		switch {
 		case errors.Is(err, syscall.EINTR):
 		case errors.Is(err, syscall.EAGAIN):
@@ -67,10 +69,10 @@
 		case n == 0:
 			return io.EOF
 		default:
-			if !x.closed.Load() {
-				x.callHandler(func() { x.handler.Data(buf[:n]) })
+			if !c.closed.Load() {
+				c.callHandler(func() { c.handler.Data(buf[:n]) })
 			}
-			if n < len(buf) && !whole {
+			if n < len(buf) && !drain {
 				return nil
 			}
 		}
@@ -78,80 +80,81 @@
 	return nil
 }
 
-// Shut ends the connection in order: it stops sending, drops what still comes, and closes once the peer has, within
-// LingerLimit. A close over unread bytes would reset the connection, and take with it what the peer has not read yet.
+// Shut closes the connection gracefully: it shuts down the sending side, discards what is still received, and closes
+// once the peer has closed, after LingerTimeout at the latest. A close with unread data would reset the connection and
+// lose what the peer has not read yet.
 //
-// All that has come before is handed on first. Then idle says whether that leaves the connection without a purpose; if
-// not, nothing happens and Shut returns false. What comes later was never read, and its sender knows that.
-// After Shut, as after Close, no Closed follows.
-func (x *Conn) Shut(idle func() bool) bool {
-	x.readMu.Lock()
-	defer x.readMu.Unlock()
-	c := x.loadConn()
-	if c == nil {
-		x.Close()
+// All data received so far is passed to the handler first. If idle then returns false, Shut does nothing and returns
+// false. Data received later is never read, which the peer can detect.
+// After Shut, as after Close, Closed is not called.
+func (c *Conn) Shut(idle func() bool) bool {
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
+	nb := c.loadConn()
+	if nb == nil {
+		c.Close()
 		return true
 	}
-	err := x.read(c, make([]byte, 4<<10), true)
+	err := c.read(nb, make([]byte, 4<<10), true)
 	if !idle() {
 		return false
 	}
-	x.closed.Store(true)
+	c.closed.Store(true)
 	if err == nil {
-		c.Lock() // it can't be closed meanwhile
-		if done, _ := c.IsClosed(); !done {
-			err = syscall.Shutdown(c.Hash(), syscall.SHUT_WR)
+		nb.Lock() // prevents a concurrent close
+		if done, _ := nb.IsClosed(); !done {
+			err = syscall.Shutdown(nb.Hash(), syscall.SHUT_WR)
 		}
-		c.Unlock()
+		nb.Unlock()
 	}
 	if err != nil {
-		closeViaPoller(c)
+		closeViaPoller(nb)
 		return true
 	}
-	time.AfterFunc(LingerTimeout, func() { closeViaPoller(c) })
+	time.AfterFunc(LingerTimeout, func() { closeViaPoller(nb) })
 	return true
 }
 
-// Close ends the connection at once; no Closed follows.
-func (x *Conn) Close() {
-	x.closed.Store(true)
-	if c := x.loadConn(); c != nil {
-		closeViaPoller(c)
-	} else if x.cancelDial != nil {
-		x.cancelDial()
+// Close closes the connection at once. Closed is not called.
+func (c *Conn) Close() {
+	c.closed.Store(true)
+	if nb := c.loadConn(); nb != nil {
+		closeViaPoller(nb)
+	} else if c.cancelDial != nil {
+		c.cancelDial()
 	}
 }
 
-// connectionEnded gives the descriptor back and tells the handler, unless it closed itself.
-func (x *Conn) connectionEnded(err error) {
-	x.descriptors.Add(-1)
-	if c := x.loadConn(); c != nil {
-		err = cmp.Or(x.closeQueue(c), err)
+// connectionEnded releases the descriptor and calls Closed, unless the connection was closed from this side.
+func (c *Conn) connectionEnded(err error) {
+	c.descriptors.Add(-1)
+	if nb := c.loadConn(); nb != nil {
+		err = cmp.Or(c.closeQueue(nb), err)
 	}
-	x.waitForReader()
-	x.notifyClosed(err)
+	c.waitForReader()
+	c.notifyClosed(err)
 }
 
-// waitForReader returns once the handler has had all that was read. nbio reports the end of a connection on a goroutine
-// of its own, which may overtake the one that reads. A read that begins later finds the connection ended.
-func (x *Conn) waitForReader() {
-	x.readMu.Lock()
-	defer x.readMu.Unlock()
+// waitForReader returns once the handler has processed all data that was read. nbio reports the end of a connection on
+// a separate goroutine, which may overtake the one that reads. A read that starts later finds the connection closed.
+func (c *Conn) waitForReader() {
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 }
 
-func (x *Conn) notifyClosed(err error) {
-	if !x.closed.Swap(true) {
-		x.handler.Closed(err)
+func (c *Conn) notifyClosed(err error) {
+	if !c.closed.Swap(true) {
+		c.handler.Closed(err)
 	}
 }
 
-// callHandler keeps a panic in a parser from ending the program: the connection is closed instead.
-func (x *Conn) callHandler(f func()) {
+// callHandler recovers from a panic in the handler, such as in a parser, and closes the connection.
+func (c *Conn) callHandler(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			logrus.WithField("panic", p).Error("connection closed: panic while reading it")
-			if c := x.loadConn(); c != nil {
-				closeViaPoller(c)
+			logrus.WithField("panic", p).Error("connection closed: panic in its handler")
+			if nb := c.loadConn(); nb != nil {
+				closeViaPoller(nb)
 			}
 		}
 	}()
--- a/internal/netio/dial.go
+++ b/internal/netio/dial.go
@@ -11,73 +11,72 @@
 	"github.com/lesismal/nbio"
 )
 
-// Dial connects without blocking. Closed(ErrRefused) comes if that fails within
-// the limit, Up otherwise.
+// Dial connects without blocking. Up is called on success within the timeout, and Closed otherwise, with ErrRefused or,
+// for a connection that was reset, ErrClosed. With reserved set, the dial may use the ReservedDials.
 //
-// nbio's own DialAsync (v1.6.8) cannot be used: it cuts an IPv4 address out of
-// the first four bytes of its 16-byte form and so dials 0.0.0.0. The net
-// package's dialer, which does not block a thread either, connects instead;
-// nbio has the socket from then on.
-func (n *Net) Dial(addr string, limit time.Duration, reserved bool, h Handler) (*Conn, error) {
-	most := n.config.MaxDials
+// nbio's own DialAsync (v1.6.8) can't be used: it takes an IPv4 address from the first four bytes of its 16-byte form,
+// and so dials 0.0.0.0. The dialer of package net, which doesn't block a thread either, connects instead, and the
+// socket is then passed to nbio.
+func (n *Net) Dial(addr string, timeout time.Duration, reserved bool, h Handler) (*Conn, error) {
+	maxDials := n.config.MaxDials
 	if !reserved {
-		most -= n.config.ReservedDials
+		maxDials -= n.config.ReservedDials
 	}
-	if n.dials.Add(1) > int64(most) {
+	if n.dials.Add(1) > int64(maxDials) {
 		n.dials.Add(-1)
 		return nil, ErrDescriptorLimit
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
-	x := &Conn{handler: h, descriptors: &n.dials, flusher: n.flusher, cancelDial: cancel}
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	c := &Conn{handler: h, descriptors: &n.dials, flusher: n.flusher, cancelDial: cancel}
 	go func() {
 		defer cancel()
 		var d net.Dialer
-		network, where := splitAddress(addr)
-		conn, err := d.DialContext(ctx, network, where)
+		network, address := splitAddress(addr)
+		conn, err := d.DialContext(ctx, network, address)
 		if err == nil {
-			err = n.register(x, conn)
+			err = n.register(c, conn)
 		}
-		if errors.Is(err, syscall.ECONNRESET) { // something on the way: a member that is there answers the next dial
-			x.connectionEnded(fmt.Errorf("%w: %v", ErrClosed, err))
+		if errors.Is(err, syscall.ECONNRESET) { // reset by the network: a reachable member accepts the next dial
+			c.connectionEnded(fmt.Errorf("%w: %v", ErrClosed, err))
 		} else if err != nil {
-			x.connectionEnded(fmt.Errorf("%w: %v", ErrRefused, err))
+			c.connectionEnded(fmt.Errorf("%w: %v", ErrRefused, err))
 		}
 	}()
-	return x, nil
+	return c, nil
 }
 
-// register hands a connected socket to nbio. After an error nothing is left open.
-func (n *Net) register(x *Conn, conn net.Conn) error {
+// register passes a connected socket to nbio. On an error, it is closed.
+func (n *Net) register(c *Conn, conn net.Conn) error {
 	n.stopMu.RLock()
 	defer n.stopMu.RUnlock()
-	if n.stopped { // a poller that ends must come to know no more connections
+	if n.stopped { // no connection may be registered with a poller that stops
 		_ = conn.Close()
 		return ErrClosed
 	}
-	// nbio's own descriptor, a copy, must not be inherited: in another program it would outlive its close here, and epoll go
-	// on telling of it under a number that is another connection's by then.
+	// nbio duplicates the descriptor. A child process must not inherit the copy: it would outlive its close here, and
+	// epoll would keep reporting events under a number that belongs to another connection by then.
 	syscall.ForkLock.RLock()
-	c, err := nbio.NBConn(conn)
+	nb, err := nbio.NBConn(conn)
 	if err == nil {
-		syscall.CloseOnExec(c.Hash())
+		syscall.CloseOnExec(nb.Hash())
 	}
 	syscall.ForkLock.RUnlock()
 	if err != nil {
 		_ = conn.Close()
 		return err
 	}
-	c.SetSession(x)
-	x.mu.Lock()
-	x.nbConn = c
+	nb.SetSession(c)
+	c.mu.Lock()
+	c.nbConn = nb
 	n.published.Add(1)
-	_, err = n.engine.AddConn(c)
-	x.mu.Unlock()
+	_, err = n.engine.AddConn(nb)
+	c.mu.Unlock()
 	switch {
-	case err != nil: // nbio has closed it, and OnClose gives the descriptor back
-	case x.closed.Load():
-		closeViaPoller(c)
+	case err != nil: // nbio has closed it, and OnClose releases the descriptor
+	case c.closed.Load():
+		closeViaPoller(nb)
 	default:
-		x.callHandler(x.handler.Up)
+		c.callHandler(c.handler.Up)
 	}
 	return nil
 }
--- a/internal/netio/listen.go
+++ b/internal/netio/listen.go
@@ -14,28 +14,29 @@
 	"github.com/sirupsen/logrus"
 )
 
-// listener guards nbio's accept loop, which spins on every error.
+// listener wraps the listener of nbio, whose accept loop would spin on errors.
 type listener struct {
 	net.Listener
 	stopping, closed                chan struct{}
-	accepting                       chan struct{} // closed at the first Accept: nbio (v1.6.8) forgets a Stop that comes before it, and spins
+	accepting                       chan struct{} // closed at the first Accept: nbio (v1.6.8) loses an earlier Stop, and spins
 	acceptOnce, stopOnce, closeOnce sync.Once
 }
 
-// splitAddress tells a local socket's path from host and port.
-func splitAddress(addr string) (network, where string) {
+// splitAddress returns the network of an address, and the path of a local socket or the host and port.
+func splitAddress(addr string) (network, address string) {
 	if path, ok := strings.CutPrefix(addr, "unix:"); ok {
 		return "unix", path
 	}
 	return "tcp", addr
 }
 
-// listenLocal makes a socket in a folder that nobody else can enter, and moves it out once its permissions are set: there
-// is no moment at which others could open it. One that a killed program left behind is replaced.
+// listenLocal creates a socket in a directory that no other user can enter, and moves it to its path once its
+// permissions are set, so that others can't open it at any moment. A socket left behind by a killed process is
+// replaced.
 func listenLocal(path string) (net.Listener, error) {
 	if c, err := net.Dial("unix", path); err == nil {
 		_ = c.Close()
-		return nil, fmt.Errorf("%s is in use by another program", path)
+		return nil, fmt.Errorf("%s is in use by another process", path)
 	}
 	dir, err := os.MkdirTemp(filepath.Dir(path), ".s")
 	if err != nil {
@@ -77,24 +78,24 @@
 	case <-l.stopping:
 		<-l.closed
 	case <-l.closed:
-	case <-time.After(10 * time.Millisecond): // out of descriptors, say
+	case <-time.After(10 * time.Millisecond): // for example out of descriptors; avoids a busy loop
 		logrus.WithError(err).Warn("accept failed")
 	}
 	return nil, err
 }
 
-// stopAccepting closes the listener and returns the connections that waited to be accepted.
-func (l *listener) stopAccepting() (waiting []net.Conn) {
+// stopAccepting closes the listener and returns the connections that were in its backlog.
+func (l *listener) stopAccepting() (backlog []net.Conn) {
 	l.stopOnce.Do(func() {
 		close(l.stopping)
-		waiting = l.acceptPending()
+		backlog = l.acceptPending()
 		_ = l.Listener.Close()
 	})
-	return waiting
+	return backlog
 }
 
-// acceptPending accepts what is there, without acceptPending for more.
-func (l *listener) acceptPending() (out []net.Conn) {
+// acceptPending accepts the connections in the backlog, without blocking.
+func (l *listener) acceptPending() (backlog []net.Conn) {
 	sc, ok := l.Listener.(syscall.Conn)
 	if !ok {
 		return nil
@@ -110,17 +111,17 @@
 			case nil:
 			case syscall.EINTR, syscall.ECONNABORTED:
 				continue
-			default: // EAGAIN: that was all
+			default: // EAGAIN: the backlog is empty
 				return
 			}
 			f := os.NewFile(uintptr(next), "accepted")
 			if c, err := net.FileConn(f); err == nil {
-				out = append(out, c)
+				backlog = append(backlog, c)
 			}
 			_ = f.Close()
 		}
 	})
-	return out
+	return backlog
 }
 
 func (l *listener) Close() error {
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -1,6 +1,5 @@
-// Package netio is the project's only door to sockets: one nbio engine with
-// at most one listener, non-blocking dials, a budget of descriptors and bounded
-// write buffers.
+// Package netio provides all socket I/O of the project: an nbio engine with at most one listener, non-blocking dials,
+// limits on open connections and bounded write buffers.
 package netio
 
 import (
@@ -17,24 +16,25 @@
 	"golang.org/x/time/rate"
 )
 
-// The errors that a Handler can tell apart.
+// Errors of a dial and errors passed to Handler.Closed.
 var (
-	ErrRefused         = errors.New("connection refused or never up")
-	ErrDescriptorLimit = errors.New("descriptor budget spent")
+	ErrRefused         = errors.New("connection refused or not established in time")
+	ErrDescriptorLimit = errors.New("connection limit reached")
 	ErrClosed          = errors.New("connection closed")
 )
 
 const (
-	stopTimeout      = 2 * time.Second // for an engine to end
+	stopTimeout      = 2 * time.Second // for an engine to stop
 	readBufferSize   = 64 << 10
-	maxReadsPerEvent = 64 // of one connection at a time: more than a system's receive buffer holds
-	// LingerTimeout is how long a connection that was shut is read on for, so that what its client had under way does not
-	// reset it: a few round trips, and with the 2 s of a client that says nothing less than the 3 s that bad ones get.
+	maxReadsPerEvent = 64 // bounds what one connection reads per event to more than a receive buffer holds
+	// LingerTimeout is how long a connection is read from after Shut, so that data in flight from the client doesn't reset
+	// it. It covers a few round trips, and together with the 2 s granted to a silent client it stays below the 3 s granted
+	// to a misbehaving one.
 	LingerTimeout = 500 * time.Millisecond
 )
 
-// Handler takes what happens on one connection. Data must copy what it keeps, never runs twice at once and not after
-// Closed; it, Up and Closed may run on any goroutine.
+// Handler receives the events of one connection, on any goroutine. Up is called when the connection is established.
+// Data must copy what it keeps; it is never called concurrently with itself, nor after Closed.
 type Handler interface {
 	Up()
 	Data([]byte)
@@ -44,74 +44,75 @@
 // Config sets up a Net.
 type Config struct {
 	Name   string
-	Listen string // empty: dials only; unix:PATH: a local socket that only this user can open
+	Listen string // address; empty to only dial; unix:PATH for a local socket that only this user can open
 	Accept func(*Conn) Handler
-	// MaxClients and MaxDials are the descriptors for each way in and out. Of the latter the last
-	// ReservedDials are for discovery and probes: without those no link would be of use.
+	// MaxClients and MaxDials limit the open connections in each direction. The last ReservedDials of MaxDials are
+	// reserved for discovery and probes, without which no other connection would be useful.
 	MaxClients, MaxDials, ReservedDials int
-	// MaxWriteBuffer bounds the bytes that one connection queues; one that queues more is closed. 0: maxWriteBuffer.
+	// MaxWriteBuffer limits the bytes queued on one connection; beyond it the connection is closed. 0 for the default,
+	// defaultMaxWriteBuffer.
 	MaxWriteBuffer int
-	// MaxQueued bounds the bytes that wait on all connections together for their peers to read; beyond it one may
-	// add to what waits on it only up to its share, this over the number of connections: those whose peers read nothing end,
-	// and one that is slow for a moment does not. 0: each connection's own bound is the only one.
+	// MaxQueued limits the bytes queued on all connections together. Beyond it, a connection may only queue up to its fair
+	// share, which is MaxQueued divided by the maximum number of connections: connections whose peers read nothing are
+	// closed, but not those that are slow for a moment. 0 for no limit but that of each connection.
 	MaxQueued int64
 }
 
-// Net is one engine.
+// Net is an engine with its connections.
 type Net struct {
 	config          Config
 	engine          *nbio.Engine
 	clients, dials  atomic.Int64
-	rejectedClients atomic.Int64   // clients since the last log line about them
-	rejectLogLimit  rate.Sometimes // clients that come back at once must not fill the log
+	rejectedClients atomic.Int64   // since the last log line about them
+	rejectLogLimit  rate.Sometimes // clients that reconnect at once must not flood the log
 	listener        *listener
 	flusher         *flusher
 	stopOnce        sync.Once
-	stopMu          sync.RWMutex // held from a look at stopped to the poller's knowing of a connection
+	stopMu          sync.RWMutex // held from the check of stopped until a connection is registered with the poller
 	stopped         bool
-	// published counts connections made. It orders the poller's goroutine after the one that made a
-	// connection; epoll does so too, but that is no order to Go's memory model.
+	// published counts the connections created. It establishes a happens-before relation between the goroutine that
+	// creates a connection and the poller's, as epoll provides none in the Go memory model.
 	published atomic.Uint64
 }
 
 func init() {
-	// nbio allots a table of that many pointers for each engine.
+	// nbio allocates a table of this many pointers for each engine.
 	nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, 1<<16)
 	logging.SetLevel(logging.LevelNone)
 }
 
-// New starts an engine.
-func New(cfg Config) (*Net, error) {
-	n := &Net{config: cfg, rejectLogLimit: rate.Sometimes{Interval: time.Second}}
-	nc := nbio.Config{Name: cfg.Name, NPoller: 1, ReadBufferSize: readBufferSize, Listen: n.listen}
-	if cfg.Listen != "" {
-		network, addr := splitAddress(cfg.Listen)
+// New returns a Net whose engine is running.
+func New(config Config) (*Net, error) {
+	n := &Net{config: config, rejectLogLimit: rate.Sometimes{Interval: time.Second}}
+	nc := nbio.Config{Name: config.Name, NPoller: 1, ReadBufferSize: readBufferSize, Listen: n.listen}
+	if config.Listen != "" {
+		network, addr := splitAddress(config.Listen)
 		nc.Network, nc.Addrs = network, []string{addr}
 	}
 	n.engine = nbio.NewEngine(nc)
 	var err error
-	if n.flusher, err = newFlusher(cfg); err != nil {
+	if n.flusher, err = newFlusher(config); err != nil {
 		return n, err
 	}
-	n.flusher.maxWriteBuffer = cmp.Or(cfg.MaxWriteBuffer, defaultMaxWriteBuffer)
+	n.flusher.maxWriteBuffer = cmp.Or(config.MaxWriteBuffer, defaultMaxWriteBuffer)
 	n.engine.OnOpen(n.onOpen)
-	n.engine.OnRead(func(c *nbio.Conn) {
+	n.engine.OnRead(func(nb *nbio.Conn) {
 		n.published.Load()
-		x, ok := c.Session().(*Conn)
+		c, ok := nb.Session().(*Conn)
 		if !ok {
 			return
 		}
-		x.readMu.Lock()
-		err := x.read(c, n.engine.PollerBuffer(c), false)
-		x.readMu.Unlock()
+		c.readMu.Lock()
+		err := c.read(nb, n.engine.PollerBuffer(nb), false)
+		c.readMu.Unlock()
 		if err != nil {
-			_ = c.CloseWithError(err)
+			_ = nb.CloseWithError(err)
 		}
 	})
-	n.engine.OnClose(func(c *nbio.Conn, err error) {
+	n.engine.OnClose(func(nb *nbio.Conn, err error) {
 		n.published.Load()
-		if x, ok := c.Session().(*Conn); ok {
-			x.connectionEnded(err)
+		if c, ok := nb.Session().(*Conn); ok {
+			c.connectionEnded(err)
 		}
 	})
 	if err := n.engine.Start(); err != nil {
@@ -125,14 +126,14 @@
 	return n, nil
 }
 
-// Addr is where the Net listens.
+// Addr returns the address on which the Net listens.
 func (n *Net) Addr() string { return n.listener.Addr().String() }
 
-// ClientCount is the number of clients' connections that are open, those included that were shut and linger.
+// ClientCount returns the number of open client connections, including those that linger after Shut.
 func (n *Net) ClientCount() int { return int(n.clients.Load()) }
 
-// StopListening refuses new connections from now on; open ones stay, those included that the system has taken and the
-// poller not yet: closing the listener would reset them.
+// StopListening refuses new connections. Open connections stay, including those in the backlog of the listener, which
+// its close would reset.
 func (n *Net) StopListening() {
 	for _, c := range n.listener.stopAccepting() {
 		if _, err := n.engine.AddConn(c); err != nil {
@@ -142,8 +143,8 @@
 	}
 }
 
-// Stop closes everything. It does not wait for ever: nbio (v1.6.8) forgets a Stop that comes before its poller runs,
-// and would wait for that poller's end.
+// Stop closes all connections and the listener. It waits at most stopTimeout: nbio (v1.6.8) loses a Stop that is called
+// before its poller runs, and would wait for the poller forever.
 func (n *Net) Stop() {
 	n.stopOnce.Do(func() {
 		n.stopMu.Lock()
@@ -161,29 +162,30 @@
 	})
 }
 
-func (n *Net) onOpen(c *nbio.Conn) {
-	if c.Session() != nil { // dialled
+func (n *Net) onOpen(nb *nbio.Conn) {
+	if nb.Session() != nil { // dialled
 		return
 	}
-	syscall.CloseOnExec(c.Hash())
-	x := &Conn{nbConn: c, descriptors: &n.clients, flusher: n.flusher}
-	c.SetSession(x)
+	syscall.CloseOnExec(nb.Hash())
+	c := &Conn{nbConn: nb, descriptors: &n.clients, flusher: n.flusher}
+	nb.SetSession(c)
 	if n.clients.Add(1) > int64(n.config.MaxClients) {
 		n.rejectedClients.Add(1)
 		n.rejectLogLimit.Do(func() {
 			logrus.WithFields(logrus.Fields{"open": n.config.MaxClients, "closed": n.rejectedClients.Swap(0)}).
-				Warn("client connections closed: descriptor budget spent")
+				Warn("client connections closed: connection limit reached")
 		})
-		x.handler = discardHandler{}
+		c.handler = discardHandler{}
 		n.published.Add(1)
-		x.Close()
+		c.Close()
 		return
 	}
-	x.handler = n.config.Accept(x)
+	c.handler = n.config.Accept(c)
 	n.published.Add(1)
-	x.callHandler(x.handler.Up)
+	c.callHandler(c.handler.Up)
 }
 
+// discardHandler ignores the events of a connection that is closed right after it was accepted.
 type discardHandler struct{}
 
 func (discardHandler) Up()          {}
--- a/internal/netio/write.go
+++ b/internal/netio/write.go
@@ -12,131 +12,133 @@
 	"github.com/lesismal/nbio"
 )
 
-// All writes are made here and none by nbio (v1.6.8): where a write fails, or its buffer is full, nbio closes the descriptor on
-// the goroutine that writes. Its number may then be the next connection's while the poller still has an event of the old
-// one at hand, and would end the new one by it. Here a failed write stops both ways of the connection, and the poller closes.
+// All writes are made here and none by nbio (v1.6.8): when a write fails, or its buffer is full, nbio closes the
+// descriptor on the writing goroutine. The kernel may then reuse its number while the poller still has a pending event
+// of the old connection, which would end the new one. Here a failed write shuts the socket down, and the poller closes
+// it.
 
-// ErrWriteBufferFull is the error of a write on a connection whose peer does not read.
+// ErrWriteBufferFull is the error of a write to a peer that does not read fast enough.
 var ErrWriteBufferFull = errors.New("write buffer full")
 
-// defaultMaxWriteBuffer bounds what waits on one connection for its peer to read, where the Config says nothing else: a write that
-// would come to more with what waits ends the connection. A single write that finds nothing waiting may be longer, as whoever
-// made it holds it already.
+// defaultMaxWriteBuffer is the default limit of the bytes queued on one connection: a write that would exceed it closes
+// the connection. A single write to an empty queue may be longer, as its caller already holds it in memory.
 const defaultMaxWriteBuffer = 2 << 20
 
-// writeQueue is what waits for the system to take it; the lock of nbio's connection guards it.
+// writeQueue holds the bytes that the kernel has not accepted yet. The lock of the nbio connection guards it.
 type writeQueue struct {
 	buffer     []byte
-	sent       int   // of buffer, by the system
-	registered bool  // the flusher's epoll knows the descriptor
-	err        error // no more may be written
+	sent       int   // bytes of buffer that the kernel has accepted
+	registered bool  // the descriptor is registered with the epoll of the flusher
+	err        error // why no more may be written
 }
 
-// Write sends or queues b. An error means that its last byte never left.
-func (x *Conn) Write(b []byte) error {
-	c := x.loadConn()
-	if c == nil || x.closed.Load() {
+// Write sends or queues b. An error means that its last byte was not sent.
+func (c *Conn) Write(b []byte) error {
+	nb := c.loadConn()
+	if nb == nil || c.closed.Load() {
 		return ErrClosed
 	}
-	c.Lock() // it can't be closed meanwhile
-	defer c.Unlock()
-	if !x.canWrite(c) {
+	nb.Lock() // prevents a concurrent close
+	defer nb.Unlock()
+	if !c.canWrite(nb) {
 		return ErrClosed
 	}
-	err := x.sendOrQueue(c, b)
+	err := c.sendOrQueue(nb, b)
 	if err != nil {
-		x.failWrites(c, err)
+		c.failWrites(nb, err)
 	}
 	return err
 }
 
-// canWrite tells whether a write may be tried. Its caller holds c's lock, as do those of the functions below.
-func (x *Conn) canWrite(c *nbio.Conn) bool {
-	ended, _ := c.IsClosed()
-	return !ended && x.queue.err == nil
+// canWrite reports whether the connection is open and no write has failed. The caller holds the lock of the nbio
+// connection, as do the callers of the functions below.
+func (c *Conn) canWrite(nb *nbio.Conn) bool {
+	ended, _ := nb.IsClosed()
+	return !ended && c.queue.err == nil
 }
 
-func (x *Conn) sendOrQueue(c *nbio.Conn, b []byte) error {
-	q := &x.queue
+func (c *Conn) sendOrQueue(nb *nbio.Conn, b []byte) error {
+	q := &c.queue
 	waiting := len(q.buffer) - q.sent
 	switch {
 	case waiting == 0:
-		n, err := writeAvailable(c.Hash(), b)
+		n, err := writeAvailable(nb.Hash(), b)
 		if err != nil || n == len(b) {
 			return err
 		}
 		b = b[n:]
-	case x.exceedsLimit(waiting + len(b)):
+	case c.exceedsLimit(waiting + len(b)):
 		return ErrWriteBufferFull
 	}
-	if q.sent > waiting { // each byte is moved once at most for each that has been taken
+	if q.sent > waiting { // moves at most one byte for each byte sent
 		q.buffer = append(q.buffer[:0], q.buffer[q.sent:]...)
 		q.sent = 0
 	}
 	q.buffer = append(q.buffer, b...)
-	x.updateCounts()
-	return x.flusher.watch(x, c.Hash())
+	c.updateCounts()
+	return c.flusher.watch(c, nb.Hash())
 }
 
-// flush writes on what waits, once the system takes more.
-func (x *Conn) flush() {
-	c := x.loadConn()
-	c.Lock()
-	defer c.Unlock()
-	if !x.canWrite(c) {
+// flush writes queued bytes once the kernel accepts more. Unlike its neighbors, it takes the lock itself.
+func (c *Conn) flush() {
+	nb := c.loadConn()
+	nb.Lock()
+	defer nb.Unlock()
+	if !c.canWrite(nb) {
 		return
 	}
-	q := &x.queue
-	n, err := writeAvailable(c.Hash(), q.buffer[q.sent:])
+	q := &c.queue
+	n, err := writeAvailable(nb.Hash(), q.buffer[q.sent:])
 	q.sent += n
-	x.updateCounts()
+	c.updateCounts()
 	if q.sent == len(q.buffer) {
 		q.buffer, q.sent = nil, 0
 		return
 	}
 	if err == nil {
-		err = x.flusher.watch(x, c.Hash())
+		err = c.flusher.watch(c, nb.Hash())
 	}
 	if err != nil {
-		x.failWrites(c, err)
+		c.failWrites(nb, err)
 	}
 }
 
-// failWrites drops what waits and has the poller close the connection.
-func (x *Conn) failWrites(c *nbio.Conn, err error) {
-	x.dropQueue(err)
-	closeViaPollerLocked(c)
+// failWrites drops the queue and has the poller close the connection.
+func (c *Conn) failWrites(nb *nbio.Conn, err error) {
+	c.dropQueue(err)
+	closeViaPollerLocked(nb)
 }
 
-// closeQueue drops what waits on a connection that has ended, and returns why writes failed, if one did.
-func (x *Conn) closeQueue(c *nbio.Conn) error {
-	c.Lock()
-	defer c.Unlock()
-	failed := x.queue.err
-	x.dropQueue(cmp.Or(failed, ErrClosed))
-	x.flusher.unregister(x, c.Hash())
-	return failed
+// closeQueue drops the queue of a connection that has ended, and returns the error of a failed write, if any. It takes
+// the lock itself.
+func (c *Conn) closeQueue(nb *nbio.Conn) error {
+	nb.Lock()
+	defer nb.Unlock()
+	err := c.queue.err
+	c.dropQueue(cmp.Or(err, ErrClosed))
+	c.flusher.unregister(c, nb.Hash())
+	return err
 }
 
-func (x *Conn) dropQueue(why error) {
-	x.queue.err = why
-	x.queue.buffer, x.queue.sent = nil, 0
-	x.updateCounts()
+func (c *Conn) dropQueue(err error) {
+	c.queue.err = err
+	c.queue.buffer, c.queue.sent = nil, 0
+	c.updateCounts()
 }
 
-// exceedsLimit tells whether that many bytes may not wait on the connection.
-func (x *Conn) exceedsLimit(waiting int) bool {
-	total := x.flusher.queued.Load() - x.unsentBytes.Load() + int64(waiting)
-	return waiting > x.flusher.maxWriteBuffer || waiting > x.flusher.fairShare && total > x.flusher.maxQueued
+// exceedsLimit reports whether the connection may not queue that many bytes.
+func (c *Conn) exceedsLimit(waiting int) bool {
+	total := c.flusher.queued.Load() - c.unsentBytes.Load() + int64(waiting)
+	return waiting > c.flusher.maxWriteBuffer || waiting > c.flusher.fairShare && total > c.flusher.maxQueued
 }
 
-// updateCounts brings the counts of what waits up to date.
-func (x *Conn) updateCounts() {
-	waiting := int64(len(x.queue.buffer) - x.queue.sent)
-	x.flusher.queued.Add(waiting - x.unsentBytes.Swap(waiting))
+// updateCounts updates the counts of queued bytes.
+func (c *Conn) updateCounts() {
+	waiting := int64(len(c.queue.buffer) - c.queue.sent)
+	c.flusher.queued.Add(waiting - c.unsentBytes.Swap(waiting))
 }
 
-// writeAvailable writes as much as the system takes at once.
+// writeAvailable writes as much as the kernel accepts without blocking.
 func writeAvailable(descriptor int, b []byte) (n int, err error) {
 	for n < len(b) {
 		k, err := syscall.Write(descriptor, b[n:])
@@ -153,48 +155,49 @@
 	return n, nil
 }
 
-// flusher waits for connections whose writes got stuck, in an epoll of its own: nbio's is not told of writes that it has not
-// made. It closes no descriptor, and a stale event of one costs a needless try of the connection that has its number.
+// flusher waits until blocked connections are writable. It uses its own epoll, as that of nbio doesn't report
+// connections with writes that nbio has not made itself. It closes no descriptor, so a stale event only costs a
+// needless flush of the connection that has its number.
 type flusher struct {
-	epoll *os.File // Go's own poller watches it, so no thread waits in it
+	epoll *os.File // watched by the Go runtime's poller, so that no thread blocks in it
 	raw   syscall.RawConn
 
-	maxWriteBuffer int // bytes that may wait on one connection
+	maxWriteBuffer int // limit of the bytes queued on one connection
 
-	queued    atomic.Int64 // bytes that wait on all connections
+	queued    atomic.Int64 // bytes queued on all connections
 	maxQueued int64
-	fairShare int // of a connection, beyond maxQueued
+	fairShare int // bytes that a connection may queue beyond maxQueued
 
 	mu      sync.Mutex
-	blocked map[int32]*Conn // by descriptor; no more than there are
+	blocked map[int32]*Conn // by descriptor, so no more than there are descriptors
 }
 
-func newFlusher(c Config) (*flusher, error) {
+func newFlusher(config Config) (*flusher, error) {
 	descriptor, err := syscall.EpollCreate1(syscall.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, os.NewSyscallError("epoll_create1", err)
 	}
-	if err := syscall.SetNonblock(descriptor, true); err != nil { // NewFile goes by it
+	if err := syscall.SetNonblock(descriptor, true); err != nil { // makes os.NewFile use the runtime's poller
 		_ = syscall.Close(descriptor)
 		return nil, os.NewSyscallError("fcntl", err)
 	}
-	f := &flusher{epoll: os.NewFile(uintptr(descriptor), "epoll"), blocked: map[int32]*Conn{}, maxQueued: cmp.Or(c.MaxQueued, math.MaxInt64)}
-	f.fairShare = int(f.maxQueued) / max(c.MaxClients+c.MaxDials, 1)
+	f := &flusher{epoll: os.NewFile(uintptr(descriptor), "epoll"), blocked: map[int32]*Conn{}, maxQueued: cmp.Or(config.MaxQueued, math.MaxInt64)}
+	f.fairShare = int(f.maxQueued) / max(config.MaxClients+config.MaxDials, 1)
 	if f.raw, err = f.epoll.SyscallConn(); err != nil {
 		return nil, errors.Join(err, f.epoll.Close())
 	}
 	return f, nil
 }
 
-// watch has x flushed once its descriptor takes more. The caller holds the lock of x's nbio connection.
-func (f *flusher) watch(x *Conn, descriptor int) error {
+// watch has the connection flushed once its descriptor is writable. The caller holds the lock of its nbio connection.
+func (f *flusher) watch(c *Conn, descriptor int) error {
 	operation := syscall.EPOLL_CTL_ADD
-	if x.queue.registered {
+	if c.queue.registered {
 		operation = syscall.EPOLL_CTL_MOD
 	}
-	x.queue.registered = true
+	c.queue.registered = true
 	f.mu.Lock()
-	f.blocked[int32(descriptor)] = x
+	f.blocked[int32(descriptor)] = c
 	f.mu.Unlock()
 	event := syscall.EpollEvent{Fd: int32(descriptor), Events: syscall.EPOLLOUT | syscall.EPOLLONESHOT}
 	var err error
@@ -206,11 +209,11 @@
 	return os.NewSyscallError("epoll_ctl", err)
 }
 
-// unregister drops a connection that has ended; the system forgets its descriptor by itself.
-func (f *flusher) unregister(x *Conn, descriptor int) {
+// unregister removes a connection that has ended. The kernel removes a closed descriptor from the epoll by itself.
+func (f *flusher) unregister(c *Conn, descriptor int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.blocked[int32(descriptor)] == x {
+	if f.blocked[int32(descriptor)] == c {
 		delete(f.blocked, int32(descriptor))
 	}
 }
@@ -221,7 +224,7 @@
 	return f.blocked[descriptor]
 }
 
-// run flushes until stop.
+// run flushes writable connections until stop is called.
 func (f *flusher) run() {
 	events := make([]syscall.EpollEvent, 128)
 	for {
@@ -234,8 +237,8 @@
 			return
 		}
 		for _, event := range events[:n] {
-			if x := f.lookup(event.Fd); x != nil {
-				x.flush()
+			if c := f.lookup(event.Fd); c != nil {
+				c.flush()
 			}
 		}
 	}
