--- a/internal/protocol/frame/frame.go
+++ b/internal/protocol/frame/frame.go
@@ -1,5 +1,5 @@
-// Package frame cuts a byte stream into messages: each is four bytes of length, big endian, and then a protobuf message
-// of that length.
+// Package frame splits a byte stream into messages. Each is prefixed with its length, as four bytes in big-endian
+// order, and holds a protobuf message.
 package frame
 
 import (
@@ -9,28 +9,28 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// MaxSize is the longest message in bytes, its length prefix excluded.
+// MaxSize is the maximum size of a message in bytes, without its length prefix.
 const MaxSize = 4 << 20
 
 const prefixSize = 4
 
-// SizeError says that a message is longer than its reader or writer allows.
+// SizeError reports a message that exceeds the limit of its reader or writer.
 type SizeError struct{ Size, Limit int }
 
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("a frame of %d bytes, %d at most", e.Size, e.Limit)
+	return fmt.Sprintf("frame of %d bytes exceeds the limit of %d", e.Size, e.Limit)
 }
 
-// Reader cuts what a connection brings into messages. It holds at most one message that is not whole yet. After an
-// error the stream can't be read on.
+// Reader splits the data of a connection into messages. It buffers at most one incomplete message. After an error the
+// stream can't be read any further.
 type Reader struct {
-	Limit int // bytes of one message; 0: MaxSize
+	Limit int // maximum size of a message in bytes; 0 for MaxSize
 
-	partial []byte // the start of a message whose rest has not come
+	partial []byte // the start of an incomplete message
 }
 
-// Feed takes the next bytes and calls each for every message that they complete. each must copy what it keeps. The
-// error is a *SizeError or the first one of each.
+// Feed processes the next bytes and calls each for every message that they complete. each must copy what it keeps. The
+// error is a *SizeError or the first error of each.
 func (r *Reader) Feed(b []byte, each func(message []byte) error) error {
 	if len(r.partial) > 0 {
 		r.partial = append(r.partial, b...)
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// Pending is the number of bytes that wait for the rest of their message.
+// Pending returns the number of buffered bytes of an incomplete message.
 func (r *Reader) Pending() int { return len(r.partial) }
 
 func (r *Reader) size(b []byte) (int, error) {
@@ -68,19 +68,19 @@
 	return int(size), nil
 }
 
-// retain holds the rest until more comes, and no memory where there is none.
+// retain buffers the start of an incomplete message. It holds no memory if there is none.
 func (r *Reader) retain(rest []byte) {
 	switch {
 	case len(rest) == 0:
 		r.partial = nil
-	case len(rest) < len(r.partial): // it lies within partial, behind what was read
+	case len(rest) < len(r.partial): // it is within partial, after the messages read
 		r.partial = append(r.partial[:0], rest...)
-	case len(r.partial) == 0: // it lies in the caller's buffer
+	case len(r.partial) == 0: // it is in the caller's buffer
 		r.partial = append([]byte(nil), rest...)
 	}
 }
 
-// Append adds a message to dst, with its length before it.
+// Append appends a message with its length prefix to dst.
 func Append(dst []byte, m proto.Message) ([]byte, error) {
 	start := len(dst)
 	out, err := proto.MarshalOptions{}.MarshalAppend(append(dst, 0, 0, 0, 0), m)
