--- a/internal/protocol/sqlcomment/sqlcomment.go
+++ b/internal/protocol/sqlcomment/sqlcomment.go
@@ -1,5 +1,5 @@
-// Package sqlcomment reads and rewrites the comment that a statement carries about
-// itself, on either front: /* id=9b1f,c=basket,t=acme,d=480,cluster=2 */.
+// Package sqlcomment parses and rewrites the comment with the request's fields at the end of an SQL statement, on
+// either front: /* id=9b1f,c=basket,t=acme,d=480,cluster=2 */.
 package sqlcomment
 
 import (
@@ -8,70 +8,70 @@
 	"strings"
 )
 
-// ErrNoComment says that a statement has no such comment at its end.
+// ErrNoComment is the error for a statement without such a comment at its end.
 var ErrNoComment = errors.New("statement ends in no /* name=value,... */ comment")
 
-// Statement is a statement with its comment taken apart.
+// Statement is a statement with the fields of its comment.
 type Statement struct {
 	SQL                      string
 	Fields                   map[string]string
-	timeoutStart, timeoutEnd int // where the value of d stands; 0: nowhere
+	timeoutStart, timeoutEnd int // offsets of the value of d in SQL; 0 if it is absent
 }
 
-// Parse reads the comment at the end of a statement.
+// Parse parses the comment at the end of a statement.
 func Parse(sql string) (Statement, error) {
-	t := Statement{SQL: sql, Fields: map[string]string{}}
+	s := Statement{SQL: sql, Fields: map[string]string{}}
 	end := len(strings.TrimRight(sql, " ;\t\r\n"))
 	if !strings.HasSuffix(sql[:end], "*/") {
-		return t, ErrNoComment
+		return s, ErrNoComment
 	}
 	start := strings.LastIndex(sql[:end], "/*")
 	if start < 0 || start+4 > end {
-		return t, ErrNoComment
+		return s, ErrNoComment
 	}
-	for at := start + 2; at < end-2; {
-		stop := at + strings.IndexByte(sql[at:end-2]+",", ',')
-		part := strings.TrimSpace(sql[at:stop])
+	for pos := start + 2; pos < end-2; {
+		stop := pos + strings.IndexByte(sql[pos:end-2]+",", ',')
+		part := strings.TrimSpace(sql[pos:stop])
 		k, v, ok := strings.Cut(part, "=")
-		if !ok && len(t.Fields) == 0 {
-			return t, ErrNoComment // an ordinary comment
+		if !ok && len(s.Fields) == 0 {
+			return s, ErrNoComment // an ordinary comment
 		}
 		if !ok || k == "" {
-			return t, errors.New("malformed comment: " + QuoteTruncated(part))
+			return s, errors.New("malformed comment: " + QuoteTruncated(part))
 		}
-		if _, twice := t.Fields[k]; twice {
-			return t, errors.New("comment names " + QuoteTruncated(k) + " twice")
+		if _, twice := s.Fields[k]; twice {
+			return s, errors.New("comment names " + QuoteTruncated(k) + " twice")
 		}
-		t.Fields[k] = v
+		s.Fields[k] = v
 		if k == "d" {
-			t.timeoutStart = at + strings.Index(sql[at:stop], "d=") + 2
-			t.timeoutEnd = t.timeoutStart + len(v)
+			s.timeoutStart = pos + strings.Index(sql[pos:stop], "d=") + 2
+			s.timeoutEnd = s.timeoutStart + len(v)
 		}
-		at = stop + 1
+		pos = stop + 1
 	}
-	return t, nil
+	return s, nil
 }
 
-// QuoteTruncated quotes what a client wrote, cut to what a log line or an answer should hold.
+// QuoteTruncated quotes text from a client, truncated to a length fit for a log line or a response.
 func QuoteTruncated(s string) string { return strconv.Quote(s[:min(len(s), 40)]) }
 
-// Int reads a value as a whole number; def where it is absent.
-func (t Statement) Int(name string, def int64) (int64, error) {
-	v, ok := t.Fields[name]
+// Int returns a field as an integer, or def if it is absent.
+func (s Statement) Int(name string, def int64) (int64, error) {
+	v, ok := s.Fields[name]
 	if !ok {
 		return def, nil
 	}
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil {
-		return 0, errors.New("comment: " + name + " is no whole number")
+		return 0, errors.New("comment: " + name + " is not an integer")
 	}
 	return n, nil
 }
 
-// WithTimeout is the statement with the value of d replaced; all else is as it was.
-func (t Statement) WithTimeout(ms int64) string {
-	if t.timeoutStart == 0 {
-		return t.SQL
+// WithTimeout returns the SQL with the value of d replaced, and otherwise unchanged.
+func (s Statement) WithTimeout(ms int64) string {
+	if s.timeoutStart == 0 {
+		return s.SQL
 	}
-	return t.SQL[:t.timeoutStart] + strconv.FormatInt(max(ms, 1), 10) + t.SQL[t.timeoutEnd:]
+	return s.SQL[:s.timeoutStart] + strconv.FormatInt(max(ms, 1), 10) + s.SQL[s.timeoutEnd:]
 }
--- a/internal/protocol/sqlcomment/sqlcomment_test.go
+++ b/internal/protocol/sqlcomment/sqlcomment_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-func TestOnlyDChanges(t *testing.T) {
+func TestWithTimeoutReplacesOnlyD(t *testing.T) {
 	for _, c := range []struct{ sql, want string }{
 		{"SELECT 'd=5 /* d=1 */' /* id=1,c=x,d=480,cluster=2 */", "SELECT 'd=5 /* d=1 */' /* id=1,c=x,d=77,cluster=2 */"},
 		{"SELECT 1 /* d=480 */", "SELECT 1 /* d=77 */"},
 		{"SELECT 1 /*id=d=3,d=1,k=v*/ ;", "SELECT 1 /*id=d=3,d=77,k=v*/ ;"},
 		{"SELECT 1 /* id=1 */", "SELECT 1 /* id=1 */"},
 	} {
-		tag, err := Parse(c.sql)
-		if got := tag.WithTimeout(77); err != nil || got != c.want {
+		statement, err := Parse(c.sql)
+		if got := statement.WithTimeout(77); err != nil || got != c.want {
 			t.Errorf("%v: %q, want %q", err, got, c.want)
 		}
 	}
@@ -19,7 +19,7 @@
 	}
 	for _, sql := range []string{"", "SELECT 1", "*/", "/*/", "SELECT /* id=1 */ 1", "SELECT 1 /* id */", "SELECT 1 /* a=1,a=2 */", "SELECT 1 /* =1 */"} {
 		if _, err := Parse(sql); err == nil {
-			t.Errorf("%q passed", sql)
+			t.Errorf("%q was accepted", sql)
 		}
 	}
 }
