--- a/internal/protocol/pgwire/pgwire.go
+++ b/internal/protocol/pgwire/pgwire.go
@@ -1,5 +1,5 @@
-// Package pgwire parses and builds the messages of version 3 of PostgreSQL's
-// wire protocol that the gateway speaks: start-up, simple queries, their answers.
+// Package pgwire parses and builds the messages of PostgreSQL's wire protocol, version 3, that the gateway uses:
+// startup, simple queries and their responses.
 package pgwire
 
 import (
@@ -9,7 +9,7 @@
 	"fmt"
 )
 
-// The codes of start-up packets.
+// Codes of startup packets.
 const (
 	ProtocolVersion3 = 196608
 	CancelRequest    = 80877102
@@ -17,30 +17,30 @@
 	GSSENCRequest    = 80877104
 )
 
-const maxStartupSize = 10000 // bytes; PostgreSQL takes no longer packet at the start
+const maxStartupSize = 10000 // bytes; PostgreSQL rejects a longer startup packet
 
-// ErrTooLong and ErrMalformed end a connection.
+// Errors that end a connection.
 var (
 	ErrTooLong   = errors.New("message too long")
 	ErrMalformed = errors.New("malformed message")
 )
 
-// Message is one message. A start-up packet has type 0 and its code first in Body.
+// Message is a message. A startup packet has type 0, and its Body begins with its code.
 type Message struct {
 	Type byte
 	Body []byte
 }
 
-// Reader cuts a stream into messages. It accepts fragments of any size.
+// Reader splits a stream into messages. It accepts fragments of any size.
 type Reader struct {
-	Startup bool // the next message has no type byte
-	MaxSize int  // the longest message taken
+	Startup bool // the next message is a startup packet, which has no type byte
+	MaxSize int  // maximum length of a message
 	buf     []byte
-	err     error // the stream cannot be read on: what still comes is dropped, not kept
+	err     error // set once the stream can't be read any further; later data is dropped
 }
 
-// Feed adds bytes and calls f for each whole message, whose Body is valid only
-// within the call. After an error it takes no more.
+// Feed processes the next bytes and calls f for each complete message, whose Body is only valid during the call. After
+// an error it returns the same error and drops its input.
 func (r *Reader) Feed(b []byte, f func(Message) error) error {
 	if r.err == nil {
 		if r.err = r.parse(b, f); r.err != nil {
@@ -50,7 +50,7 @@
 	return r.err
 }
 
-// HasPartial tells whether part of a message has come and the rest not yet.
+// HasPartial reports whether an incomplete message is buffered.
 func (r *Reader) HasPartial() bool { return len(r.buf) > 0 }
 
 func (r *Reader) parse(b []byte, f func(Message) error) error {
@@ -75,15 +75,15 @@
 		if n > r.MaxSize || r.Startup && n > maxStartupSize {
 			return fmt.Errorf("%w: %d bytes", ErrTooLong, n)
 		}
-		whole := head - 4 + n
-		if len(rest) < whole {
+		size := head - 4 + n
+		if len(rest) < size {
 			break
 		}
-		m := Message{Body: rest[head:whole]}
+		m := Message{Body: rest[head:size]}
 		if !r.Startup {
 			m.Type = rest[0]
 		}
-		rest = rest[whole:]
+		rest = rest[size:]
 		if err := f(m); err != nil {
 			return err
 		}
@@ -93,38 +93,38 @@
 		r.buf = nil // idle connections hold no memory
 	case len(rest) < len(data) || len(r.buf) == 0:
 		r.buf = append([]byte(nil), rest...)
-	} // else the buffer has only grown: a long message in small pieces is not copied for each of them
+	} // otherwise the buffer has only grown: a long message in small fragments is not copied for each of them
 	return nil
 }
 
-// AppendMessage adds one message.
-func AppendMessage(to []byte, typ byte, body ...string) []byte {
+// AppendMessage appends a message to dst.
+func AppendMessage(dst []byte, typ byte, body ...string) []byte {
 	n := 4
 	for _, s := range body {
 		n += len(s)
 	}
 	if typ != 0 {
-		to = append(to, typ)
+		dst = append(dst, typ)
 	}
-	to = binary.BigEndian.AppendUint32(to, uint32(n))
+	dst = binary.BigEndian.AppendUint32(dst, uint32(n))
 	for _, s := range body {
-		to = append(to, s...)
+		dst = append(dst, s...)
 	}
-	return to
+	return dst
 }
 
-// StartupMessage builds a start-up packet.
+// StartupMessage returns a startup packet.
 func StartupMessage(user, database string) []byte {
 	return AppendMessage(nil, 0, "\x00\x03\x00\x00user\x00", user, "\x00database\x00", database, "\x00\x00")
 }
 
-// QueryMessage builds a simple query.
+// QueryMessage returns a simple query.
 func QueryMessage(sql string) []byte { return AppendMessage(nil, 'Q', sql, "\x00") }
 
-// AppendReadyForQuery is ReadyForQuery outside a transaction.
-func AppendReadyForQuery(to []byte) []byte { return AppendMessage(to, 'Z', "I") }
+// AppendReadyForQuery appends a ReadyForQuery outside a transaction to dst.
+func AppendReadyForQuery(dst []byte) []byte { return AppendMessage(dst, 'Z', "I") }
 
-// StartupResponse is what a server answers to a start-up packet.
+// StartupResponse returns a server's response to a startup packet.
 func StartupResponse() []byte {
 	b := AppendMessage(nil, 'R', "\x00\x00\x00\x00")
 	for _, kv := range [][2]string{{"server_version", "16.0"}, {"client_encoding", "UTF8"}, {"server_encoding", "UTF8"},
@@ -134,24 +134,25 @@
 	return AppendReadyForQuery(b)
 }
 
-// Error is an ErrorResponse. Detail goes into field D where it is not empty.
+// Error is an ErrorResponse. An empty Detail is omitted.
 type Error struct{ Severity, Code, Message, Detail string }
 
-// AppendError adds an ErrorResponse.
-func AppendError(to []byte, e Error) []byte {
+// AppendError appends an ErrorResponse to dst.
+func AppendError(dst []byte, e Error) []byte {
 	s := "S" + e.Severity + "\x00V" + e.Severity + "\x00C" + e.Code + "\x00M" + e.Message + "\x00"
 	if e.Detail != "" {
 		s += "D" + e.Detail + "\x00"
 	}
-	return AppendMessage(to, 'E', s, "\x00")
+	return AppendMessage(dst, 'E', s, "\x00")
 }
 
-// ParseError reads an ErrorResponse. All of it must be well-formed: severity and code decide what becomes of a request.
+// ParseError parses an ErrorResponse. It must be well-formed as a whole, as severity and code determine what happens to
+// a request.
 func ParseError(body []byte) (e Error, ok bool) {
 	for len(body) > 0 && body[0] != 0 {
 		field := body[0]
-		v, rest, whole := ReadCString(body[1:])
-		if !whole {
+		v, rest, complete := ReadCString(body[1:])
+		if !complete {
 			return e, false
 		}
 		switch body = rest; field {
@@ -168,7 +169,7 @@
 	return e, len(body) == 1 && e.Severity != "" && len(e.Code) == 5
 }
 
-// ReadCString reads a string that a zero byte ends.
+// ReadCString reads a null-terminated string.
 func ReadCString(b []byte) (s string, rest []byte, ok bool) {
 	i := bytes.IndexByte(b, 0)
 	if i < 0 {
@@ -177,14 +178,14 @@
 	return string(b[:i]), b[i+1:], true
 }
 
-// ParseParameterStatus reads a ParameterStatus.
+// ParseParameterStatus parses a ParameterStatus.
 func ParseParameterStatus(body []byte) (name, value string, ok bool) {
 	name, rest, ok1 := ReadCString(body)
 	value, rest, ok2 := ReadCString(rest)
 	return name, value, ok1 && ok2 && len(rest) == 0
 }
 
-// IsSingleColumn tells whether a RowDescription is well-formed and names one column.
+// IsSingleColumn reports whether a RowDescription is well-formed and describes exactly one column.
 func IsSingleColumn(body []byte) bool {
 	if len(body) < 2 || binary.BigEndian.Uint16(body) != 1 {
 		return false
@@ -193,7 +194,7 @@
 	return ok && len(rest) == 18
 }
 
-// ParseSingleColumn reads a DataRow of one column.
+// ParseSingleColumn parses a DataRow of one column. A null value is not ok.
 func ParseSingleColumn(body []byte) (string, bool) {
 	if len(body) < 6 || binary.BigEndian.Uint16(body) != 1 {
 		return "", false
