--- a/internal/protocol/mysqlwire/login.go
+++ b/internal/protocol/mysqlwire/login.go
@@ -8,21 +8,21 @@
 	"errors"
 )
 
-// Scramble answers a challenge: SHA1(password) xor SHA1(challenge, SHA1(SHA1(password))).
+// Scramble computes the response to a challenge: SHA1(password) xor SHA1(challenge, SHA1(SHA1(password))).
 func Scramble(challenge []byte, password string) []byte {
 	if password == "" {
 		return nil
 	}
-	one := sha1.Sum([]byte(password))
-	two := sha1.Sum(one[:])
-	mix := sha1.Sum(append(bytes.Clone(challenge), two[:]...))
-	for i := range mix {
-		mix[i] ^= one[i]
+	hash := sha1.Sum([]byte(password))
+	doubleHash := sha1.Sum(hash[:])
+	scramble := sha1.Sum(append(bytes.Clone(challenge), doubleHash[:]...))
+	for i := range scramble {
+		scramble[i] ^= hash[i]
 	}
-	return mix[:]
+	return scramble[:]
 }
 
-// Login is what a client says of itself.
+// Login holds the fields of a client's handshake response.
 type Login struct {
 	Capabilities uint32
 	User, DB     string
@@ -30,12 +30,12 @@
 	Plugin       string
 }
 
-// VerifyPassword tells whether the login answers the challenge with that password.
+// VerifyPassword reports whether the login has the right response to the challenge for the password.
 func (l Login) VerifyPassword(challenge []byte, password string) bool {
 	return subtle.ConstantTimeCompare(l.AuthResponse, Scramble(challenge, password)) == 1
 }
 
-// Greeting builds a server's first packet. The challenge has 20 bytes, none of them zero.
+// Greeting returns a server's initial handshake packet. The challenge must have 20 bytes, none of them zero.
 func Greeting(id uint32, challenge []byte) []byte {
 	b := append([]byte{10}, "8.0.0-aspenshed\x00"...)
 	b = binary.LittleEndian.AppendUint32(b, id)
@@ -46,7 +46,7 @@
 	return AppendPacket(nil, 0, b, []byte("\x00"+NativePassword+"\x00"))
 }
 
-// ParseGreeting reads a server's challenge.
+// ParseGreeting parses a server's initial handshake packet and returns its challenge.
 func ParseGreeting(b []byte) (challenge []byte, err error) {
 	if len(b) > 0 && b[0] == 0xff {
 		e := ParseError(b)
@@ -60,7 +60,7 @@
 	return append(bytes.Clone(b[:8]), b[27:39]...), nil
 }
 
-// HandshakeResponse builds a client's answer to a greeting.
+// HandshakeResponse returns a client's response to the initial handshake packet.
 func HandshakeResponse(seq byte, l Login) []byte {
 	caps := uint32(Capabilities)
 	if l.DB == "" {
@@ -76,7 +76,7 @@
 	return AppendPacket(nil, seq, b, []byte(NativePassword+"\x00"))
 }
 
-// ParseHandshakeResponse reads a client's answer to the greeting.
+// ParseHandshakeResponse parses a client's response to the initial handshake packet.
 func ParseHandshakeResponse(b []byte) (l Login, err error) {
 	if len(b) < 4 {
 		return l, ErrMalformed
@@ -113,12 +113,12 @@
 	return l, nil
 }
 
-// AuthSwitchRequest asks a client for a native password.
+// AuthSwitchRequest returns a request to the client to authenticate with a native password.
 func AuthSwitchRequest(seq byte, challenge []byte) []byte {
 	return AppendPacket(nil, seq, []byte("\xfe"+NativePassword+"\x00"), challenge, []byte{0})
 }
 
-// ParseAuthSwitchRequest reads a server's wish for another way to log in: its name and challenge.
+// ParseAuthSwitchRequest parses a server's request for another authentication method, with its name and challenge.
 func ParseAuthSwitchRequest(b []byte) (plugin string, challenge []byte, ok bool) {
 	if len(b) < 2 || b[0] != 0xfe {
 		return "", nil, false
--- a/internal/protocol/mysqlwire/mysqlwire.go
+++ b/internal/protocol/mysqlwire/mysqlwire.go
@@ -1,6 +1,5 @@
-// Package mysqlwire parses and builds what the gateway speaks of MySQL's
-// client/server protocol: packets, the version 10 handshake with native
-// passwords, commands, and the shapes of their answers.
+// Package mysqlwire parses and builds the parts of MySQL's client/server protocol that the gateway uses: packets, the
+// version 10 handshake with native passwords, commands, and their responses.
 package mysqlwire
 
 import (
@@ -9,8 +8,8 @@
 	"errors"
 )
 
-// The capabilities that the gateway offers and asks for. TLS, multi-statements,
-// query attributes and DEPRECATE_EOF are left out on purpose.
+// Capability flags. Capabilities are those that the gateway offers and requests: TLS, multi-statements, query
+// attributes and DEPRECATE_EOF are deliberately left out.
 const (
 	CapConnectWithDB = 1 << 3
 	CapLocalFiles    = 1 << 7
@@ -22,7 +21,7 @@
 	Capabilities     = 1 | 1<<2 | CapConnectWithDB | CapProtocol41 | 1<<13 | 1<<15 | CapPluginAuth
 )
 
-// The commands.
+// Command codes.
 const (
 	ComQuit             = 0x01
 	ComInitDB           = 0x02
@@ -38,25 +37,24 @@
 	ComResetConnection  = 0x1f
 )
 
-// NativePassword is the one way to log in.
+// NativePassword is the only supported authentication method.
 const NativePassword = "mysql_native_password"
 
-// The errors that end a connection.
+// Errors that end a connection.
 var (
 	ErrTooLong   = errors.New("packet too long")
 	ErrMalformed = errors.New("malformed packet")
 )
 
-// Reader cuts a stream into packets. It accepts fragments of any size.
+// Reader splits a stream into packets. It accepts fragments of any size.
 type Reader struct {
 	MaxSize int
 	buf     []byte
-	err     error // the stream cannot be read on: what still comes is dropped, not kept
+	err     error // set once the stream can't be read any further; later data is dropped
 }
 
-// Feed adds bytes and calls f for each whole packet with its sequence number,
-// its body and the packet as it stood on the wire, valid only within the call.
-// After an error it takes no more.
+// Feed processes the next bytes and calls f for each complete packet with its sequence number, its body and the raw
+// packet, which are only valid during the call. After an error it returns the same error and drops its input.
 func (r *Reader) Feed(b []byte, f func(seq byte, body, raw []byte) error) error {
 	if r.err == nil {
 		if r.err = r.parse(b, f); r.err != nil {
@@ -66,7 +64,7 @@
 	return r.err
 }
 
-// HasPartial tells whether part of a packet has come and the rest not yet.
+// HasPartial reports whether an incomplete packet is buffered.
 func (r *Reader) HasPartial() bool { return len(r.buf) > 0 }
 
 func (r *Reader) parse(b []byte, f func(seq byte, body, raw []byte) error) error {
@@ -95,28 +93,28 @@
 		r.buf = nil // idle connections hold no memory
 	case len(rest) < len(data) || len(r.buf) == 0:
 		r.buf = bytes.Clone(rest)
-	} // else the buffer has only grown: a long packet in small pieces is not copied for each of them
+	} // otherwise the buffer has only grown: a long packet in small fragments is not copied for each of them
 	return nil
 }
 
-// AppendPacket adds one packet.
-func AppendPacket(to []byte, seq byte, body ...[]byte) []byte {
-	at := len(to)
-	to = append(to, 0, 0, 0, seq)
+// AppendPacket appends a packet to dst.
+func AppendPacket(dst []byte, seq byte, body ...[]byte) []byte {
+	start := len(dst)
+	dst = append(dst, 0, 0, 0, seq)
 	for _, b := range body {
-		to = append(to, b...)
+		dst = append(dst, b...)
 	}
-	n := len(to) - at - 4
-	to[at], to[at+1], to[at+2] = byte(n), byte(n>>8), byte(n>>16)
-	return to
+	n := len(dst) - start - 4
+	dst[start], dst[start+1], dst[start+2] = byte(n), byte(n>>8), byte(n>>16)
+	return dst
 }
 
-// Command builds a command's packet.
+// Command returns the packet of a command.
 func Command(com byte, body ...[]byte) []byte {
 	return AppendPacket(nil, 0, append([][]byte{{com}}, body...)...)
 }
 
-// ReadLenencInt reads a length-encoded integer. ok is false for NULL and for what is cut off.
+// ReadLenencInt reads a length-encoded integer. ok is false for NULL and for truncated input.
 func ReadLenencInt(b []byte) (n uint64, rest []byte, ok bool) {
 	if len(b) == 0 {
 		return 0, b, false
@@ -133,7 +131,7 @@
 	return binary.LittleEndian.Uint64(le[:]), b[1+size:], true
 }
 
-// ReadLenencString reads a length-encoded string; NULL is not ok.
+// ReadLenencString reads a length-encoded string. ok is false for NULL and for truncated input.
 func ReadLenencString(b []byte) (s string, rest []byte, ok bool) {
 	n, rest, ok := ReadLenencInt(b)
 	if !ok || n > uint64(len(rest)) {
@@ -142,17 +140,17 @@
 	return string(rest[:n]), rest[n:], true
 }
 
-// AppendLenencString adds a length-encoded string.
-func AppendLenencString(to []byte, s string) []byte {
+// AppendLenencString appends a length-encoded string to dst.
+func AppendLenencString(dst []byte, s string) []byte {
 	switch n := len(s); {
 	case n < 0xfb:
-		to = append(to, byte(n))
+		dst = append(dst, byte(n))
 	case n < 1<<16:
-		to = append(to, 0xfc, byte(n), byte(n>>8))
+		dst = append(dst, 0xfc, byte(n), byte(n>>8))
 	default:
-		to = append(to, 0xfd, byte(n), byte(n>>8), byte(n>>16))
+		dst = append(dst, 0xfd, byte(n), byte(n>>8), byte(n>>16))
 	}
-	return append(to, s...)
+	return append(dst, s...)
 }
 
 // Error is an ERR packet.
@@ -162,12 +160,12 @@
 	Message string
 }
 
-// Packet is the error in bytes.
+// Packet returns the ERR packet.
 func (e Error) Packet(seq byte) []byte {
 	return AppendPacket(nil, seq, []byte{0xff, byte(e.Code), byte(e.Code >> 8)}, []byte("#"+e.State+e.Message))
 }
 
-// ParseError reads an ERR packet's body.
+// ParseError parses the body of an ERR packet.
 func ParseError(b []byte) (e Error) {
 	if len(b) < 3 {
 		return Error{Code: 2027, State: "HY000", Message: "malformed packet"}
@@ -179,10 +177,10 @@
 	return e
 }
 
-// OK is an OK packet of nothing but success.
+// OK returns an OK packet without further information.
 func OK(seq byte) []byte { return AppendPacket(nil, seq, []byte{0, 0, 0, 2, 0, 0, 0}) }
 
-// IsEOF tells an EOF packet from a row.
+// IsEOF reports whether the packet is an EOF packet, as opposed to a row.
 func IsEOF(body []byte) bool { return len(body) > 0 && len(body) < 9 && body[0] == 0xfe }
 
 func (e *Error) Error() string { return e.Message }
--- a/internal/protocol/mysqlwire/mysqlwire_test.go
+++ b/internal/protocol/mysqlwire/mysqlwire_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestLoginIsReadAsWritten(t *testing.T) {
+func TestHandshakeRoundTrip(t *testing.T) {
 	challenge := []byte("12345678abcdefghijkl")
 	greeting := Greeting(7, challenge)
 	got, err := ParseGreeting(greeting[4:])
@@ -21,15 +21,15 @@
 	tls := HandshakeResponse(1, Login{User: "u"})[4:]
 	tls[1] |= CapSSL >> 8
 	if _, err := ParseHandshakeResponse(tls); err == nil || !strings.Contains(err.Error(), "TLS") {
-		t.Errorf("a wish for TLS: %v", err)
+		t.Errorf("a request for TLS: %v", err)
 	}
-	for n := range greeting[4:] { // cut anywhere: no panic
+	for n := range greeting[4:] { // truncated anywhere: no panic
 		_, _ = ParseGreeting(greeting[4 : 4+n])
 		_, _ = ParseHandshakeResponse(tls[:min(n, len(tls))])
 	}
 }
 
-func TestAnswersAreFollowedToTheirEnd(t *testing.T) {
+func TestResponseReaderDetectsTheEnd(t *testing.T) {
 	v := "v"
 	row := TextResult("payload", &v)
 	more := bytes.Clone(OK(1))
@@ -38,7 +38,7 @@
 	for _, b := range []byte{'p', 'p', 0xfe, 'c', 0xfe} {
 		prepared = AppendPacket(prepared, 2, []byte{b, 0, 0, 2, 0})
 	}
-	broken := append(bytes.Clone(row[:len(row)-9]), Error{1317, "70100", "interrupted"}.Packet(5)...)
+	errorInRows := append(bytes.Clone(row[:len(row)-9]), Error{1317, "70100", "interrupted"}.Packet(5)...)
 	for name, c := range map[string]struct {
 		wire    []byte
 		prepare bool
@@ -49,29 +49,30 @@
 		"rows":               {row, false, nil, 0},
 		"no rows":            {TextResult("payload", nil), false, nil, 0},
 		"error":              {Error{1290, "HY000", "read-only"}.Packet(1), false, nil, 1290},
-		"error between rows": {broken, false, nil, 1317},
+		"error between rows": {errorInRows, false, nil, 1317},
 		"prepared":           {prepared, true, nil, 0},
-		"several results":    {more, false, ErrMultipleResults, 0},
+		"multiple results":   {more, false, ErrMultipleResults, 0},
 	} {
-		r, a, whole := Reader{MaxSize: 1 << 16}, ResponseReader{IsPrepare: c.prepare}, 0
+		r, a, complete := Reader{MaxSize: 1 << 16}, ResponseReader{IsPrepare: c.prepare}, 0
 		var err error
 		for _, b := range c.wire {
 			err = errors.Join(err, r.Feed([]byte{b}, func(_ byte, body, raw []byte) error {
 				done, err := a.Add(body, raw)
 				if done {
-					whole++
+					complete++
 				}
 				return err
 			}))
 		}
-		if !errors.Is(err, c.err) || whole != 1 || !bytes.Equal(a.Raw, c.wire) || (a.Err != nil) != (c.code != 0) || a.Err != nil && a.Err.Code != c.code {
-			t.Errorf("%s: %v, %d times whole, error %v", name, err, whole, a.Err)
+		if !errors.Is(err, c.err) || complete != 1 || !bytes.Equal(a.Raw, c.wire) || (a.Err != nil) != (c.code != 0) || a.Err != nil && a.Err.Code != c.code {
+			t.Errorf("%s: %v, %d times complete, error %v", name, err, complete, a.Err)
 		}
 	}
 }
 
-// A client says the types once; the member that an execution moves to has never heard them.
-func TestExecutionCarriesItsTypesAgain(t *testing.T) {
+// A client may send the parameter types only once, but a later execution may go to a member that has not received them:
+// it must carry the types again.
+func TestExecuteRepeatsParameterTypes(t *testing.T) {
 	first := []byte("\x01\x00\x00\x00\x05\x01\x00\x00\x00\x00\x01\xfd\x00\x01r")
 	e, err := ParseExecute(first, 1, nil)
 	if err != nil {
@@ -84,12 +85,12 @@
 	}
 	for n := range first {
 		if _, err := ParseExecute(first[:n], 1, nil); err == nil && n < 13 {
-			t.Errorf("cut after %d bytes: passed", n)
+			t.Errorf("truncated after %d bytes: accepted", n)
 		}
 	}
 }
 
-func TestSeveralStatements(t *testing.T) {
+func TestHasMultipleStatements(t *testing.T) {
 	for sql, want := range map[string]bool{"SELECT 1": false, "SELECT 1; ": false, "SELECT 1; SELECT 2": true, "SELECT ';x', \";y\", `;z`": false,
 		"SELECT 1 /* ; */ -- ; x": false, "SELECT '\\';' ; DROP": true, "SELECT 1; /* only a comment */": false, "SELECT 1 # ; x\n; DROP": true} {
 		if HasMultipleStatements(sql) != want {
@@ -98,16 +99,16 @@
 	}
 }
 
-// Guards CPU and memory against long packets in small pieces: the buffer is not copied for each of them.
-func TestPiecesAreNotCopiedAgainAndAgain(t *testing.T) {
-	text := Command(ComQuery, make([]byte, 60000))
-	whole := 0
+// A long packet in small fragments must not cost a copy of the buffer for each of them.
+func TestFragmentsAreNotCopiedRepeatedly(t *testing.T) {
+	stream := Command(ComQuery, make([]byte, 60000))
+	complete := 0
 	if n := testing.AllocsPerRun(1, func() {
 		r := Reader{MaxSize: 1 << 16}
-		for i := range text {
-			_ = r.Feed(text[i:i+1], func(byte, []byte, []byte) error { whole++; return nil })
+		for i := range stream {
+			_ = r.Feed(stream[i:i+1], func(byte, []byte, []byte) error { complete++; return nil })
 		}
-	}); n > 100 || whole != 2 {
-		t.Errorf("%.0f allocations for %d packets", n, whole)
+	}); n > 100 || complete != 2 {
+		t.Errorf("%.0f allocations for %d packets", n, complete)
 	}
 }
--- a/internal/protocol/mysqlwire/prepared.go
+++ b/internal/protocol/mysqlwire/prepared.go
@@ -5,13 +5,13 @@
 	"encoding/binary"
 )
 
-// PrepareResponse is the head of an answer to COM_STMT_PREPARE.
+// PrepareResponse is the first packet of a successful response to COM_STMT_PREPARE.
 type PrepareResponse struct {
 	ID              uint32
 	Params, Columns int
 }
 
-// ParsePrepareResponse reads it.
+// ParsePrepareResponse parses a PrepareResponse.
 func ParsePrepareResponse(b []byte) (p PrepareResponse, ok bool) {
 	if len(b) < 12 || b[0] != 0 {
 		return p, false
@@ -20,15 +20,15 @@
 		Params: int(binary.LittleEndian.Uint16(b[7:]))}, true
 }
 
-// Execute is a COM_STMT_EXECUTE taken apart after its statement id.
+// Execute holds the fields of a COM_STMT_EXECUTE after its statement ID.
 type Execute struct {
-	NullBitmap []byte // the bitmap
-	Types      []byte // two bytes a parameter
+	NullBitmap []byte // bitmap of the NULL parameters
+	Types      []byte // two bytes for each parameter
 	Values     []byte
 }
 
-// ParseExecute reads the body after the command byte. types are those of the
-// last execution, which a client need not say again.
+// ParseExecute parses the body after the command byte. types are those of the last execution, which a client may omit
+// in later ones.
 func ParseExecute(b []byte, params int, types []byte) (e Execute, err error) {
 	if len(b) < 9 {
 		return e, ErrMalformed
@@ -42,9 +42,9 @@
 		return e, ErrMalformed
 	}
 	e.NullBitmap = bytes.Clone(b[:n])
-	fresh := b[n]
+	newTypesFlag := b[n]
 	b = b[n+1:]
-	if e.Types = types; fresh == 1 {
+	if e.Types = types; newTypesFlag == 1 {
 		if len(b) < 2*params {
 			return e, ErrMalformed
 		}
@@ -57,11 +57,11 @@
 	return e, nil
 }
 
-// Packet builds the execution for a server that may never have seen the types. It asks for no cursor.
+// Packet returns the command for a server that may not know the parameter types yet. It requests no cursor.
 func (e Execute) Packet(id uint32) []byte {
-	head := append(binary.LittleEndian.AppendUint32(nil, id), 0, 1, 0, 0, 0)
+	header := append(binary.LittleEndian.AppendUint32(nil, id), 0, 1, 0, 0, 0)
 	if len(e.Types) == 0 {
-		return Command(ComStmtExecute, head)
+		return Command(ComStmtExecute, header)
 	}
-	return Command(ComStmtExecute, head, e.NullBitmap, []byte{1}, e.Types, e.Values)
+	return Command(ComStmtExecute, header, e.NullBitmap, []byte{1}, e.Types, e.Values)
 }
--- a/internal/protocol/mysqlwire/text.go
+++ b/internal/protocol/mysqlwire/text.go
@@ -4,7 +4,8 @@
 	"strings"
 )
 
-// HasMultipleStatements tells whether a text holds more than one statement. Quotes and comments do not count.
+// HasMultipleStatements reports whether a text contains more than one statement. Text in quotes and comments is
+// ignored.
 func HasMultipleStatements(sql string) bool {
 	var quote byte
 	for i := 0; i < len(sql); i++ {
@@ -37,7 +38,7 @@
 	return false
 }
 
-// FirstKeyword is the first word of a statement in capitals, after comments.
+// FirstKeyword returns the first word of a statement in upper case, after comments.
 func FirstKeyword(sql string) string {
 	for {
 		sql = strings.TrimLeft(sql, " \t\r\n;(")
