--- a/internal/protocol/simwire/wire.go
+++ b/internal/protocol/simwire/wire.go
@@ -1,5 +1,5 @@
-// Package simwire turns the JSON lines of the adapter's protocol into the events
-// of package aspenshed and its actions into reply lines. It decides nothing.
+// Package simwire decodes the JSON lines of the adapter's protocol into events of package aspenshed, and encodes its
+// actions as reply lines. It takes no decisions.
 package simwire
 
 import (
@@ -14,8 +14,7 @@
 	"aspenshed"
 )
 
-// Item is one event of a batch for one instance. Exactly one of Start, Stop
-// and Event is set.
+// Item is an event of a batch for one instance. Exactly one of Start, Stop and Event is set.
 type Item struct {
 	Instance int64
 	Start    *Start
@@ -23,13 +22,13 @@
 	Event    aspenshed.Event
 }
 
-// Start is the birth of an instance.
+// Start creates an instance.
 type Start struct {
 	Seed     uint64
 	Settings aspenshed.Settings
 }
 
-// Batch is one input line.
+// Batch is a decoded input line.
 type Batch struct {
 	Now   aspenshed.Nanos
 	Items []Item
@@ -41,21 +40,20 @@
 	Action   aspenshed.Action
 }
 
-// Fault reports that an instance's decisions failed.
+// Fault reports that the router of an instance has failed.
 type Fault struct {
 	Instance int64
 	Text     string
 }
 
-// Decoder reads batches. It remembers the numbered member lists, which belong
-// to the whole process, and what each instance's settings say about the form
-// of its events.
+// Decoder decodes batches. It keeps the numbered member lists, which all instances of the process share, and the zero
+// point of the positions in the events of each instance.
 type Decoder struct {
 	lists        map[int64][]aspenshed.Member
 	positionZero map[int64]aspenshed.Nanos
 }
 
-// NewDecoder returns an empty Decoder.
+// NewDecoder returns a Decoder without lists or instances.
 func NewDecoder() *Decoder {
 	return &Decoder{lists: map[int64][]aspenshed.Member{}, positionZero: map[int64]aspenshed.Nanos{}}
 }
@@ -98,26 +96,26 @@
 	Leader    float64  `json:"leader"`
 }
 
-// FieldError says which field of an input line is missing or malformed.
+// FieldError reports a missing or malformed field of an input line.
 type FieldError struct{ Field, Problem string }
 
 func (e *FieldError) Error() string { return fmt.Sprintf("field %s: %s", e.Field, e.Problem) }
 
 func missingField(field string) error { return &FieldError{field, "missing"} }
 
-func unmarshal(data []byte, into any, where string) error {
+func unmarshal(data []byte, into any, prefix string) error {
 	err := json.Unmarshal(data, into)
-	var te *json.UnmarshalTypeError
-	if errors.As(err, &te) {
-		return &FieldError{where + te.Field, "wrong type: " + te.Value}
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return &FieldError{prefix + typeErr.Field, "wrong type: " + typeErr.Value}
 	}
 	if err != nil {
-		return &FieldError{strings.TrimSuffix(where, "."), err.Error()}
+		return &FieldError{strings.TrimSuffix(prefix, "."), err.Error()}
 	}
 	return nil
 }
 
-// Decode reads one line. Events whose op is unknown are skipped.
+// Decode decodes one line. Events with an unknown op are skipped.
 func (d *Decoder) Decode(line []byte) (Batch, error) {
 	var raw struct {
 		ClockNs *int64             `json:"clockNs"`
@@ -134,35 +132,35 @@
 	}
 	b := Batch{Now: aspenshed.Nanos(*raw.ClockNs)}
 	for i, data := range *raw.Items {
-		where := fmt.Sprintf("items[%d].", i)
+		prefix := fmt.Sprintf("items[%d].", i)
 		var head struct {
 			Op *string `json:"op"`
 		}
-		if err := unmarshal(data, &head, where); err != nil {
+		if err := unmarshal(data, &head, prefix); err != nil {
 			return Batch{}, err
 		}
 		if head.Op == nil {
-			return Batch{}, missingField(where + "op")
+			return Batch{}, missingField(prefix + "op")
 		}
 		need, known := requiredFields[*head.Op]
 		if !known {
 			continue
 		}
 		var e wireEvent
-		if err := unmarshal(data, &e, where); err != nil {
+		if err := unmarshal(data, &e, prefix); err != nil {
 			return Batch{}, err
 		}
 		for _, f := range need {
 			if !e.hasField(f) {
-				return Batch{}, missingField(where + f)
+				return Batch{}, missingField(prefix + f)
 			}
 		}
-		it, err := d.decodeItem(&e, where)
+		item, err := d.decodeItem(&e, prefix)
 		if err != nil {
 			return Batch{}, err
 		}
-		if it != nil {
-			b.Items = append(b.Items, *it)
+		if item != nil {
+			b.Items = append(b.Items, *item)
 		}
 	}
 	return b, nil
@@ -217,50 +215,50 @@
 	return false
 }
 
-func (d *Decoder) decodeItem(e *wireEvent, where string) (*Item, error) {
+func (d *Decoder) decodeItem(e *wireEvent, prefix string) (*Item, error) {
 	if *e.Op == "list" {
-		ms, err := parseMembers(*e.Entries, where)
-		d.lists[*e.List] = ms
+		members, err := parseMembers(*e.Entries, prefix)
+		d.lists[*e.List] = members
 		return nil, err
 	}
-	it := &Item{Instance: *e.Driver}
+	item := &Item{Instance: *e.Driver}
 	switch *e.Op {
 	case "provision":
 		seed, err := parseSeed(e.Seed)
 		if err != nil {
-			return nil, &FieldError{where + "seed", "wrong type"}
+			return nil, &FieldError{prefix + "seed", "wrong type"}
 		}
-		s, err := parseSettings(e.Setup, where+"setup.")
+		s, err := parseSettings(e.Setup, prefix+"setup.")
 		if err != nil {
 			return nil, err
 		}
 		d.positionZero[*e.Driver] = s.PositionEpoch
-		it.Start = &Start{seed, s}
+		item.Start = &Start{seed, s}
 	case "down":
-		it.Stop = true
+		item.Stop = true
 	case "sync":
 		if *e.Scope == "broken" {
-			it.Event = aspenshed.DiscoveryFailed{}
+			item.Event = aspenshed.DiscoveryFailed{}
 			break
 		}
 		if e.List == nil {
-			return nil, missingField(where + "list")
+			return nil, missingField(prefix + "list")
 		}
-		ms, ok := d.lists[*e.List]
+		members, ok := d.lists[*e.List]
 		if !ok {
-			return nil, &FieldError{where + "list", "no list of that number"}
+			return nil, &FieldError{prefix + "list", "unknown list number"}
 		}
 		switch *e.Scope {
 		case "patch", "whole", "stale_copy":
 		default:
-			return nil, &FieldError{where + "scope", "unknown value"}
+			return nil, &FieldError{prefix + "scope", "unknown value"}
 		}
-		it.Event = aspenshed.MemberList{Complete: *e.Scope != "patch", Cached: *e.Scope == "stale_copy", Members: ms}
+		item.Event = aspenshed.MemberList{Complete: *e.Scope != "patch", Cached: *e.Scope == "stale_copy", Members: members}
 	case "order":
-		it.Event = aspenshed.Request{ID: *e.Ticket, Class: *e.Qos, Group: int(*e.Cluster), Tenant: e.Owner,
+		item.Event = aspenshed.Request{ID: *e.Ticket, Class: *e.Qos, Group: int(*e.Cluster), Tenant: e.Owner,
 			Session: e.ConnKey, Remaining: aspenshed.Nanos(*e.RemainingNs),
 			SinceCommit: aspenshed.Nanos(math.Floor(e.SinceWriteMs * 1e6)), IsRetry: e.IsRetry}
-	case "flowing": // no class streams here; its answer follows
+	case "flowing": // ignored: no class streams its response, and an answer event follows
 		return nil, nil
 	case "answer":
 		a := aspenshed.AttemptResult{ID: *e.Ticket, Attempt: *e.SeqNo, Member: *e.Member, Outcome: parseOutcome(*e.StateCode),
@@ -269,16 +267,16 @@
 		if p := e.Stand >> 2; p > 0 {
 			a.Position = d.positionZero[*e.Driver] + aspenshed.Nanos(p)*1e6
 		}
-		it.Event = a
+		item.Event = a
 	case "abandoned":
-		it.Event = aspenshed.RequestWithdrawn{ID: *e.Ticket}
+		item.Event = aspenshed.RequestWithdrawn{ID: *e.Ticket}
 	case "timer":
-		it.Event = aspenshed.TimerFired{Label: *e.Label}
+		item.Event = aspenshed.TimerFired{Label: *e.Label}
 	case "statusBack":
-		it.Event = aspenshed.ProbeResult{Member: *e.Member, Outcome: parseOutcome(*e.StateCode), Duration: aspenshed.Nanos(*e.RttNs),
+		item.Event = aspenshed.ProbeResult{Member: *e.Member, Outcome: parseOutcome(*e.StateCode), Duration: aspenshed.Nanos(*e.RttNs),
 			Report: d.parseReport(*e.Driver, e.Load)}
 	}
-	return it, nil
+	return item, nil
 }
 
 func parseSeed(n json.Number) (uint64, error) {
@@ -290,10 +288,10 @@
 	return uint64(i), err
 }
 
-func parseMembers(entries []memberEntry, where string) ([]aspenshed.Member, error) {
-	ms := make([]aspenshed.Member, 0, len(entries))
+func parseMembers(entries []memberEntry, prefix string) ([]aspenshed.Member, error) {
+	members := make([]aspenshed.Member, 0, len(entries))
 	for i, e := range entries {
-		at := fmt.Sprintf("%sentries[%d].", where, i)
+		at := fmt.Sprintf("%sentries[%d].", prefix, i)
 		if e.Member == nil {
 			return nil, missingField(at + "member")
 		}
@@ -315,9 +313,9 @@
 		default:
 			return nil, &FieldError{at + "state", "unknown value"}
 		}
-		ms = append(ms, m)
+		members = append(members, m)
 	}
-	return ms, nil
+	return members, nil
 }
 
 var outcomesByCode = map[string]aspenshed.Outcome{
@@ -432,36 +430,37 @@
 	WorthBy      string   `json:"worthBy"`
 }
 
-// reportColumns are the report values that the wire page names.
+// reportColumns are the columns of load reports that the adapter's protocol defines.
 var reportColumns = map[string]bool{"outstanding": true, "backlog": true, "utilization": true, "recent_ms": true,
 	"throughput": true, "errors_per_s": true, "x0": true, "x1": true}
 
-func parseSettings(data []byte, where string) (aspenshed.Settings, error) {
+// parseSettings decodes a settings object. prefix is the path of the object, for errors.
+func parseSettings(data []byte, prefix string) (aspenshed.Settings, error) {
 	var w setup
-	if err := unmarshal(data, &w, where); err != nil {
+	if err := unmarshal(data, &w, prefix); err != nil {
 		return aspenshed.Settings{}, err
 	}
 	var tree any
 	if err := json.Unmarshal(data, &tree); err != nil {
-		return aspenshed.Settings{}, &FieldError{where, err.Error()}
+		return aspenshed.Settings{}, &FieldError{prefix, err.Error()}
 	}
-	if w.Balancers < 0 { // absent and 0: it is not told, and there is one at least
-		return aspenshed.Settings{}, &FieldError{where + "balancers", "not a positive number"}
+	if w.Balancers < 0 { // 0 or absent means unknown, and is taken as 1
+		return aspenshed.Settings{}, &FieldError{prefix + "balancers", "not a positive number"}
 	}
-	l, f, ru := w.Limits, w.FamilyInfo, w.Rules
+	limits, family, rules := w.Limits, w.FamilyInfo, w.Rules
 	s := aspenshed.Settings{
 		Routers: max(w.Balancers, 1), Rank: w.Rank, Zone: w.Zone, MinStepInterval: aspenshed.Nanos(w.QuantumNs),
 		OverQuotaValue: w.OverShareWorth, WatchDiscovery: w.Discovery == "on_request",
-		NotifiedAfter: aspenshed.Nanos(ru.AskWithinNs), ListHasRoles: f.ListRole == "late" || f.ListRole == "start",
-		PositionEpoch: aspenshed.Nanos(f.BaseTimeNs), ResponsesHavePosition: f.TellsPosition,
-		ResponsesHaveReport: w.Telemetry.Source == "answers", TrackSessionWrites: f.TokenMode == "remembered",
-		MembersCheckStaleness: f.Checks == "wait" || f.Checks == "refuse", StalenessCheckWait: aspenshed.Nanos(f.WaitNs),
-		MayProbe: l.Probes, MayCancel: l.Cancelling, MayHedge: l.ParallelTries, SendRetryAfter: l.RetryAfter,
-		MaxAttempts: l.SendCap, MaxRetryAfter: aspenshed.Nanos(l.MaxRetryAfterNs),
-		ConnectTimeout: aspenshed.Nanos(l.ConnectTimeoutNs), IdleTimeout: aspenshed.Nanos(l.IdleCloseNs), ResponseSlack: aspenshed.Nanos(ru.AnswerSlackNs),
-		DrainGrace: aspenshed.Nanos(ru.DrainGraceNs), RemovalIsAdvisory: ru.RemovalNotBinding,
-		InitialCapacity: ru.StartCapacity, WarmUpTime: aspenshed.Nanos(ru.ColdNs), OverloadFactor: ru.FallMultiple,
-		OverloadWindow: aspenshed.Nanos(ru.FallNs), ProbeCost: w.Prices["probe"], CrossZoneCost: w.Prices["crossZone"],
+		NotifiedAfter: aspenshed.Nanos(rules.AskWithinNs), ListHasRoles: family.ListRole == "late" || family.ListRole == "start",
+		PositionEpoch: aspenshed.Nanos(family.BaseTimeNs), ResponsesHavePosition: family.TellsPosition,
+		ResponsesHaveReport: w.Telemetry.Source == "answers", TrackSessionWrites: family.TokenMode == "remembered",
+		MembersCheckStaleness: family.Checks == "wait" || family.Checks == "refuse", StalenessCheckWait: aspenshed.Nanos(family.WaitNs),
+		MayProbe: limits.Probes, MayCancel: limits.Cancelling, MayHedge: limits.ParallelTries, SendRetryAfter: limits.RetryAfter,
+		MaxAttempts: limits.SendCap, MaxRetryAfter: aspenshed.Nanos(limits.MaxRetryAfterNs),
+		ConnectTimeout: aspenshed.Nanos(limits.ConnectTimeoutNs), IdleTimeout: aspenshed.Nanos(limits.IdleCloseNs), ResponseSlack: aspenshed.Nanos(rules.AnswerSlackNs),
+		DrainGrace: aspenshed.Nanos(rules.DrainGraceNs), RemovalIsAdvisory: rules.RemovalNotBinding,
+		InitialCapacity: rules.StartCapacity, WarmUpTime: aspenshed.Nanos(rules.ColdNs), OverloadFactor: rules.FallMultiple,
+		OverloadWindow: aspenshed.Nanos(rules.FallNs), ProbeCost: w.Prices["probe"], CrossZoneCost: w.Prices["crossZone"],
 		WastedWorkCost: w.Prices["waste"], LateFailureCost: w.Prices["lateFail"],
 		UnknownKeys: unknownKeys(tree, reflect.TypeOf(w), ""),
 	}
@@ -471,24 +470,24 @@
 		}
 	}
 	effects := map[string]aspenshed.RetrySafety{"free": aspenshed.Safe, "guarded": aspenshed.Deduplicated, "single_shot": aspenshed.Unsafe}
-	needs := map[string]aspenshed.Consistency{"any": aspenshed.Eventual, "bounded": aspenshed.BoundedStaleness, "session": aspenshed.ReadYourWrites,
+	consistencies := map[string]aspenshed.Consistency{"any": aspenshed.Eventual, "bounded": aspenshed.BoundedStaleness, "session": aspenshed.ReadYourWrites,
 		"fresh": aspenshed.Linearizable, "write": aspenshed.Write}
 	scopes := map[string]aspenshed.DedupScope{"all": aspenshed.DedupAll, "zone": aspenshed.DedupZone, "cell": aspenshed.DedupGroup}
 	for i, c := range w.Classes {
-		k := aspenshed.Class{Name: c.Name, LatencyTarget: aspenshed.Nanos(c.AimNs), ClientTimeout: aspenshed.Nanos(c.GiveUpNs), Value: c.Worth,
+		class := aspenshed.Class{Name: c.Name, LatencyTarget: aspenshed.Nanos(c.AimNs), ClientTimeout: aspenshed.Nanos(c.GiveUpNs), Value: c.Worth,
 			LateValue: c.LateWorth, RetrySafety: effects[c.Effect], DedupWindow: aspenshed.Nanos(c.RepeatWindowNs)}
-		if sc, ok := scopes[c.Group]; ok {
-			k.DedupScope = sc
+		if scope, ok := scopes[c.Group]; ok {
+			class.DedupScope = scope
 		} else if c.Effect == "guarded" {
-			k.RetrySafety = 0
+			class.RetrySafety = 0
 		}
-		if i < len(f.ReadLevel) {
-			k.Consistency = needs[f.ReadLevel[i]]
+		if i < len(family.ReadLevel) {
+			class.Consistency = consistencies[family.ReadLevel[i]]
 		}
-		if i < len(f.LagAllowedNs) {
-			k.MaxStaleness = aspenshed.Nanos(f.LagAllowedNs[i])
+		if i < len(family.LagAllowedNs) {
+			class.MaxStaleness = aspenshed.Nanos(family.LagAllowedNs[i])
 		}
-		s.Classes = append(s.Classes, k)
+		s.Classes = append(s.Classes, class)
 	}
 	for _, t := range w.Customers {
 		s.Tenants = append(s.Tenants, aspenshed.Tenant{Name: t.Name, Quota: t.QuotaRps})
@@ -496,8 +495,7 @@
 	return s, nil
 }
 
-// unknownKeys lists the keys of a decoded object that its Go type has no
-// field for, with their paths, in order.
+// unknownKeys returns the sorted paths of the keys of a decoded object for which its Go type has no field.
 func unknownKeys(v any, t reflect.Type, path string) []string {
 	var out []string
 	switch t.Kind() {
@@ -532,5 +530,5 @@
 	return out
 }
 
-// ParseSettings reads the settings object by itself, as a real gateway's configuration holds it.
+// ParseSettings parses a settings object on its own, as in the configuration of a gateway.
 func ParseSettings(data []byte) (aspenshed.Settings, error) { return parseSettings(data, "settings.") }
--- a/internal/protocol/simwire/wire_test.go
+++ b/internal/protocol/simwire/wire_test.go
@@ -68,11 +68,11 @@
 		}
 	}
 	if !b.Items[6].Stop {
-		t.Error("down is not a stop")
+		t.Error("down did not stop the instance")
 	}
 }
 
-// A list number is resolved in the order of the events, also within a batch.
+// List numbers are reused: each must resolve to its latest list before the event, also within a batch.
 func TestListNumbersAreReused(t *testing.T) {
 	b := decode(t, NewDecoder(), `{"clockNs":1,"items":[
 {"op":"list","list":0,"entries":[{"member":"a","state":"U","units":2,"leader":1,"cluster":3,"az":1,"upSinceNs":4}]},
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestBadInputNamesTheField(t *testing.T) {
+func TestErrorNamesTheField(t *testing.T) {
 	for line, field := range map[string]string{
 		`{"items":[]}`:                                       "clockNs",
 		`{"clockNs":1}`:                                      "items",
@@ -110,7 +110,7 @@
 		}
 	}
 	if _, err := NewDecoder().Decode([]byte("nonsense")); err == nil {
-		t.Error("nonsense was taken for a batch")
+		t.Error("invalid JSON was accepted")
 	}
 }
 
@@ -130,14 +130,15 @@
 		t.Errorf("got  %swant %s", got, want)
 	}
 	if !json.Valid([]byte(got)) {
-		t.Error("not JSON")
+		t.Error("the reply is not JSON")
 	}
 	if empty := string(AppendReply(nil, nil, nil)); empty != "{\"do\":[]}\n" {
 		t.Errorf("empty reply: %q", empty)
 	}
 }
 
-// Guards rounds, windows and calls to discovery, which go by the number of routers.
+// Probe rounds, windows and calls to discovery depend on the number of routers: it must be at least 1, and an invalid
+// number must be rejected.
 func TestNumberOfRouters(t *testing.T) {
 	for given, want := range map[string]int{`{}`: 1, `{"balancers":0}`: 1, `{"balancers":1}`: 1, `{"balancers":80}`: 80,
 		`{"balancers":-3}`: 0, `{"balancers":2.5}`: 0, `{"balancers":"many"}`: 0, `{"balancers":1e30}`: 0} {
@@ -146,7 +147,7 @@
 			t.Errorf("%s: %d routers, %v; want %d", given, s.Routers, err, want)
 		}
 		if want == 0 && (err == nil || !strings.Contains(err.Error(), "settings.balancers")) {
-			t.Errorf("%s: %v does not name the field", given, err)
+			t.Errorf("%s: error %v does not name the field", given, err)
 		}
 	}
 }
