--- a/internal/dataplane/dispatch/dispatch.go
+++ b/internal/dataplane/dispatch/dispatch.go
@@ -27,7 +27,7 @@
 	Backend           request.Backend
 	ConnectTimeout    aspenshed.Nanos
 	IdleClose         aspenshed.Nanos // after which members close idle connections; 0 for never
-	RemovalNotBinding bool            // a member that is absent from a complete list still finishes what was sent to it
+	RemovalNotBinding bool            // a member absent from a complete list still gets the attempts that have started
 	FindRequest       func(id string) *request.Request
 	Emit              func(aspenshed.Event)
 	// OnAnswer is called with a result that answers its request. OnSettled is called when the last attempt of a request
--- a/internal/dataplane/request/request.go
+++ b/internal/dataplane/request/request.go
@@ -29,7 +29,7 @@
 	Attempts            int  // started so far
 	InFlight            bool // the last byte of an attempt may have been sent and the attempt has not ended
 	MayHaveRun          bool // an attempt has ended without proof that its statement did not run
-	LastError           any  // the last error of a member, in the form of its wire protocol
+	LastError           any  // error response that ended the last attempt, as its wire protocol gives it; or nil
 	Responded           bool
 	DeadlineTimer       *eventloop.Timer
 }
@@ -48,13 +48,13 @@
 // Response is the single final response to a request.
 type Response struct {
 	Status     Status
-	Value      any             // Served: the response of the member; Failed: the last error of a member, if any
+	Value      any             // Served: the response of the member; Failed: the error response of a member, if any
 	RetryAfter aspenshed.Nanos // Refused: when the client may retry; 0 if not known
 	Reason     string          // set for Refused and Failed
 	Invalid    bool            // Failed: the query was not a valid request
 }
 
-// Client receives the response to its request. Respond is called exactly once, on the event loop.
+// Client receives the response to its request. Respond is called once, on the event loop, unless the client has left.
 type Client interface{ Respond(Response) }
 
 // Result is the result of an attempt or a probe.
--- a/internal/dataplane/routing/routing.go
+++ b/internal/dataplane/routing/routing.go
@@ -26,7 +26,7 @@
 	Watch()
 }
 
-// Decider takes the decisions. It is an aspenshed.Router, except in tests.
+// Decider takes the decisions. It is an aspenshed.Router unless Stage.NewDecider creates another one.
 type Decider interface {
 	Step(now aspenshed.Nanos, events []aspenshed.Event) []aspenshed.Action
 }
--- a/internal/netio/listen.go
+++ b/internal/netio/listen.go
@@ -18,7 +18,7 @@
 type listener struct {
 	net.Listener
 	stopping, closed                chan struct{}
-	accepting                       chan struct{} // closed at the first Accept: nbio (v1.6.8) loses an earlier Stop, and spins
+	accepting                       chan struct{} // closed on Accept: nbio (v1.6.8) loses an earlier Stop, and spins
 	acceptOnce, stopOnce, closeOnce sync.Once
 }
 
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -287,7 +287,7 @@
 	_ = raw.Close()
 	waitUnread(t, in.conn, len(long))
 	release()
-	receive(t, "close", in.closed)
+	receive(t, "the close", in.closed)
 	got := 0
 	for len(in.data) > 0 {
 		got += len(<-in.data)
@@ -335,7 +335,7 @@
 	}
 	close(release)
 	receive(t, "data", in.data)
-	receive(t, "close", in.closed)
+	receive(t, "the close", in.closed)
 }
 
 // The poller gets events of many connections at once. While it handles the first, the others are closed and new
@@ -442,5 +442,5 @@
 		}
 	}
 	_ = raw.Close()
-	receive(t, "close", in.closed)
+	receive(t, "the close", in.closed)
 }
--- a/internal/netio/write_test.go
+++ b/internal/netio/write_test.go
@@ -164,7 +164,7 @@
 	if err := in.conn.Write([]byte("one more")); !errors.Is(err, ErrWriteBufferFull) {
 		t.Errorf("a write to a full buffer: %v", err)
 	}
-	if err := receive(t, "close", in.closed); !errors.Is(err, ErrWriteBufferFull) {
+	if err := receive(t, "the close", in.closed); !errors.Is(err, ErrWriteBufferFull) {
 		t.Errorf("closed with %v", err)
 	}
 	raw, in := connect(t, n, accepted)
