--- a/internal/dataplane/accept/accept.go
+++ b/internal/dataplane/accept/accept.go
@@ -54,10 +54,10 @@
 	case !s.KnownGroup(q.Group):
 		return fmt.Sprintf("unknown group %d", q.Group)
 	case q.Timeout <= 0:
-		return "timeout is not positive"
+		return "no time to wait"
 	case s.openIDs[q.ExternalID]:
 		// A member couldn't tell this request from a second copy of the first, of which only one attempt may run.
-		return "request id is still in use"
+		return "id of a request that is still open"
 	}
 	q.Timeout = min(q.Timeout, s.Settings.Classes[q.Class].ClientTimeout)
 	return ""
--- a/internal/dataplane/admission/admission.go
+++ b/internal/dataplane/admission/admission.go
@@ -18,7 +18,7 @@
 func (s *Stage) Admit(r *request.Request) {
 	s.Track(r)
 	if s.Pending() > s.MaxPending {
-		s.Refuse(r, request.Response{Status: request.Refused, Reason: "too many pending requests"})
+		s.Refuse(r, request.Response{Status: request.Refused, Reason: "too many requests held"})
 		return
 	}
 	s.Next(r)
--- a/internal/dataplane/pipeline/pipeline.go
+++ b/internal/dataplane/pipeline/pipeline.go
@@ -162,6 +162,6 @@
 // Fail ends a request that may have been executed.
 func (p *Pipeline) Fail(id string) {
 	if r := p.Response.Get(id); r != nil {
-		p.Response.Respond(r, request.Response{Status: request.Failed, Reason: "no attempt succeeded", Value: r.LastError})
+		p.Response.Respond(r, request.Response{Status: request.Failed, Reason: "no answer that counts", Value: r.LastError})
 	}
 }
--- a/internal/protocol/frame/frame.go
+++ b/internal/protocol/frame/frame.go
@@ -18,7 +18,7 @@
 type SizeError struct{ Size, Limit int }
 
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("frame of %d bytes exceeds the limit of %d", e.Size, e.Limit)
+	return fmt.Sprintf("a frame of %d bytes, %d at most", e.Size, e.Limit)
 }
 
 // Reader splits the data of a connection into messages. It buffers at most one incomplete message. After an error the
--- a/internal/protocol/sqlcomment/sqlcomment.go
+++ b/internal/protocol/sqlcomment/sqlcomment.go
@@ -63,7 +63,7 @@
 	}
 	n, err := strconv.ParseInt(v, 10, 64)
 	if err != nil {
-		return 0, errors.New("comment: " + name + " is not an integer")
+		return 0, errors.New("comment: " + name + " is no whole number")
 	}
 	return n, nil
 }
