--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -200,11 +200,11 @@
 	w.Address = address
 	if w.current != nil && w.current.gotList {
 		if w.previous != nil {
-			w.previous.close()
+			w.previous.stop()
 		}
 		w.previous, w.current = w.current, nil
 	} else if w.current != nil {
-		w.current.close()
+		w.current.stop()
 	}
 	w.Watch()
 	if w.current != nil {
@@ -235,7 +235,7 @@
 	x.timer = x.watcher.Loop.At(x.lastHeard+silenceTimeout, func() { x.fail(errSilence) })
 }
 
-func (x *watch) close() {
+func (x *watch) stop() {
 	x.closed = true
 	x.watcher.Loop.StopTimer(x.timer)
 	if x.conn != nil {
@@ -254,7 +254,7 @@
 		return
 	}
 	was := x == x.watcher.previous
-	if x.close(); was { // as expected; the new one is on its way
+	if x.stop(); was { // as expected; the new one is on its way
 		return
 	}
 	w := x.watcher
@@ -320,7 +320,7 @@
 		return
 	}
 	if x.gotList, x.movedAt = true, 0; x == w.current && w.previous != nil {
-		w.previous.close()
+		w.previous.stop()
 	}
 	if !empty { // an empty line first: nothing has changed since
 		w.logList(version, u, faults)
