--- a/internal/frontend/session/memory.go
+++ b/internal/frontend/session/memory.go
@@ -2,19 +2,20 @@
 
 import "cmp"
 
-// What a command takes is kept until it has its answer, and an answer until those before it are written. These bounds are in
-// bytes; a connection that reaches them is ended as one that has too many commands without an answer is.
+// A command is held until it has its response, and a response until those before it are written. These bounds are in
+// bytes; a connection that exceeds them is closed just like one with too many pending commands.
 const (
-	// defaultMaxPendingBytes is for all connections of a front together, where its Limits do not say. One connection may have half
-	// of it. Beyond it each may still have fairUnanswered, and one command of any size: who sends one and waits for its
-	// answer is always served.
+	// defaultMaxPendingBytes applies to all connections of a front end together, unless Limits sets a bound. One
+	// connection may use half of it. Beyond it each connection may still use guaranteedPendingBytes, or one command of
+	// any size, so a client that sends one command and waits for the response is always served.
 	defaultMaxPendingBytes = 64 << 20
 	guaranteedPendingBytes = 16 << 10
-	// commandOverhead is about what a command takes beside its bytes: its slot, its request and its turn in the loop's mailbox.
+	// commandOverhead approximates the memory of a command besides its bytes: its slot, its request and its entry in the
+	// loop's mailbox.
 	commandOverhead = 256
 )
 
-// reserve counts a command's bytes, if there is room for them. Any goroutine may call it.
+// reserve counts a command's bytes as pending if the limits allow it. Any goroutine may call it.
 func (s *Session) reserve(size int) bool {
 	s.addPending(size)
 	if s.withinLimits(size) {
@@ -24,11 +25,12 @@
 	return false
 }
 
-// withinLimits tells whether what has been counted is withinLimits the bounds; alone: one command of that size always is.
-func (s *Session) withinLimits(alone int) bool {
+// withinLimits reports whether the pending bytes are within the limits. A connection with no more than single bytes
+// pending always is, so that one command of that size passes.
+func (s *Session) withinLimits(single int) bool {
 	limit := cmp.Or(s.manager.Limits.MaxPendingBytes, defaultMaxPendingBytes)
 	own := s.pendingBytes.Load()
-	return own <= max(int64(alone), guaranteedPendingBytes) || own <= limit/2 && s.manager.pendingBytes.Load() <= limit
+	return own <= max(int64(single), guaranteedPendingBytes) || own <= limit/2 && s.manager.pendingBytes.Load() <= limit
 }
 
 func (s *Session) addPending(size int) {
--- a/internal/frontend/session/memory_test.go
+++ b/internal/frontend/session/memory_test.go
@@ -6,13 +6,13 @@
 	"aspenshed/internal/dataplane/eventloop"
 )
 
-// counting is a client that notes how many answers were written to it.
-type counting struct{ answers, closed int }
+// countingConn counts the responses written to it.
+type countingConn struct{ responses, closed int }
 
-func (c *counting) Write([]byte) error { c.answers++; return nil }
-func (c *counting) Unsent() bool       { return false }
-func (c *counting) Close()             { c.closed++ }
-func (c *counting) Shut(idle func() bool) bool {
+func (c *countingConn) Write([]byte) error { c.responses++; return nil }
+func (c *countingConn) Unsent() bool       { return false }
+func (c *countingConn) Close()             { c.closed++ }
+func (c *countingConn) Shut(idle func() bool) bool {
 	if !idle() {
 		return false
 	}
@@ -20,69 +20,72 @@
 	return true
 }
 
-// Guards the memory, and the other clients: many that send without end, while the loop is busy elsewhere, are held to a bound.
-// One that sends a single command, however long, is taken. What was taken is answered, and those that overdrew are closed then.
-func TestAFloodOfCommandsIsBounded(t *testing.T) {
+// Guards against memory exhaustion by clients that keep sending while the loop is busy: their pending bytes are bounded. A
+// client that sends a single command of any length is accepted. Accepted commands get responses; then the connections
+// that exceeded the limit are closed.
+func TestPendingCommandBytesAreBounded(t *testing.T) {
 	const flooders, limit = 20, 8 << 20
 	for name, size := range map[string]int{"long": 140 << 10, "short": 1} {
 		t.Run(name, func(t *testing.T) {
-			clock := &clock{1000 * ms}
+			clock := &fakeClock{1000 * ms}
 			rejected := 0
-			m := &Manager{Loop: eventloop.NewLoop(clock), Limits: Limits{CommandTimeout: 2000 * ms, IdleTimeout: 2000 * ms, MaxPendingBytes: limit},
+			m := &Manager{Loop: eventloop.NewLoop(clock),
+				Limits:        Limits{CommandTimeout: 2000 * ms, IdleTimeout: 2000 * ms, MaxPendingBytes: limit},
 				CountRejected: func(string) { rejected++ }}
-			var conns []*counting
+			var conns []*countingConn
 			var sessions []*Session
 			for range flooders + 1 {
-				c := &counting{}
+				c := &countingConn{}
 				conns, sessions = append(conns, c), append(sessions, m.Open(c))
 			}
 			m.Loop.RunPending()
 			var slots []*Slot
-			take := func(x *Slot) { slots = append(slots, x) }
-			for range 200_000 { // commands come in turn, and the loop stands still
+			accept := func(x *Slot) { slots = append(slots, x) }
+			for range 200_000 { // commands arrive in turn while the loop is blocked
 				for _, s := range sessions[:flooders] {
-					s.Enqueue(size, take)
+					s.Enqueue(size, accept)
 				}
 				if got := m.pendingBytes.Load(); got > limit+flooders*max(guaranteedPendingBytes, int64(size)+commandOverhead) {
-					t.Fatalf("%d bytes are kept", got)
+					t.Fatalf("%d bytes are pending", got)
 				}
 			}
-			sessions[flooders].Enqueue(1<<20, take)
+			sessions[flooders].Enqueue(1<<20, accept)
 			m.Loop.RunPending()
-			taken := len(slots)
-			if last := slots[taken-1]; last.session != sessions[flooders] {
-				t.Error("the one that sends a single command was not taken")
+			accepted := len(slots)
+			if last := slots[accepted-1]; last.session != sessions[flooders] {
+				t.Error("the client that sends a single command was not accepted")
 			}
 			if rejected != flooders {
-				t.Errorf("%d of %d floods were ended", rejected, flooders)
+				t.Errorf("%d of %d flooding clients were rejected", rejected, flooders)
 			}
 			for _, x := range slots {
-				x.SetResponse([]byte("answer"))
+				x.SetResponse([]byte("response"))
 			}
 			for range 3 {
 				clock.now += sweepInterval
 				m.Loop.RunPending()
 			}
-			answers := 0
+			responses := 0
 			for i, c := range conns {
-				answers += c.answers
+				responses += c.responses
 				if want := i < flooders; (c.closed > 0) != want {
 					t.Errorf("connection %d: closed %d times", i, c.closed)
 				}
 			}
-			if answers != taken || m.pendingBytes.Load() != 0 {
-				t.Errorf("%d of %d commands were answered; %d bytes still count", answers, taken, m.pendingBytes.Load())
+			if responses != accepted || m.pendingBytes.Load() != 0 {
+				t.Errorf("%d of %d commands got a response; %d bytes still pending", responses, accepted, m.pendingBytes.Load())
 			}
 		})
 	}
 }
 
-// Guards the memory against answers that pile up behind one that does not come: the connection ends, and all is given back.
-func TestAnswersBehindOneThatDoesNotComeAreBounded(t *testing.T) {
+// Guards against memory exhaustion by responses that queue behind a missing one: the connection is closed and its pending
+// bytes are released.
+func TestResponsesBehindAMissingOneAreBounded(t *testing.T) {
 	const limit = 64 << 20
-	clock := &clock{1000 * ms}
+	clock := &fakeClock{1000 * ms}
 	m := &Manager{Loop: eventloop.NewLoop(clock), Limits: Limits{MaxPendingBytes: limit}, CountRejected: func(string) {}}
-	conn := &counting{}
+	conn := &countingConn{}
 	s := m.Open(conn)
 	var slots []*Slot
 	for range maxPendingCommands {
@@ -96,10 +99,10 @@
 			filled++
 		}
 		if got := m.pendingBytes.Load(); got > limit/2+4<<20 {
-			t.Fatalf("%d bytes are kept", got)
+			t.Fatalf("%d bytes are pending", got)
 		}
 	}
 	if conn.closed != 1 || filled > limit/2>>22+1 || m.pendingBytes.Load() != 0 {
-		t.Errorf("closed %d times after %d answers, %d bytes still count", conn.closed, filled, m.pendingBytes.Load())
+		t.Errorf("closed %d times after %d responses, %d bytes still pending", conn.closed, filled, m.pendingBytes.Load())
 	}
 }
--- a/internal/frontend/session/pending.go
+++ b/internal/frontend/session/pending.go
@@ -2,36 +2,36 @@
 
 import "sync"
 
-// PendingResponses says what a link's member still owes answers to, in order: the loop adds,
-// the poller takes off. Bytes that come while nothing is owed belong to no
-// answer; without this a second copy of one answer could pass for the next.
+// PendingResponses is the queue of responses that a backend connection still has to receive: the loop adds to it, the
+// poller removes. Bytes that arrive while it is empty belong to no response; without this check a duplicate of one
+// response could be taken for the next.
 type PendingResponses struct {
 	mu    sync.Mutex
 	kinds []int
 }
 
-// Add notes what is about to be written.
-func (o *PendingResponses) Add(what int) {
-	o.mu.Lock()
-	o.kinds = append(o.kinds, what)
-	o.mu.Unlock()
+// Add records the kind of response that the next written command will get.
+func (p *PendingResponses) Add(kind int) {
+	p.mu.Lock()
+	p.kinds = append(p.kinds, kind)
+	p.mu.Unlock()
 }
 
-// Next is what the next bytes answer; 0: nothing.
-func (o *PendingResponses) Next() int {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if len(o.kinds) == 0 {
+// Next returns the kind of the next response; 0: none is pending.
+func (p *PendingResponses) Next() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.kinds) == 0 {
 		return 0
 	}
-	return o.kinds[0]
+	return p.kinds[0]
 }
 
-// Done takes off what has been answered whole.
-func (o *PendingResponses) Done() {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if len(o.kinds) > 0 {
-		o.kinds = o.kinds[1:]
+// Done removes the next response after it has been received completely.
+func (p *PendingResponses) Done() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.kinds) > 0 {
+		p.kinds = p.kinds[1:]
 	}
 }
--- a/internal/frontend/session/session.go
+++ b/internal/frontend/session/session.go
@@ -1,5 +1,5 @@
-// Package session holds what the two fronts share: sessions whose answers keep the
-// order of their commands, and the reading of a statement's comment.
+// Package session holds what the two front ends share: client sessions that write responses in the order of their
+// commands, and the parsing of the routing fields in a statement's comment.
 package session
 
 import (
@@ -17,37 +17,40 @@
 )
 
 const (
-	maxPendingCommands      = 256                    // commands of one connection without an answer
-	sweepInterval           = aspenshed.Nanos(100e6) // for clients that say nothing, and often when connections get scarce
+	maxPendingCommands      = 256                    // commands of one connection without a response
+	sweepInterval           = aspenshed.Nanos(100e6) // more often when connections are scarce
 	crowdedSweepInterval    = aspenshed.Nanos(20e6)
-	unreadTimeout           = aspenshed.Nanos(10e9)  // for a client to read its last answer
+	unreadTimeout           = aspenshed.Nanos(10e9)  // for a client to read its last response
 	crowdedFirstByteTimeout = aspenshed.Nanos(100e6) // for a first byte while connections are scarce
 )
 
-// Limits bound what a connection may hold on to without a request of its own:
-// clients that connect and say nothing, or ask once and stay, would otherwise
-// use up the descriptors that the others need.
+// Limits bound how long a connection may stay open without a request. Clients that connect and send nothing, or stay
+// connected after one request, would otherwise use up the descriptors that other clients need.
 type Limits struct {
-	CommandTimeout aspenshed.Nanos // from connecting to the first whole command, and from a later command's first byte to its last
+	// CommandTimeout runs from connecting to the end of the first command, and from the first byte of a later command
+	// to its last.
+	CommandTimeout aspenshed.Nanos
 	IdleTimeout    aspenshed.Nanos // between requests
-	// Beyond ReclaimAbove connections they get scarce: those idle for longest make room, if for Spare at least. 0: never.
+	// Above ReclaimAbove connections, those that have been idle the longest are closed, provided that they have been
+	// idle for at least ReclaimMinIdle. 0: never.
 	ReclaimAbove   int
 	ReclaimMinIdle aspenshed.Nanos
-	// MaxPendingBytes bounds the bytes of commands without an answer, of all connections together; 0: defaultUnanswered.
+	// MaxPendingBytes bounds the bytes of commands without a response, of all connections together;
+	// 0: defaultMaxPendingBytes.
 	MaxPendingBytes int64
 }
 
-// Conn is a client's connection, whatever its wire.
+// Conn is a client connection, independent of its wire protocol.
 type Conn interface {
 	Write([]byte) error
-	// Unsent tells whether some of what was written has not left: a close would drop it.
+	// Unsent reports whether written bytes have not been sent yet: Close would drop them.
 	Unsent() bool
-	// Shut ends the connection in order, unless what has come till then leaves it not idle.
+	// Shut closes the connection gracefully, unless idle reports false once all received bytes have been read.
 	Shut(idle func() bool) bool
 	Close()
 }
 
-// Manager is where a front's sessions meet their pipeline.
+// Manager connects the sessions of a front end to its pipeline.
 type Manager struct {
 	Loop          *eventloop.Loop
 	Settings      *aspenshed.Settings
@@ -56,56 +59,56 @@
 	Cancel        func(*request.Request)
 	CountRejected func(string)
 
-	pendingBytes atomic.Int64      // bytes, of all connections
-	sessions     map[*Session]bool // the loop's
-	closing      bool              // connections are closed as soon as nothing is owed on them
+	pendingBytes atomic.Int64      // of all connections
+	sessions     map[*Session]bool // owned by the loop
+	closing      bool              // connections are closed as soon as they have no pending response
 }
 
-// Session is one client connection. The loop owns its slots; the goroutine
-// that reads the connection only calls Post, Fatal and Gone.
+// Session is one client connection. The loop owns its slots; the goroutine that reads the connection only calls
+// SetPartial, Enqueue, Fatal and ClientClosed.
 type Session struct {
 	manager *Manager
 	conn    Conn
 
-	slots        []*Slot // commands in order, from the first without an answer written
+	slots        []*Slot // commands in order, from the first whose response is not written
 	closed       bool
-	sentCommand  bool            // it has sent a whole command
-	ending       bool            // close once the slots are written
-	idleSince    aspenshed.Nanos // when it connected or, later, when the last answer was written
-	commandsSeen int64           // of the commands that were read, those that the loop has seen
+	sentCommand  bool            // a whole command has been received
+	ending       bool            // close once all slots are written
+	idleSince    aspenshed.Nanos // when it connected or, later, when the last response was written
+	commandsSeen int64           // commands read that the loop has processed
 
-	pendingBytes atomic.Int64 // bytes of commands without an answer, and of answers that wait for one before them
-	overLimit    bool         // nothing more is taken; owned by the goroutine that reads
+	pendingBytes atomic.Int64 // of commands without a response, and of responses that wait for an earlier one
+	overLimit    bool         // no further command is accepted; owned by the reading goroutine
 
-	commandsRead atomic.Int64 // commands that were read whole
-	partialSince atomic.Int64 // when the first byte of a command came whose last is still missing; 0: none
+	commandsRead atomic.Int64 // commands that were read completely
+	partialSince atomic.Int64 // arrival of the first byte of an incomplete command; 0: none
 }
 
-// Slot keeps a command's place in the order of answers.
+// Slot keeps a command's place in the order of responses.
 type Slot struct {
 	session  *Session
 	request  *request.Request
 	encode   func(request.Response) []byte
 	response []byte
 	done     bool
-	size     int // of what it keeps, in bytes
+	size     int // bytes that count as pending
 }
 
-// Open makes a session for a connection.
-func (d *Manager) Open(c Conn) *Session {
-	s := &Session{manager: d, conn: c}
-	d.Loop.Post(func() {
-		if d.sessions == nil {
-			d.sessions = map[*Session]bool{}
-			d.sweep()
+// Open creates the session of a connection.
+func (m *Manager) Open(c Conn) *Session {
+	s := &Session{manager: m, conn: c}
+	m.Loop.Post(func() {
+		if m.sessions == nil {
+			m.sessions = map[*Session]bool{}
+			m.sweep()
 		}
-		d.sessions[s] = true
-		s.idleSince = d.Loop.Now()
+		m.sessions[s] = true
+		s.idleSince = m.Loop.Now()
 	})
 	return s
 }
 
-// SetPartial notes whether part of a command has come and the rest not yet.
+// SetPartial records whether an incomplete command has been received.
 func (s *Session) SetPartial(part bool) {
 	switch {
 	case !part:
@@ -115,7 +118,7 @@
 	}
 }
 
-// Enqueue gives a command of that many bytes its slot, in order, and has f called with it on the loop.
+// Enqueue reserves the next slot for a command of size bytes and calls f with it on the loop.
 func (s *Session) Enqueue(size int, f func(*Slot)) {
 	if s.overLimit {
 		return
@@ -126,7 +129,7 @@
 		s.overLimit = true
 		s.manager.Loop.Post(func() {
 			s.commandsSeen++
-			s.rejectFurther("too many bytes without an answer")
+			s.rejectFurther("too many bytes without a response")
 		})
 		return
 	}
@@ -138,7 +141,7 @@
 		}
 		if len(s.slots) >= maxPendingCommands {
 			s.releasePending(size)
-			s.rejectFurther("too many commands without an answer on one connection")
+			s.rejectFurther("too many commands without a response on one connection")
 			return
 		}
 		s.sentCommand = true
@@ -148,29 +151,29 @@
 	})
 }
 
-// rejectFurther ends the connection once the commands before have the answers that they are owed.
-func (s *Session) rejectFurther(why string) {
+// rejectFurther closes the connection once the preceding commands have their responses.
+func (s *Session) rejectFurther(reason string) {
 	if !s.closed && !s.ending {
-		s.manager.CountRejected(why)
+		s.manager.CountRejected(reason)
 		s.ending = true
 	}
 }
 
-// Fatal answers what cannot be read, and closes once the commands before it have their answers.
-func (s *Session) Fatal(answer []byte, problem string) {
-	s.Enqueue(len(answer), func(x *Slot) {
+// Fatal responds to unreadable input, and closes the connection once the preceding commands have their responses.
+func (s *Session) Fatal(response []byte, problem string) {
+	s.Enqueue(len(response), func(x *Slot) {
 		s.manager.CountRejected(problem)
 		s.ending = true
-		x.SetResponse(answer)
+		x.SetResponse(response)
 	})
 }
 
-// ClientClosed ends the session: the client has closed it or taken its leave.
+// ClientClosed ends the session after the client has closed the connection or asked to end it.
 func (s *Session) ClientClosed() { s.manager.Loop.Post(s.closeNow) }
 
-// Submit hands a query on; form turns its final answer into bytes. err is why there is no query.
-func (x *Slot) Submit(q request.Query, err error, arrived aspenshed.Nanos, form func(request.Response) []byte) {
-	x.encode = form
+// Submit passes a query to the pipeline; encode turns its response into bytes. A non-nil err rejects the query instead.
+func (x *Slot) Submit(q request.Query, err error, arrived aspenshed.Nanos, encode func(request.Response) []byte) {
+	x.encode = encode
 	if err != nil {
 		x.session.manager.CountRejected(err.Error())
 		x.Respond(request.Response{Status: request.Failed, Reason: err.Error(), Invalid: true})
@@ -182,10 +185,10 @@
 	}
 }
 
-// Respond takes the one final answer.
+// Respond implements request.Client: it takes the one response to the query.
 func (x *Slot) Respond(f request.Response) { x.SetResponse(x.encode(f)) }
 
-// SetResponse sets a command's answer and writes all answers that are next in order.
+// SetResponse sets a command's response and writes all responses that are next in order.
 func (x *Slot) SetResponse(b []byte) {
 	s := x.session
 	x.response, x.done, x.request = b, true, nil
@@ -194,41 +197,42 @@
 	}
 	x.size += len(b)
 	s.addPending(len(b))
-	waits := len(s.slots) > 0 && s.slots[0] != x
+	blocked := len(s.slots) > 0 && s.slots[0] != x
 	for len(s.slots) > 0 && s.slots[0].done {
 		if s.conn.Write(s.slots[0].response) != nil {
 			s.closeNow()
 			return
 		}
 		s.releasePending(s.slots[0].size)
-		s.slots[0] = nil // else the array under the rest would keep the answer
+		s.slots[0] = nil // else the backing array would keep the response alive
 		if s.slots = s.slots[1:]; len(s.slots) == 0 {
 			s.slots = nil
 		}
 		s.idleSince = s.manager.Loop.Now()
 	}
-	if waits && !s.withinLimits(0) {
-		s.manager.CountRejected("too many bytes without an answer")
+	if blocked && !s.withinLimits(0) {
+		s.manager.CountRejected("too many bytes without a response")
 		s.closeNow()
 		return
 	}
-	if (s.ending || s.manager.closing) && len(s.slots) == 0 && !s.conn.Unsent() { // else sweep ends it
+	if (s.ending || s.manager.closing) && len(s.slots) == 0 && !s.conn.Unsent() { // else sweep closes it
 		s.closeGracefully(!s.ending)
 	}
 }
 
-// closeGracefully ends the connection on our part, with nothing owed on it. What the client had under way then was never read,
-// and it knows that; a command that has been read is answered first. whole: so is one of which a part has come.
-func (s *Session) closeGracefully(whole bool) {
+// closeGracefully closes a connection that has no pending response, from our side. The client knows that what it was
+// sending then was not read; a command that has been read gets its response first. keepPartial: so does a command of
+// which a part has been received.
+func (s *Session) closeGracefully(keepPartial bool) {
 	if s.conn.Shut(func() bool {
-		return s.ending || s.commandsRead.Load() == s.commandsSeen && !(whole && s.partialSince.Load() > 0)
+		return s.ending || s.commandsRead.Load() == s.commandsSeen && !(keepPartial && s.partialSince.Load() > 0)
 	}) {
 		s.closed = true
 		delete(s.manager.sessions, s)
 	}
 }
 
-// closeNow closes the connection at once, as its client has gone; what it still waited for has been left.
+// closeNow closes the connection immediately and cancels its requests in flight.
 func (s *Session) closeNow() {
 	if s.closed {
 		return
@@ -245,56 +249,58 @@
 	s.slots = nil
 }
 
-// sweep closes connections that hold no request and have reached their limits, and makes room where they are scarce.
-func (d *Manager) sweep() {
-	now, next := d.Loop.Now(), sweepInterval
-	crowded := d.Limits.ReclaimAbove > 0 && len(d.sessions) > d.Limits.ReclaimAbove
-	var spare []*Session
-	for s := range d.sessions {
+// sweep closes connections without a request that have reached their limits, and reclaims idle ones when connections
+// are scarce.
+func (m *Manager) sweep() {
+	now, next := m.Loop.Now(), sweepInterval
+	crowded := m.Limits.ReclaimAbove > 0 && len(m.sessions) > m.Limits.ReclaimAbove
+	var reclaimable []*Session
+	for s := range m.sessions {
 		switch {
 		case len(s.slots) > 0:
-		case now >= s.deadline(crowded) && s.conn.Unsent(): // it reads nothing
+		case now >= s.deadline(crowded) && s.conn.Unsent(): // the client reads nothing
 			s.closeNow()
 		case now >= s.deadline(crowded):
 			s.closeGracefully(false)
-		case crowded && s.sentCommand && s.partialSince.Load() == 0 && !s.conn.Unsent() && now >= s.idleSince+d.Limits.ReclaimMinIdle:
-			spare = append(spare, s)
+		case crowded && s.sentCommand && s.partialSince.Load() == 0 && !s.conn.Unsent() &&
+			now >= s.idleSince+m.Limits.ReclaimMinIdle:
+			reclaimable = append(reclaimable, s)
 		}
 	}
-	slices.SortFunc(spare, func(a, b *Session) int { return cmp.Compare(a.idleSince, b.idleSince) })
-	for _, s := range spare[:min(len(spare), max(len(d.sessions)-d.Limits.ReclaimAbove, 0))] {
+	slices.SortFunc(reclaimable, func(a, b *Session) int { return cmp.Compare(a.idleSince, b.idleSince) })
+	for _, s := range reclaimable[:min(len(reclaimable), max(len(m.sessions)-m.Limits.ReclaimAbove, 0))] {
 		s.closeGracefully(true)
 	}
 	if crowded {
 		next = crowdedSweepInterval
 	}
-	d.Loop.At(now+next, d.sweep)
+	m.Loop.At(now+next, m.sweep)
 }
 
-// deadline is when a session without a request is closed.
+// deadline returns when a session without a request is closed.
 func (s *Session) deadline(crowded bool) aspenshed.Nanos {
-	begun := aspenshed.Nanos(s.partialSince.Load())
+	partialSince := aspenshed.Nanos(s.partialSince.Load())
 	switch {
-	case s.conn.Unsent(): // a slow reader is owed the rest; one that does not read at all is not waited for
+	case s.conn.Unsent(): // a slow reader gets the rest; one that reads nothing is cut off
 		return s.idleSince + unreadTimeout
 	case s.ending:
 		return 0
-	case crowded && !s.sentCommand && begun == 0:
+	case crowded && !s.sentCommand && partialSince == 0:
 		return s.idleSince + crowdedFirstByteTimeout
 	case !s.sentCommand:
 		return s.idleSince + s.manager.Limits.CommandTimeout
-	case begun > 0:
-		return max(s.idleSince, begun) + s.manager.Limits.CommandTimeout
+	case partialSince > 0:
+		return max(s.idleSince, partialSince) + s.manager.Limits.CommandTimeout
 	}
 	return s.idleSince + s.manager.Limits.IdleTimeout
 }
 
-// SessionCount is the number of open ones.
-func (d *Manager) SessionCount() int { return len(d.sessions) }
+// SessionCount returns the number of open sessions.
+func (m *Manager) SessionCount() int { return len(m.sessions) }
 
-// PartialSessions is the number of sessions that have sent part of a command and not yet the rest.
-func (d *Manager) PartialSessions() (n int) {
-	for s := range d.sessions {
+// PartialSessions returns the number of sessions with an incomplete command.
+func (m *Manager) PartialSessions() (n int) {
+	for s := range m.sessions {
 		if s.partialSince.Load() > 0 {
 			n++
 		}
@@ -302,30 +308,30 @@
 	return n
 }
 
-// CloseIdle closes connections between requests, from now on each as soon as it has its last answer, and reports how
-// many remain.
-func (d *Manager) CloseIdle() (left int) {
-	d.closing = true
-	for s := range d.sessions {
+// CloseIdle closes connections that are between requests, and from now on each connection as soon as its last response
+// is written. It returns how many remain.
+func (m *Manager) CloseIdle() (remaining int) {
+	m.closing = true
+	for s := range m.sessions {
 		if len(s.slots) == 0 && !s.conn.Unsent() {
 			s.closeGracefully(true)
 		}
 	}
-	return len(d.sessions)
+	return len(m.sessions)
 }
 
-// BuildQuery reads what a statement's comment says of it. Class and tenant go by name.
-func (d *Manager) BuildQuery(tag sqlcomment.Statement, statement any) (q request.Query, err error) {
+// BuildQuery builds a query from the fields of a statement's comment, which gives class and tenant by name.
+func (m *Manager) BuildQuery(tag sqlcomment.Statement, statement any) (q request.Query, err error) {
 	q = request.Query{ExternalID: tag.Fields["id"], Statement: statement, IsRetry: tag.Fields["r"] == "1"}
-	if q.Class = d.ClassIndex(tag.Fields["c"]); q.Class < 0 {
+	if q.Class = m.ClassIndex(tag.Fields["c"]); q.Class < 0 {
 		return q, errors.New("unknown class " + sqlcomment.QuoteTruncated(tag.Fields["c"]))
 	}
-	if t, ok := tag.Fields["t"]; ok && len(d.Settings.Tenants) > 0 {
-		if q.Tenant = d.tenantIndex(t); q.Tenant < 0 {
+	if t, ok := tag.Fields["t"]; ok && len(m.Settings.Tenants) > 0 {
+		if q.Tenant = m.tenantIndex(t); q.Tenant < 0 {
 			return q, errors.New("unknown tenant " + sqlcomment.QuoteTruncated(t))
 		}
 	}
-	if n := d.Settings.Classes[q.Class].Consistency; n == aspenshed.ReadYourWrites || n == aspenshed.Write {
+	if n := m.Settings.Classes[q.Class].Consistency; n == aspenshed.ReadYourWrites || n == aspenshed.Write {
 		q.Session = sessionKey(tag.SQL)
 	}
 	wait, err := tag.Int("d", 0)
@@ -343,14 +349,14 @@
 	q.Group = int(group)
 	after, err := tag.Int("after", 0)
 	if err == nil && after > 0 {
-		q.SinceCommit = max(d.Loop.Now()-eventloop.FromUnixMillis(after), 1)
+		q.SinceCommit = max(m.Loop.Now()-eventloop.FromUnixMillis(after), 1)
 	}
 	return q, err
 }
 
-// ClassIndex is the number of a class, or -1.
-func (d *Manager) ClassIndex(name string) int {
-	for i, c := range d.Settings.Classes {
+// ClassIndex returns the index of a class, or -1.
+func (m *Manager) ClassIndex(name string) int {
+	for i, c := range m.Settings.Classes {
 		if c.Name == name {
 			return i
 		}
@@ -358,8 +364,8 @@
 	return -1
 }
 
-func (d *Manager) tenantIndex(name string) int {
-	for i, t := range d.Settings.Tenants {
+func (m *Manager) tenantIndex(name string) int {
+	for i, t := range m.Settings.Tenants {
 		if t.Name == name {
 			return i
 		}
@@ -367,7 +373,7 @@
 	return -1
 }
 
-// sessionKey is the first quoted value of a statement.
+// sessionKey returns the first quoted value of a statement: statements with the same value belong to one session.
 func sessionKey(sql string) string {
 	parts := strings.SplitN(sql, "'", 3)
 	if len(parts) < 3 {
