--- a/internal/frontend/postgres/backend.go
+++ b/internal/frontend/postgres/backend.go
@@ -18,21 +18,21 @@
 	"aspenshed/internal/protocol/sqlcomment"
 )
 
-// maxResponse is the longest message taken. The protocol speaks of values of 64 KiB, but databases were seen to send
-// 400 KB (day rate+silent+leave); longer ones are noise.
+// maxResponse is the longest message accepted. The protocol limits values to 64 KiB, but databases were seen to send
+// 400 KB; longer messages are treated as malformed.
 const maxResponse = 512 << 10
 
-// maxClockAhead is how far a member's clock may be before ours.
+// maxClockAhead is how far a member's clock may be ahead of ours.
 const maxClockAhead = aspenshed.Nanos(1e9)
 
-// Backend opens links to databases that speak the platform's protocol.
+// Backend opens connections to databases that speak the platform's protocol.
 type Backend struct {
 	Net  *netio.Net
 	Loop *eventloop.Loop
 }
 
-// backendConn is one connection to a database. The poller's goroutine owns the parser
-// state, the loop what was sent; they meet in the loop's mailbox and in owed.
+// backendConn is one connection to a database. The poller's goroutine owns the parser state, the loop the state of what
+// was sent; they communicate through the loop's mailbox and pending.
 type backendConn struct {
 	loop    *eventloop.Loop
 	events  request.ConnectionEvents
@@ -40,34 +40,34 @@
 	reader  pgwire.Reader
 	pending session.PendingResponses
 
-	// The poller's.
+	// Owned by the poller.
 	ready    bool
-	expected byte // type of the message that the answer at hand goes on with; 0: none is at hand
+	expected byte // type of the next message of the current response; 0: no response has begun
 	partialResponse
-	completed []completeResponse // answers that the bytes at hand have brought to their end
+	completed []completeResponse // responses completed by the bytes being parsed
 
-	// The loop's.
-	sent     bool   // a statement is out
-	lastByte []byte // the last byte of one that is about to leave
+	// Owned by the loop.
+	sent     bool   // a statement or probe is in flight
+	lastByte []byte // of the statement: withheld until the check response arrives
 	timeout  *eventloop.Timer
 	closed   bool
 }
 
-// partialResponse is what has come of one so far. Nothing of it is believed before its end.
+// partialResponse is the received part of a response. None of it is used before the response is complete.
 type partialResponse struct {
-	rows        []byte // messages that pass on to the client
+	rows        []byte // messages that are forwarded to the client
 	row         string
 	params      map[string]string
 	serverError *pgwire.Error
 }
 
-// completeResponse is a whole answer and what it was owed for.
+// completeResponse is a complete response and the kind of command that it answers.
 type completeResponse struct {
 	request.Result
 	kind int
 }
 
-// What a link may be owed.
+// The kinds of pending responses.
 const (
 	pendingStatement = iota + 1
 	pendingProbe
@@ -75,36 +75,38 @@
 )
 
 var (
-	errMalformedResponse = errors.New("spoilt answer")
-	errUnsolicited       = errors.New("bytes that belong to no answer")
+	errMalformedResponse = errors.New("malformed response")
+	errUnsolicited       = errors.New("bytes that belong to no response")
 )
 
-// Open dials. The limit holds until the database is ready for a statement.
-func (b *Backend) Open(address string, limit aspenshed.Nanos, probe bool, ev request.ConnectionEvents) (request.Connection, error) {
-	l := &backendConn{loop: b.Loop, events: ev, reader: pgwire.Reader{MaxSize: maxResponse}, expected: 'R'}
-	conn, err := b.Net.Dial(address, time.Duration(limit), probe, l)
+// Open dials. The timeout covers the time until the database is ready for a statement.
+func (b *Backend) Open(address string, connectTimeout aspenshed.Nanos, probe bool,
+	events request.ConnectionEvents) (request.Connection, error) {
+	l := &backendConn{loop: b.Loop, events: events, reader: pgwire.Reader{MaxSize: maxResponse}, expected: 'R'}
+	conn, err := b.Net.Dial(address, time.Duration(connectTimeout), probe, l)
 	if err != nil {
 		return nil, err
 	}
 	l.conn = conn
-	l.timeout = b.Loop.At(b.Loop.Now()+limit, func() {
+	l.timeout = b.Loop.At(b.Loop.Now()+connectTimeout, func() {
 		if !l.closed {
-			l.down(fmt.Errorf("%w: not up within the limit", netio.ErrRefused))
+			l.down(fmt.Errorf("%w: not ready within the connect timeout", netio.ErrRefused))
 		}
 	})
 	return l, nil
 }
 
-// Send writes an empty query and the statement, only d in it changed, but for its last byte. The empty query's answer
-// shows that the link is alive and that nothing else came ahead of it: till then a break proves that nothing has run.
-func (l *backendConn) Send(statement any, wait aspenshed.Nanos) bool {
-	sql := pgwire.QueryMessage(statement.(sqlcomment.Statement).WithTimeout(int64(wait) / 1e6))
+// Send writes an empty query, then the statement with its d field updated, but without its last byte. The response to
+// the empty query shows that the connection works and that no stray bytes preceded it. Until the last byte is sent, a
+// lost connection proves that nothing has run.
+func (l *backendConn) Send(statement any, timeout aspenshed.Nanos) bool {
+	sql := pgwire.QueryMessage(statement.(sqlcomment.Statement).WithTimeout(int64(timeout) / 1e6))
 	l.lastByte = sql[len(sql)-1:]
 	l.pending.Add(pendingCheck)
 	return l.conn.Write(append(pgwire.QueryMessage(""), sql[:len(sql)-1]...)) == nil
 }
 
-// sendLastByte lets the statement's last byte go.
+// sendLastByte sends the withheld last byte of the statement.
 func (l *backendConn) sendLastByte() {
 	if !l.events.AllowSend() {
 		return
@@ -117,29 +119,29 @@
 	}
 }
 
-// Probe asks for the load report.
+// Probe queries the load report.
 func (l *backendConn) Probe() bool {
 	l.sent = true
 	l.pending.Add(pendingProbe)
 	return l.conn.Write(pgwire.QueryMessage("SHOW health")) == nil
 }
 
-// MayHaveSent tells whether a statement may have left.
+// MayHaveSent reports whether a statement may have been sent.
 func (l *backendConn) MayHaveSent() bool { return l.sent }
 
-// Close ends the connection without another event.
+// Close closes the connection; no event follows.
 func (l *backendConn) Close() {
 	l.closed = true
 	l.loop.StopTimer(l.timeout)
 	l.conn.Close()
 }
 
-// Up greets the database. It may run before Dial has returned.
+// Up sends the startup message, on the loop as Up may run before Dial has returned.
 func (l *backendConn) Up() {
 	l.loop.Post(func() { _ = l.conn.Write(pgwire.StartupMessage("web", "orders")) })
 }
 
-// Closed is called when the connection ends by itself.
+// Closed is called when the connection ends other than by Close.
 func (l *backendConn) Closed(err error) { l.loop.Post(func() { l.down(err) }) }
 
 func (l *backendConn) down(err error) {
@@ -150,22 +152,23 @@
 	l.events.Lost(request.ClassifyLoss(l.sent, errors.Is(err, netio.ErrRefused)), err)
 }
 
-// Data parses; only whole answers reach the loop. What can't be read ends the
-// link, and so does what comes unasked: it could be taken for the next answer.
+// Data parses received bytes; only complete responses reach the loop. Malformed input closes the connection, and so do
+// unsolicited bytes, as they could be taken for the next response.
 func (l *backendConn) Data(b []byte) {
 	err := l.reader.Feed(b, l.message)
 	if err == nil && l.ready && l.pending.Next() == 0 && l.reader.HasPartial() {
 		err = errUnsolicited
 	}
-	whole := l.completed
+	completed := l.completed
 	l.completed = nil
-	if len(whole) == 0 && err == nil {
+	if len(completed) == 0 && err == nil {
 		return
 	}
 	l.loop.Post(func() {
-		for i, r := range whole {
-			r.CloseConnection = r.CloseConnection || err != nil && i == len(whole)-1 // the answer is good, the link is not
-			if err == nil || r.kind != pendingCheck {                                // behind a spoilt check no statement leaves
+		for i, r := range completed {
+			// The last response is valid, but the connection is not.
+			r.CloseConnection = r.CloseConnection || err != nil && i == len(completed)-1
+			if err == nil || r.kind != pendingCheck { // after a malformed check the statement is not sent
 				l.deliver(r)
 			}
 		}
@@ -176,18 +179,18 @@
 }
 
 func (l *backendConn) message(m pgwire.Message) error {
-	what := l.pending.Next()
+	kind := l.pending.Next()
 	switch {
 	case !l.ready || l.expected != 0:
-	case what == 0:
+	case kind == 0:
 		return errUnsolicited
-	case what == pendingCheck:
+	case kind == pendingCheck:
 		l.expected = 'I'
 	default:
 		l.expected = 'T'
 	}
 	switch {
-	case m.Type == 'N': // notices get passed over
+	case m.Type == 'N': // notices are ignored
 	case m.Type == 'S':
 		k, v, ok := pgwire.ParseParameterStatus(m.Body)
 		if !ok {
@@ -200,25 +203,25 @@
 			l.params[k] = v
 		}
 	case m.Type == 'K' && !l.ready:
-	case m.Type == 'E' && l.expected != 'Z' && what != pendingCheck:
+	case m.Type == 'E' && l.expected != 'Z' && kind != pendingCheck:
 		e, ok := pgwire.ParseError(m.Body)
 		if !ok {
 			return errMalformedResponse
 		}
 		l.serverError, l.expected = &e, 'Z'
-		if e.Severity == "FATAL" || e.Severity == "PANIC" { // needs no ReadyForQuery
-			l.complete(what, true)
+		if e.Severity == "FATAL" || e.Severity == "PANIC" { // no ReadyForQuery follows
+			l.complete(kind, true)
 		}
 	case m.Type != l.expected:
 		return errMalformedResponse
 	default:
-		return l.advance(m, what)
+		return l.advance(m, kind)
 	}
 	return nil
 }
 
-// advance takes the message that was due: R Z at the start, then T D C Z for a row, I Z for a check.
-func (l *backendConn) advance(m pgwire.Message, what int) error {
+// advance handles the expected message: R Z at startup, then T D C Z for a row, I Z for a check.
+func (l *backendConn) advance(m pgwire.Message, kind int) error {
 	ok := true
 	switch m.Type {
 	case 'R':
@@ -238,7 +241,7 @@
 			return errMalformedResponse
 		}
 		if l.ready {
-			l.complete(what, false)
+			l.complete(kind, false)
 		} else {
 			l.ready = true
 			l.loop.Post(l.up)
@@ -249,7 +252,7 @@
 	if !ok {
 		return errMalformedResponse
 	}
-	if what == pendingStatement {
+	if kind == pendingStatement {
 		l.rows = pgwire.AppendMessage(l.rows, m.Type, string(m.Body))
 	}
 	return nil
@@ -262,9 +265,9 @@
 	}
 }
 
-// complete keeps a whole answer for the loop.
-func (l *backendConn) complete(what int, last bool) {
-	r := request.Result{CloseConnection: last, Outcome: aspenshed.Served, Value: l.rows}
+// complete records a complete response for the loop.
+func (l *backendConn) complete(kind int, fatal bool) {
+	r := request.Result{CloseConnection: fatal, Outcome: aspenshed.Served, Value: l.rows}
 	if e := l.serverError; e != nil {
 		r.Outcome, r.Detail, r.Value = outcomeForCode(e.Code, l.ready), e.Code+" "+e.Message, *e
 	}
@@ -279,12 +282,12 @@
 		r.Position = eventloop.FromUnixMillis(ms)
 	}
 	health := l.params["health"]
-	if what == pendingProbe {
+	if kind == pendingProbe {
 		health = l.row
 	}
 	r.Report = parseReport(health, now)
 	l.pending.Done()
-	l.completed = append(l.completed, completeResponse{r, what})
+	l.completed = append(l.completed, completeResponse{r, kind})
 }
 
 func (l *backendConn) deliver(e completeResponse) {
@@ -298,7 +301,8 @@
 	}
 }
 
-// outcomeForCode maps a database's error code. ready: it had accepted the connection, so a statement may be out.
+// outcomeForCode maps a database's error code. ready: the database had accepted the connection, so a statement may have
+// been sent.
 func outcomeForCode(code string, ready bool) aspenshed.Outcome {
 	switch {
 	case code == "53300":
@@ -307,14 +311,14 @@
 		return aspenshed.ConnectFailed
 	case code == "25006" || code == "72000":
 		return aspenshed.Ineligible
-	case code[:2] == "42" || code[:2] == "22" || code[:2] == "23" || code == "08P01": // no member would do better
+	case code[:2] == "42" || code[:2] == "22" || code[:2] == "23" || code == "08P01": // would fail on any member
 		return aspenshed.StatementError
 	}
-	return aspenshed.ErrorResponse // XX000 and whatever else: it may have run
+	return aspenshed.ErrorResponse // XX000 and all others: the statement may have run
 }
 
-// parseReport reads a load report: x0=1767225600.123,x1=1,queue=3. One that can't be read, or speaks of what
-// is still to come, counts as none: half of it could make a member seem fresh or a primary that is neither.
+// parseReport parses a load report such as x0=1767225600.123,x1=1,queue=3. A report that is malformed or names a time in
+// the future counts as none, as a part of it could wrongly make a member seem fresh or the primary.
 func parseReport(s string, now aspenshed.Nanos) (r aspenshed.Report) {
 	if s == "" {
 		return r
--- a/internal/frontend/postgres/backend_test.go
+++ b/internal/frontend/postgres/backend_test.go
@@ -12,45 +12,45 @@
 	"aspenshed/internal/protocol/pgwire"
 )
 
-type fixed aspenshed.Nanos
+type fixedClock aspenshed.Nanos
 
-func (f fixed) Now() aspenshed.Nanos { return aspenshed.Nanos(f) }
+func (f fixedClock) Now() aspenshed.Nanos { return aspenshed.Nanos(f) }
 
-const now = fixed(1767225600e9)
+const now = fixedClock(1767225600e9)
 
-// ears note what a link tells.
-type ears struct {
-	link *backendConn
-	said string
-	last request.Result
+// eventRecorder records the events of a connection.
+type eventRecorder struct {
+	conn   *backendConn
+	events string
+	last   request.Result
 }
 
-func (e *ears) Ready()          { e.said += "up " }
-func (e *ears) AllowSend() bool { e.said += "leave "; return false }
-func (e *ears) Done(r request.Result) {
+func (e *eventRecorder) Ready()          { e.events += "up " }
+func (e *eventRecorder) AllowSend() bool { e.events += "leave "; return false }
+func (e *eventRecorder) Done(r request.Result) {
 	e.last = r
-	e.said += "done"
+	e.events += "done"
 	if r.CloseConnection {
-		e.said += "+close"
-		e.link.Close()
+		e.events += "+close"
+		e.conn.Close()
 	}
-	e.said += " "
+	e.events += " "
 }
-func (e *ears) Lost(how request.ConnectionLoss, _ error) {
-	if e.said += "down"; how == request.LostAfterSend {
-		e.said += "+sent"
+func (e *eventRecorder) Lost(how request.ConnectionLoss, _ error) {
+	if e.events += "down"; how == request.LostAfterSend {
+		e.events += "+sent"
 	}
-	e.said += " "
+	e.events += " "
 }
 
-// hear feeds a link that is up and owed something with what a database writes, in pieces of that size.
-func hear(owed []int, wire string, size int) *ears {
-	e := &ears{}
-	l := &backendConn{loop: eventloop.NewLoop(now), events: e, conn: &netio.Conn{}, reader: pgwire.Reader{MaxSize: maxResponse}, ready: true,
-		sent: slices.Contains(owed, pendingStatement)}
-	e.link = l
-	for _, what := range owed {
-		l.pending.Add(what)
+// receive feeds a ready connection with pending responses what a database writes, in pieces of that size.
+func receive(pending []int, wire string, size int) *eventRecorder {
+	e := &eventRecorder{}
+	l := &backendConn{loop: eventloop.NewLoop(now), events: e, conn: &netio.Conn{}, reader: pgwire.Reader{MaxSize: maxResponse},
+		ready: true, sent: slices.Contains(pending, pendingStatement)}
+	e.conn = l
+	for _, kind := range pending {
+		l.pending.Add(kind)
 	}
 	for ; len(wire) > 0; wire = wire[min(size, len(wire)):] {
 		l.Data([]byte(wire[:min(size, len(wire))]))
@@ -61,9 +61,9 @@
 
 func msg(typ byte, body string) string { return string(pgwire.AppendMessage(nil, typ, body)) }
 
-// Guards "never a value that was not made for the request": a spoilt answer is a failed attempt that may have run,
-// and what comes behind a good one ends the link.
-func TestAnswersAreReadStrictly(t *testing.T) {
+// Guards against values that were not made for the request: a malformed response is a failed attempt that may have run,
+// and bytes after a valid response close the connection.
+func TestResponsesAreParsedStrictly(t *testing.T) {
 	row := msg('T', "\x00\x01payload\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
 	data, end := msg('D', "\x00\x01\x00\x00\x00\x02ok"), msg('C', "SELECT 1\x00")
 	role, z := msg('S', "recovery\x00off\x00"), msg('Z', "I")
@@ -73,62 +73,62 @@
 	check := msg('I', "") + z
 	one, ahead := []int{pendingStatement}, []int{pendingCheck}
 	for name, c := range map[string]struct {
-		owed       []int
+		pending    []int
 		wire, want string
 	}{
-		"a good one":                      {one, good, "done "},
-		"an error":                        {one, fault + role + z, "done "},
-		"an error within the row":         {one, row + fault + z, "done "},
-		"a fatal error":                   {one, fatal, "done+close "},
-		"a notice first":                  {one, msg('N', "x") + good, "done "},
-		"a check":                         {ahead, check, "leave "},
-		"more before a check":             {ahead, z + check, "down "},
-		"a fatal error for a check":       {ahead, fatal, "down "},
-		"noise":                           {one, "\x8f\x02\x00\x00\x11\x00\x99" + good, "down+sent "},
-		"a row without its description":   {one, data + end + z, "down+sent "},
-		"an end without a row":            {one, row + end + z, "down+sent "},
-		"no row at all":                   {one, z, "down+sent "},
-		"two rows":                        {one, row + data + data + end + z, "down+sent "},
-		"two columns":                     {one, row + msg('D', "\x00\x02\x00\x00\x00\x01o\x00\x00\x00\x01k") + end + z, "down+sent "},
-		"a column's length that lies":     {one, row + msg('D', "\x00\x01\x00\x00\x00\x09ok") + end + z, "down+sent "},
-		"bytes behind the column":         {one, row + msg('D', "\x00\x01\x00\x00\x00\x01ok") + end + z, "down+sent "},
-		"a description cut short":         {one, msg('T', "\x00\x01payload\x00\x00") + data + end + z, "down+sent "},
-		"a value of 3 GB":                 {one, row + "D\xb2\xd0\x5e\x00\x00\x01", "down+sent "},
-		"a negative length":               {one, row + "D\xff\xff\xff\xfe\x00\x01", "down+sent "},
-		"an end in a transaction":         {one, row + data + end + msg('Z', "T"), "down+sent "},
-		"an error that can't be read":     {one, msg('E', "C53300") + z, "down+sent "},
-		"a parameter that can't be read":  {one, msg('S', "recovery") + good, "down+sent "},
-		"an error behind the end":         {one, row + data + end + fault + z, "down+sent "},
-		"an empty answer to a statement":  {one, check, "down+sent "},
-		"a copy where a check is due":     {ahead, good + check, "down "},
-		"what was not asked for":          {nil, good, "down "},
-		"half of what was not asked for":  {nil, "T\x00", "down "},
-		"an error that was not asked for": {nil, fatal, "down "},
+		"a valid row":                         {one, good, "done "},
+		"an error":                            {one, fault + role + z, "done "},
+		"an error within the row":             {one, row + fault + z, "done "},
+		"a fatal error":                       {one, fatal, "done+close "},
+		"a notice first":                      {one, msg('N', "x") + good, "done "},
+		"a check":                             {ahead, check, "leave "},
+		"more before a check":                 {ahead, z + check, "down "},
+		"a fatal error for a check":           {ahead, fatal, "down "},
+		"malformed bytes":                     {one, "\x8f\x02\x00\x00\x11\x00\x99" + good, "down+sent "},
+		"a row without its description":       {one, data + end + z, "down+sent "},
+		"an end without a row":                {one, row + end + z, "down+sent "},
+		"no row at all":                       {one, z, "down+sent "},
+		"two rows":                            {one, row + data + data + end + z, "down+sent "},
+		"two columns":                         {one, row + msg('D', "\x00\x02\x00\x00\x00\x01o\x00\x00\x00\x01k") + end + z, "down+sent "},
+		"a wrong column length":               {one, row + msg('D', "\x00\x01\x00\x00\x00\x09ok") + end + z, "down+sent "},
+		"bytes after the column":              {one, row + msg('D', "\x00\x01\x00\x00\x00\x01ok") + end + z, "down+sent "},
+		"a description cut short":             {one, msg('T', "\x00\x01payload\x00\x00") + data + end + z, "down+sent "},
+		"a value of 3 GB":                     {one, row + "D\xb2\xd0\x5e\x00\x00\x01", "down+sent "},
+		"a negative length":                   {one, row + "D\xff\xff\xff\xfe\x00\x01", "down+sent "},
+		"an end in a transaction":             {one, row + data + end + msg('Z', "T"), "down+sent "},
+		"an error that can't be read":         {one, msg('E', "C53300") + z, "down+sent "},
+		"a parameter that can't be read":      {one, msg('S', "recovery") + good, "down+sent "},
+		"an error after the end":              {one, row + data + end + fault + z, "down+sent "},
+		"an empty answer to a statement":      {one, check, "down+sent "},
+		"a repeated row where a check is due": {ahead, good + check, "down "},
+		"an unsolicited response":             {nil, good, "down "},
+		"part of an unsolicited response":     {nil, "T\x00", "down "},
+		"an unsolicited error":                {nil, fatal, "down "},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, size := range []int{1, 7, len(c.wire)} {
-				e := hear(c.owed, c.wire, size)
-				if e.said != c.want {
-					t.Errorf("in pieces of %d: %q, want %q", size, e.said, c.want)
+				e := receive(c.pending, c.wire, size)
+				if e.events != c.want {
+					t.Errorf("in pieces of %d: %q, want %q", size, e.events, c.want)
 				}
-				if spoilt := c.want[:4] == "down"; spoilt && (e.last.Role != 0 || e.last.Value != nil) {
-					t.Errorf("believed: %+v", e.last)
+				if lost := c.want[:4] == "down"; lost && (e.last.Role != 0 || e.last.Value != nil) {
+					t.Errorf("used a malformed response: %+v", e.last)
 				}
 			}
 		})
 	}
-	for behind, want := range map[string]string{"": "done ", good: "done+close ", "?": "done+close ", "noise behind it": "done+close "} {
-		e := hear(one, good+behind, 1<<20)
-		if e.said != want || string(e.last.Value.([]byte)) != row+data+end || e.last.Role != aspenshed.RolePrimary {
-			t.Errorf("%q behind a good answer: %q, %+v", behind, e.said, e.last)
+	for trailing, want := range map[string]string{"": "done ", good: "done+close ", "?": "done+close ", "trailing bytes": "done+close "} {
+		e := receive(one, good+trailing, 1<<20)
+		if e.events != want || string(e.last.Value.([]byte)) != row+data+end || e.last.Role != aspenshed.RolePrimary {
+			t.Errorf("%q after a valid response: %q, %+v", trailing, e.events, e.last)
 		}
 	}
 }
 
-// Guards against a report that makes a member seem fresh, or a primary, which it is not.
+// Guards against a malformed report that makes a member seem fresh or the primary when it is not.
 func TestUnreadableReportCountsAsNone(t *testing.T) {
 	if r := parseReport("x0=1767225599.250,x1=1,queue=3", now.Now()); !r.HasPosition || r.Position != 1767225599250e6 || !r.Primary || r.Queued != 3 {
-		t.Errorf("read as %+v", r)
+		t.Errorf("parsed as %+v", r)
 	}
 	for _, s := range []string{"", "x0=1767225599.250,x1=", "x0=1767225599.250,x1=1,queue=\xff", "x0=1767225599.250,x1=7", "x0=1767225599.2.5",
 		"x0=1767229999,x1=0", "x0=-1,x1=0", "x0=1e300,x1=0", "x0=NaN", "x0=Inf,x1=1", "x1=1,", "x1=1,x0", "noise"} {
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -1,5 +1,5 @@
-// Package postgres is the thin front for the platform's protocol: PostgreSQL's
-// wire with simple queries, towards clients (front.go) and databases (backend.go).
+// Package postgres implements the platform's protocol, the PostgreSQL wire protocol with simple queries, towards clients
+// (front.go) and databases (backend.go).
 package postgres
 
 import (
@@ -15,9 +15,9 @@
 	"aspenshed/internal/protocol/sqlcomment"
 )
 
-const maxQuery = 144 << 10 // a value of 64 KiB in hex, with room for the rest
+const maxQuery = 144 << 10 // a value of 64 KiB in hex, and room for the rest of the statement
 
-// Front serves clients.
+// Front is the front end that serves clients.
 type Front struct{ session.Manager }
 
 // clientConn is one client connection; the poller's goroutine owns the parser.
@@ -29,18 +29,19 @@
 	awaitStartup bool
 }
 
-// Accept makes a session for a new connection.
+// Accept creates the session of a new connection.
 func (f *Front) Accept(c *netio.Conn) netio.Handler {
-	return &clientConn{front: f, conn: c, session: f.Open(c), reader: pgwire.Reader{Startup: true, MaxSize: maxQuery}, awaitStartup: true}
+	return &clientConn{front: f, conn: c, session: f.Open(c),
+		reader: pgwire.Reader{Startup: true, MaxSize: maxQuery}, awaitStartup: true}
 }
 
-// Up has nothing to say: the client speaks first.
+// Up does nothing: the client sends the first message.
 func (s *clientConn) Up() {}
 
-// Closed is called when the client has gone.
+// Closed is called when the connection has ended.
 func (s *clientConn) Closed(error) { s.session.ClientClosed() }
 
-// Data parses and posts.
+// Data parses received bytes and enqueues the commands in them.
 func (s *clientConn) Data(b []byte) {
 	err := s.reader.Feed(b, s.message)
 	s.session.SetPartial(s.reader.HasPartial())
@@ -92,7 +93,7 @@
 	return s.writeNow(pgwire.StartupResponse())
 }
 
-// writeNow answers without a slot. A client that can't be answered has gone: that is no bad input.
+// writeNow responds without a slot. A failed write means that the client has disconnected, not that its input is bad.
 func (s *clientConn) writeNow(b []byte) error {
 	if s.conn.Write(b) != nil {
 		return errClientClosed
@@ -100,11 +101,11 @@
 	return nil
 }
 
-// parseStatement turns a statement into a query.
+// parseStatement builds a query from a statement and its comment.
 func (f *Front) parseStatement(sql string) (request.Query, error) {
 	tag, err := sqlcomment.Parse(sql)
 	if err == nil && tag.Fields["id"] == "" {
-		err = errors.New("comment names no id")
+		err = errors.New("comment: id is missing")
 	}
 	if err != nil {
 		return request.Query{}, err
@@ -112,7 +113,7 @@
 	return f.BuildQuery(tag, tag)
 }
 
-// encodeResponse is a final encodeResponse in bytes.
+// encodeResponse encodes a response to the client.
 func (f *Front) encodeResponse(x request.Response) []byte {
 	e := pgwire.Error{Severity: "ERROR", Code: "XX000", Message: "failed: " + x.Reason}
 	own, known := x.Value.(pgwire.Error)
@@ -124,7 +125,7 @@
 		if x.RetryAfter > 0 && f.Settings.SendRetryAfter {
 			e.Detail = strconv.FormatInt(int64(x.RetryAfter+999999)/1e6, 10)
 		}
-	case known && own.Code != "57P03": // a database's own error, where it does not read as a refusal
+	case known && own.Code != "57P03": // the database's own error, unless its code would read as a refusal
 		e.Code, e.Message = own.Code, own.Message
 	case x.Invalid:
 		e.Code, e.Message = "42601", x.Reason
