--- a/internal/frontend/mysql/backend.go
+++ b/internal/frontend/mysql/backend.go
@@ -19,24 +19,24 @@
 
 const (
 	maxResponse = 4 << 20 // of one result
-	maxPrepared = 64      // statements kept on one link
+	maxPrepared = 64      // prepared statements kept on one connection
 )
 
-// Statement is what the MySQL front has a member do.
+// Statement is what the MySQL front end sends to a member.
 type Statement struct {
 	Tag         sqlcomment.Statement
-	PrepareOnly bool // only prepare it
+	PrepareOnly bool // prepare the statement without executing it
 	Execute     *mysqlwire.Execute
 	LongData    []LongData
 }
 
-// LongData is a piece of a parameter that a client sent ahead of the execution.
+// LongData is a part of a parameter that a client sent before the execution.
 type LongData struct {
 	Param uint16
 	Data  []byte
 }
 
-// size is roughly what the statement keeps in memory, in bytes.
+// size returns about how many bytes of memory the statement occupies.
 func (s *Statement) size() int {
 	size := len(s.Tag.SQL)
 	if s.Execute != nil {
@@ -48,13 +48,15 @@
 	return size
 }
 
-// Probes are the queries that ask a member for its role and position.
+// Probes are the queries for a member's role and replication position.
 type Probes struct {
-	Role     string // first column 0 or OFF: the primary
-	Position string // first column: Unix time in milliseconds up to which it has applied; empty: not provable
+	Role string // first column 0 or OFF: the primary
+	// Position gives, in the first column, the Unix time in milliseconds up to which the member has applied; empty:
+	// positions are unknown.
+	Position string
 }
 
-// Backend opens links to MySQL servers.
+// Backend opens connections to MySQL servers.
 type Backend struct {
 	Net                      *netio.Net
 	Loop                     *eventloop.Loop
@@ -62,8 +64,8 @@
 	Probes                   Probes
 }
 
-// backendConn is one connection to a server. The poller's goroutine owns the reading
-// side up to whole answers; all else is the loop's.
+// backendConn is one connection to a server. The poller's goroutine owns the reading side up to complete responses, the
+// loop everything else.
 type backendConn struct {
 	backend *Backend
 	events  request.ConnectionEvents
@@ -71,24 +73,24 @@
 	reader  mysqlwire.Reader
 	pending session.PendingResponses
 
-	// The poller's.
+	// Owned by the poller.
 	phase     int // of the login
 	response  mysqlwire.ResponseReader
-	seq       byte                       // of the answer's last packet
-	completed []mysqlwire.ResponseReader // answers that the bytes at hand have brought to their end
+	seq       byte                       // of the response's last packet
+	completed []mysqlwire.ResponseReader // responses completed by the bytes being parsed
 
-	// The loop's.
+	// Owned by the loop.
 	timeout       *eventloop.Timer
 	closed        bool
-	sent          bool // the statement's last byte may have left
+	sent          bool // a statement or probe may have been sent
 	stmt          *Statement
 	prepared      map[string]mysqlwire.PrepareResponse
-	onResponse    func(*mysqlwire.ResponseReader) // what the next whole answer is for
+	onResponse    func(*mysqlwire.ResponseReader) // handles the next complete response
 	report        aspenshed.Report
-	trailingBytes bool // more came than belongs to the answer: it is good, the link is not
+	trailingBytes bool // more bytes followed the response: it is valid, the connection is not
 }
 
-// What a link may be owed.
+// The kinds of pending responses.
 const (
 	pendingResult = iota + 1
 	pendingPrepare
@@ -96,32 +98,37 @@
 )
 
 var (
-	errMalformedResponse = errors.New("spoilt answer")
-	errUnsolicited       = errors.New("bytes that belong to no answer")
+	errMalformedResponse = errors.New("malformed response")
+	errUnsolicited       = errors.New("bytes that belong to no response")
 )
 
+// The phases of a login.
 const (
 	awaitGreeting = iota
 	awaitLoginResult
 	loggedIn
 )
 
-// Open dials. The limit holds until the server has let the link in.
-func (b *Backend) Open(address string, limit aspenshed.Nanos, probe bool, ev request.ConnectionEvents) (request.Connection, error) {
-	l := &backendConn{backend: b, events: ev, reader: mysqlwire.Reader{MaxSize: maxResponse}, prepared: map[string]mysqlwire.PrepareResponse{}}
-	conn, err := b.Net.Dial(address, time.Duration(limit), probe, l)
+// Open dials. The timeout covers the time until the login has succeeded.
+func (b *Backend) Open(address string, connectTimeout aspenshed.Nanos, probe bool,
+	events request.ConnectionEvents) (request.Connection, error) {
+	l := &backendConn{backend: b, events: events, reader: mysqlwire.Reader{MaxSize: maxResponse},
+		prepared: map[string]mysqlwire.PrepareResponse{}}
+	conn, err := b.Net.Dial(address, time.Duration(connectTimeout), probe, l)
 	if err != nil {
 		return nil, err
 	}
 	l.conn = conn
-	l.timeout = b.Loop.At(b.Loop.Now()+limit, func() { l.down(fmt.Errorf("%w: not up within the limit", netio.ErrRefused)) })
+	l.timeout = b.Loop.At(b.Loop.Now()+connectTimeout, func() {
+		l.down(fmt.Errorf("%w: not ready within the connect timeout", netio.ErrRefused))
+	})
 	return l, nil
 }
 
-// Up waits for the greeting.
+// Up does nothing: the server sends the first packet.
 func (l *backendConn) Up() {}
 
-// Closed is called when the connection ends by itself.
+// Closed is called when the connection ends other than by Close.
 func (l *backendConn) Closed(err error) { l.backend.Loop.Post(func() { l.down(err) }) }
 
 func (l *backendConn) down(err error) {
@@ -132,31 +139,31 @@
 	l.events.Lost(request.ClassifyLoss(l.sent, errors.Is(err, netio.ErrRefused)), err)
 }
 
-// Close ends the connection without another event.
+// Close closes the connection; no event follows.
 func (l *backendConn) Close() {
 	l.closed = true
 	l.backend.Loop.StopTimer(l.timeout)
 	l.conn.Close()
 }
 
-// MayHaveSent tells whether the statement itself may have left; preparing it runs nothing.
+// MayHaveSent reports whether the statement itself may have been sent; preparing it runs nothing.
 func (l *backendConn) MayHaveSent() bool { return l.sent }
 
-// Data parses; only whole answers reach the loop. What can't be read ends the
-// link, and so does what comes unasked: it could be taken for the next answer.
+// Data parses received bytes; only complete responses reach the loop. Malformed input closes the connection, and so do
+// unsolicited bytes, as they could be taken for the next response.
 func (l *backendConn) Data(b []byte) {
 	err := l.reader.Feed(b, l.packet)
 	if err == nil && l.phase == loggedIn && l.pending.Next() == 0 && l.reader.HasPartial() {
 		err = errUnsolicited
 	}
-	whole := l.completed
+	completed := l.completed
 	l.completed = nil
-	if len(whole) == 0 && err == nil {
+	if len(completed) == 0 && err == nil {
 		return
 	}
 	l.backend.Loop.Post(func() {
 		l.trailingBytes = err != nil
-		for _, a := range whole {
+		for _, a := range completed {
 			l.deliver(&a)
 		}
 		if err != nil {
@@ -166,10 +173,10 @@
 }
 
 func (l *backendConn) deliver(a *mysqlwire.ResponseReader) {
-	then := l.onResponse
-	if !l.closed && then != nil {
+	handle := l.onResponse
+	if !l.closed && handle != nil {
 		l.onResponse = nil
-		then(a)
+		handle(a)
 	}
 }
 
@@ -177,12 +184,12 @@
 	if l.phase != loggedIn {
 		return l.login(seq, body)
 	}
-	what := l.pending.Next()
+	kind := l.pending.Next()
 	if l.response.FirstPacket == nil {
-		if what == 0 {
+		if kind == 0 {
 			return errUnsolicited
 		}
-		l.response.IsPrepare, l.seq = what == pendingPrepare, 0
+		l.response.IsPrepare, l.seq = kind == pendingPrepare, 0
 	}
 	if l.seq++; l.seq != seq {
 		return errMalformedResponse
@@ -196,7 +203,7 @@
 	}
 	a := l.response
 	l.response = mysqlwire.ResponseReader{}
-	if what == pendingCheck && (a.Err != nil || a.FirstPacket[0] != 0) {
+	if kind == pendingCheck && (a.Err != nil || a.FirstPacket[0] != 0) {
 		return errMalformedResponse
 	}
 	l.pending.Done()
@@ -204,7 +211,7 @@
 	return nil
 }
 
-// login answers the greeting, and a wish for a native password with another challenge.
+// login responds to the greeting, and to a request to switch to the native password method with a new challenge.
 func (l *backendConn) login(seq byte, body []byte) error {
 	var challenge []byte
 	var out func() []byte
@@ -236,18 +243,18 @@
 	default:
 		plugin, fresh, ok := mysqlwire.ParseAuthSwitchRequest(body)
 		if !ok || plugin != mysqlwire.NativePassword {
-			return errors.New("server wants a way to log in that is not supported")
+			return errors.New("server requests an unsupported authentication method")
 		}
 		out = func() []byte {
 			return mysqlwire.AppendPacket(nil, seq+1, mysqlwire.Scramble(fresh, l.backend.Password))
 		}
 	}
-	// The connection is the loop's to write on: its Dial may not have returned yet.
+	// Write on the loop, as Dial may not have returned yet.
 	l.backend.Loop.Post(func() { _ = l.conn.Write(out()) })
 	return nil
 }
 
-// loginRefused ends a link that the server did not let in: too many connections are a full server.
+// loginRefused handles a failed login. Errors 1040 and 1203, too many connections, mean that the server is overloaded.
 func (l *backendConn) loginRefused(err error) error {
 	var e *mysqlwire.Error
 	if errors.As(err, &e) && (e.Code == 1040 || e.Code == 1203) {
@@ -261,19 +268,19 @@
 	return err
 }
 
-// Send pings: the answer shows that the link is alive and that nothing else came ahead of it. Then it writes the
-// statement. One that is prepared is first prepared here, if this server has not seen it; that runs nothing, so
-// only the execution counts as sent.
-func (l *backendConn) Send(statement any, wait aspenshed.Nanos) bool {
+// Send pings the server: the response shows that the connection works and that no stray bytes preceded it. Then it sends
+// the statement. A prepared statement that is unknown on this connection is prepared first; that runs nothing, so only
+// the execution counts as sent.
+func (l *backendConn) Send(statement any, timeout aspenshed.Nanos) bool {
 	l.stmt = statement.(*Statement)
 	return l.sendCommand(pendingCheck, mysqlwire.Command(mysqlwire.ComPing), func(*mysqlwire.ResponseReader) {
-		if !l.trailingBytes && !l.sendStatement(wait) { // where more came, down follows anyway
+		if !l.trailingBytes && !l.sendStatement(timeout) { // after trailing bytes, Data closes the connection itself
 			l.down(netio.ErrClosed)
 		}
 	})
 }
 
-func (l *backendConn) sendStatement(wait aspenshed.Nanos) bool {
+func (l *backendConn) sendStatement(timeout aspenshed.Nanos) bool {
 	s := l.stmt
 	p, known := l.prepared[s.Tag.SQL]
 	switch {
@@ -285,12 +292,13 @@
 		return l.prepare()
 	}
 	l.sent = l.events.AllowSend()
-	return l.sent && l.sendCommand(pendingResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(s.Tag.WithTimeout(int64(wait)/1e6))), l.finishAttempt)
+	return l.sent && l.sendCommand(pendingResult,
+		mysqlwire.Command(mysqlwire.ComQuery, []byte(s.Tag.WithTimeout(int64(timeout)/1e6))), l.finishAttempt)
 }
 
-func (l *backendConn) sendCommand(what int, command []byte, then func(*mysqlwire.ResponseReader)) bool {
-	l.onResponse = then
-	l.pending.Add(what)
+func (l *backendConn) sendCommand(kind int, command []byte, onResponse func(*mysqlwire.ResponseReader)) bool {
+	l.onResponse = onResponse
+	l.pending.Add(kind)
 	if l.conn.Write(command) != nil {
 		l.sent = false
 		return false
@@ -299,17 +307,18 @@
 }
 
 func (l *backendConn) prepare() bool {
-	if len(l.prepared) >= maxPrepared { // any will do: it is prepared again when it is wanted
+	if len(l.prepared) >= maxPrepared { // any one: it is prepared again when needed
 		for sql, p := range l.prepared {
 			delete(l.prepared, sql)
 			_ = l.conn.Write(mysqlwire.Command(mysqlwire.ComStmtClose, binary.LittleEndian.AppendUint32(nil, p.ID)))
 			break
 		}
 	}
-	return l.sendCommand(pendingPrepare, mysqlwire.Command(mysqlwire.ComStmtPrepare, []byte(l.stmt.Tag.SQL)), func(a *mysqlwire.ResponseReader) {
+	return l.sendCommand(pendingPrepare, mysqlwire.Command(mysqlwire.ComStmtPrepare,
+		[]byte(l.stmt.Tag.SQL)), func(a *mysqlwire.ResponseReader) {
 		p, ok := mysqlwire.ParsePrepareResponse(a.FirstPacket)
 		if ok && a.Err == nil {
-			if old, twice := l.prepared[l.stmt.Tag.SQL]; twice {
+			if old, exists := l.prepared[l.stmt.Tag.SQL]; exists {
 				_ = l.conn.Write(mysqlwire.Command(mysqlwire.ComStmtClose, binary.LittleEndian.AppendUint32(nil, old.ID)))
 			}
 			l.prepared[l.stmt.Tag.SQL] = p
@@ -332,24 +341,24 @@
 	return l.sent && l.sendCommand(pendingResult, append(b, l.stmt.Execute.Packet(p.ID)...), l.finishAttempt)
 }
 
-// finishAttempt ends an attempt.
+// finishAttempt reports the result of an attempt.
 func (l *backendConn) finishAttempt(a *mysqlwire.ResponseReader) {
 	r := request.Result{Outcome: aspenshed.Served, Value: a.Raw}
 	if a.Err != nil {
 		r = resultForError(*a.Err)
 	} else if l.stmt != nil && !l.stmt.PrepareOnly && isWrite(l.stmt.Tag.SQL) {
-		r.Role = aspenshed.RolePrimary // it has taken a write
+		r.Role = aspenshed.RolePrimary // it has accepted a write
 	}
 	l.sent, l.stmt, r.CloseConnection = false, nil, l.trailingBytes
 	l.events.Done(r)
 }
 
-// resultForError maps a server's error. What the statement itself got wrong is the
-// answer, as no server would do better; what the server got wrong may be tried elsewhere.
+// resultForError maps a server's error. An error of the statement itself is the response, as the statement would fail on
+// any server; after an error of the server another server may be tried.
 func resultForError(e mysqlwire.Error) request.Result {
 	r := request.Result{Outcome: aspenshed.ErrorResponse, Value: e, Detail: strconv.Itoa(int(e.Code)) + " " + e.Message}
 	switch {
-	case e.Code == 1290 || e.Code == 1836: // read-only: untouched
+	case e.Code == 1290 || e.Code == 1836: // read-only server: nothing has run
 		r.Outcome, r.Role = aspenshed.Ineligible, aspenshed.RoleReplica
 	case e.Code == 1040 || e.Code == 1203:
 		r.Outcome = aspenshed.Overloaded
@@ -359,20 +368,22 @@
 	return r
 }
 
-// Probe asks for the role, then for the position.
+// Probe queries the role, then the position.
 func (l *backendConn) Probe() bool {
 	l.report, l.stmt = aspenshed.Report{}, nil
 	l.sent = true
-	return l.sendCommand(pendingResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(l.backend.Probes.Role)), func(a *mysqlwire.ResponseReader) {
-		if v, _, ok := mysqlwire.ReadLenencString(a.FirstRow); ok {
-			l.report.HasRole, l.report.Primary = true, v == "0" || v == "OFF"
-		}
-		if a.Err != nil || l.backend.Probes.Position == "" {
-			l.finishProbe(a)
-		} else if l.trailingBytes || !l.sendCommand(pendingResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(l.backend.Probes.Position)), l.handlePosition) {
-			l.down(netio.ErrClosed)
-		}
-	})
+	return l.sendCommand(pendingResult, mysqlwire.Command(mysqlwire.ComQuery, []byte(l.backend.Probes.Role)),
+		func(a *mysqlwire.ResponseReader) {
+			if v, _, ok := mysqlwire.ReadLenencString(a.FirstRow); ok {
+				l.report.HasRole, l.report.Primary = true, v == "0" || v == "OFF"
+			}
+			if a.Err != nil || l.backend.Probes.Position == "" {
+				l.finishProbe(a)
+			} else if l.trailingBytes || !l.sendCommand(pendingResult, mysqlwire.Command(mysqlwire.ComQuery,
+				[]byte(l.backend.Probes.Position)), l.handlePosition) {
+				l.down(netio.ErrClosed)
+			}
+		})
 }
 
 func (l *backendConn) handlePosition(a *mysqlwire.ResponseReader) {
--- a/internal/frontend/mysql/front.go
+++ b/internal/frontend/mysql/front.go
@@ -1,5 +1,5 @@
-// Package mysql is the front for the MySQL wire protocol with prepared
-// statements, towards clients (front.go) and servers (backend.go).
+// Package mysql implements the MySQL wire protocol with prepared statements, towards clients (front.go) and servers
+// (backend.go).
 package mysql
 
 import (
@@ -26,14 +26,14 @@
 	maxLongData   = 1 << 20
 )
 
-// Defaults stand in for what a statement's comment does not say.
+// Defaults replace the fields that a statement's comment leaves out.
 type Defaults struct {
 	ReadClass, WriteClass, Tenant string
 	Group                         int
 	WaitMs                        int64
 }
 
-// Front serves clients.
+// Front is the front end that serves clients.
 type Front struct {
 	session.Manager
 	Accounts map[string]string // passwords by user
@@ -43,19 +43,20 @@
 	connections atomic.Uint32
 }
 
-// clientConn is one client connection; the poller's goroutine owns all of it but the session's session.
+// clientConn is one client connection. The poller's goroutine owns it, except for the state of its session.
 type clientConn struct {
 	front     *Front
 	conn      *netio.Conn
 	session   *session.Session
 	reader    mysqlwire.Reader
 	challenge []byte
-	user      string // the user, until a switched login is through
+	user      string // of a login with an authentication switch, until it has finished
 	phase     int
 	stmts     map[uint32]*preparedStmt
 	lastID    uint32
 }
 
+// The phases of a client connection.
 const (
 	awaitLogin = iota
 	awaitAuthSwitch
@@ -65,31 +66,32 @@
 // preparedStmt is a client's prepared statement.
 type preparedStmt struct {
 	tag      sqlcomment.Statement
-	params   atomic.Int32 // as the server said; the loop sets it before the client hears of the statement
+	params   atomic.Int32 // from the server; the loop sets it before the client gets the statement ID
 	types    []byte
 	longData []LongData
 	longSize int
 }
 
-// Accept makes a session for a new connection.
+// Accept creates the session of a new connection.
 func (f *Front) Accept(c *netio.Conn) netio.Handler {
-	s := &clientConn{front: f, conn: c, session: f.Open(c), reader: mysqlwire.Reader{MaxSize: maxPacket}, challenge: make([]byte, 20)}
+	s := &clientConn{front: f, conn: c, session: f.Open(c), reader: mysqlwire.Reader{MaxSize: maxPacket},
+		challenge: make([]byte, 20)}
 	_, _ = rand.Read(s.challenge) // never fails
 	for i, b := range s.challenge {
-		s.challenge[i] = b&0x7f | 1 // no zero byte may stand in it
+		s.challenge[i] = b&0x7f | 1 // it must not contain a zero byte
 	}
 	return s
 }
 
-// Up greets the client.
+// Up sends the greeting.
 func (s *clientConn) Up() {
 	_ = s.conn.Write(mysqlwire.Greeting(s.front.connections.Add(1), s.challenge))
 }
 
-// Closed is called when the client has gone.
+// Closed is called when the connection has ended.
 func (s *clientConn) Closed(error) { s.session.ClientClosed() }
 
-// Data parses and posts.
+// Data parses received bytes and enqueues the commands in them.
 func (s *clientConn) Data(b []byte) {
 	err := s.reader.Feed(b, s.packet)
 	s.session.SetPartial(s.reader.HasPartial())
@@ -108,7 +110,7 @@
 
 var (
 	errClientClosed    = errors.New("client ended the connection")
-	errAlreadyAnswered = errors.New("answered already: the connection ends")
+	errAlreadyAnswered = errors.New("the response is already queued; the connection closes after it")
 )
 
 func (s *clientConn) packet(seq byte, body, _ []byte) error {
@@ -145,7 +147,7 @@
 	return s.writeNow(mysqlwire.OK(seq + 1))
 }
 
-// writeNow answers without a slot. A client that can't be answered has gone: that is no bad input.
+// writeNow responds without a slot. A failed write means that the client has disconnected, not that its input is bad.
 func (s *clientConn) writeNow(b []byte) error {
 	if s.conn.Write(b) != nil {
 		return errClientClosed
@@ -189,7 +191,7 @@
 	return nil
 }
 
-// reply answers a command without asking anybody, in its turn.
+// reply responds to a command in order without involving a backend.
 func (s *clientConn) reply(b []byte) {
 	s.session.Enqueue(len(b), func(x *session.Slot) { x.SetResponse(b) })
 }
@@ -198,7 +200,7 @@
 	s.reply(mysqlwire.Error{Code: code, State: state, Message: message}.Packet(1))
 }
 
-// checkRoutable looks at a statement's text; what cannot be routed is answered here.
+// checkRoutable checks a statement's text. It responds to a statement that cannot be routed and then returns false.
 func (s *clientConn) checkRoutable(sql string) (sqlcomment.Statement, bool) {
 	tag, err := sqlcomment.Parse(sql)
 	verb := mysqlwire.FirstKeyword(sql)
@@ -221,7 +223,7 @@
 	return tag, false
 }
 
-// transactionVerbs statements need a connection of their own, which no client has here.
+// transactionVerbs begin statements that need a dedicated backend connection, which the gateway does not offer.
 var transactionVerbs = map[string]bool{"BEGIN": true, "START": true, "COMMIT": true, "ROLLBACK": true, "SAVEPOINT": true,
 	"RELEASE": true, "XA": true, "LOCK": true, "UNLOCK": true}
 
@@ -229,43 +231,43 @@
 	s.session.Enqueue(0, func(x *session.Slot) { x.Submit(request.Query{}, err, 0, s.front.encodeResponse) })
 }
 
-func (s *clientConn) submit(st *Statement, tag sqlcomment.Statement, form func(request.Response) []byte) {
+func (s *clientConn) submit(st *Statement, tag sqlcomment.Statement, encode func(request.Response) []byte) {
 	arrived := s.front.Loop.Now()
 	q, err := s.front.buildQuery(tag, st)
-	s.session.Enqueue(st.size(), func(x *session.Slot) { x.Submit(q, err, arrived, form) })
+	s.session.Enqueue(st.size(), func(x *session.Slot) { x.Submit(q, err, arrived, encode) })
 }
 
-// isWrite tells whether a statement is anything but a plain read. Taking one
-// for a write that is none only costs the primary some work.
+// isWrite reports whether a statement is anything but a plain read. A read that is taken for a write only adds load to
+// the primary.
 func isWrite(sql string) bool {
-	up := strings.ToUpper(sql)
-	return mysqlwire.FirstKeyword(sql) != "SELECT" || strings.Contains(up, "FOR UPDATE") || strings.Contains(up, "INTO ")
+	upper := strings.ToUpper(sql)
+	return mysqlwire.FirstKeyword(sql) != "SELECT" || strings.Contains(upper, "FOR UPDATE") || strings.Contains(upper, "INTO ")
 }
 
-// connectorSettings session settings are what every connector says first.
+// connectorSettings matches the session settings that connectors send first; they are acknowledged and ignored.
 var connectorSettings = regexp.MustCompile(`(?i)^\s*SET\s+(NAMES\s+'?\w+'?|(SESSION\s+)?AUTOCOMMIT\s*=\s*(1|ON))\s*;?\s*$`)
 
-// buildQuery reads the comment, with the configured defaults behind it. What is not
-// known to be a read counts as a write that must never run twice, whatever class it names.
+// buildQuery builds a query from the comment and the configured defaults. A statement that is not known to be a read
+// counts as a write that must never run twice, whatever class it names.
 func (f *Front) buildQuery(tag sqlcomment.Statement, st *Statement) (request.Query, error) {
 	class := f.Defaults.ReadClass
 	if isWrite(tag.SQL) {
 		class = f.Defaults.WriteClass
 	}
-	v := map[string]string{"c": class, "cluster": fmt.Sprint(f.Defaults.Group), "d": fmt.Sprint(f.Defaults.WaitMs)}
+	fields := map[string]string{"c": class, "cluster": fmt.Sprint(f.Defaults.Group), "d": fmt.Sprint(f.Defaults.WaitMs)}
 	if f.Defaults.Tenant != "" {
-		v["t"] = f.Defaults.Tenant
+		fields["t"] = f.Defaults.Tenant
 	}
-	for k, x := range tag.Fields {
-		v[k] = x
+	for k, v := range tag.Fields {
+		fields[k] = v
 	}
-	tag.Fields = v
+	tag.Fields = fields
 	q, err := f.BuildQuery(tag, st)
 	if err != nil {
 		return q, err
 	}
 	switch {
-	case st.PrepareOnly: // runs nothing: any member will do
+	case st.PrepareOnly: // runs nothing, so any member can serve it
 		q.ExternalID, q.Class, q.PrepareOnly = "", f.ClassIndex(f.Defaults.ReadClass), true
 	case isWrite(tag.SQL) && f.Settings.Classes[q.Class].Consistency != aspenshed.Write:
 		q.Class = f.ClassIndex(f.Defaults.WriteClass)
@@ -273,7 +275,7 @@
 	return q, nil
 }
 
-// prepare has some member prepare the statement, to learn what it looks like.
+// prepare has any member prepare the statement, to learn its parameters and columns.
 func (s *clientConn) prepare(sql string) {
 	tag, ok := s.checkRoutable(sql)
 	if !ok {
@@ -290,7 +292,7 @@
 		b := s.front.encodeResponse(x)
 		if p, ok := mysqlwire.ParsePrepareResponse(b[4:]); ok && x.Status == request.Served {
 			st.params.Store(int32(p.Params))
-			binary.LittleEndian.PutUint32(b[5:], id) // the client knows it by our name
+			binary.LittleEndian.PutUint32(b[5:], id) // the client uses our statement ID
 		}
 		return b
 	})
@@ -298,7 +300,7 @@
 
 func (s *clientConn) statementCommand(com byte, id uint32, st *preparedStmt, body []byte) error {
 	if st == nil {
-		if com != mysqlwire.ComStmtClose && com != mysqlwire.ComStmtSendLongData { // those two have no answer
+		if com != mysqlwire.ComStmtClose && com != mysqlwire.ComStmtSendLongData { // these commands have no response
 			s.replyError(1243, "HY000", fmt.Sprintf("Unknown prepared statement handler (%d)", id))
 		}
 		return nil
@@ -331,12 +333,12 @@
 	return nil
 }
 
-// encodeResponse is a final encodeResponse in bytes.
+// encodeResponse encodes a response to the client.
 func (f *Front) encodeResponse(x request.Response) []byte {
 	switch e, known := x.Value.(mysqlwire.Error); {
 	case x.Status == request.Served:
 		return x.Value.([]byte)
-	case x.Status == request.Refused: // 40001 is the state on which clients try again by themselves
+	case x.Status == request.Refused: // clients retry automatically on SQLSTATE 40001
 		m := "refused, nothing ran: " + x.Reason
 		if x.RetryAfter > 0 && f.Settings.SendRetryAfter {
 			m += fmt.Sprintf("; retry in %d ms", int64(x.RetryAfter+999999)/1e6)
