--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery watches the list of members over HTTP/1.1.
+// Package discovery watches the member list of a discovery service over HTTP/1.1.
 package discovery
 
 import (
@@ -19,31 +19,34 @@
 )
 
 const (
-	dialTimeout = 500 * time.Millisecond // a network that is cut says nothing: when it is back, word is due within 2 s
-	// silenceTimeout ends a watch or a call: while nothing changes an empty line comes every 2 s, and discovery turns away
-	// what has waited that long. What a silent watch misses counts as told 6 s after it fell silent, so the rest of
-	// these is left for the calls of many gateways.
+	// dialTimeout is short because a partitioned network does not respond: once it is back, updates are due within 2 s.
+	dialTimeout = 500 * time.Millisecond
+	// silenceTimeout ends a watch or a call: while nothing changes, an empty line comes every 2 s, and discovery
+	// rejects calls that have waited that long. Updates that a silent watch misses count as notified 6 s after it fell
+	// silent, so the rest of that time is left for the calls of many gateways.
 	silenceTimeout = aspenshed.Nanos(3e9)
-	// moveGrace: after a move to another discovery news counts as told 2 s sooner than after a silence.
+	// moveGrace: after a change of the address, updates count as notified 2 s sooner than after a silence.
 	moveGrace = aspenshed.Nanos(2e9)
-	// minRedialPause and maxRedialPause are the pauses before an agent is called again: 2 s are left from what it has being told.
+	// minRedialPause and maxRedialPause bound the pause before an agent is called again: updates that the agent has are
+	// due within 2 s.
 	minRedialPause, maxRedialPause = aspenshed.Nanos(50e6), aspenshed.Nanos(500e6)
-	// minCallInterval lies between two calls where an answer ends as soon as it has told its list: one without a length does.
+	// minCallInterval separates two calls when a response ends right after its list, as one without a stated length
+	// does.
 	minCallInterval = aspenshed.Nanos(250e6)
-	// maxDepartures is how many members that left are remembered, so that an old list can't bring them back.
+	// maxDepartures bounds the departed members that are remembered, so that an outdated list can't restore them.
 	maxDepartures = 4096
-	// maxLoggedValues is how many unknown words are logged: each is bad input, and there may be any number of them.
+	// maxLoggedValues bounds the unknown values that are logged: they are bad input and may be arbitrarily many.
 	maxLoggedValues = 64
 )
 
-// List is the form that discovery and the configuration give the members in.
+// List is a member list as discovery and the configuration encode it.
 type List struct {
 	Generation int64      `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []Instance `json:"instances"`
 }
 
-// Instance is one member on the wire.
+// Instance is one member of a List.
 type Instance struct {
 	ID          string   `json:"instanceId"`
 	HostPort    string   `json:"hostPort"`
@@ -54,29 +57,29 @@
 	StartedAtMs int64    `json:"startedAtMs"`
 	Recovery    string   `json:"recovery"`
 
-	decodeErr error // a field of the wrong type; the others were read
+	decodeErr error // a field has the wrong type; the others were decoded
 }
 
-// UnmarshalJSON keeps the good fields of an entry, and so the other entries of its list.
+// UnmarshalJSON keeps the valid fields of an entry and never fails, so that the rest of the list is decoded, too.
 func (x *Instance) UnmarshalJSON(b []byte) error {
 	type plain Instance
 	x.decodeErr = json.Unmarshal(b, (*plain)(x))
 	return nil
 }
 
-// Update is a change of the list or the whole of it.
+// Update is a change of the member list, or the complete list.
 type Update struct {
 	List      aspenshed.MemberList
 	Addresses map[string]string
 }
 
-// Convert reads a list. Zones are numbered as the settings name them. The error names every entry that is not
-// understood, with its place; the good part of the list stands beside it. A member of which it is not clear that it
-// is up and where takes nothing new: to send it something might break a drain.
+// Convert converts a list. A zone's number is its index in zones. The error joins one error for each invalid entry,
+// with its index; the valid part of the list is returned as well. A member whose state or address is invalid counts as
+// draining, since sending it requests might violate a drain.
 func Convert(l List, zones []string) (Update, error) {
 	u := Update{List: aspenshed.MemberList{Complete: l.Reset}, Addresses: map[string]string{}}
 	var faults []error
-	at := map[string]int{}
+	indexes := map[string]int{}
 	for i, x := range l.Instances {
 		fault := func(format string, args ...any) {
 			faults = append(faults, fmt.Errorf("instances[%d]%s", i, fmt.Sprintf(format, args...)))
@@ -100,42 +103,42 @@
 		case "terminated":
 			m.State = aspenshed.Removed
 		case "":
-			fault(".lifecycle missing: taken as draining")
+			fault(".lifecycle missing: treated as draining")
 			m.State = aspenshed.Draining
 		default:
 			faults = append(faults, UnknownValueError{fmt.Sprintf("instances[%d].lifecycle", i), x.Lifecycle})
 			m.State = aspenshed.Draining
 		}
 		if x.ID == "" {
-			fault(": instanceId missing: left out")
+			fault(": instanceId missing: ignored")
 			continue
 		}
 		if x.HostPort == "" && m.State == aspenshed.Up {
-			fault(".hostPort missing: taken as draining")
+			fault(".hostPort missing: treated as draining")
 			m.State = aspenshed.Draining
 		}
-		if first, twice := at[x.ID]; twice {
-			fault(".instanceId: %q stands there already: what takes less of the two counts", x.ID)
+		if first, exists := indexes[x.ID]; exists {
+			fault(".instanceId: %q is a duplicate: the more restrictive state applies", x.ID)
 			if old := &u.List.Members[first]; m.State > old.State {
 				old.State = m.State
 			}
 			continue
 		}
-		at[x.ID] = len(u.List.Members)
+		indexes[x.ID] = len(u.List.Members)
 		u.List.Members = append(u.List.Members, m)
 		u.Addresses[x.ID] = x.HostPort
 	}
 	return u, errors.Join(faults...)
 }
 
-// UnknownValueError is a fault in which a word stands that this release does not know: a newer one may. Nothing else is wrong.
+// UnknownValueError reports a value that this release does not know, though a newer release may.
 type UnknownValueError struct{ Field, Value string }
 
 func (u UnknownValueError) Error() string {
-	return fmt.Sprintf("%s: unknown value %q: taken as draining", u.Field, u.Value)
+	return fmt.Sprintf("%s: unknown value %q: treated as draining", u.Field, u.Value)
 }
 
-// StartupFaults is what of a list's faults stops a start: all but words that this release does not know.
+// StartupFaults returns those faults of a list that prevent a start: all but unknown values.
 func StartupFaults(err error) error {
 	var bad []error
 	for _, e := range splitErrors(err) {
@@ -146,7 +149,7 @@
 	return errors.Join(bad...)
 }
 
-// splitErrors takes the faults of a list apart.
+// splitErrors returns the errors that were joined.
 func splitErrors(err error) []error {
 	if many, ok := err.(interface{ Unwrap() []error }); ok {
 		return many.Unwrap()
@@ -154,45 +157,47 @@
 	return nil
 }
 
-// Watcher keeps one watch. Its methods run on the loop.
+// Watcher maintains one watch of the member list. Its methods run on the loop.
 type Watcher struct {
 	Loop     *eventloop.Loop
 	Log      *logrus.Entry
 	Net      *netio.Net
 	Address  string
 	Zones    []string
-	Version  int64 // the version that the gateway has
+	Version  int64 // the list version that the gateway has
 	OnUpdate func(Update)
 	OnBreak  func(aspenshed.DiscoveryFailed)
-	// Pushed: lists are pushed. An agent on this machine has them at no cost, and what it has counts as told: the watch
-	// is opened at once, and again whenever it breaks, and nobody else is asked.
+	// Pushed is set where lists are pushed to an agent on this machine. Updates that the agent has count as notified,
+	// so the watch is opened immediately and reopened whenever it fails, without calling OnBreak.
 	Pushed bool
 
 	current        *watch
-	previous       *watch          // at the address before, until cur has told something: no gap between the two
-	redialPause    aspenshed.Nanos // Keep: the pause before the next call, while they fail
+	previous       *watch          // at the former address, until current has received something, to leave no gap
+	redialPause    aspenshed.Nanos // if Pushed: the pause before the next call while calls fail
 	departures     map[string]departure
-	departureOrder []string        // of left, the oldest first
-	loggedValues   map[string]bool // unknown words that were logged
+	departureOrder []string        // keys of departures, the oldest first
+	loggedValues   map[string]bool // unknown values that were logged
 }
 
-var errSilence = errors.New("silent for too long")
+var errSilence = errors.New("no data within the silence timeout")
 
+// watch is one call to discovery that is kept open for updates.
 type watch struct {
 	watcher   *Watcher
 	conn      *netio.Conn
 	response  response
 	timer     *eventloop.Timer
-	version   int64           // that it last told
-	lastHeard aspenshed.Nanos // when it last told anything, though it were that nothing had changed; before that when it was begun
+	version   int64           // of the last list received
+	lastHeard aspenshed.Nanos // last-heard time, of a list or an empty line; before the first, the start of the call
 	startedAt aspenshed.Nanos
-	movedAt   aspenshed.Nanos // when the configuration named its address; 0: it did at the start
-	connected bool            // the call came there
+	movedAt   aspenshed.Nanos // when the configuration changed to its address; 0: it had that address at the start
+	connected bool            // the connection was established
 	gotList   bool
 	closed    bool
 }
 
-// SetAddress watches at another address from now on. The watch at the old one is heard until the new one has told something.
+// SetAddress moves the watch to another address. The previous watch stays open until the new one has received
+// something.
 func (w *Watcher) SetAddress(address string) {
 	if address == w.Address {
 		return
@@ -212,8 +217,9 @@
 	}
 }
 
-// Watch begins a watch, unless there is one. A call under way is left to its end, which silence bounds: one planned before
-// a move would lose the place that the new call has in discovery's turn, and with it the word on when its news binds.
+// Watch opens a watch unless one is open. A call in progress is not replaced, as silenceTimeout bounds it: a call that
+// was scheduled before a change of the address would take the place of the new call in discovery's queue, and with it
+// the time from which its updates bind.
 func (w *Watcher) Watch() {
 	if w.current != nil {
 		return
@@ -225,7 +231,7 @@
 		return
 	}
 	x.conn, w.current, x.startedAt = conn, x, w.Loop.Now()
-	w.Log.WithFields(logrus.Fields{"discovery": w.Address, "version": w.Version}).Debug("discovery asked")
+	w.Log.WithFields(logrus.Fields{"discovery": w.Address, "version": w.Version}).Debug("discovery watch started")
 	x.resetTimer()
 }
 
@@ -253,15 +259,15 @@
 	if x.closed {
 		return
 	}
-	was := x == x.watcher.previous
-	if x.stop(); was { // as expected; the new one is on its way
+	replaced := x == x.watcher.previous
+	if x.stop(); replaced { // expected, as current replaces it
 		return
 	}
 	w := x.watcher
-	w.Log.WithError(err).WithFields(logrus.Fields{"told": x.gotList, "reached": x.connected}).Warn("discovery watch broke")
+	w.Log.WithError(err).WithFields(logrus.Fields{"told": x.gotList, "reached": x.connected}).Warn("discovery watch failed")
 	if !w.Pushed {
 		b := aspenshed.DiscoveryFailed{Unreachable: !x.connected}
-		if x.gotList || x.connected && err == errSilence { // else discovery itself has turned the call down
+		if x.gotList || x.connected && err == errSilence { // otherwise discovery has rejected the call
 			b.LastHeard = x.lastHeard
 		}
 		if x.movedAt > 0 {
@@ -280,7 +286,7 @@
 	w.Loop.At(w.Loop.Now()+w.redialPause, w.Watch)
 }
 
-// Up asks.
+// Up sends the request.
 func (x *watch) Up() {
 	x.watcher.Loop.Post(func() {
 		x.connected = true
@@ -289,7 +295,7 @@
 	})
 }
 
-// Data parses what came and posts it.
+// Data parses received bytes and posts the updates in them to the loop.
 func (x *watch) Data(b []byte) {
 	err := x.response.feed(b, func(value []byte) error {
 		var l List
@@ -307,7 +313,7 @@
 	}
 }
 
-// Closed ends the watch.
+// Closed handles the end of the connection.
 func (x *watch) Closed(err error) { x.watcher.Loop.Post(func() { x.fail(err) }) }
 
 func (x *watch) handleUpdate(version int64, u Update, faults error, empty bool) {
@@ -322,38 +328,39 @@
 	if x.gotList, x.movedAt = true, 0; x == w.current && w.previous != nil {
 		w.previous.stop()
 	}
-	if !empty { // an empty line first: nothing has changed since
+	if !empty { // an initial empty line: nothing has changed since Version
 		w.logList(version, u, faults)
 		if !u.List.Complete && version < w.Version && version >= x.version {
-			return // known already, from the other of two watches
+			return // already known from the other watch
 		}
 		w.Version, x.version = version, version
 		w.applyDepartures(version, &u)
 	}
-	u.List.Cached = x == w.previous // it may be behind, and the call that is planned to the new address stands
+	u.List.Cached = x == w.previous // it may be outdated, and the call scheduled to the new address must stay
 	w.OnUpdate(u)
 }
 
-// logList logs a list: what was not understood always, and at debug who is up and who leaves.
+// logList logs the faults of a list and, at level debug, which members are up and which are leaving.
 func (w *Watcher) logList(version int64, u Update, faults error) {
 	log := w.Log.WithField("version", version)
 	w.LogFaults(log, faults)
 	if w.Log.Logger.IsLevelEnabled(logrus.DebugLevel) {
-		var up, off []string
+		var up, leaving []string
 		for _, m := range u.List.Members {
 			if m.State == aspenshed.Up {
 				up = append(up, m.ID)
 			} else {
-				off = append(off, m.ID)
+				leaving = append(leaving, m.ID)
 			}
 		}
-		log.WithFields(logrus.Fields{"whole": u.List.Complete, "up": strings.Join(up, " "), "leaving": strings.Join(off, " ")}).Debug("discovery told")
+		log.WithFields(logrus.Fields{"whole": u.List.Complete, "up": strings.Join(up, " "),
+			"leaving": strings.Join(leaving, " ")}).Debug("discovery told")
 	}
 }
 
-// LogFaults logs what was not understood of a list. An unknown word is named once.
+// LogFaults logs the faults of a list, each unknown value only once.
 func (w *Watcher) LogFaults(log *logrus.Entry, faults error) {
-	var news []error
+	var unlogged []error
 	for _, e := range splitErrors(faults) {
 		var u UnknownValueError
 		if errors.As(e, &u) {
@@ -365,29 +372,30 @@
 			}
 			w.loggedValues[u.Value] = true
 		}
-		news = append(news, e)
+		unlogged = append(unlogged, e)
 	}
-	if len(news) > 0 {
-		log.WithError(errors.Join(news...)).Warn("discovery names members that are not understood")
+	if len(unlogged) > 0 {
+		log.WithError(errors.Join(unlogged...)).Warn("discovery list contains invalid members")
 	}
 }
 
-// applyDepartures guards drains against discovery that is behind, as after a move or its own restart: who was told to leave by
-// a newer list stays so, until it starts anew. Who is gone is remembered for as long as that takes, within a bound.
+// applyDepartures protects drains against an outdated discovery, as after a change of the address or its own restart: a
+// member that a newer list marked as leaving stays so until it restarts. Removed members are remembered for that, too,
+// up to maxDepartures.
 func (w *Watcher) applyDepartures(version int64, u *Update) {
 	for i := range u.List.Members {
 		m := &u.List.Members[i]
-		l, known := w.departures[m.ID]
+		d, known := w.departures[m.ID]
 		switch {
 		case m.State != aspenshed.Up:
 			if w.departures == nil {
 				w.departures = map[string]departure{}
 			}
-			if w.departures[m.ID] = (departure{max(version, l.version), max(m.StartedAt, l.start), max(m.State, l.state)}); !known {
+			if w.departures[m.ID] = (departure{max(version, d.version), max(m.StartedAt, d.start), max(m.State, d.state)}); !known {
 				w.departureOrder = append(w.departureOrder, m.ID)
 			}
-		case known && version < l.version && m.StartedAt <= l.start:
-			m.State = l.state
+		case known && version < d.version && m.StartedAt <= d.start:
+			m.State = d.state
 		}
 	}
 	for len(w.departureOrder) > maxDepartures {
@@ -396,9 +404,9 @@
 	}
 }
 
-// departure is a member that some list has told to leave.
+// departure records that a list has marked a member as leaving.
 type departure struct {
-	version int64 // of the newest list that did
+	version int64 // of the newest such list
 	start   aspenshed.Nanos
 	state   aspenshed.MemberState
 }
--- a/internal/discovery/http.go
+++ b/internal/discovery/http.go
@@ -8,26 +8,26 @@
 	"strings"
 )
 
-// maxBuffered bounds one object and what of it has not been parsed: 8,000 members in their longest form.
+// maxBuffered bounds one object and its unparsed bytes: 8,000 members in their longest form.
 const maxBuffered = 4 << 20
 
-// response parses an HTTP/1.1 answer and cuts its body into objects and empty lines. The body is chunked, has a stated
-// length, or goes on until the connection ends; then that end is none of the list's: an object counts once it is whole.
+// response parses an HTTP/1.1 response and splits its body into objects and empty lines. The body is chunked, has a
+// stated length, or ends with the connection; as that end may cut an object off, an object counts once it is complete.
 // It accepts fragments of any size.
 type response struct {
-	buf          []byte // bytes of the wire not yet parsed
-	object       []byte // the body's object so far
-	depth        int    // of braces in it; 0: between objects
-	quoted       bool   // in a string of it
+	buf          []byte // received bytes not yet parsed
+	object       []byte // the received part of the current object
+	depth        int    // of nested braces in object; 0: between objects
+	quoted       bool   // within a string in object
 	escaped      bool
-	objectEnded  bool // an object has ended, its line not yet
+	objectEnded  bool // an object has ended, but its line has not
 	headerParsed bool
-	remaining    int  // of the current chunk, or of a body of stated length
-	inChunk      bool // the chunk
+	remaining    int // of the current chunk, or of a body of stated length
+	inChunk      bool
 	framing      framing
 }
 
-// framing is how a body tells its end.
+// framing is how the end of a body is determined.
 type framing int
 
 const (
@@ -36,13 +36,14 @@
 	framedByLength
 )
 
-var errBodyEnded = errors.New("answer ended")
+var errBodyEnded = errors.New("response ended")
 
-// feed calls f for each object of the body, and with nothing for each empty line. The body's end is errEnded.
+// feed calls f for each object of the body, and with nil for each empty line. At the end of the body it returns
+// errBodyEnded.
 func (r *response) feed(b []byte, f func([]byte) error) error {
 	r.buf = append(r.buf, b...)
 	if len(r.buf)+len(r.object) > maxBuffered {
-		return errors.New("answer too long")
+		return errors.New("response too long")
 	}
 	if !r.headerParsed {
 		end := bytes.Index(r.buf, []byte("\r\n\r\n"))
@@ -104,7 +105,7 @@
 	}
 }
 
-// body cuts the body into what discovery says: an empty line, or one JSON object, which may stand on many lines.
+// body splits the body into empty lines and JSON objects, which may span several lines.
 func (r *response) body(b []byte, f func([]byte) error) error {
 	for _, c := range b {
 		if r.depth > 0 {
@@ -123,19 +124,19 @@
 		case '{':
 			r.object, r.depth = append(r.object, c), 1
 		case '\n':
-			if r.objectEnded { // the end of the object's own line
+			if r.objectEnded { // the end of the line on which the object ended
 				r.objectEnded = false
 			} else if err := f(nil); err != nil {
 				return err
 			}
 		default:
-			return fmt.Errorf("neither an object nor an empty line: %q", c)
+			return fmt.Errorf("unexpected %q between objects", c)
 		}
 	}
 	return nil
 }
 
-// inObject follows c and tells whether the object ends with it.
+// inObject processes the next byte of an object and reports whether the object ends with it.
 func (r *response) inObject(c byte) bool {
 	switch {
 	case r.escaped:
@@ -153,21 +154,21 @@
 	return r.depth == 0
 }
 
-// parseHeader reads status and headers: how the body ends, and its length where that is stated.
+// parseHeader checks the status and returns the body framing, with the length where it is stated.
 func parseHeader(head string) (framing, int, error) {
 	lines := strings.Split(head, "\r\n")
 	status := strings.SplitN(lines[0], " ", 3)
 	if len(status) < 2 || !strings.HasPrefix(status[0], "HTTP/1.") {
-		return 0, 0, errors.New("no HTTP answer")
+		return 0, 0, errors.New("malformed HTTP response")
 	}
 	if status[1] != "200" {
 		return 0, 0, fmt.Errorf("status %s", status[1])
 	}
-	how, length := framedByClose, 0
+	method, length := framedByClose, 0
 	for _, l := range lines[1:] {
 		k, v, _ := strings.Cut(l, ":")
 		switch v = strings.TrimSpace(v); {
-		case strings.EqualFold(k, "Transfer-Encoding"): // goes before a length
+		case strings.EqualFold(k, "Transfer-Encoding"): // takes precedence over a length
 			if !strings.EqualFold(v, "chunked") {
 				return 0, 0, fmt.Errorf("transfer encoding %q", v)
 			}
@@ -177,8 +178,8 @@
 			if err != nil {
 				return 0, 0, fmt.Errorf("content length %q", v)
 			}
-			how, length = framedByLength, int(n)
+			method, length = framedByLength, int(n)
 		}
 	}
-	return how, length, nil
+	return method, length, nil
 }
--- a/internal/frontend/mysql/backend.go
+++ b/internal/frontend/mysql/backend.go
@@ -268,9 +268,9 @@
 	return err
 }
 
-// Send pings the server: the response shows that the connection works and that no stray bytes preceded it. Then it sends
-// the statement. A prepared statement that is unknown on this connection is prepared first; that runs nothing, so only
-// the execution counts as sent.
+// Send pings the server: the response shows that the connection works and that no stray bytes preceded it. Then it
+// sends the statement. A prepared statement that is unknown on this connection is prepared first; that runs nothing, so
+// only the execution counts as sent.
 func (l *backendConn) Send(statement any, timeout aspenshed.Nanos) bool {
 	l.stmt = statement.(*Statement)
 	return l.sendCommand(pendingCheck, mysqlwire.Command(mysqlwire.ComPing), func(*mysqlwire.ResponseReader) {
@@ -353,8 +353,8 @@
 	l.events.Done(r)
 }
 
-// resultForError maps a server's error. An error of the statement itself is the response, as the statement would fail on
-// any server; after an error of the server another server may be tried.
+// resultForError maps a server's error. An error of the statement itself is the response, as the statement would fail
+// on any server; after an error of the server another server may be tried.
 func resultForError(e mysqlwire.Error) request.Result {
 	r := request.Result{Outcome: aspenshed.ErrorResponse, Value: e, Detail: strconv.Itoa(int(e.Code)) + " " + e.Message}
 	switch {
--- a/internal/frontend/postgres/backend.go
+++ b/internal/frontend/postgres/backend.go
@@ -317,8 +317,8 @@
 	return aspenshed.ErrorResponse // XX000 and all others: the statement may have run
 }
 
-// parseReport parses a load report such as x0=1767225600.123,x1=1,queue=3. A report that is malformed or names a time in
-// the future counts as none, as a part of it could wrongly make a member seem fresh or the primary.
+// parseReport parses a load report such as x0=1767225600.123,x1=1,queue=3. A report that is malformed or names a time
+// in the future counts as none, as a part of it could wrongly make a member seem fresh or the primary.
 func parseReport(s string, now aspenshed.Nanos) (r aspenshed.Report) {
 	if s == "" {
 		return r
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -1,5 +1,5 @@
-// Package postgres implements the platform's protocol, the PostgreSQL wire protocol with simple queries, towards clients
-// (front.go) and databases (backend.go).
+// Package postgres implements the platform's protocol, the PostgreSQL wire protocol with simple queries, towards
+// clients (front.go) and databases (backend.go).
 package postgres
 
 import (
--- a/internal/frontend/session/memory.go
+++ b/internal/frontend/session/memory.go
@@ -10,8 +10,8 @@
 	// any size, so a client that sends one command and waits for the response is always served.
 	defaultMaxPendingBytes = 64 << 20
 	guaranteedPendingBytes = 16 << 10
-	// commandOverhead approximates the memory of a command besides its bytes: its slot, its request and its entry in the
-	// loop's mailbox.
+	// commandOverhead approximates the memory of a command besides its bytes: its slot, its request and its entry in
+	// the loop's mailbox.
 	commandOverhead = 256
 )
 
--- a/internal/frontend/session/memory_test.go
+++ b/internal/frontend/session/memory_test.go
@@ -20,9 +20,9 @@
 	return true
 }
 
-// Guards against memory exhaustion by clients that keep sending while the loop is busy: their pending bytes are bounded. A
-// client that sends a single command of any length is accepted. Accepted commands get responses; then the connections
-// that exceeded the limit are closed.
+// Guards against memory exhaustion by clients that keep sending while the loop is busy: their pending bytes are
+// bounded. A client that sends a single command of any length is accepted. Accepted commands get responses; then the
+// connections that exceeded the limit are closed.
 func TestPendingCommandBytesAreBounded(t *testing.T) {
 	const flooders, limit = 20, 8 << 20
 	for name, size := range map[string]int{"long": 140 << 10, "short": 1} {
@@ -79,8 +79,8 @@
 	}
 }
 
-// Guards against memory exhaustion by responses that queue behind a missing one: the connection is closed and its pending
-// bytes are released.
+// Guards against memory exhaustion by responses that queue behind a missing one: the connection is closed and its
+// pending bytes are released.
 func TestResponsesBehindAMissingOneAreBounded(t *testing.T) {
 	const limit = 64 << 20
 	clock := &fakeClock{1000 * ms}
