--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads what the gateway is told: the platform's NODE_CONFIG and
-// the project's own deploy/aspenshed.yaml. Bad input names the field.
+// Package config reads the configuration of a gateway: the platform's NODE_CONFIG and deploy/aspenshed.yaml. Errors
+// name the invalid field.
 package config
 
 import (
@@ -17,7 +17,7 @@
 	"aspenshed/internal/protocol/simwire"
 )
 
-// Node is the platform's word to one gateway.
+// Node is the platform's configuration of one gateway, the file that NODE_CONFIG names.
 type Node struct {
 	Name      string         `json:"name"`
 	Listen    string         `json:"listen"`
@@ -31,14 +31,14 @@
 	} `json:"limits"`
 	RawSettings json.RawMessage `json:"settings"`
 
-	// ConfiguredDiscovery is the discovery address that the file names, whatever NODE_DISCOVERY says.
+	// ConfiguredDiscovery is the discovery address in the file, which NODE_DISCOVERY may override.
 	ConfiguredDiscovery string             `json:"-"`
 	Settings            aspenshed.Settings `json:"-"`
 	Zones               []string           `json:"-"`
 	MaxHeld             int                `json:"-"`
 }
 
-// ReadNode reads NODE_CONFIG's file; the other variables go before it.
+// ReadNode reads the file that NODE_CONFIG names; the other environment variables override its fields.
 func ReadNode(getenv func(string) string) (*Node, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
@@ -84,7 +84,7 @@
 	case len(n.RawSettings) == 0:
 		return errors.New("field settings: missing")
 	case n.Limits.Sockets < 0 || n.Limits.Sockets > 0 && n.Limits.Sockets < 64:
-		return errors.New("field limits.sockets: at least 64 are needed")
+		return errors.New("field limits.sockets: must be at least 64")
 	case n.Limits.MemoryMB < 0:
 		return errors.New("field limits.memory_mb: negative")
 	}
@@ -97,16 +97,16 @@
 	if n.Settings, err = simwire.ParseSettings(n.RawSettings); err != nil {
 		return err
 	}
-	var more struct {
+	var extra struct {
 		Zones  []string `json:"failureDomains"`
 		Limits struct {
 			MostHeld int `json:"mostHeld"`
 		} `json:"limits"`
 	}
-	if err := json.Unmarshal(n.RawSettings, &more); err != nil {
+	if err := json.Unmarshal(n.RawSettings, &extra); err != nil {
 		return fmt.Errorf("field settings: %w", err)
 	}
-	n.Zones, n.MaxHeld = more.Zones, more.Limits.MostHeld
+	n.Zones, n.MaxHeld = extra.Zones, extra.Limits.MostHeld
 	_, faults := discovery.Convert(n.Known, n.Zones)
 	if err := discovery.StartupFaults(faults); err != nil {
 		return fmt.Errorf("field known.%w", err)
@@ -123,7 +123,7 @@
 	return err == nil
 }
 
-// RestartFields names the fields in which next differs from n and which only a restart changes.
+// RestartFields returns the names of the fields that differ in next and take effect only after a restart.
 func (n *Node) RestartFields(next *Node) (fields []string) {
 	for _, f := range []struct {
 		name string
@@ -137,7 +137,7 @@
 	return fields
 }
 
-// SeedNumber is the seed as a number: hexadecimal on the wire.
+// SeedNumber returns the seed as a number: its hexadecimal value, or else a hash of the text.
 func (n *Node) SeedNumber() uint64 {
 	if u, err := strconv.ParseUint(n.Seed, 16, 64); err == nil {
 		return u
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -42,7 +42,7 @@
 	for want, change := range map[string][2]string{
 		"field listen: missing":                                   {`"listen":"127.0.0.1:1",`, ``},
 		"field settings: missing":                                 {`"settings"`, `"unsettled"`},
-		"field limits.sockets: at least 64":                       {`1024`, `8`},
+		"field limits.sockets: must be at least 64":               {`1024`, `8`},
 		"field limits.memory_mb: wrong type":                      {`192`, `"much"`},
 		"field settings.classes.aimNs: wrong type":                {`"aimNs":1`, `"aimNs":"soon"`},
 		"field known.instances[0]: json: cannot unmarshal number": {`[]}`, `[{"hostPort":1}]}`},
@@ -53,19 +53,19 @@
 	}
 }
 
-// Guards the start, and SIGHUP, against a member whose lifecycle is of a newer release: it gets nothing new, and that is all.
-func TestAnUnknownLifecycleStopsNoStart(t *testing.T) {
+// Guards the start, and SIGHUP, against a member with a lifecycle value of a newer release: it counts as draining.
+func TestAnUnknownLifecycleDoesNotPreventTheStart(t *testing.T) {
 	text := strings.Replace(node, `[]}`, `[{"instanceId":"a","hostPort":"h:1","lifecycle":"resting"}]}`, 1)
 	if _, err := readNode(t, text, nil); err != nil {
 		t.Error(err)
 	}
 	text = strings.Replace(text, `"lifecycle"`, `"lifecycles"`, 1)
 	if _, err := readNode(t, text, nil); err == nil || !strings.Contains(err.Error(), "field known.instances[0].lifecycle missing") {
-		t.Errorf("a missing one: %v", err)
+		t.Errorf("a missing lifecycle: %v", err)
 	}
 }
 
-// The file that is delivered is read as it is: the front is off, the store in memory.
+// The file in the repository is valid: the front end is off, and the store is in memory.
 func TestDeliveredDeployFile(t *testing.T) {
 	d, err := ReadDeploy("../../deploy/aspenshed.yaml")
 	if err != nil || d.MySQL.Listen != "" || d.Store.Address != "" {
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestDeployWithTheFrontOn(t *testing.T) {
+func TestDeployWithTheFrontEndOn(t *testing.T) {
 	data, err := os.ReadFile("../../deploy/aspenshed.yaml")
 	if err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 	if err != nil || d.MySQL.AccountPasswords["web"] != "pass" {
 		t.Fatalf("%v: %+v", err, d)
 	}
-	// Nothing proves a position here: bounded reads are for the primary alone.
+	// Without positions bounded reads go to the primary alone.
 	if c := d.MySQL.Settings.Classes[0]; c.Name != "point-read" || c.Consistency != aspenshed.Linearizable {
 		t.Errorf("bounded class without a position: %+v", c)
 	}
@@ -117,7 +117,8 @@
 	}
 }
 
-// Every fault is named at once, with its line and field; what could not be read is not named a second time as missing.
+// All faults are reported at once, with line and field; a field that could not be decoded is not reported again as
+// missing.
 func TestAllFaultsAtOnce(t *testing.T) {
 	text := `mysql:
   listen: nowhere
@@ -146,6 +147,6 @@
 		}
 	}
 	if _, again := got["mysql.clients"]; again {
-		t.Error("what could not be read is said to be missing too")
+		t.Error("a field that could not be decoded is also reported as missing")
 	}
 }
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -12,25 +12,25 @@
 	"aspenshed"
 )
 
-// Deploy is deploy/aspenshed.yaml: the fronts of our own installations, the store and the daemon's own settings. Paths
-// in it are relative to its folder.
+// Deploy is the content of deploy/aspenshed.yaml: the front ends of our own installations, the store and the daemon's
+// own settings. Paths in it are relative to its directory.
 type Deploy struct {
 	MySQL    MySQL    `yaml:"mysql"`
 	Postgres Postgres `yaml:"postgres"`
 	Store    Store    `yaml:"store"`
 	Admin    struct {
-		Socket string `yaml:"socket"` // a unix socket for the command line; empty: none
+		Socket string `yaml:"socket"` // unix socket for the command line; empty: none
 	} `yaml:"admin"`
 
-	Text []byte `yaml:"-"` // the file itself; passwords stand in files of their own
+	Text []byte `yaml:"-"` // the file itself; it holds no passwords, as those are in separate files
 }
 
-// Front is what all fronts of our own have in common.
+// Front holds the settings that all front ends of our own installations share.
 type Front struct {
 	Listen             string        `yaml:"listen"` // empty: off
 	Inventory          string        `yaml:"inventory"`
 	Clients            int           `yaml:"clients"` // connections from clients
-	BackendConnections int           `yaml:"links"`   // connections to servers
+	BackendConnections int           `yaml:"links"`   // connections to members
 	Classes            []Class       `yaml:"classes"`
 	Tenants            []string      `yaml:"tenants"`
 	Attempts           int           `yaml:"attempts"`
@@ -42,12 +42,12 @@
 	Settings aspenshed.Settings `yaml:"-"`
 }
 
-// Postgres configures a front that speaks the platform's protocol to members that an inventory names.
+// Postgres configures a front end that speaks the platform's protocol to the members of an inventory.
 type Postgres struct {
 	Front `yaml:",inline"`
 }
 
-// MySQL configures the MySQL front and its pipeline.
+// MySQL configures the MySQL front end and its pipeline.
 type MySQL struct {
 	Front    `yaml:",inline"`
 	Accounts string `yaml:"accounts"`
@@ -72,7 +72,7 @@
 	ServerPassword   string            `yaml:"-"`
 }
 
-// Class is one class of statement.
+// Class configures one class of statements.
 type Class struct {
 	Name      string        `yaml:"name"`
 	Read      string        `yaml:"read"` // any, bounded, fresh or write
@@ -84,8 +84,8 @@
 	Effect    string        `yaml:"effect"` // safe or unsafe
 }
 
-// ReadDeploy reads the file and what it names. A missing file means that nothing in it is on. The error holds every
-// fault at once, each with file, line and field.
+// ReadDeploy reads the file and the files that it names. A missing file counts as an empty one, which enables nothing.
+// The error joins all faults, each with file, line and field.
 func ReadDeploy(path string) (*Deploy, error) {
 	data, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -97,7 +97,7 @@
 	return ParseDeploy(path, data)
 }
 
-// ParseDeploy reads a text as though it stood in that file.
+// ParseDeploy parses data as the content of the file path.
 func ParseDeploy(path string, data []byte) (*Deploy, error) {
 	d := &Deploy{Text: data}
 	c := newChecker(path, data)
@@ -117,7 +117,7 @@
 		d.Postgres.Front.check(c, "postgres", dir, true)
 	}
 	if d.Postgres.Listen != "" && d.Postgres.Listen == d.MySQL.Listen && !strings.HasSuffix(d.MySQL.Listen, ":0") {
-		c.addFault("postgres.listen", "is that of mysql too")
+		c.addFault("postgres.listen", "is also the address of mysql")
 	}
 	return d, c.err()
 }
@@ -129,7 +129,7 @@
 	return filepath.Join(dir, path)
 }
 
-// InventoryPath is where the inventory lies, whether the front is on or off.
+// InventoryPath returns the path of the inventory, whether the front end is on or off.
 func (s *Front) InventoryPath(deployPath string) string {
 	if s.Inventory == "" || filepath.IsAbs(s.Inventory) || s.Listen != "" {
 		return s.Inventory
@@ -165,16 +165,16 @@
 	}
 	byName := m.Front.check(c, "mysql", dir, m.Probe.Position != "")
 	if k := byName[m.Defaults.ReadClass]; k.Consistency != aspenshed.Eventual || k.RetrySafety != aspenshed.Safe {
-		c.addFault("mysql.defaults.read_class", "%q is no safe class that any member answers", m.Defaults.ReadClass)
+		c.addFault("mysql.defaults.read_class", "%q is not a safe class with read: any", m.Defaults.ReadClass)
 	}
 	if k := byName[m.Defaults.WriteClass]; k.Consistency != aspenshed.Write {
-		c.addFault("mysql.defaults.write_class", "%q is no class of writes", m.Defaults.WriteClass)
+		c.addFault("mysql.defaults.write_class", "%q is not a class with read: write", m.Defaults.WriteClass)
 	}
 }
 
-// check looks at the fields that all fronts have, and makes what the decision module is told. The cold-start figures
-// are the platform's. positions: what members say proves how fresh they are.
-func (s *Front) check(c *checker, at, dir string, positions bool) map[string]aspenshed.Class {
+// check validates the fields that all front ends share and builds the settings of the decision module. The slow-start
+// values are the platform's. positions: members report positions, which prove how fresh they are.
+func (s *Front) check(c *checker, section, dir string, positions bool) map[string]aspenshed.Class {
 	if s.Inventory != "" {
 		s.Inventory = resolvePath(dir, s.Inventory)
 	}
@@ -186,35 +186,35 @@
 		{"links", s.BackendConnections > 0}, {"connect_timeout", s.ConnectTimeout > 0}, {"attempts", s.Attempts > 0}, {"idle_close", s.IdleTimeout >= 0},
 		{"client_idle", s.ClientIdleTimeout > 0},
 	} {
-		c.require(at+"."+f.name, f.ok)
+		c.require(section+"."+f.name, f.ok)
 	}
 	s.Settings = aspenshed.Settings{Routers: 1, MinStepInterval: 1e6, MayProbe: true, MayCancel: true, MaxAttempts: s.Attempts,
 		SendRetryAfter: s.RetryAdvice, MaxRetryAfter: 1e9, ConnectTimeout: aspenshed.Nanos(s.ConnectTimeout), IdleTimeout: aspenshed.Nanos(s.IdleTimeout),
 		ResponseSlack: 20e6, DrainGrace: 2e9, InitialCapacity: 0.15, WarmUpTime: 16e9, OverloadFactor: 2.5, OverloadWindow: 1500e6, ProbeCost: 0.021}
-	needs := map[string]aspenshed.Consistency{"any": aspenshed.Eventual, "bounded": aspenshed.BoundedStaleness, "fresh": aspenshed.Linearizable, "write": aspenshed.Write}
-	effects := map[string]aspenshed.RetrySafety{"safe": aspenshed.Safe, "unsafe": aspenshed.Unsafe}
+	consistencies := map[string]aspenshed.Consistency{"any": aspenshed.Eventual, "bounded": aspenshed.BoundedStaleness, "fresh": aspenshed.Linearizable, "write": aspenshed.Write}
+	retrySafeties := map[string]aspenshed.RetrySafety{"safe": aspenshed.Safe, "unsafe": aspenshed.Unsafe}
 	byName := map[string]aspenshed.Class{}
 	for i, x := range s.Classes {
-		k := aspenshed.Class{Name: x.Name, Consistency: needs[x.Read], MaxStaleness: aspenshed.Nanos(x.Bound), LatencyTarget: aspenshed.Nanos(x.Aim), ClientTimeout: aspenshed.Nanos(x.GiveUp),
-			Value: x.Worth, LateValue: x.LateWorth, RetrySafety: effects[x.Effect]}
-		where := fmt.Sprintf("%s.classes[%d].", at, i)
+		k := aspenshed.Class{Name: x.Name, Consistency: consistencies[x.Read], MaxStaleness: aspenshed.Nanos(x.Bound), LatencyTarget: aspenshed.Nanos(x.Aim), ClientTimeout: aspenshed.Nanos(x.GiveUp),
+			Value: x.Worth, LateValue: x.LateWorth, RetrySafety: retrySafeties[x.Effect]}
+		prefix := fmt.Sprintf("%s.classes[%d].", section, i)
 		if x.Name == "" || byName[x.Name].Name != "" {
-			c.addFault(where+"name", "missing or named twice")
+			c.addFault(prefix+"name", "missing or a duplicate")
 		}
 		if k.Consistency == 0 {
-			c.addFault(where+"read", "%q is none of any, bounded, fresh, write", x.Read)
+			c.addFault(prefix+"read", "%q is not one of any, bounded, fresh, write", x.Read)
 		}
 		if k.RetrySafety == 0 || k.Consistency == aspenshed.Write && k.RetrySafety != aspenshed.Unsafe {
-			c.addFault(where+"effect", "%q is not safe or unsafe, or a write that is not unsafe", x.Effect)
+			c.addFault(prefix+"effect", "%q is not one of safe, unsafe, or a write is not unsafe", x.Effect)
 		}
 		if k.LatencyTarget <= 0 || k.ClientTimeout < k.LatencyTarget {
-			c.addFault(where+"give_up", "aim must be positive and not beyond it")
+			c.addFault(prefix+"give_up", "aim must be positive and at most give_up")
 		}
 		if k.Consistency == aspenshed.BoundedStaleness && k.MaxStaleness <= 0 {
-			c.addFault(where+"bound", "missing")
+			c.addFault(prefix+"bound", "missing")
 		}
 		if k.Consistency == aspenshed.BoundedStaleness && !positions {
-			k.Consistency = aspenshed.Linearizable // no position can be proved: the primary alone is known to be fresh
+			k.Consistency = aspenshed.Linearizable // without positions only the primary is known to be fresh
 		}
 		byName[x.Name] = k
 		s.Settings.Classes = append(s.Settings.Classes, k)
--- a/internal/config/fault.go
+++ b/internal/config/fault.go
@@ -14,7 +14,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Fault is one thing that is wrong with a file.
+// Fault is one error in a configuration file.
 type Fault struct {
 	File    string `json:"file"`
 	Line    int    `json:"line"`
@@ -29,7 +29,7 @@
 	return fmt.Sprintf("%s:%d: field %s: %s", f.File, f.Line, f.Field, f.Problem)
 }
 
-// Faults are all that an error of ReadDeploy holds; nil: it is none of ours.
+// Faults returns the faults that an error of ReadDeploy joins; nil: it holds none.
 func Faults(err error) (out []Fault) {
 	var many interface{ Unwrap() []error }
 	if !errors.As(err, &many) {
@@ -44,7 +44,7 @@
 	return out
 }
 
-// checker gathers the faults of one file and finds their lines.
+// checker collects the faults of one file and determines their lines.
 type checker struct {
 	file   string
 	data   []byte
@@ -54,13 +54,13 @@
 
 func newChecker(file string, data []byte) *checker {
 	c := &checker{file: file, data: data}
-	_ = yaml.Unmarshal(data, &c.root) // what cannot be read is said by decode
+	_ = yaml.Unmarshal(data, &c.root) // decode reports the error
 	return c
 }
 
 var yamlErrorLine = regexp.MustCompile(`^line (\d+): (.*)$`)
 
-// decode reads all fields that can be read and notes those that cannot.
+// decode decodes the file and records a fault for each field that cannot be decoded.
 func (c *checker) decode(into any) {
 	err := decodeStrict(c.data, into)
 	var te *yaml.TypeError
@@ -83,7 +83,7 @@
 	}
 }
 
-// addFault notes a fault of one field; of several in a line that could not be read, the reading's counts.
+// addFault records a fault of a field, unless the field's line could not be decoded, which is already recorded.
 func (c *checker) addFault(field, format string, a ...any) {
 	f := Fault{c.file, c.line(field), field, fmt.Sprintf(format, a...)}
 	if !slices.ContainsFunc(c.faults, func(x Fault) bool { return x.Field == "" && x.Line == f.Line }) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// line is where a field stands, or the nearest thing around it.
+// line returns the line of a field, or that of the innermost enclosing field that exists.
 func (c *checker) line(field string) int {
 	line := 1
 	n := &c.root
@@ -137,7 +137,7 @@
 	return errors.Join(errs...)
 }
 
-// decodeStrict refuses keys that are not known.
+// decodeStrict decodes YAML and rejects unknown keys.
 func decodeStrict(data []byte, into any) error {
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	dec.KnownFields(true)
