--- a/internal/inventory/inventory.go
+++ b/internal/inventory/inventory.go
@@ -1,5 +1,5 @@
-// Package inventory reads and writes the list of members as configuration tools
-// keep it, in CSV or YAML. A bad file is refused whole, naming line and field.
+// Package inventory reads and writes member lists in CSV or YAML, the formats of configuration tools. An invalid file
+// is rejected as a whole, with line and field of the error.
 package inventory
 
 import (
@@ -21,7 +21,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Member is one line.
+// Member is one entry of an inventory.
 type Member struct {
 	ID      string
 	Address string
@@ -31,16 +31,16 @@
 	State   string
 }
 
-// Fields are the columns, in the order in which they are written.
+// Fields are the names of the fields, in the order in which they are written.
 var Fields = []string{"id", "address", "site", "group", "kind", "state"}
 
-// States are the values of the field state, as discovery words them.
+// States maps the values of the field state, which are those of discovery.
 var States = map[string]aspenshed.MemberState{"in_service": aspenshed.Up, "terminating": aspenshed.Draining, "terminated": aspenshed.Removed}
 
-// FieldError says where a file is wrong.
+// FieldError is an error in a file.
 type FieldError struct {
 	Line    int
-	Field   string // empty: the line as a whole
+	Field   string // empty: the whole line
 	Problem string
 }
 
@@ -51,13 +51,13 @@
 	return fmt.Sprintf("line %d: field %s: %s", e.Line, e.Field, e.Problem)
 }
 
-// fieldValues are a member's fields as text, with the line they stand on.
+// fieldValues holds the text of a member's fields, and the member's line.
 type fieldValues struct {
 	line    int
 	byField map[string]string
 }
 
-// Read reads a file by its ending.
+// Read reads a file in the format of its extension.
 func Read(path string) ([]Member, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return ms, nil
 }
 
-// Parse reads a file's text; its name tells the form.
+// Parse parses data in the format of the name's extension.
 func Parse(name string, data []byte) ([]Member, error) {
 	switch filepath.Ext(name) {
 	case ".csv":
@@ -85,7 +85,7 @@
 	r := csv.NewReader(bytes.NewReader(data))
 	head, err := r.Read()
 	if errors.Is(err, io.EOF) {
-		return nil, &FieldError{1, "", "no header"}
+		return nil, &FieldError{1, "", "missing header"}
 	}
 	if err != nil {
 		return nil, csvError(err)
@@ -93,7 +93,7 @@
 	seen := map[string]bool{}
 	for _, f := range head {
 		if seen[f] || !isField(f) {
-			return nil, &FieldError{1, f, "unknown or named twice"}
+			return nil, &FieldError{1, f, "unknown or a duplicate"}
 		}
 		seen[f] = true
 	}
@@ -126,7 +126,7 @@
 	var doc yaml.Node
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	if err := dec.Decode(&doc); err != nil {
-		return nil, err // names its line
+		return nil, err // contains the line
 	}
 	if err := dec.Decode(new(yaml.Node)); !errors.Is(err, io.EOF) {
 		return nil, &FieldError{doc.Line, "", "more than one document"}
@@ -134,20 +134,20 @@
 	top := doc.Content[0]
 	if top.Kind != yaml.MappingNode || len(top.Content) != 2 || top.Content[0].Value != "members" ||
 		top.Content[1].Kind != yaml.SequenceNode {
-		return nil, &FieldError{top.Line, "members", "the one key of the file, a list, is expected"}
+		return nil, &FieldError{top.Line, "members", "must be the only key, with a list as its value"}
 	}
 	for _, n := range top.Content[1].Content {
 		if n.Kind != yaml.MappingNode {
-			return nil, &FieldError{n.Line, "", "a member is expected"}
+			return nil, &FieldError{n.Line, "", "not a member"}
 		}
 		v := fieldValues{n.Line, map[string]string{}}
 		for i := 0; i < len(n.Content); i += 2 {
 			k, x := n.Content[i], n.Content[i+1]
-			if _, twice := v.byField[k.Value]; twice || !isField(k.Value) {
-				return nil, &FieldError{k.Line, k.Value, "unknown or named twice"}
+			if _, exists := v.byField[k.Value]; exists || !isField(k.Value) {
+				return nil, &FieldError{k.Line, k.Value, "unknown or a duplicate"}
 			}
 			if x.Kind != yaml.ScalarNode {
-				return nil, &FieldError{x.Line, k.Value, "one value is expected"}
+				return nil, &FieldError{x.Line, k.Value, "not a scalar value"}
 			}
 			v.byField[k.Value] = x.Value
 		}
@@ -165,7 +165,7 @@
 	return false
 }
 
-// parse checks all values: what is accepted is written again just as it was read.
+// parse validates all values. It accepts only values that Format writes unchanged.
 func parse(rows []fieldValues, err error) ([]Member, error) {
 	if err != nil {
 		return nil, err
@@ -180,8 +180,8 @@
 			}
 		}
 		m.Group, _ = strconv.Atoi(v.byField["group"])
-		if first, twice := ids[m.ID]; twice {
-			return nil, &FieldError{v.line, "id", fmt.Sprintf("%q stands on line %d too", m.ID, first)}
+		if first, exists := ids[m.ID]; exists {
+			return nil, &FieldError{v.line, "id", fmt.Sprintf("%q is already on line %d", m.ID, first)}
 		}
 		ids[m.ID] = v.line
 		out = append(out, m)
@@ -194,21 +194,21 @@
 	case v == "":
 		return "missing"
 	case !utf8.ValidString(v) || strings.ContainsFunc(v, unicode.IsControl) || strings.TrimSpace(v) != v:
-		return fmt.Sprintf("%q holds control characters or outer space", v)
+		return fmt.Sprintf("%q contains control characters, or leading or trailing space", v)
 	}
 	switch field {
 	case "address":
 		host, port, err := net.SplitHostPort(v)
 		if n, perr := strconv.ParseUint(port, 10, 16); err != nil || perr != nil || n == 0 || host == "" {
-			return fmt.Sprintf("%q is no host:port", v)
+			return fmt.Sprintf("%q is not host:port", v)
 		}
 	case "group":
 		if n, err := strconv.Atoi(v); err != nil || n < 0 || strconv.Itoa(n) != v {
-			return fmt.Sprintf("%q is no whole number from 0", v)
+			return fmt.Sprintf("%q is not a non-negative integer", v)
 		}
 	case "state":
 		if States[v] == 0 {
-			return fmt.Sprintf("%q is none of in_service, terminating, terminated", v)
+			return fmt.Sprintf("%q is not one of in_service, terminating, terminated", v)
 		}
 	}
 	return ""
@@ -219,13 +219,13 @@
 		"kind": m.Kind, "state": m.State}[name]
 }
 
-// Format writes members in the form that the name tells.
+// Format encodes members in the format of the name's extension.
 func Format(name string, ms []Member) ([]byte, error) {
 	var b bytes.Buffer
 	switch filepath.Ext(name) {
 	case ".csv":
 		w := csv.NewWriter(&b)
-		_ = w.Write(Fields) // a buffer takes everything
+		_ = w.Write(Fields) // writing to a buffer never fails
 		for _, m := range ms {
 			var row []string
 			for _, f := range Fields {
@@ -257,7 +257,7 @@
 	return nil, errors.New("the name must end in .csv, .yaml or .yml")
 }
 
-// Write replaces a file whole or not at all.
+// Write replaces a file atomically.
 func Write(path string, ms []Member) error {
 	data, err := Format(path, ms)
 	if err != nil {
@@ -275,7 +275,7 @@
 	return os.Rename(tmp.Name(), path)
 }
 
-// MemberList turns members into a router's list and their addresses. Sites are numbered as they first appear.
+// MemberList converts members to the router's list and their addresses. Zones number the sites by first appearance.
 func MemberList(ms []Member) (aspenshed.MemberList, map[string]string) {
 	l, addresses, sites := aspenshed.MemberList{Complete: true}, map[string]string{}, map[string]int{}
 	for _, m := range ms {
