--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -18,29 +18,29 @@
 	"aspenshed/internal/netio"
 )
 
-// Administration goes over a local socket that only the daemon's own user can open: a line of JSON asks, a line of
-// JSON answers.
+// Administration uses a local socket that only the daemon's own user can open. A request and its response are one line
+// of JSON each.
 
 const (
 	maxAdminClients = 16
 	maxAdminLine    = 256 << 10
 	adminTimeout    = 15 * time.Second
-	rolloutTimeout  = 3 * time.Second // for the other voters to answer: one that is cut off must not hide the others' counts
+	rolloutTimeout  = 3 * time.Second // for the other voters to respond: one that is cut off must not hide the others' counts
 )
 
-// AdminRequest is one question.
+// AdminRequest is one request to the administration socket.
 type AdminRequest struct {
 	Command   string `json:"do"`
-	Key       string `json:"key,omitempty"` // what it is about: a key, member, instance, path or address
+	Key       string `json:"key,omitempty"` // the argument: a key, member, instance, path or address
 	Value     string `json:"value,omitempty"`
 	Base      uint64 `json:"base,omitempty"`
-	CheckBase bool   `json:"check,omitempty"`  // put only over version Base
-	Latest    bool   `json:"latest,omitempty"` // read what all have agreed on, not what is held here
-	// Revision is the one that a rollout is asked of; 0: the newest.
+	CheckBase bool   `json:"check,omitempty"`  // put only if the current version is Base
+	Latest    bool   `json:"latest,omitempty"` // read from the leader, not this instance's copy
+	// Revision is that of a rollout; 0: the newest.
 	Revision uint64 `json:"revision,omitempty"`
 }
 
-// AdminResponse is its answer.
+// AdminResponse is the response to an AdminRequest.
 type AdminResponse struct {
 	Error string          `json:"error,omitempty"`
 	Data  json.RawMessage `json:"data,omitempty"`
@@ -68,7 +68,7 @@
 	_ = os.Remove(a.path)
 }
 
-// adminConn is one administrator's connection.
+// adminConn is one connection to the administration socket.
 type adminConn struct {
 	a  *admin
 	c  *netio.Conn
@@ -90,7 +90,7 @@
 	}
 	line := x.in[:end]
 	x.in = nil
-	go func() { // it may wait for a majority; the poller must not
+	go func() { // it may wait for a majority, which the poller must not
 		var q AdminRequest
 		var out AdminResponse
 		err := json.Unmarshal(line, &q)
@@ -103,12 +103,12 @@
 		if err != nil {
 			out = AdminResponse{Error: err.Error()}
 		}
-		b, _ := json.Marshal(out) // of strings and JSON only
+		b, _ := json.Marshal(out) // never fails: it holds only strings and JSON
 		_ = x.c.Write(append(b, '\n'))
 	}()
 }
 
-// voterOnly are the requests that a subscriber can't serve.
+// voterOnly lists the commands that a subscriber cannot serve.
 var voterOnly = []string{"rollout", "join", "leave", "save", "restore"}
 
 func (a *admin) do(q AdminRequest) (any, error) {
@@ -131,7 +131,7 @@
 		held := a.d.drainHere(q.Key)
 		x, err := a.submit(&pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: q.Key, Reason: "the operator's word"}}})
 		if err != nil && held {
-			err = fmt.Errorf("held here and told to the others once there is a majority; not agreed on yet: %w", err)
+			err = fmt.Errorf("drained on this instance only; the other instances follow once there is a majority: %w", err)
 		}
 		return x, err
 	case "restart":
@@ -154,7 +154,7 @@
 		data, err := os.ReadFile(path)
 		if err == nil {
 			if err = st.Restore(data); err == nil {
-				a.d.log.WithFields(logrus.Fields{"file": path}).Warn("store restored by hand")
+				a.d.log.WithFields(logrus.Fields{"file": path}).Warn("store restored by an administrator")
 			}
 		}
 		return a.doneOrError(err)
@@ -162,7 +162,7 @@
 	return nil, fmt.Errorf("unknown request %q", q.Command)
 }
 
-// drainHere has this instance hold a drain before anything is agreed on: a split must not delay it.
+// drainHere drains a member on this instance before the drain is agreed on, so that a partition does not delay it.
 func (d *Daemon) drainHere(member string) (held bool) {
 	wire := ""
 	d.control.Store.Read(func(c *catalog.Catalog) {
@@ -188,13 +188,13 @@
 	if err == nil && r.Refused != "" {
 		err = errors.New(r.Refused)
 	}
-	if err == nil { // who looks at this instance next sees what was done; a majority has it already
+	if err == nil { // wait until this instance has applied the command, which a majority already has
 		_ = a.d.control.Store.ReadLatest(time.Second, func(*catalog.Catalog) {})
 	}
 	return doneResponse{err == nil, r.GetVersion()}, err
 }
 
-// Pair is a value with its version.
+// Pair is a key with its value and version.
 type Pair struct {
 	Key     string `json:"key"`
 	Value   string `json:"value"`
@@ -218,7 +218,7 @@
 	return out, err
 }
 
-// Member is what the store knows of one.
+// Member is a member as the store knows it.
 type Member struct {
 	ID      string  `json:"id"`
 	Address string  `json:"address"`
@@ -232,7 +232,7 @@
 	Primary bool    `json:"primary"`
 }
 
-// Members are those that the store knows.
+// Members returns the members that the store knows.
 func (d *Daemon) Members() (out []Member) {
 	d.control.Store.Read(func(c *catalog.Catalog) {
 		groups := c.GroupSummaries()
@@ -258,11 +258,11 @@
 	return out
 }
 
-// clientNet is the engine of all that clientNet from this process. It is never stopped: nbio (v1.6.8) forgets a Stop that comes
-// before its poller runs, as it would where nobody answers.
+// clientNet is the network engine of all clients in this process. It is never stopped, as nbio (v1.6.8) loses a Stop
+// that precedes the start of its poller, which would happen where no server responds.
 var clientNet = sync.OnceValues(func() (*netio.Net, error) { return netio.New(netio.Config{Name: "ask", MaxDials: 64}) })
 
-// CallAdmin asks a daemon through its socket.
+// CallAdmin sends a request to the administration socket of a daemon and returns the data of its response.
 func CallAdmin(socket string, q AdminRequest) (json.RawMessage, error) {
 	n, err := clientNet()
 	if err != nil {
@@ -274,13 +274,13 @@
 		return nil, err
 	}
 	defer c.Close()
-	limit := time.After(2 * adminTimeout)
+	timeout := time.After(2 * adminTimeout)
 	select {
 	case <-x.up:
 	case err := <-x.end:
-		return nil, fmt.Errorf("no daemon answers at %s: %w", socket, err)
-	case <-limit:
-		return nil, fmt.Errorf("no daemon answers at %s", socket)
+		return nil, fmt.Errorf("no daemon is listening at %s: %w", socket, err)
+	case <-timeout:
+		return nil, fmt.Errorf("no daemon is listening at %s", socket)
 	}
 	b, err := json.Marshal(q)
 	if err == nil {
@@ -300,9 +300,9 @@
 		}
 		return a.Data, nil
 	case err := <-x.end:
-		return nil, fmt.Errorf("the daemon ended the connection: %w", err)
-	case <-limit:
-		return nil, errors.New("no answer in time")
+		return nil, fmt.Errorf("the daemon closed the connection: %w", err)
+	case <-timeout:
+		return nil, errors.New("timed out waiting for the response")
 	}
 }
 
--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -12,15 +12,16 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// What all instances of an installation should have alike (classes, tenants, defaults) is agreed on as well. It takes
-// effect at an instance's start, from its own file; the store tells staff where files have drifted apart.
+// The settings that all instances of an installation should share (classes, tenants, defaults) are agreed on through
+// the store. An instance takes them from its own file at its start; it logs where its file differs from the agreed
+// version.
 
 const (
 	agreeRetryInterval = 2 * time.Second // between two attempts to agree on the configuration
-	agreeTimeout       = 5 * time.Second // for the store to answer, before it is asked again
+	agreeTimeout       = 5 * time.Second // of one attempt
 )
 
-// agreedPart is what all instances should have alike of one front.
+// agreedPart holds the settings of one front end that all instances should share.
 type agreedPart struct {
 	Classes     []config.Class `yaml:"classes"`
 	Tenants     []string       `yaml:"tenants"`
@@ -29,26 +30,27 @@
 	More        any            `yaml:"more,omitempty"`
 }
 
-// sharedConfig is that part of a configuration.
+// sharedConfig returns that part of a configuration as YAML.
 func sharedConfig(d *config.Deploy) (string, error) {
-	of := func(s config.Front, more any) *agreedPart {
+	partOf := func(s config.Front, more any) *agreedPart {
 		if s.Listen == "" {
 			return nil
 		}
 		return &agreedPart{s.Classes, s.Tenants, s.Attempts, s.RetryAdvice, more}
 	}
-	b, err := yaml.Marshal(map[string]*agreedPart{"mysql": of(d.MySQL.Front, []any{d.MySQL.Database, d.MySQL.Probe, d.MySQL.Defaults}),
-		"postgres": of(d.Postgres.Front, nil)})
+	b, err := yaml.Marshal(map[string]*agreedPart{"mysql": partOf(d.MySQL.Front, []any{d.MySQL.Database, d.MySQL.Probe, d.MySQL.Defaults}),
+		"postgres": partOf(d.Postgres.Front, nil)})
 	return string(b), err
 }
 
-// refusedError is a command that the store did not carry out, with the reason that it gives.
+// refusedError reports that the store refused a command.
 type refusedError struct{ reason string }
 
 func (e refusedError) Error() string { return "store: " + e.reason }
 
-// agreeOnConfig makes this instance's configuration the first version, or logs where it differs from the agreed one. renew: its
-// file has been changed and read again, and is to be the next version. It retries until the store has answered.
+// agreeOnConfig proposes this instance's configuration as the first version, or logs that it differs from the agreed
+// one. renew: the file was changed and reloaded, and is proposed as the next version. It retries until an attempt
+// succeeds.
 func (d *Daemon) agreeOnConfig(deploy *config.Deploy, renew bool) {
 	text, err := sharedConfig(deploy)
 	if err != nil {
@@ -59,7 +61,7 @@
 		if err = d.tryAgree(text, renew); err == nil {
 			return
 		}
-		if failures == 0 { // it goes on by its own file meanwhile: one line is enough
+		if failures == 0 { // logged once only: the instance works with its own file meanwhile
 			d.log.WithError(err).Warn("configuration not agreed on yet")
 		}
 		select {
@@ -70,8 +72,8 @@
 	}
 }
 
-// tryAgree compares text with the newest version that is agreed on and proposes it where it is due. An error says that
-// nothing is settled: there is no majority, or another instance was quicker.
+// tryAgree compares text with the newest agreed version and proposes it if necessary. It fails if there is no majority
+// or another instance proposed a version first.
 func (d *Daemon) tryAgree(text string, renew bool) error {
 	if d.Subscriber != nil {
 		return d.compareWithHeld(text)
@@ -100,10 +102,10 @@
 	return nil
 }
 
-// errNothingHeld says that a subscriber has not heard of anything yet.
+// errNothingHeld reports that a subscriber has received nothing yet.
 var errNothingHeld = errors.New("no server of the control stream has been reached yet")
 
-// compareWithHeld logs where a subscriber's configuration differs from the agreed one. The voters alone propose versions.
+// compareWithHeld logs that a subscriber's configuration differs from the agreed one. Only voters propose versions.
 func (d *Daemon) compareWithHeld(text string) (err error) {
 	d.Subscriber.Read(func(c *catalog.Catalog) {
 		switch agreed := c.Config(); {
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -19,17 +19,18 @@
 	"aspenshed/internal/controlplane/subscription"
 )
 
-// Control connects a front to the control plane.
+// Control connects a front end to the control plane.
 type Control struct {
 	Store agent.Store
-	Lease time.Duration // of cold capacity; 0: none is asked for
-	// Subscriber is set where the instance has no vote: it publishes no list, and keeps learned rates to itself.
+	Lease time.Duration // duration of a lease on the capacity of warming members; 0: no leases
+	// Subscriber is set where the instance has no vote: it publishes no inventory and no learned rates.
 	Subscriber bool
-	// InForce hears, on the loop, of each revision that a wire's pipeline has come to go by; nil: nobody does.
+	// InForce is called on the loop with each revision that the pipeline of a wire protocol has applied; nil: not
+	// called.
 	InForce func(wire string, rev uint64)
 }
 
-// openControl opens the store, or subscribes to one.
+// openControl opens the store or the subscription to one.
 func (d *Daemon) openControl() error {
 	if d.cfg.Deploy.Store.IsSubscriber() {
 		return d.openSubscriber()
@@ -64,7 +65,8 @@
 	return nil
 }
 
-// leaseDuration is what a lease of cold capacity lasts; alone there is nobody to share with.
+// leaseDuration returns the duration of a lease on the capacity of warming members; 0 for a single instance, which has
+// no others to share with.
 func leaseDuration(sc store.Config) time.Duration {
 	switch {
 	case sc.Address == "" || sc.NoLeases:
@@ -75,7 +77,7 @@
 	return sc.LeaseDuration
 }
 
-// newServer serves the control stream. The store is opened after it, as the store feeds it from then on.
+// newServer starts the server of the control stream. The store is opened after it, as it publishes to the server.
 func (d *Daemon) newServer(listen, cluster string) (*stream.Server, error) {
 	return stream.NewServer(stream.ServerConfig{Listen: listen, Cluster: cluster, Log: d.log, Clock: d.cfg.Clock,
 		Machine: subscription.ServerConfig{Seed: d.cfg.Seed},
@@ -96,9 +98,10 @@
 
 func (d *Daemon) openSubscriber() (err error) {
 	section := &d.cfg.Deploy.Store
-	d.Subscriber, err = subscriber.Open(subscriber.Config{Cluster: section.Cluster, ID: section.ID, Region: section.Region, Zone: section.Zone,
-		Release: d.cfg.Release, Scope: section.Scope.RevisionScope(), Servers: section.Subscribe, Seed: d.cfg.Seed, Pipelines: enabledWires(d.cfg.Deploy),
-		CheckConfig: checkAgreed, OnChange: d.pollAgents, Log: d.log, Clock: d.cfg.Clock, Network: d.cfg.Network})
+	d.Subscriber, err = subscriber.Open(subscriber.Config{Cluster: section.Cluster, ID: section.ID, Region: section.Region,
+		Zone: section.Zone, Release: d.cfg.Release, Scope: section.Scope.RevisionScope(), Servers: section.Subscribe,
+		Seed: d.cfg.Seed, Pipelines: enabledWires(d.cfg.Deploy), CheckConfig: checkAgreed, OnChange: d.pollAgents,
+		Log: d.log, Clock: d.cfg.Clock, Network: d.cfg.Network})
 	if err != nil {
 		return err
 	}
@@ -106,7 +109,7 @@
 	return nil
 }
 
-// enabledWires are those of the fronts that are on.
+// enabledWires returns the wire protocols of the enabled front ends.
 func enabledWires(c *config.Deploy) (wires []string) {
 	if c.MySQL.Listen != "" {
 		wires = append(wires, WireMySQL)
@@ -117,14 +120,14 @@
 	return wires
 }
 
-// checkAgreed says what is wrong with a configuration that the voters have agreed on.
+// checkAgreed validates a configuration that the voters have agreed on.
 func checkAgreed(v *pb.ConfigVersion) error {
 	var parts map[string]*agreedPart
 	return yaml.Unmarshal([]byte(v.Text), &parts)
 }
 
-// applyRules has a Router hold cold members by what the instances agree on: its leases and the safe share, or the safe
-// share alone where it gets no leases.
+// applyRules sets how a Router limits warming members by the agreed rules: by its leases and the safe share, or by the
+// safe share alone where it gets no leases.
 func (c *Control) applyRules(s *aspenshed.Settings, rules *pb.Rules) {
 	s.ListHasRoles = true
 	if c.Lease == 0 && !c.Subscriber {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -21,31 +21,32 @@
 
 const (
 	defaultLease        = 4 * time.Second
-	acceptAfterTerm     = aspenshed.Nanos(400e6) // new connections still come this long after SIGTERM
-	idleCloseWindow     = aspenshed.Nanos(1e9)   // before the end connections are closed between requests
-	finalResponseWindow = aspenshed.Nanos(300e6) // what is still held then gets its answer
+	acceptAfterTerm     = aspenshed.Nanos(400e6) // clients may still connect this long after SIGTERM
+	idleCloseWindow     = aspenshed.Nanos(1e9)   // at the end of a drain, in which connections between requests are closed
+	finalResponseWindow = aspenshed.Nanos(300e6) // at the very end, for sending the responses to pending requests
 	drainInterval       = aspenshed.Nanos(10e6)
 	minDrainTime        = aspenshed.Nanos(3e9)
 )
 
-// Config is what a daemon is made of.
+// Config configures a daemon.
 type Config struct {
 	Deploy  *config.Deploy
-	Path    string // of the deploy file, for reload
+	Path    string // of the deploy file, for Reload
 	Seed    uint64
 	Release string
-	Clock   eventloop.Clock // nil: the wall's
-	// StoreHook, where it is set, changes the store's configuration: seams for faults.
+	Clock   eventloop.Clock // nil: the wall clock
+	// StoreHook, if set, changes the store's configuration, for fault injection.
 	StoreHook func(*store.Config)
-	// Network carries a subscriber's stream; nil: sockets. It is the seam for delays and cuts.
+	// Network carries a subscriber's stream; nil: sockets. Tests and experiments inject delays and partitions through
+	// it.
 	Network stream.Network
 }
 
-// Daemon is one instance.
+// Daemon is one instance of the gateway of our own installations.
 type Daemon struct {
-	Store      *store.Store           // nil: it subscribes
-	Server     *stream.Server         // nil: it serves no subscribers
-	Subscriber *subscriber.Subscriber // nil: it has a store of its own
+	Store      *store.Store           // nil: the instance subscribes
+	Server     *stream.Server         // nil: the instance serves no subscribers
+	Subscriber *subscriber.Subscriber // nil: the instance has its own store
 	Fronts     []*Front
 
 	cfg          Config
@@ -54,21 +55,21 @@
 	log          *logrus.Entry
 	admin        *admin
 	once         sync.Once
-	storeOpened  chan struct{} // closed once there is a store
+	storeOpened  chan struct{} // closed after the attempt to open the store
 	stopped      chan struct{}
 	storeDamaged chan error
 }
 
-// New starts an instance. It serves as soon as it knows members: from its own files at once, from the store once that
-// tells them.
+// New starts an instance. It serves as soon as it knows members: immediately those of its own files, and those of the
+// store once they are received.
 func New(c Config) (*Daemon, error) {
 	if c.Clock == nil {
 		c.Clock = eventloop.NewClock()
 	}
-	d := &Daemon{cfg: c, loop: eventloop.NewLoop(c.Clock), storeOpened: make(chan struct{}), stopped: make(chan struct{}), storeDamaged: make(chan error, 1),
-		log: logrus.WithField("instance", c.Deploy.Store.ID)}
+	d := &Daemon{cfg: c, loop: eventloop.NewLoop(c.Clock), storeOpened: make(chan struct{}), stopped: make(chan struct{}),
+		storeDamaged: make(chan error, 1), log: logrus.WithField("instance", c.Deploy.Store.ID)}
 	d.loop.OnPanic = func(p any) {
-		d.log.WithFields(logrus.Fields{"panic": p, "stack": string(debug.Stack())}).Error("panic on the loop: it goes on")
+		d.log.WithFields(logrus.Fields{"panic": p, "stack": string(debug.Stack())}).Error("panic in the event loop; continuing")
 	}
 	if err := d.open(); err != nil {
 		return nil, errors.Join(err, d.close())
@@ -82,7 +83,7 @@
 	return d, nil
 }
 
-// open starts what the deploy file turns on, in order. After an error close ends what was started before it.
+// open starts, in order, what the deploy file enables. After an error, close stops what has been started.
 func (d *Daemon) open() (err error) {
 	if err := d.openControl(); err != nil {
 		return err
@@ -96,7 +97,7 @@
 	return err
 }
 
-// openFronts starts the fronts that are on.
+// openFronts starts the enabled front ends.
 func (d *Daemon) openFronts() error {
 	deploy, rules := d.cfg.Deploy, d.cfg.Deploy.Store.InitialRules()
 	if deploy.MySQL.Listen != "" {
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// pollAgents has the agents look at once.
+// pollAgents makes the agents read the store immediately.
 func (d *Daemon) pollAgents() {
 	d.loop.Post(func() {
 		for _, f := range d.Fronts {
@@ -127,7 +128,7 @@
 	})
 }
 
-// Front is the front of that wire, nil if it is off.
+// Front returns the front end of a wire protocol, or nil if it is off.
 func (d *Daemon) Front(wire string) *Front {
 	for _, f := range d.Fronts {
 		if f.Wire == wire {
@@ -147,13 +148,13 @@
 	}
 }
 
-// Reload reads inventories and the servers to subscribe to again, and says what else of the configuration has changed
-// and waits for a restart. A bad file changes nothing.
+// Reload rereads the inventories and the servers to subscribe to, and logs whether the rest of the configuration has
+// changed, which takes effect only after a restart. An invalid file changes nothing.
 func (d *Daemon) Reload() {
 	next, err := config.ReadDeploy(d.cfg.Path)
 	d.loop.Post(func() {
 		if err != nil {
-			d.log.WithError(err).Error("configuration refused: the running one stays")
+			d.log.WithError(err).Error("configuration rejected; keeping the running one")
 			return
 		}
 		for _, f := range d.Fronts {
@@ -162,17 +163,17 @@
 		if d.Subscriber != nil && next.Store.IsSubscriber() {
 			d.Subscriber.SetServers(next.Store.Subscribe)
 		}
-		if was, _ := sharedConfig(d.cfg.Deploy); was != "" {
-			if now, err := sharedConfig(next); err == nil && now != was {
+		if old, _ := sharedConfig(d.cfg.Deploy); old != "" {
+			if current, err := sharedConfig(next); err == nil && current != old {
 				go d.agreeOnConfig(next, true) // the loop must not wait for a majority
 			}
 		}
-		d.log.WithField("needs_restart", string(next.Text) != string(d.cfg.Deploy.Text)).Info("configuration read again")
+		d.log.WithField("needs_restart", string(next.Text) != string(d.cfg.Deploy.Text)).Info("configuration reloaded")
 	})
 }
 
-// Drain ends the instance in good order: it accepts for a while, serves open connections for longer, and ends once
-// all that was taken has its answer.
+// Drain shuts the instance down gracefully: it accepts connections for a while, serves open ones for longer, and stops
+// once all accepted requests have responses.
 func (d *Daemon) Drain() {
 	d.loop.Post(func() {
 		d.once.Do(d.drain)
@@ -181,26 +182,26 @@
 
 func (d *Daemon) drain() {
 	start, grace := d.loop.Now(), minDrainTime
-	live := 0
+	pending := 0
 	for _, f := range d.Fronts {
-		live += f.Pipeline.Response.Pending()
+		pending += f.Pipeline.Response.Pending()
 		for _, c := range f.cfg.Settings.Classes {
 			grace = max(grace, c.ClientTimeout)
 		}
 	}
-	d.log.WithField("live", live).Info("draining")
-	answerAll := start + grace + finalResponseWindow
-	closeFrom := answerAll - max(grace, idleCloseWindow)
+	d.log.WithField("live", pending).Info("draining")
+	respondAll := start + grace + finalResponseWindow
+	closeFrom := respondAll - max(grace, idleCloseWindow)
 	var tick func()
 	tick = func() {
-		now, left := d.loop.Now(), 0
+		now, remaining := d.loop.Now(), 0
 		for _, f := range d.Fronts {
-			if now >= answerAll {
-				f.Pipeline.FailAll("the gateway ends")
+			if now >= respondAll {
+				f.Pipeline.FailAll("the gateway is shutting down")
 			}
-			left += f.Remaining(now >= max(closeFrom, start+acceptAfterTerm))
+			remaining += f.Remaining(now >= max(closeFrom, start+acceptAfterTerm))
 		}
-		if left == 0 || now >= answerAll+finalResponseWindow {
+		if remaining == 0 || now >= respondAll+finalResponseWindow {
 			d.loop.Quit()
 			return
 		}
@@ -214,17 +215,17 @@
 	})
 }
 
-// Wait returns once the instance has drained, or the store was found damaged.
+// Wait returns once the instance has drained, or its store was found to be corrupted.
 func (d *Daemon) Wait() error {
 	select {
 	case <-d.stopped:
 		return d.close()
-	case err := <-d.storeDamaged: // what it holds is not to be trusted: others go on
+	case err := <-d.storeDamaged: // its data cannot be trusted; the other instances continue
 		return errors.Join(err, d.Kill())
 	}
 }
 
-// Kill ends the instance at once, as a crash would.
+// Kill stops the instance immediately, like a crash.
 func (d *Daemon) Kill() error {
 	d.loop.Post(d.loop.Quit)
 	<-d.stopped
@@ -238,7 +239,7 @@
 	for _, f := range d.Fronts {
 		f.Stop()
 	}
-	if d.Server != nil { // subscribers hear of the end, and go to another voter
+	if d.Server != nil { // subscribers see the connection end and connect to another voter
 		d.Server.Stop()
 	}
 	if d.Subscriber != nil {
@@ -253,13 +254,13 @@
 	return err
 }
 
-// absolutePath is a path that the administrator named, absolute.
+// absolutePath validates a path from an administrator, which must be absolute.
 func absolutePath(p string) (string, error) {
 	if p == "" {
-		return "", errors.New("a path is missing")
+		return "", errors.New("the path is missing")
 	}
 	if !filepath.IsAbs(p) {
-		return "", errors.New("the path must be absolute: the daemon runs in another folder")
+		return "", errors.New("the path must be absolute: the daemon runs in another directory")
 	}
 	if _, err := os.Stat(filepath.Dir(p)); err != nil {
 		return "", err
--- a/internal/daemon/demo.go
+++ b/internal/daemon/demo.go
@@ -18,7 +18,8 @@
 	"aspenshed/internal/protocol/pgwire"
 )
 
-// demoConfig is what the daemon begins with where nothing is configured: three classes, loopback only.
+// demoConfig is the configuration of the demonstration, which runs where nothing is configured: three classes, on
+// loopback only.
 const demoConfig = `
 postgres:
   listen: 127.0.0.1:0
@@ -59,27 +60,27 @@
   socket: admin.sock
 `
 
-// Demo is an installation in one process: some instances and two small groups of stand-in databases, on loopback.
+// Demo is an installation in one process, on loopback: several instances and two small groups of stand-in databases.
 type Demo struct {
 	Dir       string
 	Instances []*Daemon
-	Databases map[string]*standin.Group // by wire
+	Databases map[string]*standin.Group // by wire protocol
 	Deploys   []*config.Deploy
 
 	storeHook func(int, *store.Config)
 	clock     func(int) eventloop.Clock
 }
 
-// DemoOptions change a demonstration, for tests.
+// DemoOptions configures a demonstration.
 type DemoOptions struct {
 	Instances  int
 	Limits     standin.Limits
 	EditConfig func(text string) string
 	StoreHook  func(i int, c *store.Config)
-	Clock      func(i int) eventloop.Clock // nil: the wall's
+	Clock      func(i int) eventloop.Clock // nil: the wall clock
 }
 
-// NewDemo starts one in a folder.
+// NewDemo starts a demonstration in a directory.
 func NewDemo(dir string, o DemoOptions) (*Demo, error) {
 	d := &Demo{Dir: dir, Databases: map[string]*standin.Group{}, storeHook: o.StoreHook, clock: o.Clock}
 	if err := d.begin(o); err != nil {
@@ -119,12 +120,12 @@
 		if o.EditConfig != nil {
 			text = o.EditConfig(text)
 		}
-		folder := filepath.Join(d.Dir, instanceName(i))
-		if err := os.MkdirAll(folder, 0o700); err != nil {
+		instanceDir := filepath.Join(d.Dir, instanceName(i))
+		if err := os.MkdirAll(instanceDir, 0o700); err != nil {
 			return err
 		}
 		for name, content := range map[string]string{"aspenshed.yaml": text, "accounts.yaml": "web: pass\n", "password": standin.Password} {
-			if err := os.WriteFile(filepath.Join(folder, name), []byte(content), 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(instanceDir, name), []byte(content), 0o600); err != nil {
 				return err
 			}
 		}
@@ -137,7 +138,7 @@
 
 func instanceName(i int) string { return string(rune('a' + i)) }
 
-// FreeAddress is an ephemeral port, given back for the instance.
+// FreeAddress returns an address with an ephemeral port, which it has released for the instance.
 func FreeAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -146,7 +147,7 @@
 	return l.Addr().String(), l.Close()
 }
 
-// Start starts an instance, or starts it again from its folder.
+// Start starts an instance, or restarts it from its directory.
 func (d *Demo) Start(i int) error {
 	path := filepath.Join(d.Dir, instanceName(i), "aspenshed.yaml")
 	c, err := config.ReadDeploy(path)
@@ -173,7 +174,7 @@
 	return nil
 }
 
-// WriteInventory writes a wire's list of members; draining is one that it says is terminating.
+// WriteInventory writes the inventory of a wire protocol, with the member draining as terminating.
 func (d *Demo) WriteInventory(wire string, group int, draining string) error {
 	b := []byte("id,address,site,group,kind,state\n")
 	for _, x := range d.Databases[wire].DBs() {
@@ -186,14 +187,14 @@
 	return os.WriteFile(filepath.Join(d.Dir, wire+".csv"), b, 0o600)
 }
 
-// Drain ends all instances in good order.
+// Drain shuts all instances down gracefully.
 func (d *Demo) Drain() {
 	for _, x := range d.Instances {
 		x.Drain()
 	}
 }
 
-// Wait returns once all instances have ended, and ends the databases.
+// Wait waits until all instances have stopped, then stops the databases.
 func (d *Demo) Wait() (err error) {
 	for _, x := range d.Instances {
 		err = errors.Join(err, x.Wait())
@@ -204,7 +205,7 @@
 	return err
 }
 
-// Stop ends everything at once.
+// Stop stops all instances and databases immediately.
 func (d *Demo) Stop() (err error) {
 	for _, x := range d.Instances {
 		if x != nil {
@@ -217,9 +218,9 @@
 	return err
 }
 
-// QueryUntilServed asks a front for a point read until it is served, or the limit is over, and returns the row.
-func QueryUntilServed(address string, id string, limit time.Duration) (row string, err error) {
-	for end := time.Now().Add(limit); ; {
+// QueryUntilServed repeats a point read until it is served or the timeout has expired, and returns the row.
+func QueryUntilServed(address string, id string, timeout time.Duration) (row string, err error) {
+	for end := time.Now().Add(timeout); ; {
 		row, err = QueryPostgres(address, fmt.Sprintf("SELECT payload FROM entries WHERE ref = 'entry-1' "+
 			"/* id=%s-%d,c=point-read,d=900,cluster=1 */", id, time.Now().UnixNano()), time.Until(end))
 		if err == nil || time.Now().After(end) {
@@ -229,14 +230,14 @@
 	}
 }
 
-// QueryPostgres asks one statement on a connection of its own, over PostgreSQL's wire.
-func QueryPostgres(address, sql string, limit time.Duration) (string, error) {
+// QueryPostgres runs one statement on a new connection, over PostgreSQL's protocol.
+func QueryPostgres(address, sql string, timeout time.Duration) (string, error) {
 	n, err := clientNet()
 	if err != nil {
 		return "", err
 	}
 	q := &pgQuery{in: pgwire.Reader{MaxSize: 1 << 20}, up: make(chan struct{}), end: make(chan error, 2)}
-	c, err := n.Dial(address, limit, false, q)
+	c, err := n.Dial(address, timeout, false, q)
 	if err != nil {
 		return "", err
 	}
@@ -252,8 +253,8 @@
 	select {
 	case err = <-q.end:
 		return q.row, err
-	case <-time.After(limit):
-		return "", errors.New("no answer in time")
+	case <-time.After(timeout):
+		return "", errors.New("timed out waiting for the response")
 	}
 }
 
@@ -284,35 +285,35 @@
 		e, _ := pgwire.ParseError(m.Body)
 		q.err = fmt.Errorf("%s: %s", e.Code, e.Message)
 	case 'Z':
-		if q.readyMessages++; q.readyMessages == 2 { // the first ends the greeting
+		if q.readyMessages++; q.readyMessages == 2 { // the first one ends the startup
 			q.end <- q.err
 		}
 	}
 	return nil
 }
 
-// RunDemo is what the daemon does where nothing is configured.
+// RunDemo runs the demonstration, as the daemon does where nothing is configured.
 func RunDemo(end <-chan os.Signal) error {
 	dir, err := os.MkdirTemp("", "aspenshed-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	begin := time.Now()
+	start := time.Now()
 	d, err := NewDemo(dir, DemoOptions{Instances: 3, Limits: standin.DefaultLimits()})
 	if err != nil {
 		return err
 	}
 	for i, x := range d.Instances {
-		logrus.WithFields(logrus.Fields{"instance": instanceName(i), "postgres": x.Front(WirePostgres).Net.Addr(), "mysql": x.Front(WireMySQL).Net.Addr(),
-			"admin": d.Deploys[i].Admin.Socket}).Info("demonstration instance: connect here")
+		logrus.WithFields(logrus.Fields{"instance": instanceName(i), "postgres": x.Front(WirePostgres).Net.Addr(),
+			"mysql": x.Front(WireMySQL).Net.Addr(), "admin": d.Deploys[i].Admin.Socket}).Info("demonstration instance is ready")
 	}
 	row, err := QueryUntilServed(d.Instances[0].Front(WirePostgres).Net.Addr(), "sample", 5*time.Second)
 	if err != nil {
 		return errors.Join(fmt.Errorf("the sample query was not served: %w", err), d.Stop())
 	}
 	fmt.Printf("SELECT payload ... /* c=point-read */ -> %s\n", row)
-	logrus.WithFields(logrus.Fields{"took_ms": time.Since(begin).Milliseconds(), "row": row}).Info("sample query served")
+	logrus.WithFields(logrus.Fields{"took_ms": time.Since(start).Milliseconds(), "row": row}).Info("sample query served")
 	go func() {
 		<-end
 		d.Drain()
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -1,5 +1,5 @@
-// Package daemon puts the gateway of our own installations together: fronts with pipelines of their own, the store and
-// its agents, administration over a local socket. It only wires.
+// Package daemon assembles the gateway of our own installations: front ends with a pipeline each, the store and its
+// agents, and administration over a local socket.
 package daemon
 
 import (
@@ -27,22 +27,23 @@
 )
 
 const (
-	// maxQueuedResponseBytes bounds what waits for a front's clients to read, bytes: as much as unanswered commands may take.
+	// maxQueuedResponseBytes bounds the responses of a front end that clients have not read yet. It equals the default
+	// bound of pending commands.
 	maxQueuedResponseBytes = 64 << 20
 
-	loginTimeout   = aspenshed.Nanos(10e9) // MySQL's connect_timeout: to log in and send a first command
-	startupTimeout = aspenshed.Nanos(2e9)  // the same for PostgreSQL's wire, which asks for no password
+	loginTimeout   = aspenshed.Nanos(10e9) // as MySQL's connect_timeout: to log in and send the first command
+	startupTimeout = aspenshed.Nanos(2e9)  // the same for PostgreSQL's protocol, which requires no password here
 	maxHeld        = 8192
 )
 
-// The wires, as an inventory's members name them in the catalog.
+// The wire protocols, as members name them in the catalog.
 const (
 	WireMySQL    = "mysql"
 	WirePostgres = "postgres"
 )
 
-// Front is one front of our own: its listener, its pipeline, whose members an inventory or the store names, and its
-// agent towards the store.
+// Front is one front end: its listener, its pipeline, whose members come from an inventory or the store, and its agent
+// of the store.
 type Front struct {
 	Wire     string
 	Net      *netio.Net
@@ -51,11 +52,11 @@
 
 	cfg     *config.Front
 	log     *logrus.Entry
-	control *Control     // nil: there is no control plane
-	agent   *agent.Agent // nil: the same
+	control *Control     // nil: no control plane
+	agent   *agent.Agent // nil: no control plane
 }
 
-// NewMySQL makes the MySQL front. Without a control plane its members are those of the inventory alone.
+// NewMySQL starts the MySQL front end. Without a control plane its members come only from the inventory.
 func NewMySQL(c *config.MySQL, loop *eventloop.Loop, seed uint64, control *Control) (*Front, error) {
 	var f mysql.Front
 	x := &Front{Wire: WireMySQL, cfg: &c.Front, Manager: &f.Manager, control: control}
@@ -68,7 +69,7 @@
 	return x, err
 }
 
-// NewPostgres makes a front that speaks the platform's protocol.
+// NewPostgres starts a front end that speaks the platform's protocol.
 func NewPostgres(c *config.Postgres, loop *eventloop.Loop, seed uint64, control *Control) (*Front, error) {
 	var f postgres.Front
 	x := &Front{Wire: WirePostgres, cfg: &c.Front, Manager: &f.Manager, control: control}
@@ -77,7 +78,7 @@
 	return x, err
 }
 
-func (f *Front) start(loop *eventloop.Loop, seed uint64, silent aspenshed.Nanos, accept func(*netio.Conn) netio.Handler,
+func (f *Front) start(loop *eventloop.Loop, seed uint64, commandTimeout aspenshed.Nanos, accept func(*netio.Conn) netio.Handler,
 	backend func(*netio.Net) request.Backend) (err error) {
 	c := f.cfg
 	f.log = logrus.WithField("front", f.Wire)
@@ -85,11 +86,11 @@
 	if err != nil && (f.control == nil || !errors.Is(err, os.ErrNotExist)) {
 		return err
 	}
-	*f.Manager = session.Manager{Loop: loop, Settings: &c.Settings, Limits: session.Limits{CommandTimeout: silent, IdleTimeout: aspenshed.Nanos(c.ClientIdleTimeout),
-		ReclaimAbove: c.Clients * 3 / 4, ReclaimMinIdle: silent}}
+	*f.Manager = session.Manager{Loop: loop, Settings: &c.Settings, Limits: session.Limits{CommandTimeout: commandTimeout,
+		IdleTimeout: aspenshed.Nanos(c.ClientIdleTimeout), ReclaimAbove: c.Clients * 3 / 4, ReclaimMinIdle: commandTimeout}}
 	ready := make(chan struct{})
-	f.Net, err = netio.New(netio.Config{Name: f.Wire, Listen: c.Listen, MaxClients: c.Clients, MaxDials: c.BackendConnections, ReservedDials: c.BackendConnections / 10,
-		MaxQueued: maxQueuedResponseBytes,
+	f.Net, err = netio.New(netio.Config{Name: f.Wire, Listen: c.Listen, MaxClients: c.Clients, MaxDials: c.BackendConnections,
+		ReservedDials: c.BackendConnections / 10, MaxQueued: maxQueuedResponseBytes,
 		Accept: func(x *netio.Conn) netio.Handler {
 			<-ready
 			return accept(x)
@@ -99,7 +100,8 @@
 	}
 	f.Pipeline = pipeline.New(pipeline.Config{Loop: loop, Log: f.log, Settings: c.Settings, Seed: seed, MaxPending: maxHeld,
 		Backend: backend(f.Net), Watch: func() {}})
-	f.Manager.Submit, f.Manager.Cancel, f.Manager.CountRejected = f.Pipeline.Accept.Accept, f.Pipeline.Abandon, f.Pipeline.Accounting.CountRejected
+	f.Manager.Submit, f.Manager.Cancel, f.Manager.CountRejected =
+		f.Pipeline.Accept.Accept, f.Pipeline.Abandon, f.Pipeline.Accounting.CountRejected
 	list, addresses := aspenshed.MemberList{Complete: true}, map[string]string{}
 	if f.control == nil {
 		list, addresses = inventory.MemberList(own)
@@ -116,7 +118,7 @@
 	return nil
 }
 
-// startAgent connects the pipeline to the control plane.
+// startAgent starts the agent that connects the pipeline to the control plane.
 func (f *Front) startAgent(loop *eventloop.Loop, own []inventory.Member) {
 	c := agent.Config{Store: f.control.Store, Loop: loop, Log: f.log, Pipeline: f.Pipeline, Wire: f.Wire,
 		Classes: f.cfg.Settings.Classes, LeaseDuration: aspenshed.Nanos(f.control.Lease), KeepLearnedLocal: f.control.Subscriber}
@@ -136,7 +138,7 @@
 	return inventory.Read(f.cfg.Inventory)
 }
 
-// rosterMembers is an inventory as the agent takes it.
+// rosterMembers converts an inventory for the agent.
 func (f *Front) rosterMembers(ms []inventory.Member) (out []roster.Entry) {
 	l, addresses := inventory.MemberList(ms)
 	for i, m := range l.Members {
@@ -145,7 +147,7 @@
 	return out
 }
 
-// publishFirst makes this instance's file the inventory of all, if there is none yet.
+// publishFirst publishes this instance's file as the inventory of all instances, unless there is one already.
 func (f *Front) publishFirst(own []inventory.Member) {
 	if err := f.agent.PublishInitial(catalogEntries(f.Wire, own)); err != nil {
 		f.log.WithError(err).Warn("inventory not stored")
@@ -162,11 +164,11 @@
 	return out
 }
 
-// Reload reads the inventory again, on the loop. A bad file changes nothing.
+// Reload rereads the inventory, on the loop. An invalid file changes nothing.
 func (f *Front) Reload() {
 	members, err := f.readInventory()
 	if err != nil {
-		f.log.WithError(err).Error("inventory refused: the running one stays")
+		f.log.WithError(err).Error("inventory rejected; keeping the running one")
 		return
 	}
 	if f.agent == nil {
@@ -175,7 +177,7 @@
 		return
 	}
 	f.agent.SetLocalMembers(f.rosterMembers(members))
-	if f.control.Subscriber { // the voters alone publish lists
+	if f.control.Subscriber { // only voters publish inventories
 		return
 	}
 	go func() { // the loop must not wait for a majority
@@ -185,13 +187,14 @@
 	}()
 }
 
-// NotifyStarted tells the front alone that a member has started, as its own list would: for trials of what an instance does
-// that cannot hear the store.
+// NotifyStarted reports a member's start to this front end alone, as its own list would. Experiments use it for an
+// instance that is cut off from the store.
 func (f *Front) NotifyStarted(id string, start time.Time) {
 	f.agent.ObserveStart(id, aspenshed.Nanos(start.UnixNano()))
 }
 
-// Remaining is how many clients' connections and requests are still there; closing: those between requests are closed first.
+// Remaining returns the number of client connections and pending requests. closing: connections between requests are
+// closed first.
 func (f *Front) Remaining(closing bool) int {
 	if closing {
 		f.Manager.CloseIdle()
@@ -199,7 +202,7 @@
 	return f.Net.ClientCount() + f.Pipeline.Response.Pending()
 }
 
-// Stop ends the agent and writes the last counts.
+// Stop stops the agent and logs the final counts.
 func (f *Front) Stop() {
 	if f.agent != nil {
 		f.agent.Stop()
@@ -207,5 +210,5 @@
 	f.Pipeline.Accounting.LogCounts(f.Pipeline.Response.Pending())
 }
 
-// String names the front.
+// String returns the wire protocol and address of the front end.
 func (f *Front) String() string { return fmt.Sprintf("%s on %s", f.Wire, f.Net.Addr()) }
--- a/internal/daemon/fronts_test.go
+++ b/internal/daemon/fronts_test.go
@@ -14,13 +14,13 @@
 	"aspenshed/internal/experiment/standin"
 )
 
-// otherClasses have the names of the demonstration's, and nothing else of theirs.
+// otherClasses have the names of the demonstration's classes, but different settings.
 const otherClasses = `classes:
     - {name: point-read, read: any, aim: 300ms, give_up: 900ms, worth: 3, effect: safe}
     - {name: report, read: any, aim: 500ms, give_up: 3s, worth: 1, effect: safe}
     - {name: order, read: write, aim: 600ms, give_up: 4s, worth: 2, effect: unsafe}`
 
-// twoFronts is one instance whose fronts serve groups of the same number and classes of the same names.
+// twoFronts is one instance with two front ends that serve groups of the same number and classes of the same names.
 type twoFronts struct {
 	*testing.T
 	demo            *Demo
@@ -59,7 +59,7 @@
 	return x
 }
 
-// order has an order served by a front, and so the front learn which member is its primary.
+// order sends orders to a front end until one is served, from which the front end learns its primary.
 func (x *twoFronts) order(f *Front) {
 	x.Helper()
 	eventually(x.T, "an order served by "+f.Wire, func() (served bool) {
@@ -68,21 +68,21 @@
 			var row string
 			return x.db.QueryRow(fmt.Sprintf("SELECT place() /* id=m%d,c=order */", x.orders)).Scan(&row) == nil
 		}
-		_, err := QueryPostgres(f.Net.Addr(), fmt.Sprintf("SELECT place() /* id=p%d,c=order,d=900,cluster=1 */", x.orders), patient)
+		_, err := QueryPostgres(f.Net.Addr(), fmt.Sprintf("SELECT place() /* id=p%d,c=order,d=900,cluster=1 */", x.orders), eventuallyTimeout)
 		return err == nil
 	})
 }
 
-// state is what a front goes by: its settings, the states of its members and the primary that it knows.
-type state struct {
+// frontState is the state of a front end: its settings, the states of its members and the primary that it knows.
+type frontState struct {
 	settings aspenshed.Settings
 	members  map[string]aspenshed.MemberState
 	primary  string
 }
 
-func (x *twoFronts) state(f *Front) (s state) {
+func (x *twoFronts) state(f *Front) (s frontState) {
 	x.instance.RunOnLoop(func() {
-		s = state{f.Pipeline.Routing.Settings, map[string]aspenshed.MemberState{}, ""}
+		s = frontState{f.Pipeline.Routing.Settings, map[string]aspenshed.MemberState{}, ""}
 		for _, m := range f.Pipeline.Routing.LastMembers() {
 			s.members[m.ID] = m.State
 		}
@@ -93,7 +93,7 @@
 	return s
 }
 
-// primary has a front learn its primary.
+// primary sends orders to a front end until it knows that primary.
 func (x *twoFronts) primary(f *Front, id string) {
 	x.Helper()
 	eventually(x.T, f.Wire+" knowing "+id, func() bool {
@@ -102,17 +102,17 @@
 	})
 }
 
-// unchanged fails if a front goes by anything else than before.
-func (x *twoFronts) unchanged(f *Front, before state, after string) {
+// unchanged fails if the state of a front end differs from before.
+func (x *twoFronts) unchanged(f *Front, before frontState, after string) {
 	x.Helper()
 	if now := x.state(f); !reflect.DeepEqual(now, before) {
-		x.Errorf("after %s, %s goes by %+v, before by %+v", after, f.Wire, now, before)
+		x.Errorf("after %s, the state of %s is %+v, before %+v", after, f.Wire, now, before)
 	}
 }
 
-// Guards customers from one another: two fronts of one daemon whose groups and classes have equal names. What one learns, and
-// what SIGHUP changes for one or finds bad, though it crosses the other's learning, leaves the other as it was.
-func TestTwoFrontsWithEqualNamesUnderReload(t *testing.T) {
+// Guards against state shared between the front ends of one daemon whose groups and classes have equal names. What one
+// learns, and what SIGHUP changes or rejects for one while the other learns, leaves the other unchanged.
+func TestReloadKeepsFrontEndsWithEqualNamesSeparate(t *testing.T) {
 	x := newTwoFronts(t)
 	x.primary(x.mysql, "my-a")
 	x.primary(x.postgres, "po-a")
@@ -123,9 +123,9 @@
 
 	x.demo.Databases[WireMySQL].HandOver("my-c")
 	x.primary(x.mysql, "my-c")
-	x.unchanged(x.postgres, postgres, "mysql's hand-over")
+	x.unchanged(x.postgres, postgres, "mysql's switchover")
 
-	// The reload waits for the loop together with what the other front learns meanwhile.
+	// The loop is blocked, so the reload and the other front end's updates queue up together.
 	stopped, proceed := make(chan bool), make(chan bool)
 	x.instance.loop.Post(func() { close(stopped); <-proceed })
 	<-stopped
@@ -140,10 +140,11 @@
 	eventually(t, "mysql's drain", func() bool { return x.state(x.mysql).members["my-b"] == aspenshed.Draining })
 	mysql.members["my-b"], mysql.primary = aspenshed.Draining, "my-c"
 	postgres.primary = "po-b"
-	x.unchanged(x.mysql, mysql, "its reload and the other's hand-over")
+	x.unchanged(x.mysql, mysql, "its reload and the other's switchover")
 	x.unchanged(x.postgres, postgres, "the other's reload")
 
-	// A bad inventory of one front, and a new give_up in the deploy file, which waits for a restart.
+	// An invalid inventory of one front end, and a new give_up in the deploy file, which takes effect only at a
+	// restart.
 	if err := os.WriteFile(filepath.Join(x.demo.Dir, "mysql.csv"), []byte("no inventory\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -158,8 +159,8 @@
 	x.instance.Reload()
 	eventually(t, "postgres's drain", func() bool { return x.state(x.postgres).members["po-c"] == aspenshed.Draining })
 	postgres.members["po-c"] = aspenshed.Draining
-	x.unchanged(x.mysql, mysql, "a bad inventory of its own")
-	x.unchanged(x.postgres, postgres, "its reload beside the other's bad inventory")
+	x.unchanged(x.mysql, mysql, "its own invalid inventory")
+	x.unchanged(x.postgres, postgres, "its reload with the other's invalid inventory")
 
 	for id, primary := range map[string]bool{"my-c": true, "po-b": true, "my-a": false, "po-a": false} {
 		eventually(t, "the agreed role of "+id, func() bool {
--- a/internal/daemon/mysql_test.go
+++ b/internal/daemon/mysql_test.go
@@ -11,9 +11,9 @@
 	"aspenshed/internal/experiment/standin"
 )
 
-// The MySQL front of the demonstration serves an ordinary client, text and prepared; orders follow the role when it
-// is handed over, and none runs twice.
-func TestAnOrdinaryMySQLClient(t *testing.T) {
+// The MySQL front end of the demonstration serves an ordinary client, with text and prepared statements. Orders follow
+// the primary in a switchover, and none runs twice.
+func TestMySQLClientDuringSwitchover(t *testing.T) {
 	d, err := NewDemo(t.TempDir(), DemoOptions{Instances: 1, Limits: standin.DefaultLimits()})
 	if err != nil {
 		t.Fatal(err)
@@ -28,11 +28,11 @@
 		t.Fatal(err)
 	}
 	defer db.Close()
-	ask := func(args []any, query string) (row string, err error) {
-		return row, db.QueryRow(query, args...).Scan(&row)
+	query := func(args []any, sql string) (row string, err error) {
+		return row, db.QueryRow(sql, args...).Scan(&row)
 	}
 	eventually(t, "a served read", func() bool {
-		_, err := ask(nil, "SELECT payload FROM entries /* id=r,c=report */")
+		_, err := query(nil, "SELECT payload FROM entries /* id=r,c=report */")
 		return err == nil
 	})
 	group := d.Databases["mysql"]
@@ -41,7 +41,7 @@
 		group.HandOver(to)
 		eventually(t, "an order at "+to, func() bool {
 			n++
-			row, err := ask([]any{n}, fmt.Sprintf("SELECT place(?) /* id=b%d,c=order */", n))
+			row, err := query([]any{n}, fmt.Sprintf("SELECT place(?) /* id=b%d,c=order */", n))
 			return err == nil && strings.HasPrefix(row, "b")
 		})
 	}
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -10,7 +10,7 @@
 	"aspenshed/internal/config"
 )
 
-// Guards a start that fails: what had been started is ended, and the error says what is wrong. It was a panic.
+// Guards against a panic in a failed start: what has been started is stopped, and the error is returned.
 func TestAFailedStartReturnsItsError(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -21,7 +21,7 @@
 		"the port of a front is taken": func(text string) string {
 			return strings.Replace(text, "listen: 127.0.0.1:0", "listen: "+taken.Addr().String(), 1)
 		},
-		"no folder for the admin socket": func(text string) string { return text + "admin: {socket: absent/admin.sock}\n" },
+		"the directory of the admin socket is missing": func(text string) string { return text + "admin: {socket: absent/admin.sock}\n" },
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -8,20 +8,20 @@
 	"aspenshed/internal/controlplane/stream"
 )
 
-// Status is how an instance stands towards the control plane. A subscriber has no term, no commit and no instances.
+// Status is the state of an instance in the control plane. A subscriber has no term, no commit index and no instances.
 type Status struct {
 	store.Status
 	Server *stream.ServerStats `json:"server,omitempty"` // of a voter that serves subscribers
 	Client *stream.ClientStats `json:"client,omitempty"` // of a subscriber
 }
 
-// The modes of a subscriber, beside those of a store.
+// The modes of a subscriber, in addition to those of a store.
 const (
 	modeSubscribed = "subscribed"
 	modeCutOff     = "cut_off"
 )
 
-// Status tells how this instance stands.
+// Status returns the instance's state in the control plane.
 func (d *Daemon) Status() Status {
 	if d.Subscriber != nil {
 		return d.subscriberStatus()
--- a/internal/daemon/subscriber_test.go
+++ b/internal/daemon/subscriber_test.go
@@ -17,7 +17,7 @@
 	"aspenshed/internal/netio"
 )
 
-// cutNetwork is a network that a test can cut.
+// cutNetwork is a network that a test can partition.
 type cutNetwork struct {
 	inner stream.Network
 
@@ -26,7 +26,7 @@
 	conns map[*cutConn]bool
 }
 
-// cutConn is a connection on it, and the handler that hears of its end.
+// cutConn is a connection of a cutNetwork, and its handler.
 type cutConn struct {
 	stream.Conn
 	netio.Handler
@@ -57,7 +57,7 @@
 	return c, err
 }
 
-// set cuts the network off, with all connections, or heals it.
+// set closes all connections and rejects new ones, or ends that.
 func (n *cutNetwork) set(cut bool) {
 	n.mu.Lock()
 	n.cut = cut
@@ -70,17 +70,17 @@
 	}
 }
 
-// fleet is an installation of three voters and one gateway that subscribes.
+// fleet is an installation of three voters and one subscribing gateway.
 type fleet struct {
 	*Demo
 	t       *testing.T
 	servers []string
 	gateway *Daemon
-	path    string // of the gateway's file
+	path    string // of the gateway's deploy file
 	socket  string
 	network *cutNetwork
 
-	inventory string // of the gateway's own for PostgreSQL's wire; empty: none
+	inventory string // the gateway's own file for PostgreSQL; empty: none
 }
 
 func newFleet(t *testing.T) *fleet {
@@ -113,7 +113,7 @@
 	return f
 }
 
-// startGateway starts the subscriber. Where it has no list of its own, all it knows comes over the stream.
+// startGateway starts the subscriber. Without its own inventory it learns all members from the stream.
 func (f *fleet) startGateway() {
 	f.t.Helper()
 	store := "store:\n  cluster: demonstration\n  id: gw1\n  region: tas\n  zone: tas-1\n  subscribe: [" + strings.Join(f.servers, ", ") + "]\n"
@@ -144,7 +144,7 @@
 	})
 }
 
-// voter asks any voter that answers.
+// voter sends a request to the voters until one succeeds.
 func (f *fleet) voter(q AdminRequest) (json.RawMessage, error) {
 	var out json.RawMessage
 	err := errors.New("no voter is up")
@@ -159,7 +159,7 @@
 	return out, err
 }
 
-// drain drains a database at a voter and returns the revision that the voters hold then.
+// drain drains a database at a voter and returns the revision of the voters after it.
 func (f *fleet) drain(id string) (rev uint64) {
 	f.t.Helper()
 	eventually(f.t, "a drain at a voter", func() bool {
@@ -178,10 +178,10 @@
 	return rev
 }
 
-// inForce waits until the voters know that the gateway goes by a revision.
+// inForce waits until the voters know that the gateway has applied a revision.
 func (f *fleet) inForce(rev uint64) {
 	f.t.Helper()
-	eventually(f.t, fmt.Sprintf("revision %d in force at the gateway", rev), func() bool {
+	eventually(f.t, fmt.Sprintf("revision %d applied by the gateway", rev), func() bool {
 		b, err := f.voter(AdminRequest{Command: "rollout", Revision: rev})
 		var r struct {
 			Subscribers uint64 `json:"subscribers"`
@@ -191,12 +191,12 @@
 	})
 }
 
-// serves has the gateway answer a few queries, and returns how many of them each database of the wire got.
+// serves sends some queries to the gateway and returns how many of them each PostgreSQL database got.
 func (f *fleet) serves(what string) map[string]int {
 	f.t.Helper()
 	before := f.served()
 	for i := range 20 {
-		row, err := QueryUntilServed(f.gateway.Front(WirePostgres).Net.Addr(), what, patient)
+		row, err := QueryUntilServed(f.gateway.Front(WirePostgres).Net.Addr(), what, eventuallyTimeout)
 		if err != nil || !strings.HasPrefix(row, what+"-") {
 			f.t.Fatalf("%s, query %d: %q %v", what, i, row, err)
 		}
@@ -216,9 +216,9 @@
 	return out
 }
 
-// A gateway without vote, log and disk serves what the voters know; a drain at a voter holds there, also one that came
-// while it was cut off, and it moves when the voter that it is connected to is killed.
-func TestAGatewayThatSubscribes(t *testing.T) {
+// A gateway without vote, log and disk serves the members that the voters know. A drain at a voter reaches it, even one
+// during a partition, and it connects to another voter when its voter is killed.
+func TestSubscribingGateway(t *testing.T) {
 	f := newFleet(t)
 	f.serves("whole")
 	f.inForce(f.drain("po-b"))
@@ -227,15 +227,15 @@
 	}
 
 	f.network.set(true)
-	eventually(t, "the gateway's knowing of the cut", func() bool { return f.gateway.Status().Mode == modeCutOff })
+	eventually(t, "the gateway noticing the partition", func() bool { return f.gateway.Status().Mode == modeCutOff })
 	missed := f.drain("po-c")
 	if got := f.serves("cut"); got["po-b"] != 0 {
-		t.Errorf("cut off, a drained database got queries: %v", got)
+		t.Errorf("during the partition, a drained database got queries: %v", got)
 	}
 	f.network.set(false)
 	f.inForce(missed)
 	if got := f.serves("healed"); got["po-b"]+got["po-c"] != 0 {
-		t.Errorf("after the cut, drained databases got queries: %v", got)
+		t.Errorf("after the partition, drained databases got queries: %v", got)
 	}
 
 	connected := f.gateway.Status().Client.Server
@@ -261,7 +261,7 @@
 	}
 }
 
-// waitPut writes a pair through the gateway once a leader is there again.
+// waitPut writes a pair through the gateway, retrying until there is a leader.
 func (f *fleet) waitPut(key, value string) (out json.RawMessage, err error) {
 	eventually(f.t, "a write through the gateway", func() bool {
 		out, err = CallAdmin(f.socket, AdminRequest{Command: "put", Key: key, Value: value})
@@ -270,7 +270,7 @@
 	return out, err
 }
 
-// The administrator sees a subscriber's state and steers through it; what needs a vote is refused, and says so.
+// Administration works through a subscriber; commands that need a vote are refused with a clear error.
 func TestAdministrationOfASubscriber(t *testing.T) {
 	f := newFleet(t)
 	eventually(t, "members", func() bool {
@@ -314,14 +314,14 @@
 	})
 }
 
-// A drain at the socket of a gateway that is cut off holds there at once, and at the voters once it is back.
-func TestADrainAtACutOffGateway(t *testing.T) {
+// A drain at the socket of a partitioned gateway takes effect there immediately, and at the voters after the partition.
+func TestDrainAtAPartitionedGateway(t *testing.T) {
 	f := newFleet(t)
 	f.serves("whole")
 	f.network.set(true)
-	eventually(t, "the gateway's knowing of the cut", func() bool { return f.gateway.Status().Mode == modeCutOff })
-	if _, err := CallAdmin(f.socket, AdminRequest{Command: "drain", Key: "po-c"}); err == nil || !strings.Contains(err.Error(), "held here") {
-		t.Errorf("a drain while it is cut off: %v", err)
+	eventually(t, "the gateway noticing the partition", func() bool { return f.gateway.Status().Mode == modeCutOff })
+	if _, err := CallAdmin(f.socket, AdminRequest{Command: "drain", Key: "po-c"}); err == nil || !strings.Contains(err.Error(), "drained on this instance only") {
+		t.Errorf("a drain during the partition: %v", err)
 	}
 	if got := f.serves("cut"); got["po-c"] != 0 {
 		t.Errorf("a drained database got queries: %v", got)
@@ -333,12 +333,12 @@
 		return draining
 	})
 	if got := f.serves("healed"); got["po-c"] != 0 {
-		t.Errorf("after the cut the drained database got queries: %v", got)
+		t.Errorf("after the partition the drained database got queries: %v", got)
 	}
 }
 
-// Without any voter a gateway that has an inventory file of its own serves by it.
-func TestAGatewayThatReachesNoVoterServesByItsOwnFile(t *testing.T) {
+// A gateway that reaches no voter serves the members of its own inventory file.
+func TestGatewayWithoutVotersUsesItsOwnInventory(t *testing.T) {
 	group, err := standin.NewGroup(standin.Postgres, standin.DefaultLimits(), "po-a", "po-b")
 	if err != nil {
 		t.Fatal(err)
@@ -361,8 +361,8 @@
 	}
 }
 
-// A gateway takes other voters from its file without a restart.
-func TestAGatewayTakesOtherServersAtAReload(t *testing.T) {
+// A reload applies a change of the servers to subscribe to.
+func TestReloadChangesTheServersToSubscribeTo(t *testing.T) {
 	server, err := stream.NewServer(stream.ServerConfig{Listen: "127.0.0.1:0", Cluster: "demonstration"})
 	if err != nil {
 		t.Fatal(err)
