--- a/cmd/aspenshed/build_test.go
+++ b/cmd/aspenshed/build_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// Guards the platform's preloaded library, which a program without the C library never meets; and staff against trying
-// out another program than the one deployed.
+// Guards against a statically linked program, which would ignore the platform's preloaded library, and against a make
+// build that differs from the deployed build.
 func TestDeployedProgramIsBuiltAsByMakeAndLinkedDynamically(t *testing.T) {
 	deploy, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -28,7 +28,7 @@
 		t.Errorf("the Makefile does not build by %q (%v)", build, err)
 	}
 	if !regexp.MustCompile(`(?m)^run = "exec bin/aspenshed"$`).Match(deploy) {
-		t.Error("run does not end by exec in the gateway")
+		t.Error("run does not exec the gateway")
 	}
 	out := filepath.Join(t.TempDir(), "aspenshed")
 	build = strings.NewReplacer("mkdir -p bin && ", "", "-o bin/ ./cmd/...", "-o "+out+" ./cmd/aspenshed").Replace(build)
--- a/cmd/aspenshed/customers_test.go
+++ b/cmd/aspenshed/customers_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-// customers are words that only one customer's settings have: places, names, classes, tenants.
+// customers matches words that only customers' settings contain: places, names, classes, tenants.
 var customers = regexp.MustCompile(`(?i)hobart|derwent|launceston|kartark|oslo|istanbul|esenyurt|booking|fares|seat-check|timetable|day-report|` +
 	`look-up|holdings|record-change|catalogue-read|basket-read|order-write|island-coaches|north-west|huon|riksarkiv|fylke|bygdesamling|web-shop|` +
 	`depot-pushed|clinic-asked`)
 
-// Guards customers from one another: everything that differs between them comes from their settings, so nothing of one stands
-// in the program, the demonstration and the stand-ins included, or in how it is built and run. Left out are the
-// scenarios, which tests alone play, and the sites, which are settings.
-func TestNoCustomerStandsInTheProgram(t *testing.T) {
+// Guards against customer-specific code: everything that differs between customers comes from their settings, so no name
+// of a customer may be in the program, including the demonstration and the stand-ins, or in its build and deployment.
+// Exempt are the scenarios, which only tests use, and the sites, which are settings.
+func TestProgramNamesNoCustomer(t *testing.T) {
 	root, read := "../..", 0
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		name := filepath.ToSlash(strings.TrimPrefix(path, root+string(filepath.Separator)))
--- a/cmd/aspenshed/demo.go
+++ b/cmd/aspenshed/demo.go
@@ -6,10 +6,10 @@
 	"aspenshed/internal/daemon"
 )
 
-// runDemo runs an installation in one process: what a newcomer gets without any configuration.
+// runDemo runs an installation in one process, which needs no configuration.
 func runDemo() error {
-	_, end := notifySignals()
-	if err := daemon.RunDemo(end); err != nil {
+	_, terminate := notifySignals()
+	if err := daemon.RunDemo(terminate); err != nil {
 		return err
 	}
 	logrus.Info("stopped")
--- a/cmd/aspenshed/experiment_scale.go
+++ b/cmd/aspenshed/experiment_scale.go
@@ -20,29 +20,29 @@
 
 func newScale(o *options) *cobra.Command {
 	x := &scaleCommand{}
-	c := &cobra.Command{Use: "scale", Short: "Measure how the control plane grows with gateways, members and changes", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "scale", Short: "Measure how the control plane scales with gateways, members and changes", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return x.run(c, o) }}
 	f := c.Flags()
 	f.BoolVar(&x.baseline, "baseline", false, "measure the design in which every instance is a raft voter")
-	f.BoolVar(&x.full, "full", false, "all sizes up to 2,400 gateways and 21,000 members, some ten minutes; else a short form")
-	f.StringVar(&x.out, "out", "", "file that the result is written to as JSON, beside what --output shows; COMMIT in it is replaced")
-	f.IntVar(&x.voters, "voters", 5, "processes that vote, 1 to 5")
+	f.BoolVar(&x.full, "full", false, "run all sizes up to 2,400 gateways and 21,000 members, about ten minutes; otherwise a short form")
+	f.StringVar(&x.out, "out", "", "file for the result as JSON, in addition to --output; COMMIT in it is replaced")
+	f.IntVar(&x.voters, "voters", 5, "voter processes, 1 to 5")
 	f.IntVar(&x.gateways, "gateways", 2, "real gateways with clients, 0 to 3")
-	f.IntVar(&x.largest, "largest", 0, "of the numbers of hollow gateways, leave out those above this; 0: none")
-	f.Uint64Var(&x.seed, "seed", 1, "of all random choices")
+	f.IntVar(&x.largest, "largest", 0, "omit numbers of hollow gateways above this; 0: omit none")
+	f.Uint64Var(&x.seed, "seed", 1, "seed of all random choices")
 	return c
 }
 
-// newHollow is what the runner of a scale run starts: it takes orders on standard input.
+// newHollow creates the command that the runner of a scale run starts as a worker and controls over standard input.
 func newHollow() *cobra.Command {
-	return &cobra.Command{Use: "hollow", Short: "Run hollow gateways as the runner of a scale run orders, until standard input ends",
+	return &cobra.Command{Use: "hollow", Short: "Run hollow gateways as a worker of a scale run, until standard input ends",
 		Args: cobra.NoArgs, Hidden: true, RunE: func(c *cobra.Command, _ []string) error {
 			logrus.SetLevel(logrus.ErrorLevel)
 			return new(scale.Worker).Serve(c.Context(), c.InOrStdin(), c.OutOrStdout())
 		}}
 }
 
-// scaleCommand is the command's flags.
+// scaleCommand holds the flags of the command.
 type scaleCommand struct {
 	baseline, full            bool
 	out                       string
@@ -50,7 +50,7 @@
 	seed                      uint64
 }
 
-var errScaleFlags = errors.New("--voters is 1 to 5, --gateways 0 to 3")
+var errScaleFlags = errors.New("--voters must be 1 to 5, --gateways 0 to 3")
 
 func (x *scaleCommand) run(c *cobra.Command, o *options) error {
 	if x.voters < 1 || x.voters > 5 || x.gateways < 0 || x.gateways > 3 {
@@ -59,9 +59,9 @@
 	logrus.SetLevel(logrus.ErrorLevel)
 	ctx, stop := signal.NotifyContext(c.Context(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	begin := time.Now()
+	start := time.Now()
 	progress := func(format string, a ...any) {
-		_, _ = fmt.Fprintf(c.ErrOrStderr(), "%6.1fs  %s\n", time.Since(begin).Seconds(), fmt.Sprintf(format, a...))
+		_, _ = fmt.Fprintf(c.ErrOrStderr(), "%6.1fs  %s\n", time.Since(start).Seconds(), fmt.Sprintf(format, a...))
 	}
 	run, err := x.measure(ctx, progress)
 	run.Command = x.commandLine()
@@ -75,7 +75,7 @@
 	return err
 }
 
-// commandLine is what makes the same run, without where its result goes.
+// commandLine returns a command line that repeats the run, without the output file.
 func (x *scaleCommand) commandLine() string {
 	if x.baseline {
 		return "aspenshed experiment scale --baseline"
@@ -114,7 +114,7 @@
 	return scale.Run(ctx, options, plan)
 }
 
-// showRun writes a run to its file and shows it.
+// showRun writes a run to its file and prints it.
 func showRun(c *cobra.Command, o *options, run measure.Run, out string) error {
 	encoded, err := json.MarshalIndent(run, "", " ")
 	if err == nil && out != "" {
--- a/cmd/aspenshed/inventory.go
+++ b/cmd/aspenshed/inventory.go
@@ -12,21 +12,21 @@
 
 func newInventory(o *options) *cobra.Command {
 	c := &cobra.Command{Use: "inventory", Short: "Check, import and export lists of members", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return errors.New("one of check, import, export is expected") }}
+		RunE: func(*cobra.Command, []string) error { return errors.New("missing command: check, import or export") }}
 	front := ""
-	move := func(use, short string, f func(file, place string) (from, to string)) *cobra.Command {
+	newCommand := func(use, short string, paths func(file, inventoryFile string) (from, to string)) *cobra.Command {
 		x := &cobra.Command{Use: use + " FILE", Short: short, Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
-			place := ""
+			inventoryFile := ""
 			if use != "check" {
 				d, err := config.ReadDeploy(o.deploy)
 				if err != nil {
 					return err
 				}
-				if place = inventoryPath(d, front, o.deploy); place == "" {
+				if inventoryFile = inventoryPath(d, front, o.deploy); inventoryFile == "" {
 					return fmt.Errorf("field %s.inventory: missing", front)
 				}
 			}
-			from, to := f(args[0], place)
+			from, to := paths(args[0], inventoryFile)
 			members, err := inventory.Read(from)
 			if err == nil && to != "" {
 				err = inventory.Write(to, members)
@@ -36,12 +36,12 @@
 			}
 			return err
 		}}
-		x.Flags().StringVar(&front, "front", "mysql", "whose inventory: mysql or postgres")
+		x.Flags().StringVar(&front, "front", "mysql", "the front end whose inventory it is: mysql or postgres")
 		return x
 	}
-	c.AddCommand(move("check", "Is this file good?", func(file, _ string) (string, string) { return file, "" }),
-		move("import", "Put a file where the configuration says; a running daemon takes it at SIGHUP", func(file, place string) (string, string) { return file, place }),
-		move("export", "Write the inventory to a file", func(file, place string) (string, string) { return place, file }))
+	c.AddCommand(newCommand("check", "Check a file", func(file, _ string) (string, string) { return file, "" }),
+		newCommand("import", "Replace the configured inventory by a file; a running daemon loads it at SIGHUP", func(file, inventoryFile string) (string, string) { return file, inventoryFile }),
+		newCommand("export", "Write the inventory to a file", func(file, inventoryFile string) (string, string) { return inventoryFile, file }))
 	return c
 }
 
@@ -52,7 +52,7 @@
 	return d.MySQL.InventoryPath(deployPath)
 }
 
-// checkInventories reads what the fronts that are on would read.
+// checkInventories reads the inventories of the enabled front ends.
 func checkInventories(d *config.Deploy) (err error) {
 	for _, s := range []config.Front{d.MySQL.Front, d.Postgres.Front} {
 		if s.Listen != "" && s.Inventory != "" {
--- a/cmd/aspenshed/kill_test.go
+++ b/cmd/aspenshed/kill_test.go
@@ -18,10 +18,10 @@
 	"aspenshed/internal/daemon"
 )
 
-// TestMain lets the test's own program stand in for bin/aspenshed, so that it can be killed as a process.
+// TestMain lets the test binary run as bin/aspenshed, so that it can be killed as a process.
 func TestMain(m *testing.M) {
 	if os.Getenv("ASPENSHED_TEST_RUN") != "" {
-		go func() { // it must not outlive the test
+		go func() { // exit together with the test
 			_, _ = io.Copy(io.Discard, os.Stdin)
 			os.Exit(1)
 		}()
@@ -32,7 +32,7 @@
 	os.Exit(m.Run())
 }
 
-// process is one instance of the daemon.
+// process is one instance of the daemon, run as a process.
 type process struct {
 	t      *testing.T
 	dir    string
@@ -66,6 +66,7 @@
 	return err
 }
 
+// startThree prepares three instances; it does not start their processes.
 func startThree(t *testing.T) (out []*process) {
 	front, err := os.ReadFile("../../deploy/aspenshed.yaml")
 	if err != nil {
@@ -74,7 +75,7 @@
 	text, _, _ := strings.Cut(string(front), "postgres:")
 	text = strings.Replace(text, `listen: ""`, "listen: 127.0.0.1:0", 1)
 	var addresses []string
-	for range 6 { // ephemeral ports, given back for the processes
+	for range 6 { // ephemeral ports, released for the processes
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -101,9 +102,9 @@
 	return out
 }
 
-// Instances are killed as processes, again and again, in the middle of writes and snapshots: each comes back from its
-// disk as it is, and all that was answered is there.
-func TestKilledProcessesKeepWhatWasAnswered(t *testing.T) {
+// Instances are killed repeatedly as processes, in the middle of writes and snapshots: each restarts from its disk, and
+// all acknowledged writes are present.
+func TestKilledProcessesKeepAcknowledgedWrites(t *testing.T) {
 	ps := startThree(t)
 	for _, p := range ps {
 		p.start()
@@ -112,12 +113,12 @@
 	const seed = 7
 	rng := rand.New(rand.NewPCG(seed, 0))
 	put := func(k int) {
-		for end := time.Now().Add(patient * 4); ; {
+		for end := time.Now().Add(testTimeout * 4); ; {
 			if ps[rng.IntN(3)].ask(daemon.AdminRequest{Command: "put", Key: fmt.Sprint("k", k%500), Value: fmt.Sprint(k)}, nil) == nil {
 				return
 			}
 			if time.Now().After(end) {
-				t.Fatalf("seed %d: key %d was never taken", seed, k)
+				t.Fatalf("seed %d: key %d was never accepted", seed, k)
 			}
 		}
 	}
@@ -129,7 +130,7 @@
 		}
 		victim := ps[rng.IntN(3)]
 		done, after := make(chan struct{}), rng.IntN(20)
-		for i := range 40 { // in the middle of these
+		for i := range 40 { // the kill happens during these
 			if i == after {
 				go func() {
 					defer close(done)
@@ -143,7 +144,7 @@
 		victim.start()
 	}
 	digests := map[string]bool{}
-	for end := time.Now().Add(patient * 3); len(digests) != 1; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout * 3); len(digests) != 1; time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("seed %d: catalogs differ: %v", seed, digests)
 		}
@@ -162,7 +163,7 @@
 			t.Fatalf("seed %d: k%d is %+v, %v", seed, i, got, err)
 		}
 	}
-	// What staff type, as a table and as JSON; a mistake gets a clear error.
+	// The command line, with output as a table and as JSON; mistakes get clear errors.
 	saved := filepath.Join(t.TempDir(), "saved")
 	for _, c := range []struct {
 		line string
@@ -173,7 +174,7 @@
 		{"store put colour red --base 0", "!version 1, not 0"}, {"store drain a", "draining"}, {"store members -o json", `"state": "draining"`},
 		{"store restart a", "started now"}, {"store members", "cold"}, {"store snapshot save " + saved, "saved"},
 		{"store leave nobody", "!no instance"}, {"store drain nobody", "!no member"}, {"store dance", "!unknown command"},
-		{"store status --output tree", "!none of table, json"}, {"check", "good"}, {"check --log-level loud", "!--log-level"},
+		{"store status --output tree", "!not one of table, json"}, {"check", "good"}, {"check --log-level loud", "!--log-level"},
 		{"version", "development"}, {"completion bash", "complete"},
 	} {
 		var out bytes.Buffer
--- a/cmd/aspenshed/logs.go
+++ b/cmd/aspenshed/logs.go
@@ -9,10 +9,10 @@
 	"aspenshed/internal/experiment/loganalysis"
 )
 
-// newLogs reads what gateways logged at the level debug, a file NAME.log for each.
+// newLogs creates the commands that analyze debug logs, with a file NAME.log of each gateway.
 func newLogs(o *options) *cobra.Command {
-	c := &cobra.Command{Use: "logs", Short: "Follow and count requests over the debug logs of many gateways"}
-	follow := &cobra.Command{Use: "follow DIR ID", Short: "All that the gateways say of one request", Args: cobra.ExactArgs(2),
+	c := &cobra.Command{Use: "logs", Short: "Trace and count requests in the debug logs of many gateways"}
+	follow := &cobra.Command{Use: "follow DIR ID", Short: "Show all log lines of one request", Args: cobra.ExactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			path, err := loganalysis.Follow(args[0], args[1])
 			if err != nil {
@@ -23,7 +23,7 @@
 				return []any{l.At, l.Gateway, l.Msg, f["member"], f["outcome"], f["verdict"], f["took_ms"], f["detail"] + f["reason"]}
 			})
 		}}
-	ends := &cobra.Command{Use: "ends DIR", Short: "How requests ended, by class and cause", Args: cobra.ExactArgs(1),
+	ends := &cobra.Command{Use: "ends DIR", Short: "Count how requests ended, by class and cause", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			rows, err := loganalysis.Ends(args[0])
 			if err != nil {
@@ -34,7 +34,7 @@
 			})
 		}}
 	var every time.Duration
-	members := &cobra.Command{Use: "members DIR", Short: "What came of attempts, by member and time", Args: cobra.ExactArgs(1),
+	members := &cobra.Command{Use: "members DIR", Short: "Summarize the outcomes of attempts, by member and time", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			rows, err := loganalysis.Members(args[0], every)
 			if err != nil {
@@ -44,19 +44,19 @@
 				return []any{s.Member, s.From, s.Served, s.Median, s.Full, s.Silent, s.Others}
 			})
 		}}
-	members.Flags().DurationVar(&every, "every", 2*time.Second, "the stretch of time of a row")
+	members.Flags().DurationVar(&every, "every", 2*time.Second, "the time span of a row")
 	var after time.Duration
-	leaving := &cobra.Command{Use: "leaving DIR", Short: "Attempts that began after their member was told to leave", Args: cobra.ExactArgs(1),
+	leaving := &cobra.Command{Use: "leaving DIR", Short: "List attempts that began after the drain notice of their member", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			rows, err := loganalysis.Leaving(args[0], after)
 			if err != nil {
 				return err
 			}
-			return printRows(c, o, rows, table{"gateway", "id", "member", "begun", "after the first word", "not told till then"}, func(l loganalysis.Late) []any {
+			return printRows(c, o, rows, table{"gateway", "id", "member", "begun", "after the first notice", "not notified before"}, func(l loganalysis.Late) []any {
 				return []any{l.Gateway, l.ID, l.Member, l.Begun, l.Fleet, l.Untold}
 			})
 		}}
-	leaving.Flags().DurationVar(&after, "after", 2*time.Second, "how long after the first word of any gateway")
+	leaving.Flags().DurationVar(&after, "after", 2*time.Second, "how long after the first notice to any gateway")
 	c.AddCommand(follow, ends, members, leaving)
 	return c
 }
--- a/cmd/aspenshed/main.go
+++ b/cmd/aspenshed/main.go
@@ -1,7 +1,7 @@
-// Command aspenshed is the gateway: it stands between clients and the databases of replicated groups.
+// Command aspenshed is a gateway between clients and groups of replicated databases.
 //
-// Without a command it runs as the platform's gateway, as NODE_CONFIG tells. `aspenshed serve` is the daemon of our
-// own installations; `aspenshed --help` lists the rest.
+// Without a command it runs as the platform's gateway, configured by NODE_CONFIG. `aspenshed serve` is the daemon of
+// our own installations; `aspenshed --help` lists the other commands.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	"aspenshed/internal/config"
 )
 
-// version is set by the build where it is known.
+// version is set by the build.
 var version = "development"
 
 func main() {
@@ -28,7 +28,7 @@
 	}
 }
 
-// expandShortFlags takes the flags of earlier releases, which had one dash.
+// expandShortFlags converts the flags of earlier releases, which had one dash.
 func expandShortFlags(args []string) (out []string) {
 	for _, a := range args {
 		if strings.HasPrefix(a, "-deploy") || a == "-verbose" {
@@ -39,19 +39,20 @@
 	return out
 }
 
-// logFaults writes why the program ends, a line for each fault of a file.
+// logFaults logs the error that ends the program, and a line for each fault of a configuration file.
 func logFaults(err error) {
 	faults := config.Faults(err)
 	for _, f := range faults {
-		logrus.WithFields(logrus.Fields{"file": f.File, "line": f.Line, "field": f.Field, "problem": f.Problem}).Error("configuration is at fault")
+		logrus.WithFields(logrus.Fields{"file": f.File, "line": f.Line, "field": f.Field, "problem": f.Problem}).
+			Error("invalid configuration")
 	}
 	if len(faults) > 0 {
 		err = fmt.Errorf("%d faults in the configuration", len(faults))
 	}
-	logrus.WithError(err).Error("aspenshed ends")
+	logrus.WithError(err).Error("exiting after an error")
 }
 
-// options are those of all commands.
+// options are the flags of all commands.
 type options struct {
 	deploy, format, level, output, socket string
 	verbose                               bool
@@ -64,7 +65,7 @@
 	case "json":
 		logrus.SetFormatter(&logrus.JSONFormatter{TimestampFormat: "2006-01-02T15:04:05.000Z07:00"})
 	default:
-		return fmt.Errorf("--log-format: %q is none of text, json", o.format)
+		return fmt.Errorf("--log-format: %q is not one of text, json", o.format)
 	}
 	level, err := logrus.ParseLevel(o.level)
 	if err != nil {
@@ -76,7 +77,7 @@
 	logrus.SetLevel(level)
 	logrus.SetOutput(os.Stderr)
 	if o.output != "table" && o.output != "json" {
-		return fmt.Errorf("--output: %q is none of table, json", o.output)
+		return fmt.Errorf("--output: %q is not one of table, json", o.output)
 	}
 	return nil
 }
@@ -88,12 +89,12 @@
 		PersistentPreRunE: func(*cobra.Command, []string) error { return o.logging() },
 		RunE:              func(*cobra.Command, []string) error { return run(o.deploy) }}
 	f := root.PersistentFlags()
-	f.StringVar(&o.deploy, "deploy", "deploy/aspenshed.yaml", "configuration of our own fronts, the store and the daemon")
+	f.StringVar(&o.deploy, "deploy", "deploy/aspenshed.yaml", "configuration of our own front ends, the store and the daemon")
 	f.StringVar(&o.format, "log-format", "text", "text or json")
 	f.StringVar(&o.level, "log-level", "info", "debug, info, warn or error")
 	f.StringVarP(&o.output, "output", "o", "table", "table or json")
-	f.StringVar(&o.socket, "socket", "", "the daemon's local socket, if not the one that the configuration names")
-	f.BoolVar(&o.verbose, "verbose", false, "log every attempt that is not served: the level debug")
+	f.StringVar(&o.socket, "socket", "", "the daemon's local socket, if it differs from the configuration")
+	f.BoolVar(&o.verbose, "verbose", false, "log at level debug, with every attempt that is not served")
 	root.AddCommand(newServe(o), newCheck(o), newInventory(o), newStore(o), newExperiment(o), newLogs(o), &cobra.Command{Use: "version", Short: "Print the release",
 		Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 			_, err := fmt.Fprintln(c.OutOrStdout(), version)
@@ -103,7 +104,7 @@
 }
 
 func newCheck(o *options) *cobra.Command {
-	return &cobra.Command{Use: "check", Short: "Check the configuration and all that it names, every fault at once", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "check", Short: "Check the configuration and the files that it names, and report all faults", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			d, err := config.ReadDeploy(o.deploy)
 			if err == nil {
--- a/cmd/aspenshed/main_test.go
+++ b/cmd/aspenshed/main_test.go
@@ -17,16 +17,16 @@
 	"aspenshed/internal/protocol/pgwire"
 )
 
-const patient = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-type clock struct{ at atomic.Int64 }
+type fakeClock struct{ at atomic.Int64 }
 
-func (c *clock) Now() aspenshed.Nanos { return aspenshed.Nanos(c.at.Load()) }
+func (c *fakeClock) Now() aspenshed.Nanos { return aspenshed.Nanos(c.at.Load()) }
 
 const nodeConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"familyInfo":{"readLevel":["any"],"lagAllowedNs":[0]},
 	"classes":[{"name":"x","effect":"free","aimNs":1000000,"giveUpNs":2000000,"worth":1}]}}`
 
-// readNode reads a file as in an environment that names the discovery of the start, if the file still does.
+// readNode reads a file. NODE_DISCOVERY is set to the initial discovery address if the file still names it.
 func readNode(t *testing.T, text string) (*config.Node, error) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -39,12 +39,12 @@
 	return config.ReadNode(func(k string) string { return env[k] })
 }
 
-func startGateway(t *testing.T, deploy *config.Deploy, change ...string) (*gateway, *clock, chan bool) {
+func startGateway(t *testing.T, deploy *config.Deploy, change ...string) (*gateway, *fakeClock, chan bool) {
 	node, err := readNode(t, strings.NewReplacer(change...).Replace(nodeConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &clock{}
+	c := &fakeClock{}
 	c.at.Store(1e18)
 	g, err := newGateway(node, deploy, c)
 	if err != nil {
@@ -60,14 +60,15 @@
 	return g, c, ended
 }
 
-// ready asks what the platform's front asks: an empty query.
-func ready(t *testing.T, g *gateway) (net.Conn, string) {
+// connect opens a client connection and sends an empty query, as the platform does. It returns the types of the
+// messages received.
+func connect(t *testing.T, g *gateway) (net.Conn, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", g.net.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = c.SetDeadline(time.Now().Add(patient))
+	_ = c.SetDeadline(time.Now().Add(testTimeout))
 	_, _ = c.Write(append(pgwire.StartupMessage("web", "orders"), pgwire.QueryMessage("")...))
 	in, got, b := pgwire.Reader{MaxSize: 1000}, "", make([]byte, 1000)
 	for strings.Count(got, "Z") < 2 {
@@ -80,11 +81,11 @@
 	return c, got
 }
 
-// Guards the end: after SIGTERM new connections are served for 0.45 s more, then
-// those between requests are closed and the program ends.
+// Guards the shutdown: after SIGTERM new connections are served for 0.45 s, then connections between requests are
+// closed and the program ends.
 func TestDrain(t *testing.T) {
 	g, clock, ended := startGateway(t, &config.Deploy{})
-	old, got := ready(t, g)
+	old, got := connect(t, g)
 	if !strings.HasSuffix(got, "ZIZ") {
 		t.Errorf("an empty query is answered %q", got)
 	}
@@ -100,16 +101,16 @@
 	}
 	turn()
 	clock.at.Add(int64(acceptAfterTerm) - 1)
-	late, _ := ready(t, g)
+	late, _ := connect(t, g)
 	select {
 	case <-ended:
 		t.Fatal("ended while it should still accept")
 	default:
 	}
 	clock.at.Add(1)
-	for end, left := time.Now().Add(patient), -1; left != 0; turn() { // until what is sent comes behind the shutdown: before, it is answered
+	for end, left := time.Now().Add(testTimeout), -1; left != 0; turn() { // until data sent arrives after the shutdown; before, it gets a response
 		if g.loop.Post(func() { left = g.front.SessionCount() }); time.Now().After(end) {
-			t.Fatalf("%d sessions were never shut", left)
+			t.Fatalf("%d sessions were never closed", left)
 		}
 		turn()
 		if left != 0 {
@@ -117,20 +118,20 @@
 		}
 	}
 	for _, c := range []net.Conn{old, late} {
-		if _, err := c.Write(pgwire.QueryMessage("")); err != nil { // it crosses the close, which must not become a reset by that
+		if _, err := c.Write(pgwire.QueryMessage("")); err != nil { // it crosses the close, which must not turn into a reset
 			t.Fatal(err)
 		}
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("a connection ended with %v, not in order", err)
+			t.Errorf("a connection ended with %v, not gracefully", err)
 		}
 		select {
 		case <-ended:
-			t.Error("ended before its connections had")
+			t.Error("ended before its connections")
 		default:
 		}
 		_ = c.Close()
 	}
-	for end := time.Now().Add(patient); ; {
+	for end := time.Now().Add(testTimeout); ; {
 		clock.at.Add(int64(drainInterval))
 		turn()
 		select {
@@ -144,17 +145,17 @@
 	}
 }
 
-// waiter takes a final answer.
+// waiter receives a response.
 type waiter chan request.Response
 
 func (w waiter) Respond(f request.Response) { w <- f }
 
-// Guards clients that have no other gateway yet, and requests against SIGKILL: open connections are served until
-// 1.7 s before it, and nothing is left without an answer 0.3 s before it.
-func TestDrainServesOpenConnectionsUntilItsEndIsNear(t *testing.T) {
+// Guards clients that have no other gateway yet, and requests that are pending at SIGKILL: open connections are served
+// until 1.7 s before SIGKILL, and all requests have responses 0.3 s before it.
+func TestDrainServesOpenConnectionsUntilNearSIGKILL(t *testing.T) {
 	g, clock, ended := startGateway(t, &config.Deploy{}, `"giveUpNs":2000000`, `"giveUpNs":9000000000`)
-	c, _ := ready(t, g)
-	pass := func(d aspenshed.Nanos) {
+	c, _ := connect(t, g)
+	advance := func(d aspenshed.Nanos) {
 		for ; d > 0; d -= 50e6 {
 			clock.at.Add(50e6)
 			done := make(chan bool)
@@ -167,21 +168,21 @@
 		g.drain()
 		g.pipeline.Response.Track(&request.Request{ID: "held", Query: request.Query{Client: held}, Deadline: g.loop.Now() + 9e9})
 	})
-	pass(1900e6)
+	advance(1900e6)
 	if _, err := c.Write(pgwire.QueryMessage("")); err != nil {
 		t.Fatal(err)
 	}
 	if n, err := c.Read(make([]byte, 100)); err != nil {
 		t.Fatalf("not served 1.9 s after SIGTERM: %d bytes, %v", n, err)
 	}
-	pass(300e6)
+	advance(300e6)
 	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("2.2 s after SIGTERM a connection ends with %v, not in order", err)
+		t.Errorf("2.2 s after SIGTERM a connection ended with %v, not gracefully", err)
 	}
 	_ = c.Close()
 	select {
 	case f := <-held:
-		t.Errorf("answered early: %+v", f)
+		t.Errorf("response too early: %+v", f)
 	default:
 	}
 	clock.at.Add(1300e6)
@@ -194,14 +195,15 @@
 		}
 	}
 	if len(held) != 1 {
-		t.Error("a request was left without an answer")
+		t.Error("a request got no response")
 	}
 }
 
-// Guards the running configuration: SIGHUP moves discovery, whatever the start's environment says; a bad file changes nothing.
-func TestReloadMovesDiscovery(t *testing.T) {
+// Guards the running configuration: SIGHUP changes the discovery address, whatever the environment says; an invalid file
+// changes nothing.
+func TestReloadChangesTheDiscoveryAddress(t *testing.T) {
 	g, _, _ := startGateway(t, &config.Deploy{})
-	ready(t, g) // its sockets are served: nbio forgets a Stop that comes before
+	connect(t, g) // its poller runs: nbio loses a Stop that precedes that
 	for _, c := range []struct{ from, to, want string }{
 		{"", "", "127.0.0.1:1"},
 		{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:2"},
@@ -231,7 +233,7 @@
 
 const members = "id,address,site,group,kind,state\na,127.0.0.1:1,hobart,1,std,in_service\n"
 
-// The MySQL front is on where the deploy file says so; SIGHUP reads its inventory again, and a bad one changes nothing.
+// The deploy file enables the MySQL front end; SIGHUP reloads its inventory, and an invalid one changes nothing.
 func TestReloadKeepsTheRunningInventory(t *testing.T) {
 	dir := t.TempDir()
 	put := func(name, text string) string {
@@ -254,7 +256,7 @@
 	}
 	g, clock, ended := startGateway(t, deploy)
 	t.Cleanup(g.mysql.Net.Stop)
-	after := func(text string) (n int) {
+	reload := func(text string) (n int) {
 		put("inventory.csv", text)
 		done := make(chan bool)
 		g.loop.Post(func() {
@@ -265,11 +267,11 @@
 		<-done
 		return n
 	}
-	if n := after(members + "b,127.0.0.1:2,launceston,1,std,in_service\n"); n != 2 {
-		t.Errorf("%d members after a good file", n)
+	if n := reload(members + "b,127.0.0.1:2,launceston,1,std,in_service\n"); n != 2 {
+		t.Errorf("%d members after a valid file", n)
 	}
-	if n := after(members + "b,nowhere,launceston,1,std,in_service\n"); n != 2 {
-		t.Errorf("%d members after a bad one", n)
+	if n := reload(members + "b,nowhere,launceston,1,std,in_service\n"); n != 2 {
+		t.Errorf("%d members after an invalid file", n)
 	}
 	out := filepath.Join(dir, "out.yaml")
 	put("inventory.csv", members)
@@ -298,12 +300,12 @@
 	}
 }
 
-// Guards the start, of one gateway or of all at once: it is ready whatever discovery does, by the clock of its start.
-func TestReadyWhateverDiscoveryDoes(t *testing.T) {
-	for name, does := range map[string]func(*net.TCPConn){
-		"takes the call and says nothing": func(*net.TCPConn) {},
-		"resets":                          func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() },
-		"turns down":                      func(c *net.TCPConn) { _, _ = c.Write([]byte("HTTP/1.1 503 Busy\r\n\r\n")); _ = c.Close() },
+// Guards the start, of one gateway or of all at once: it is ready whatever discovery does, before its clock advances.
+func TestReadyRegardlessOfDiscovery(t *testing.T) {
+	for name, respond := range map[string]func(*net.TCPConn){
+		"accepts the call and stays silent": func(*net.TCPConn) {},
+		"resets":                            func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() },
+		"rejects":                           func(c *net.TCPConn) { _, _ = c.Write([]byte("HTTP/1.1 503 Busy\r\n\r\n")); _ = c.Close() },
 		"breaks off": func(c *net.TCPConn) {
 			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n\r\n{\"generation\":9,\"reset\":true,"))
 			_ = c.SetLinger(0)
@@ -322,11 +324,11 @@
 					if err != nil {
 						return
 					}
-					does(c.(*net.TCPConn))
+					respond(c.(*net.TCPConn))
 				}
 			}()
 			g, _, ended := startGateway(t, &config.Deploy{}, "127.0.0.1:1", l.Addr().String())
-			c, _ := ready(t, g)
+			c, _ := connect(t, g)
 			_ = c.Close()
 			g.loop.Post(g.loop.Quit)
 			<-ended
--- a/cmd/aspenshed/oncall_test.go
+++ b/cmd/aspenshed/oncall_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// The operators' pages name every line that the program may log.
+// The operators' pages name every log line of the program.
 func TestOnCallPageNamesEveryLogLine(t *testing.T) {
 	pages, err := filepath.Glob("../../docs/operate/*.md")
 	if err != nil || len(pages) == 0 {
--- a/cmd/aspenshed/platform.go
+++ b/cmd/aspenshed/platform.go
@@ -13,7 +13,7 @@
 	"aspenshed/internal/dataplane/eventloop"
 )
 
-// run is the platform's gateway.
+// run runs the platform's gateway.
 func run(deployPath string) error {
 	node, err := config.ReadNode(os.Getenv)
 	if err != nil {
@@ -23,17 +23,17 @@
 	if err != nil {
 		return err
 	}
-	// The poller's thread blocks in epoll_wait while it holds a P; with a second one the
-	// loop need not wait for the scheduler to take the first back.
+	// The poller's thread blocks in epoll_wait while it holds a P. With a second P the loop does not have to wait for
+	// the scheduler to retake the first.
 	runtime.GOMAXPROCS(2)
 	debug.SetMemoryLimit(int64(node.Limits.MemoryMB) << 20 * 6 / 10)
-	hangup, end := notifySignals()
+	hangup, terminate := notifySignals()
 	g, err := newGateway(node, deploy, eventloop.NewClock())
 	if err != nil {
 		return err
 	}
 	go func() {
-		<-end
+		<-terminate
 		g.loop.Post(g.drain)
 	}()
 	go func() {
@@ -48,11 +48,12 @@
 	return nil
 }
 
-// notifySignals takes over those that the program hears; from here on none ends it unasked. A second SIGHUP on top of one
-// that waits adds nothing, and SIGTERM has a channel of its own, which no number of others can fill.
-func notifySignals() (hangup, end chan os.Signal) {
-	hangup, end = make(chan os.Signal, 1), make(chan os.Signal, 1)
+// notifySignals installs the signal handlers; from here on these signals no longer terminate the program by themselves.
+// A SIGHUP is dropped while another is pending, as it would add nothing. SIGTERM has its own channel, which other
+// signals cannot fill.
+func notifySignals() (hangup, terminate chan os.Signal) {
+	hangup, terminate = make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
-	signal.Notify(end, syscall.SIGTERM, syscall.SIGINT)
-	return hangup, end
+	signal.Notify(terminate, syscall.SIGTERM, syscall.SIGINT)
+	return hangup, terminate
 }
--- a/cmd/aspenshed/rollout.go
+++ b/cmd/aspenshed/rollout.go
@@ -12,13 +12,13 @@
 )
 
 func newRollout(o *options) *cobra.Command {
-	return &cobra.Command{Use: "rollout [REVISION]", Short: "How many gateways have a revision in force (by default the newest), and which lag",
+	return &cobra.Command{Use: "rollout [REVISION]", Short: "Show how many gateways have applied a revision (by default the newest), and which lag",
 		Args: cobra.MaximumNArgs(1), RunE: func(c *cobra.Command, args []string) error {
 			q := daemon.AdminRequest{Command: "rollout"}
 			if len(args) > 0 {
 				revision, err := strconv.ParseUint(args[0], 10, 64)
 				if err != nil || revision == 0 {
-					return fmt.Errorf("%q is no revision: a number from 1", args[0])
+					return fmt.Errorf("%q is not a revision: a number from 1", args[0])
 				}
 				q.Revision = revision
 			}
@@ -33,12 +33,12 @@
 		}}
 }
 
-// showRollout prints the counts, then the gateways that lag and what was refused, where there are any.
+// showRollout prints the counts, then the lagging gateways and the refusals, if any.
 func showRollout(c *cobra.Command, o *options, r store.RolloutReport) error {
 	out := c.OutOrStdout()
-	fmt.Fprintf(out, "revision %d: in force at %d of %d subscribers, by the voters %s\n", r.Revision, r.Applied, r.Subscribers, strings.Join(r.Answered, ", "))
+	fmt.Fprintf(out, "revision %d: applied by %d of %d subscribers, reported by the voters %s\n", r.Revision, r.Applied, r.Subscribers, strings.Join(r.Answered, ", "))
 	if len(r.Unreachable) > 0 {
-		fmt.Fprintf(out, "no answer from %s: their subscribers are not counted\n", strings.Join(r.Unreachable, ", "))
+		fmt.Fprintf(out, "no response from %s: their subscribers are not counted\n", strings.Join(r.Unreachable, ", "))
 	}
 	if len(r.Lagging) > 0 {
 		fmt.Fprintln(out)
--- a/cmd/aspenshed/serve.go
+++ b/cmd/aspenshed/serve.go
@@ -11,7 +11,7 @@
 )
 
 func newServe(o *options) *cobra.Command {
-	return &cobra.Command{Use: "serve", Short: "Run the daemon of our own installations; without any front configured, a demonstration", Args: cobra.NoArgs,
+	return &cobra.Command{Use: "serve", Short: "Run the daemon of our own installations; a demonstration if nothing is configured", Args: cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			d, err := config.ReadDeploy(o.deploy)
 			if err != nil {
@@ -25,7 +25,7 @@
 }
 
 func serve(d *config.Deploy, path string) error {
-	hangup, end := notifySignals()
+	hangup, terminate := notifySignals()
 	x, err := daemon.New(daemon.Config{Deploy: d, Path: path, Seed: rand.Uint64(), Release: version})
 	if err != nil {
 		return err
@@ -36,7 +36,7 @@
 		}
 	}()
 	go func() {
-		<-end
+		<-terminate
 		x.Drain()
 	}()
 	if err := x.Wait(); err != nil {
--- a/cmd/aspenshed/size_test.go
+++ b/cmd/aspenshed/size_test.go
@@ -14,20 +14,20 @@
 	"aspenshed/internal/discovery"
 )
 
-// watched is a stand-in for discovery: it takes one watch and says what it is told to.
-type watched struct {
+// fakeDiscovery is a discovery service that accepts watches and sends lists to the first.
+type fakeDiscovery struct {
 	t    *testing.T
 	conn chan net.Conn
 	c    net.Conn
 }
 
-func (w *watched) tell(l discovery.List) {
+func (w *fakeDiscovery) send(l discovery.List) {
 	w.t.Helper()
 	if w.c == nil {
 		select {
 		case w.c = <-w.conn:
-		case <-time.After(patient):
-			w.t.Fatal("nobody asked")
+		case <-time.After(testTimeout):
+			w.t.Fatal("no watch was opened")
 		}
 	}
 	b, _ := json.Marshal(l)
@@ -36,12 +36,12 @@
 	}
 }
 
-func startWatched(t *testing.T) (*watched, string) {
+func startDiscovery(t *testing.T) (*fakeDiscovery, string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &watched{t: t, conn: make(chan net.Conn, 9)}
+	w := &fakeDiscovery{t: t, conn: make(chan net.Conn, 9)}
 	t.Cleanup(func() { _ = l.Close() })
 	go func() {
 		for {
@@ -56,7 +56,8 @@
 	return w, l.Addr().String()
 }
 
-// servers is a list of n in groups of eight, at addresses that refuse; every tenth is of lifecycle other.
+// servers returns n members in groups of eight, at addresses that refuse connections; every tenth has the lifecycle
+// other.
 func servers(n, from int, other string) (out []discovery.Instance) {
 	for i := range n {
 		x := discovery.Instance{ID: fmt.Sprintf("s-%08x", from+i), HostPort: fmt.Sprintf("127.0.0.2:%d", 1+i%1000), Zone: "a",
@@ -72,9 +73,9 @@
 	return out
 }
 
-// Guards a fleet of 1,024 gateways and as many servers: start, whole list, changes and rounds for every group, with the
-// heap of an idle gateway within 12 MB of what it is with none.
-func TestAThousandServersAndGateways(t *testing.T) {
+// Guards a fleet of 1,024 gateways and as many servers: start, complete list, changes and probe rounds for every group.
+// The heap of an idle gateway may grow by at most 12 MB.
+func TestThousandServersAndGateways(t *testing.T) {
 	const size, most = 1024, 12 << 20
 	heap := func() (m runtime.MemStats) {
 		runtime.GC()
@@ -82,7 +83,7 @@
 		return m
 	}
 	before := heap()
-	w, addr := startWatched(t)
+	w, addr := startDiscovery(t)
 	known, _ := json.Marshal(discovery.List{Generation: 1, Reset: true, Instances: servers(size, 0, "in_service")})
 	g, c, _ := startGateway(t, &config.Deploy{}, `"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":%q`, addr), `"settings":{`,
 		`"known":`+string(known)+`,"limits":{"sockets":576,"memory_mb":32},"settings":{"balancers":1024,"failureDomains":["a","b"],"limits":{"probes":true},`,
@@ -105,7 +106,7 @@
 	}
 	until := func(what string, want int) {
 		t.Helper()
-		for end := time.Now().Add(patient); ; c.at.Add(1e6) {
+		for end := time.Now().Add(testTimeout); ; c.at.Add(1e6) {
 			up, groups := count()
 			if up == want && groups >= size/8 {
 				return
@@ -115,16 +116,16 @@
 			}
 		}
 	}
-	_, _ = ready(t, g)
+	_, _ = connect(t, g)
 	until("known", size)
-	w.tell(discovery.List{Generation: 2, Reset: true, Instances: servers(size, 0, "in_service")})
-	until("the whole list", size)
-	w.tell(discovery.List{Generation: 3, Instances: servers(size, 0, "terminating")})
+	w.send(discovery.List{Generation: 2, Reset: true, Instances: servers(size, 0, "in_service")})
+	until("the complete list", size)
+	w.send(discovery.List{Generation: 3, Instances: servers(size, 0, "terminating")})
 	until("drains", size-(size+9)/10)
-	w.tell(discovery.List{Generation: 4, Instances: append(servers(size, 0, "terminated"), servers(size, size, "in_service")...)})
-	until("twice as many, less those gone", 2*size-(size+9)/10)
-	for i := range size / 8 { // a request for every group: rounds go through all of them
-		conn, _ := ready(t, g)
+	w.send(discovery.List{Generation: 4, Instances: append(servers(size, 0, "terminated"), servers(size, size, "in_service")...)})
+	until("twice as many, without the removed ones", 2*size-(size+9)/10)
+	for i := range size / 8 { // a request for every group, which starts a probe round in each
+		conn, _ := connect(t, g)
 		defer conn.Close()
 		_, _ = conn.Write(query(fmt.Sprintf("SELECT 1 /* id=%d,c=x,d=2,cluster=%d */", i, i)))
 	}
@@ -145,11 +146,11 @@
 	return append(b, 0)
 }
 
-// The found histories, on a whole gateway with its own clock, one of 300 and the last to have its turn: it started with an old list
-// and called too late (zone+mass 6), and its first call was never answered (join+mass 3). By the time at which the drain that the
-// list lacks binds it has heard of it.
-func TestAGatewayWithAnOldListHearsOfADrainInTime(t *testing.T) {
-	w, addr := startWatched(t)
+// Guards a drain that the initial list of a gateway lacks, where the gateway is the last of 300 to call discovery: it used
+// to call too late, and its first call may never get a response (the histories zone+mass 6 and join+mass 3). It must
+// receive the drain before the drain binds.
+func TestGatewayWithAnOutdatedListReceivesADrainInTime(t *testing.T) {
+	w, addr := startDiscovery(t)
 	g, c, _ := startGateway(t, &config.Deploy{}, `"discovery":"127.0.0.1:1"`, fmt.Sprintf(`"discovery":%q`, addr), `"settings":{`,
 		`"known":{"generation":1,"reset":true,"instances":[{"instanceId":"stays","hostPort":"127.0.0.2:1","lifecycle":"in_service"},`+
 			`{"instanceId":"drains","hostPort":"127.0.0.2:2","lifecycle":"in_service"}]},`+
@@ -161,12 +162,12 @@
 		g.loop.Post(func() {})
 		select {
 		case conn := <-w.conn:
-			_ = conn.SetReadDeadline(time.Now().Add(patient))
-			if _, err := conn.Read(make([]byte, 1000)); err != nil { // the question: the gateway knows that it came there
+			_ = conn.SetReadDeadline(time.Now().Add(testTimeout))
+			if _, err := conn.Read(make([]byte, 1000)); err != nil { // the request: the gateway knows that it has connected
 				t.Fatal(err)
 			}
 			return conn
-		case <-time.After(patient):
+		case <-time.After(testTimeout):
 			t.Fatalf("no call to discovery within %d ms of the start", by/1e6)
 			return nil
 		}
@@ -184,20 +185,20 @@
 		<-done
 		return s
 	}
-	_, _ = ready(t, g)
-	state()                  // the first Step is over: from here the clock counts
+	_, _ = connect(t, g)
+	state()                  // the first Step has finished: time counts from here
 	silent := called(1500e6) // three quarters of the grace
 	defer silent.Close()
-	c.at.Store(int64(start + 4500e6)) // it is taken for silent, 3 s after it was made at the latest
+	c.at.Store(int64(start + 4500e6)) // the call counts as silent at most 3 s after it was made
 	state()
 	w.c = called(7500e6) // 6 s after that call
-	w.tell(discovery.List{Generation: 2, Instances: []discovery.Instance{{ID: "drains", HostPort: "127.0.0.2:2", Lifecycle: "terminating"}}})
-	for end := time.Now().Add(patient); state() != aspenshed.Draining; {
+	w.send(discovery.List{Generation: 2, Instances: []discovery.Instance{{ID: "drains", HostPort: "127.0.0.2:2", Lifecycle: "terminating"}}})
+	for end := time.Now().Add(testTimeout); state() != aspenshed.Draining; {
 		if time.Now().After(end) {
-			t.Fatal("the drain was never heard")
+			t.Fatal("the drain was never received")
 		}
 	}
-	if told := aspenshed.Nanos(c.at.Load()) - start; told > 8e9 {
-		t.Errorf("heard %d ms after the start", told/1e6)
+	if received := aspenshed.Nanos(c.at.Load()) - start; received > 8e9 {
+		t.Errorf("received %d ms after the start", received/1e6)
 	}
 }
--- a/cmd/aspenshed/store.go
+++ b/cmd/aspenshed/store.go
@@ -15,7 +15,7 @@
 	"aspenshed/internal/daemon"
 )
 
-// ask puts a question to the daemon and reads its answer.
+// ask sends a request to the daemon and decodes the response.
 func (o *options) ask(q daemon.AdminRequest, into any) error {
 	socket := o.socket
 	if socket == "" {
@@ -24,7 +24,7 @@
 			return err
 		}
 		if socket = d.Admin.Socket; socket == "" {
-			return errors.New("field admin.socket: missing; name the daemon's socket there or with --socket")
+			return errors.New("field admin.socket: missing; set it or use --socket")
 		}
 	}
 	data, err := daemon.CallAdmin(socket, q)
@@ -34,6 +34,7 @@
 	return json.Unmarshal(data, into)
 }
 
+// table is the header of a table.
 type table []string
 
 // printRows prints rows as a table or as JSON.
@@ -48,11 +49,11 @@
 		}
 		fmt.Fprintln(w)
 	}
-	var first []any
+	var header []any
 	for _, h := range head {
-		first = append(first, h)
+		header = append(header, h)
 	}
-	line(first)
+	line(header)
 	for _, r := range rows {
 		line(cells(r))
 	}
@@ -66,10 +67,10 @@
 }
 
 func newStore(o *options) *cobra.Command {
-	c := &cobra.Command{Use: "store", Short: "Look at the daemon's replicated store, and steer it", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return errors.New("a command is expected: see --help") }}
-	// one asks about one thing, and says that it is done.
-	one := func(use, short, do, done string, path bool) *cobra.Command {
+	c := &cobra.Command{Use: "store", Short: "Inspect and manage the daemon's replicated store", Args: cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error { return errors.New("missing command: see --help") }}
+	// newCommand creates a command with one argument that only reports success.
+	newCommand := func(use, short, do, done string, path bool) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) (err error) {
 			if key := args[0]; path {
 				if args[0], err = filepath.Abs(key); err != nil {
@@ -89,20 +90,20 @@
 			return err
 		}}
 	}
-	snapshot := &cobra.Command{Use: "snapshot", Short: "Save the catalog to a file, or have all instances hold a file's", Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return errors.New("save or restore is expected") }}
-	snapshot.AddCommand(one("save FILE", "Write the catalog as the daemon holds it", "save", "saved", true),
-		one("restore FILE", "Have all instances hold what a file says; only the leader takes it", "restore", "restored", true))
+	snapshot := &cobra.Command{Use: "snapshot", Short: "Save the catalog to a file, or restore it on all instances", Args: cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error { return errors.New("missing command: save or restore") }}
+	snapshot.AddCommand(newCommand("save FILE", "Write the daemon's copy of the catalog to a file", "save", "saved", true),
+		newCommand("restore FILE", "Restore the catalog on all instances from a file; only the leader accepts it", "restore", "restored", true))
 	c.AddCommand(newStatus(o), newMembers(o), newRollout(o), newGet(o), newPut(o), snapshot,
-		one("drain MEMBER", "Send nothing new to a member until it starts again", "drain", "draining", false),
-		one("restart MEMBER", "Say that a member has started anew: it is cold, and no longer draining", "restart", "taken as started now", false),
-		one("join SERVICE", "Have this daemon come in through the service of one that is in", "join", "joined through it", false),
-		one("leave INSTANCE", "Take an instance out that is off", "leave", "out", false))
+		newCommand("drain MEMBER", "Send nothing new to a member until it starts again", "drain", "draining", false),
+		newCommand("restart MEMBER", "Report that a member has restarted: it is cold, and no longer draining", "restart", "marked as started now", false),
+		newCommand("join SERVICE", "Add this daemon to the cluster through the service address of an instance", "join", "joined through it", false),
+		newCommand("leave INSTANCE", "Remove an instance that is shut down", "leave", "removed", false))
 	return c
 }
 
 func newStatus(o *options) *cobra.Command {
-	return &cobra.Command{Use: "status", Short: "How the daemon's instance of the store stands", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
+	return &cobra.Command{Use: "status", Short: "Show the state of the daemon's store", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		var s store.Status
 		if err := o.ask(daemon.AdminRequest{Command: "status"}, &s); err != nil {
 			return err
@@ -112,7 +113,7 @@
 		}
 		fmt.Fprintf(c.OutOrStdout(), "%s of %s: %s, leader %s, term %d, %d of %d applied, configuration %d, inventory %d, digest %s, %d waiting\n\n",
 			s.ID, s.Cluster, s.Mode, s.Leader, s.Term, s.Applied, s.Commit, s.Config, s.Inventory, s.Digest, s.Queued)
-		return printRows(c, o, s.Servers, table{"instance", "address", "service", "votes", "mode", "release", "last beat"}, func(x store.StatusInstance) []any {
+		return printRows(c, o, s.Servers, table{"instance", "address", "service", "votes", "mode", "release", "last heartbeat"}, func(x store.StatusInstance) []any {
 			return []any{x.ID, x.Address, x.Service, x.Voter, x.Mode, x.Release, ago(x.LastHeartbeat)}
 		})
 	}}
@@ -126,7 +127,7 @@
 }
 
 func newMembers(o *options) *cobra.Command {
-	return &cobra.Command{Use: "members", Short: "The databases that the store knows", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
+	return &cobra.Command{Use: "members", Short: "List the databases that the store knows", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
 		var ms []daemon.Member
 		if err := o.ask(daemon.AdminRequest{Command: "members"}, &ms); err != nil {
 			return err
@@ -146,7 +147,7 @@
 		}
 		return printRows(c, o, []daemon.Pair{p}, table{"key", "version", "value"}, func(p daemon.Pair) []any { return []any{p.Key, p.Version, p.Value} })
 	}}
-	c.Flags().BoolVar(&latest, "latest", false, "ask the leader: what all have agreed on, not what is held here")
+	c.Flags().BoolVar(&latest, "latest", false, "read from the leader instead of this instance's copy")
 	return c
 }
 
@@ -165,6 +166,6 @@
 		_, err := fmt.Fprintf(c.OutOrStdout(), "%s: version %d\n", args[0], x.Version)
 		return err
 	}}
-	c.Flags().Int64Var(&base, "base", -1, "only on top of that version; 0: only if there is none")
+	c.Flags().Int64Var(&base, "base", -1, "only if this is the current version; 0: only if the key does not exist")
 	return c
 }
