--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts many routers on standard input and output: a batch of
-// events a line in, a line of actions out. It translates and decides nothing.
+// Command adapter runs many routers for a simulator: each line of standard input is a batch of events, and each line of
+// standard output the resulting actions. It only translates.
 package main
 
 import (
@@ -20,8 +20,7 @@
 	}
 }
 
-// run serves until the end of input. An error names the line that caused it;
-// nothing is written for that line.
+// run processes the input until its end. An error names the line that caused it; nothing is written for that line.
 func run(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
 	w := bufio.NewWriterSize(out, 1<<20)
@@ -39,11 +38,11 @@
 		if err != nil {
 			return fmt.Errorf("line %d: %w", n, err)
 		}
-		acts, faults, err := h.step(b)
+		actions, faults, err := h.step(b)
 		if err != nil {
 			return fmt.Errorf("line %d: %w", n, err)
 		}
-		reply = simwire.AppendReply(reply[:0], acts, faults)
+		reply = simwire.AppendReply(reply[:0], actions, faults)
 		if _, err := w.Write(reply); err != nil {
 			return err
 		}
@@ -53,14 +52,15 @@
 	}
 }
 
+// host holds the running routers by instance ID.
 type host struct {
 	dec     *simwire.Decoder
 	routers map[int64]*aspenshed.Router
 }
 
-// step gives each instance its events of the batch, in order. An instance
-// that stops and starts within the batch is stepped before and after.
-func (h *host) step(b simwire.Batch) (acts []simwire.InstanceAction, faults []simwire.Fault, err error) {
+// step passes each instance its events of the batch, in order. Events that precede a stop or start of their instance in
+// the batch are dropped.
+func (h *host) step(b simwire.Batch) (actions []simwire.InstanceAction, faults []simwire.Fault, err error) {
 	var order []int64
 	pending := map[int64][]aspenshed.Event{}
 	flush := func(id int64) {
@@ -71,42 +71,42 @@
 		delete(pending, id)
 		out, text := stepRecovering(h.routers[id], b.Now, events)
 		for _, a := range out {
-			acts = append(acts, simwire.InstanceAction{Instance: id, Action: a})
+			actions = append(actions, simwire.InstanceAction{Instance: id, Action: a})
 		}
 		if text != "" {
 			faults = append(faults, simwire.Fault{Instance: id, Text: text})
 		}
 	}
-	for i, it := range b.Items {
-		_, running := h.routers[it.Instance]
+	for i, item := range b.Items {
+		_, running := h.routers[item.Instance]
 		switch {
-		case it.Start == nil && !running:
-			return nil, nil, fmt.Errorf("field items[%d].driver: no instance %d is running", i, it.Instance)
-		case it.Start != nil:
-			delete(pending, it.Instance)
-			r, newErr := aspenshed.New(it.Start.Settings, it.Start.Seed)
+		case item.Start == nil && !running:
+			return nil, nil, fmt.Errorf("field items[%d].driver: no instance %d is running", i, item.Instance)
+		case item.Start != nil:
+			delete(pending, item.Instance)
+			r, newErr := aspenshed.New(item.Start.Settings, item.Start.Seed)
 			if newErr != nil {
-				faults = append(faults, simwire.Fault{Instance: it.Instance, Text: newErr.Error()})
+				faults = append(faults, simwire.Fault{Instance: item.Instance, Text: newErr.Error()})
 			}
-			h.routers[it.Instance] = r
-			order, pending[it.Instance] = append(order, it.Instance), []aspenshed.Event{}
-		case it.Stop:
-			delete(pending, it.Instance)
-			delete(h.routers, it.Instance)
+			h.routers[item.Instance] = r
+			order, pending[item.Instance] = append(order, item.Instance), []aspenshed.Event{}
+		case item.Stop:
+			delete(pending, item.Instance)
+			delete(h.routers, item.Instance)
 		default:
-			if _, ok := pending[it.Instance]; !ok {
-				order = append(order, it.Instance)
+			if _, ok := pending[item.Instance]; !ok {
+				order = append(order, item.Instance)
 			}
-			pending[it.Instance] = append(pending[it.Instance], it.Event)
+			pending[item.Instance] = append(pending[item.Instance], item.Event)
 		}
 	}
 	for _, id := range order {
 		flush(id)
 	}
-	return acts, faults, nil
+	return actions, faults, nil
 }
 
-// stepRecovering steps a router and turns a panic into text.
+// stepRecovering steps a router and returns a panic as a fault text.
 func stepRecovering(r *aspenshed.Router, now aspenshed.Nanos, events []aspenshed.Event) (out []aspenshed.Action, fault string) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestBadLinesEndTheRunWithoutAReply(t *testing.T) {
+func TestInvalidLinesEndTheRunWithoutAReply(t *testing.T) {
 	for bad, want := range map[string]string{
 		"{\n":                             "line 2",
 		batch(order):                      "no instance 1",
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestUnworkableSettingsAreAFault(t *testing.T) {
+func TestInvalidSettingsAreAFault(t *testing.T) {
 	var out bytes.Buffer
 	if err := run(strings.NewReader(batch(strings.Replace(start, `"free"`, `"novel"`, 1))), &out); err != nil {
 		t.Fatal(err)
