--- a/cmd/aspenshed/main_test.go
+++ b/cmd/aspenshed/main_test.go
@@ -305,7 +305,7 @@
 	for name, respond := range map[string]func(*net.TCPConn){
 		"accepts the call and stays silent": func(*net.TCPConn) {},
 		"resets":                            func(c *net.TCPConn) { _ = c.SetLinger(0); _ = c.Close() },
-		"rejects":                           func(c *net.TCPConn) { _, _ = c.Write([]byte("HTTP/1.1 503 Busy\r\n\r\n")); _ = c.Close() },
+		"rejects the call":                  func(c *net.TCPConn) { _, _ = c.Write([]byte("HTTP/1.1 503 Busy\r\n\r\n")); _ = c.Close() },
 		"breaks off": func(c *net.TCPConn) {
 			_, _ = c.Write([]byte("HTTP/1.1 200 OK\r\n\r\n{\"generation\":9,\"reset\":true,"))
 			_ = c.SetLinger(0)
--- a/cmd/aspenshed/store.go
+++ b/cmd/aspenshed/store.go
@@ -98,7 +98,7 @@
 		newCommand("drain MEMBER", "Send nothing new to a member until it starts again", "drain", "draining", false),
 		newCommand("restart MEMBER", "Report that a member has restarted: it is cold, and no longer draining", "restart", "marked as started now", false),
 		newCommand("join SERVICE", "Add this daemon to the cluster through the service address of an instance", "join", "joined through it", false),
-		newCommand("leave INSTANCE", "Remove an instance that is shut down", "leave", "removed", false))
+		newCommand("leave INSTANCE", "Remove an instance that is shut down", "leave", "out", false))
 	return c
 }
 
--- a/internal/frontend/postgres/backend_test.go
+++ b/internal/frontend/postgres/backend_test.go
@@ -84,7 +84,7 @@
 		"a check":                             {ahead, check, "leave "},
 		"more before a check":                 {ahead, z + check, "down "},
 		"a fatal error for a check":           {ahead, fatal, "down "},
-		"malformed bytes":                     {one, "\x8f\x02\x00\x00\x11\x00\x99" + good, "down+sent "},
+		"noise":                               {one, "\x8f\x02\x00\x00\x11\x00\x99" + good, "down+sent "},
 		"a row without its description":       {one, data + end + z, "down+sent "},
 		"an end without a row":                {one, row + end + z, "down+sent "},
 		"no row at all":                       {one, z, "down+sent "},
--- a/internal/frontend/session/memory_test.go
+++ b/internal/frontend/session/memory_test.go
@@ -59,7 +59,7 @@
 				t.Errorf("%d of %d flooding clients were rejected", rejected, flooders)
 			}
 			for _, x := range slots {
-				x.SetResponse([]byte("response"))
+				x.SetResponse([]byte("answer"))
 			}
 			for range 3 {
 				clock.now += sweepInterval
--- a/internal/frontend/session/session_test.go
+++ b/internal/frontend/session/session_test.go
@@ -37,7 +37,7 @@
 			s := m.Open(conn)
 			s.Enqueue(1, func(x *Slot) { x.SetResponse([]byte("a long response")) })
 			if fatal {
-				s.Fatal([]byte("an error"), "malformed input")
+				s.Fatal([]byte("an error"), "noise")
 			}
 			advance := func(span aspenshed.Nanos) {
 				for ; span > 0; span -= sweepInterval {
