--- a/internal/controlplane/agent/bench_test.go
+++ b/internal/controlplane/agent/bench_test.go
@@ -9,7 +9,7 @@
 
 // What one change of a member costs a gateway that knows 21,000, and what a tick without any does.
 func BenchmarkTick(b *testing.B) {
-	h := newHeldCatalog()
+	h := newMemoryStore()
 	entry := func(i int) *pb.Entry {
 		return &pb.Entry{Id: fmt.Sprintf("db-%05d", i), Address: fmt.Sprintf("10.0.%d.%d:3306", i/250, i%250), Site: "z1", Group: int32(i / 6), Wire: "mysql", Kind: "std", State: "in_service"}
 	}
@@ -21,7 +21,7 @@
 	if n := len(h.catalog.Members()); n != 21000 {
 		b.Fatal(n)
 	}
-	a := newAgent(feedOf{h}, silentPipeline{})
+	a := newAgent(changeFeedStore{h}, noopPipeline{})
 	loop := a.cfg.Loop
 	a.Tick(0)
 	loop.Turn()
--- a/internal/controlplane/agent/members_test.go
+++ b/internal/controlplane/agent/members_test.go
@@ -23,27 +23,27 @@
 	"aspenshed/internal/dataplane/eventloop"
 )
 
-// heldCatalog is a Store that the test alone writes to.
-type heldCatalog struct {
+// memoryStore is a Store that the test alone writes to.
+type memoryStore struct {
 	catalog *catalog.Catalog
 	changed map[uint64][]string // ids of members by revision
 }
 
-func newHeldCatalog() *heldCatalog {
-	return &heldCatalog{catalog.New("test"), map[uint64][]string{}}
+func newMemoryStore() *memoryStore {
+	return &memoryStore{catalog.New("test"), map[uint64][]string{}}
 }
 
-func (h *heldCatalog) ID() string                                             { return "gw1" }
-func (h *heldCatalog) Boot() string                                           { return "1" }
-func (h *heldCatalog) Read(f func(*catalog.Catalog))                          { f(h.catalog) }
-func (h *heldCatalog) ReadLatest(time.Duration, func(*catalog.Catalog)) error { return nil }
-func (h *heldCatalog) Offer(string, *pb.Command)                              {}
-func (h *heldCatalog) Submit(*pb.Command, time.Duration) (*pb.Result, error) {
+func (h *memoryStore) ID() string                                             { return "gw1" }
+func (h *memoryStore) Boot() string                                           { return "1" }
+func (h *memoryStore) Read(f func(*catalog.Catalog))                          { f(h.catalog) }
+func (h *memoryStore) ReadLatest(time.Duration, func(*catalog.Catalog)) error { return nil }
+func (h *memoryStore) Offer(string, *pb.Command)                              {}
+func (h *memoryStore) Submit(*pb.Command, time.Duration) (*pb.Result, error) {
 	return &pb.Result{}, nil
 }
 
 // apply carries commands out as one entry. What the catalog refuses changes nothing.
-func (h *heldCatalog) apply(commands ...*pb.Command) {
+func (h *memoryStore) apply(commands ...*pb.Command) {
 	rev := h.catalog.Index() + 1
 	for i, c := range commands {
 		c.Origin, c.Seq, c.Kind, c.At = "test", 1000*rev+uint64(i), catalog.CommandKind(c), int64(rev)*1e9
@@ -56,10 +56,10 @@
 	}
 }
 
-// feedOf is a heldCatalog that knows what has changed.
-type feedOf struct{ *heldCatalog }
+// changeFeedStore is a heldCatalog that knows what has changed.
+type changeFeedStore struct{ *memoryStore }
 
-func (f feedOf) ChangedMembers(rev uint64) (ids []string, known bool) {
+func (f changeFeedStore) ChangedMembers(rev uint64) (ids []string, known bool) {
 	seen := map[string]bool{}
 	for ; rev <= f.catalog.Index(); rev++ {
 		for _, id := range f.changed[rev+1] {
@@ -72,28 +72,28 @@
 	return ids, true
 }
 
-// silentPipeline takes everything.
-type silentPipeline struct{}
+// noopPipeline takes everything.
+type noopPipeline struct{}
 
-func (silentPipeline) Members(aspenshed.MemberList, map[string]string) {}
-func (silentPipeline) Tell(aspenshed.Event)                            {}
-func (silentPipeline) Learned() (aspenshed.Learned, bool)              { return aspenshed.Learned{}, false }
+func (noopPipeline) Members(aspenshed.MemberList, map[string]string) {}
+func (noopPipeline) Tell(aspenshed.Event)                            {}
+func (noopPipeline) Learned() (aspenshed.Learned, bool)              { return aspenshed.Learned{}, false }
 
-// tablePipeline keeps what a pipeline would go by.
-type tablePipeline struct {
-	silentPipeline
-	members   map[string]aspenshed.Member
-	addresses map[string]string
-	shares    map[string]aspenshed.ColdShare
-	parts     int // lists that were not whole
+// recordingPipeline keeps what a pipeline would go by.
+type recordingPipeline struct {
+	noopPipeline
+	members      map[string]aspenshed.Member
+	addresses    map[string]string
+	shares       map[string]aspenshed.ColdShare
+	partialLists int // lists that were not whole
 }
 
-func (p *tablePipeline) Members(l aspenshed.MemberList, addresses map[string]string) {
+func (p *recordingPipeline) Members(l aspenshed.MemberList, addresses map[string]string) {
 	if l.Whole || p.members == nil {
 		p.members, p.addresses = map[string]aspenshed.Member{}, map[string]string{}
 	}
 	if !l.Whole {
-		p.parts++
+		p.partialLists++
 	}
 	for _, m := range l.Members {
 		if m.State == aspenshed.Gone {
@@ -105,7 +105,7 @@
 	}
 }
 
-func (p *tablePipeline) Tell(e aspenshed.Event) {
+func (p *recordingPipeline) Tell(e aspenshed.Event) {
 	if x, is := e.(aspenshed.ColdShare); is {
 		if p.shares == nil {
 			p.shares = map[string]aspenshed.ColdShare{}
@@ -115,8 +115,8 @@
 }
 
 // equal compares what counts: members, and the shares of those that are there.
-func (p *tablePipeline) equal(q *tablePipeline) bool {
-	there := func(t *tablePipeline) map[string]aspenshed.ColdShare {
+func (p *recordingPipeline) equal(q *recordingPipeline) bool {
+	there := func(t *recordingPipeline) map[string]aspenshed.ColdShare {
 		out := maps.Clone(t.shares)
 		maps.DeleteFunc(out, func(id string, x aspenshed.ColdShare) bool {
 			m, here := t.members[id]
@@ -142,7 +142,7 @@
 }
 
 // randomCommand is one that members are told of.
-func randomCommand(rng *rand.Rand, h *heldCatalog) *pb.Command {
+func randomCommand(rng *rand.Rand, h *memoryStore) *pb.Command {
 	id := fmt.Sprint("m", rng.IntN(8))
 	start := int64(0)
 	if m := h.catalog.Member(id); m != nil {
@@ -177,13 +177,13 @@
 }
 
 // Guards that an agent that follows single changes has its pipeline go by the same as one that takes whole lists.
-func TestFollowingChangesEqualsTakingTheWholeList(t *testing.T) {
+func TestSingleChangesEqualWholeLists(t *testing.T) {
 	parts := 0
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		h := newHeldCatalog()
-		var whole, followed tablePipeline
-		taker, follower := newAgent(h, &whole), newAgent(feedOf{h}, &followed)
+		h := newMemoryStore()
+		var whole, followed recordingPipeline
+		taker, follower := newAgent(h, &whole), newAgent(changeFeedStore{h}, &followed)
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			for range 1 + rng.IntN(3) {
 				var commands []*pb.Command
@@ -204,7 +204,7 @@
 				t.Fatalf("step %d: whole lists give\n%+v\nsingle changes\n%+v", step, whole, followed)
 			}
 		}
-		parts += followed.parts
+		parts += followed.partialLists
 	})
 	if parts == 0 {
 		t.Error("no change was followed")
@@ -212,10 +212,10 @@
 }
 
 // Within a scope a primary may be known before the member comes into sight; it is told as the primary then.
-func TestAMemberThatIsAlreadyKnownForThePrimary(t *testing.T) {
-	h := newHeldCatalog()
-	var table tablePipeline
-	a := newAgent(feedOf{h}, &table)
+func TestPrimaryKnownBeforeItsMember(t *testing.T) {
+	h := newMemoryStore()
+	var table recordingPipeline
+	a := newAgent(changeFeedStore{h}, &table)
 	record := func(key string, m proto.Message) {
 		t.Helper()
 		value, err := proto.Marshal(m)
--- a/internal/controlplane/agent/publish_test.go
+++ b/internal/controlplane/agent/publish_test.go
@@ -17,7 +17,7 @@
 	"aspenshed/internal/controlplane/store"
 )
 
-const patient = 30 * time.Second // for what must come
+const waitTimeout = 30 * time.Second // for what must come
 
 // inventoryLog counts the bytes of log entries that hold changes of the inventory.
 type inventoryLog struct {
@@ -51,8 +51,8 @@
 	return false
 }
 
-// take returns what has been counted since the last call.
-func (l *inventoryLog) take() (bytes, entries int) {
+// takeCounts returns what has been counted since the last call.
+func (l *inventoryLog) takeCounts() (bytes, entries int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	bytes, entries = l.bytes, l.entries
@@ -67,8 +67,8 @@
 	return nil, store.ErrUnavailable
 }
 
-// single is an agent over a store of one instance with a log.
-func single(t *testing.T) (*Agent, *inventoryLog) {
+// newSingleInstanceAgent is an agent over a store of one instance with a log.
+func newSingleInstanceAgent(t *testing.T) (*Agent, *inventoryLog) {
 	t.Helper()
 	log := &inventoryLog{}
 	_, transport := raft.NewInmemTransport("r-a")
@@ -87,8 +87,8 @@
 	return &Agent{cfg: Config{Store: s, Wire: "mysql"}, stop: make(chan struct{})}, log
 }
 
-// fleet is a list of so many members, as a front makes it of its file.
-func fleet(n int) (list []*pb.Entry) {
+// memberList is a list of so many members, as a front makes it of its file.
+func memberList(n int) (list []*pb.Entry) {
 	for i := range n {
 		list = append(list, &pb.Entry{Id: fmt.Sprintf("db-%05d", i), Address: fmt.Sprintf("10.%d.%d.%d:3306", i>>16, i>>8&255, i&255),
 			Site: fmt.Sprint("zone-", i%19), Group: int32(i / 6), Kind: "replica", State: "in_service", Wire: "mysql"})
@@ -96,7 +96,7 @@
 	return list
 }
 
-func (a *Agent) held() (ids []string) {
+func (a *Agent) heldMembers() (ids []string) {
 	a.cfg.Store.Read(func(c *catalog.Catalog) {
 		for _, m := range c.Members() {
 			ids = append(ids, m.Entry.Id+"@"+m.Entry.Address)
@@ -105,7 +105,7 @@
 	return ids
 }
 
-func ids(list []*pb.Entry) (out []string) {
+func memberKeys(list []*pb.Entry) (out []string) {
 	for _, e := range list {
 		out = append(out, e.Id+"@"+e.Address)
 	}
@@ -114,45 +114,45 @@
 }
 
 // A change of one member costs the log as much as one member, however long the inventory is.
-func TestOneMembersChangeCostsTheBytesOfOneMember(t *testing.T) {
+func TestLogBytesOfOneMemberChange(t *testing.T) {
 	for _, members := range []int{2100, 10500, 21000} {
-		a, log := single(t)
-		list := fleet(members)
+		a, log := newSingleInstanceAgent(t)
+		list := memberList(members)
 		if err := a.PublishInitial(list); err != nil {
 			t.Fatal(err)
 		}
-		first, entries := log.take()
+		first, entries := log.takeCounts()
 		if entries != 1 {
 			t.Errorf("%d members: the first list took %d entries", members, entries)
 		}
 		whole := &pb.Command{Body: &pb.Command_PutInventory{PutInventory: &pb.PutInventory{Base: 1, Members: list, Author: "a"}}}
-		if r, err := a.cfg.Store.Submit(whole, patient); err != nil || r.Refused != "" {
+		if r, err := a.cfg.Store.Submit(whole, waitTimeout); err != nil || r.Refused != "" {
 			t.Fatal(r, err)
 		}
-		before, _ := log.take()
+		before, _ := log.takeCounts()
 		list[members/2] = proto.Clone(list[members/2]).(*pb.Entry)
 		list[members/2].Address = "10.99.0.1:3306"
 		if err := a.Publish(list); err != nil {
 			t.Fatal(err)
 		}
-		after, entries := log.take()
-		if entries != 1 || after > 256 || !slices.Equal(a.held(), ids(list)) {
+		after, entries := log.takeCounts()
+		if entries != 1 || after > 256 || !slices.Equal(a.heldMembers(), memberKeys(list)) {
 			t.Errorf("%d members: %d entries, %d bytes", members, entries, after)
 		}
 		t.Logf("%d members: first list %d bytes of log; one member changed: %d bytes as a whole list, %d as a difference", members, first, before, after)
 		if err := a.Publish(list); err != nil {
 			t.Fatal(err)
 		}
-		if _, entries := log.take(); entries != 0 {
+		if _, entries := log.takeCounts(); entries != 0 {
 			t.Errorf("%d members: %d entries for an equal list", members, entries)
 		}
 	}
 }
 
 // A list of which half is new goes in commands of bounded size, additions before removals, and touches no other wire.
-func TestALargeDifferenceGoesInParts(t *testing.T) {
-	a, log := single(t)
-	if err := a.PublishInitial(fleet(12000)); err != nil {
+func TestLargeDifferenceIsSplit(t *testing.T) {
+	a, log := newSingleInstanceAgent(t)
+	if err := a.PublishInitial(memberList(12000)); err != nil {
 		t.Fatal(err)
 	}
 	other := &Agent{cfg: Config{Store: a.cfg.Store, Wire: "postgres"}, stop: make(chan struct{})}
@@ -160,24 +160,24 @@
 	if err := other.PublishInitial(foreign); err != nil {
 		t.Fatal(err)
 	}
-	log.take()
-	list := fleet(24000)[6000:]
+	log.takeCounts()
+	list := memberList(24000)[6000:]
 	if err := a.Publish(list); err != nil {
 		t.Fatal(err)
 	}
-	bytes, entries := log.take()
+	bytes, entries := log.takeCounts()
 	if entries < 4 || bytes/entries > maxPublishBytes+1024 {
 		t.Errorf("%d bytes in %d entries", bytes, entries)
 	}
-	if !slices.Equal(a.held(), ids(append(slices.Clone(list), foreign...))) {
-		t.Errorf("%d members are held", len(a.held()))
+	if !slices.Equal(a.heldMembers(), memberKeys(append(slices.Clone(list), foreign...))) {
+		t.Errorf("%d members are held", len(a.heldMembers()))
 	}
 }
 
 // A first list makes nobody cold, is not put over another's, and one that is too long is named at once.
-func TestAFirstListIsPutOnce(t *testing.T) {
-	a, _ := single(t)
-	if err := a.PublishInitial(fleet(3)); err != nil {
+func TestInitialListIsPublishedOnce(t *testing.T) {
+	a, _ := newSingleInstanceAgent(t)
+	if err := a.PublishInitial(memberList(3)); err != nil {
 		t.Fatal(err)
 	}
 	a.cfg.Store.Read(func(c *catalog.Catalog) {
@@ -185,21 +185,21 @@
 			t.Errorf("%d members are cold", n)
 		}
 	})
-	if err := a.PublishInitial(fleet(5)); err != nil || len(a.held()) != 3 {
-		t.Errorf("a second first list: %v, %d members", err, len(a.held()))
+	if err := a.PublishInitial(memberList(5)); err != nil || len(a.heldMembers()) != 3 {
+		t.Errorf("a second first list: %v, %d members", err, len(a.heldMembers()))
 	}
 	long := &Agent{cfg: Config{Store: a.cfg.Store, Wire: "postgres"}, stop: make(chan struct{})}
-	list := fleet(1000)
+	list := memberList(1000)
 	for _, e := range list {
 		e.Id, e.Wire = e.Id+strings.Repeat("x", 5000), "postgres"
 	}
 	var tooLong *ListSizeError
-	if err := long.PublishInitial(list); !errors.As(err, &tooLong) || len(a.held()) != 3 {
+	if err := long.PublishInitial(list); !errors.As(err, &tooLong) || len(a.heldMembers()) != 3 {
 		t.Errorf("a list that is too long: %v", err)
 	}
 }
 
-func TestPartsOfAList(t *testing.T) {
+func TestSplitBySize(t *testing.T) {
 	const half = maxPublishBytes / 2
 	for _, x := range []struct {
 		sizes []int
--- a/internal/controlplane/catalog/catalog_test.go
+++ b/internal/controlplane/catalog/catalog_test.go
@@ -15,23 +15,23 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// rig applies commands one an entry, as one writer.
-type rig struct {
+// testCatalog applies commands one an entry, as one writer.
+type testCatalog struct {
 	*Catalog
 	at    int64
 	seq   uint64
 	index uint64
 }
 
-func newRig() *rig { return &rig{Catalog: New("t"), at: 1e18} }
+func newTestCatalog() *testCatalog { return &testCatalog{Catalog: New("t"), at: 1e18} }
 
-func (r *rig) do(c *pb.Command) *pb.Result {
+func (r *testCatalog) applyCommand(c *pb.Command) *pb.Result {
 	r.at, r.seq, r.index = r.at+1e6, r.seq+1, r.index+1
 	c.Origin, c.Seq, c.At = "w", r.seq, r.at
 	return r.Apply(r.index, &pb.Batch{Commands: []*pb.Command{c}})[0]
 }
 
-func inventory(base uint64, members ...string) *pb.Command {
+func inventoryCommand(base uint64, members ...string) *pb.Command {
 	p := &pb.PutInventory{Base: base}
 	for _, m := range members {
 		p.Members = append(p.Members, &pb.Entry{Id: m, Address: m + ":1", State: "in_service"})
@@ -39,51 +39,51 @@
 	return &pb.Command{Body: &pb.Command_PutInventory{PutInventory: p}}
 }
 
-func drain(id string, start int64) *pb.Command {
+func drainCommand(id string, start int64) *pb.Command {
 	return &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: id, Start: start}}}
 }
 
-func started(id string, start int64) *pb.Command {
+func startCommand(id string, start int64) *pb.Command {
 	return &pb.Command{Body: &pb.Command_Start{Start: &pb.Start{Member: id, Start: start}}}
 }
 
 // Guards drains: neither a newer inventory that says in_service, nor old or repeated news takes one back, nor leaving
 // the list and coming back with the same start; a new start begins anew, and cold.
-func TestADrainHoldsUntilANewStart(t *testing.T) {
-	r := newRig()
-	r.do(inventory(0, "a", "b"))
-	r.do(started("a", r.at))
+func TestDrainHoldsUntilNewStart(t *testing.T) {
+	r := newTestCatalog()
+	r.applyCommand(inventoryCommand(0, "a", "b"))
+	r.applyCommand(startCommand("a", r.at))
 	s := r.Member("a").Start
-	r.do(drain("a", 0))
-	for i, c := range []*pb.Command{inventory(1, "a", "b"), started("a", s), started("a", s-1), inventory(2, "b")} {
-		r.do(c)
+	r.applyCommand(drainCommand("a", 0))
+	for i, c := range []*pb.Command{inventoryCommand(1, "a", "b"), startCommand("a", s), startCommand("a", s-1), inventoryCommand(2, "b")} {
+		r.applyCommand(c)
 		if m := r.Member("a"); m != nil && m.DrainedAt == 0 {
 			t.Errorf("command %d took the drain back", i)
 		}
 	}
-	back := inventory(3, "a", "b")
+	back := inventoryCommand(3, "a", "b")
 	back.GetPutInventory().Members[0].Started = s
-	r.do(back)
+	r.applyCommand(back)
 	if r.Member("a").DrainedAt == 0 {
 		t.Error("coming back with the same start took the drain back")
 	}
-	if x := r.do(drain("a", s-1)); x.Refused == "" {
+	if x := r.applyCommand(drainCommand("a", s-1)); x.Refused == "" {
 		t.Error("a drain of an earlier start was taken")
 	}
-	r.do(started("a", s+1))
+	r.applyCommand(startCommand("a", s+1))
 	if m := r.Member("a"); m.DrainedAt != 0 || !IsWarming(m) {
 		t.Errorf("after a new start: %v", m)
 	}
 }
 
-func TestVersionsTurnAwayWhatOthersHaveOvertaken(t *testing.T) {
-	r := newRig()
-	for i, c := range []*pb.Command{inventory(1, "a"), inventory(0, "a", "a"), inventory(0, ""),
+func TestInvalidCommandsAreRefused(t *testing.T) {
+	r := newTestCatalog()
+	for i, c := range []*pb.Command{inventoryCommand(1, "a"), inventoryCommand(0, "a", "a"), inventoryCommand(0, ""),
 		{Body: &pb.Command_PutConfig{PutConfig: &pb.PutConfig{Base: 1}}}, {Body: &pb.Command_Leave{Leave: &pb.Leave{Instance: "x"}}},
-		{Body: &pb.Command_Set{Set: &pb.Set{Key: "k", Checked: true, Base: 1}}}, drain("zz", 0), started("zz", 1),
+		{Body: &pb.Command_Set{Set: &pb.Set{Key: "k", Checked: true, Base: 1}}}, drainCommand("zz", 0), startCommand("zz", 1),
 		{Body: &pb.Command_SetRules{SetRules: &pb.SetRules{}}}, {Body: &pb.Command_Ask{Ask: &pb.Ask{}}}} {
 		before, _ := r.Digest()
-		if x := r.do(c); x.Refused == "" {
+		if x := r.applyCommand(c); x.Refused == "" {
 			t.Errorf("command %d was carried out", i)
 		}
 		if r.InventoryVersion() != 0 || r.Config() != nil || before == 0 {
@@ -94,7 +94,7 @@
 
 // Guards installations in the middle of an upgrade: what a later release says is kept, named, and carried out once
 // this release knows it.
-func TestACommandOfALaterReleaseIsKept(t *testing.T) {
+func TestCommandOfLaterReleaseIsKept(t *testing.T) {
 	known, err := proto.Marshal(&pb.Command{Kind: 20, Body: &pb.Command_Set{Set: &pb.Set{Key: "k", Value: []byte("v")}}})
 	if err != nil {
 		t.Fatal(err)
@@ -105,8 +105,8 @@
 		t.Fatal(err)
 	}
 	later.Kind = 99
-	r := newRig()
-	if x := r.do(later); !strings.Contains(x.Refused, "kind 99") {
+	r := newTestCatalog()
+	if x := r.applyCommand(later); !strings.Contains(x.Refused, "kind 99") {
 		t.Errorf("answered %q", x.Refused)
 	}
 	// as an earlier release would have kept the set: with its body among the unknown fields
@@ -128,7 +128,7 @@
 		t.Errorf("what is known by now was not carried out: %v", p)
 	}
 	for range maxUnknownCommands + 5 {
-		r.do(proto.Clone(later).(*pb.Command))
+		r.applyCommand(proto.Clone(later).(*pb.Command))
 	}
 	if kept, lost := r.UnknownCommands(); len(kept) != maxUnknownCommands || lost == 0 {
 		t.Errorf("%d kept, %d lost", len(kept), lost)
@@ -136,8 +136,8 @@
 }
 
 // Guards memory: ids come and go all day.
-func TestSizeFollowsTheMembersPresent(t *testing.T) {
-	r := newRig()
+func TestSizeIsBoundedByPresentMembers(t *testing.T) {
+	r := newTestCatalog()
 	size := func() int { b, _ := r.Encode(); return len(b) }
 	var ids []string
 	for i := range 20 {
@@ -146,10 +146,10 @@
 	early := 0
 	for i := range 3000 {
 		ids = append(ids[1:], fmt.Sprint("n", i))
-		if x := r.do(inventory(uint64(i), ids...)); x.Refused != "" {
+		if x := r.applyCommand(inventoryCommand(uint64(i), ids...)); x.Refused != "" {
 			t.Fatal(x.Refused)
 		}
-		r.do(drain(ids[3], 0))
+		r.applyCommand(drainCommand(ids[3], 0))
 		if i == 600 {
 			early = size()
 		}
@@ -170,18 +170,18 @@
 	}
 }
 
-func aCommand(t *rapid.T) *pb.Command {
+func randomCommand(t *rapid.T) *pb.Command {
 	id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "member")
 	inst := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "instance")
 	start := rapid.Int64Range(0, 5).Draw(t, "start") * 1e9
 	switch rapid.IntRange(0, 15).Draw(t, "kind") {
 	case 0:
 		ids := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 0, 3, rapid.ID).Draw(t, "ids")
-		return inventory(rapid.Uint64Range(0, 3).Draw(t, "base"), ids...)
+		return inventoryCommand(rapid.Uint64Range(0, 3).Draw(t, "base"), ids...)
 	case 1:
-		return drain(id, start)
+		return drainCommand(id, start)
 	case 2:
-		return started(id, start)
+		return startCommand(id, start)
 	case 3:
 		return &pb.Command{Body: &pb.Command_Warm{Warm: &pb.Warm{Member: id, Start: start}}}
 	case 4, 5, 6:
@@ -208,8 +208,8 @@
 	return &pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: inst}}}
 }
 
-// follow applies changes as a subscriber does, and checks that they continue what it holds.
-func follow(t *rapid.T, subscriber *Catalog, changes []revision.Change) {
+// applyChanges applies changes as a subscriber does, and checks that they continue what it holds.
+func applyChanges(t *rapid.T, subscriber *Catalog, changes []revision.Change) {
 	for _, x := range changes {
 		if held := subscriber.currentRecord(x.Key); !reflect.DeepEqual(held, x.Before) {
 			t.Fatalf("%q was %v before, not %v", x.Key, held, x.Before)
@@ -228,14 +228,14 @@
 
 // Guards replicas from one another: one that is fed everything twice and late, and restarted from snapshots at any
 // point, is equal to one that is not. On the way no drain is taken back and no pool is passed.
-func TestReplicasStayEqualAndKeepTheirRules(t *testing.T) {
+func TestReplicasStayEqualAndKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New("t"), New("t")
 		drained := map[string]int64{}
 		subscriber := New("t")
 		var old []*pb.Command
 		for i := range rapid.IntRange(1, 60).Draw(t, "commands") {
-			c := aCommand(t)
+			c := randomCommand(t)
 			c.Origin, c.Seq, c.At = "w", uint64(i+1), int64(1e9+i)
 			ra := a.Apply(uint64(i+1), &pb.Batch{Commands: []*pb.Command{proto.Clone(c).(*pb.Command)}})
 			old = append(old, c)
@@ -251,7 +251,7 @@
 			if also := b.TakeChanges(); !reflect.DeepEqual(changes, also) {
 				t.Fatalf("equal replicas changed %v and %v", changes, also)
 			}
-			follow(t, subscriber, changes)
+			applyChanges(t, subscriber, changes)
 			if want, have := a.Records(), subscriber.Records(); !reflect.DeepEqual(want, have) {
 				t.Fatalf("after %v a subscriber holds\n%v\nnot\n%v", c, have, want)
 			}
@@ -293,9 +293,9 @@
 
 // A snapshot is read as it was written, or not at all.
 func FuzzDecode(f *testing.F) {
-	r := newRig()
-	r.do(inventory(0, "a", "b"))
-	r.do(drain("a", 0))
+	r := newTestCatalog()
+	r.applyCommand(inventoryCommand(0, "a", "b"))
+	r.applyCommand(drainCommand("a", 0))
 	good, err := r.Encode()
 	if err != nil {
 		f.Fatal(err)
@@ -329,7 +329,7 @@
 
 // A record of the log may be anything: it is read or turned down, and never brings the catalog down.
 func FuzzApply(f *testing.F) {
-	b, _ := proto.Marshal(&pb.Batch{Commands: []*pb.Command{inventory(0, "a"), drain("a", 0)}})
+	b, _ := proto.Marshal(&pb.Batch{Commands: []*pb.Command{inventoryCommand(0, "a"), drainCommand("a", 0)}})
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		x := &pb.Batch{}
@@ -348,12 +348,12 @@
 
 // Guards the agreed rate: what an instance said some time ago is not added to what others say now, as its clients may
 // be theirs by then. Of a primary the newest word counts, whoever said it.
-func TestOnlyRatesOfTheSameMomentsAreAdded(t *testing.T) {
-	r := newRig()
-	r.do(inventory(0, "a", "b"))
+func TestOnlyConcurrentRatesAreSummed(t *testing.T) {
+	r := newTestCatalog()
+	r.applyCommand(inventoryCommand(0, "a", "b"))
 	say := func(instance, primary string, at int64, rate float64) {
-		r.do(&pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: instance}}})
-		r.do(&pb.Command{Body: &pb.Command_Learn{Learn: &pb.Learn{Instance: instance, Groups: []*pb.GroupWord{{Primary: primary, PrimaryAt: at, WarmRate: rate}}}}})
+		r.applyCommand(&pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: instance}}})
+		r.applyCommand(&pb.Command{Body: &pb.Command_Learn{Learn: &pb.Learn{Instance: instance, Groups: []*pb.GroupWord{{Primary: primary, PrimaryAt: at, WarmRate: rate}}}}})
 	}
 	say("x", "a", 7, 10)
 	say("y", "b", 6, 5)
@@ -369,14 +369,14 @@
 
 // Guards customers from one another: an instance's two fronts serve groups of the same number and classes of the same name,
 // and what is learned of one's stands beside the other's.
-func TestFrontsDoNotSpeakForEachOther(t *testing.T) {
-	r := newRig()
-	p := inventory(0, "a", "b")
+func TestLearnedStateIsSeparateByFront(t *testing.T) {
+	r := newTestCatalog()
+	p := inventoryCommand(0, "a", "b")
 	p.GetPutInventory().Members[0].Wire, p.GetPutInventory().Members[1].Wire = "mysql", "postgres"
-	r.do(p)
-	r.do(&pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: "x"}}})
+	r.applyCommand(p)
+	r.applyCommand(&pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: "x"}}})
 	say := func(wire, primary string, rate float64, typical int64) {
-		r.do(&pb.Command{Body: &pb.Command_Learn{Learn: &pb.Learn{Instance: "x", Wire: wire,
+		r.applyCommand(&pb.Command{Body: &pb.Command_Learn{Learn: &pb.Learn{Instance: "x", Wire: wire,
 			Groups:  []*pb.GroupWord{{Primary: primary, PrimaryAt: 1, WarmRate: rate}},
 			Classes: []*pb.ClassWord{{Name: "booking", Typical: typical}}}}})
 	}
--- a/internal/controlplane/catalog/records_test.go
+++ b/internal/controlplane/catalog/records_test.go
@@ -18,15 +18,15 @@
 	return &pb.Entry{Id: id, Address: id + ":1", Wire: wire, Group: group, Site: "oslo", State: inService}
 }
 
-func upsertOf(entries ...*pb.Entry) *pb.Command {
+func upsertCommand(entries ...*pb.Entry) *pb.Command {
 	return &pb.Command{Body: &pb.Command_UpsertMembers{UpsertMembers: &pb.UpsertMembers{Members: entries, Author: "t"}}}
 }
 
-func removal(ids ...string) *pb.Command {
+func removeCommand(ids ...string) *pb.Command {
 	return &pb.Command{Body: &pb.Command_RemoveMembers{RemoveMembers: &pb.RemoveMembers{Members: ids, Author: "t"}}}
 }
 
-func reported(wire string, group int32, member string, at int64) *pb.Command {
+func reportPrimaryCommand(wire string, group int32, member string, at int64) *pb.Command {
 	return &pb.Command{Body: &pb.Command_ReportPrimary{ReportPrimary: &pb.ReportPrimary{Wire: wire, Group: group, Member: member, At: at}}}
 }
 
@@ -46,26 +46,26 @@
 
 // Each command changes the records that it should, and marks what must reach every subscriber.
 func TestChangesOfEachCommand(t *testing.T) {
-	r := newRig()
+	r := newTestCatalog()
 	for i, x := range []struct {
 		c    *pb.Command
 		want string // of all changes, in order
 	}{
-		{upsertOf(entry("a", "mysql", 1), entry("b", "mysql", 1)), "member/a new; member/b new"},
-		{upsertOf(entry("a", "mysql", 1)), ""},
-		{drain("a", 0), "member/a binding"},
-		{drain("a", 0), ""},
-		{started("a", 2e18), "member/a binding"},
-		{reported("mysql", 1, "a", 1e18), "primary/mysql/1 new binding"},
-		{reported("mysql", 1, "a", 1e18+5e9), ""}, // another gateway's report of the same change
-		{reported("mysql", 1, "b", 1e18-1), ""},
-		{reported("mysql", 1, "b", 1e18+6e9), "primary/mysql/1 binding"},
-		{reported("mysql", 2, "b", 1e18+7e9), ""}, // of another group
-		{reported("mysql", 1, "a", 9e18), ""},     // of a clock that runs years ahead
-		{upsertOf(entry("b", "mysql", 2)), "member/b; primary/mysql/1 removed binding"},
-		{reported("mysql", 2, "b", 1e18+8e9), "primary/mysql/2 new binding"},
-		{removal("b", "zz"), "member/b removed binding; primary/mysql/2 removed binding"},
-		{removal("b"), ""},
+		{upsertCommand(entry("a", "mysql", 1), entry("b", "mysql", 1)), "member/a new; member/b new"},
+		{upsertCommand(entry("a", "mysql", 1)), ""},
+		{drainCommand("a", 0), "member/a binding"},
+		{drainCommand("a", 0), ""},
+		{startCommand("a", 2e18), "member/a binding"},
+		{reportPrimaryCommand("mysql", 1, "a", 1e18), "primary/mysql/1 new binding"},
+		{reportPrimaryCommand("mysql", 1, "a", 1e18+5e9), ""}, // another gateway's report of the same change
+		{reportPrimaryCommand("mysql", 1, "b", 1e18-1), ""},
+		{reportPrimaryCommand("mysql", 1, "b", 1e18+6e9), "primary/mysql/1 binding"},
+		{reportPrimaryCommand("mysql", 2, "b", 1e18+7e9), ""}, // of another group
+		{reportPrimaryCommand("mysql", 1, "a", 9e18), ""},     // of a clock that runs years ahead
+		{upsertCommand(entry("b", "mysql", 2)), "member/b; primary/mysql/1 removed binding"},
+		{reportPrimaryCommand("mysql", 2, "b", 1e18+8e9), "primary/mysql/2 new binding"},
+		{removeCommand("b", "zz"), "member/b removed binding; primary/mysql/2 removed binding"},
+		{removeCommand("b"), ""},
 		{&pb.Command{Body: &pb.Command_Set{Set: &pb.Set{Key: "k", Value: []byte("v")}}}, "pair/k new"},
 		{&pb.Command{Body: &pb.Command_PutConfig{PutConfig: &pb.PutConfig{Text: "x"}}}, "config new"},
 		{&pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: "i"}}}, ""},
@@ -74,7 +74,7 @@
 		{&pb.Command{Body: &pb.Command_Warm{Warm: &pb.Warm{Member: "a", Start: 2e18}}}, "member/a"},
 		{&pb.Command{Body: &pb.Command_SetRules{SetRules: &pb.SetRules{Rules: DefaultRules()}}}, "rules new"},
 	} {
-		r.do(x.c)
+		r.applyCommand(x.c)
 		var got []string
 		for _, change := range r.TakeChanges() {
 			if change.Revision != r.index || change.CommittedAt != r.at {
@@ -89,57 +89,57 @@
 }
 
 // A member that leaves and comes back with the same start is draining still, whichever command names it.
-func TestRemovalAndUpsertHoldDrains(t *testing.T) {
-	r := newRig()
-	r.do(upsertOf(entry("a", "mysql", 1)))
-	r.do(started("a", 5e18))
-	r.do(drain("a", 5e18))
-	r.do(removal("a"))
+func TestRemovalAndUpsertKeepDrains(t *testing.T) {
+	r := newTestCatalog()
+	r.applyCommand(upsertCommand(entry("a", "mysql", 1)))
+	r.applyCommand(startCommand("a", 5e18))
+	r.applyCommand(drainCommand("a", 5e18))
+	r.applyCommand(removeCommand("a"))
 	back := entry("a", "mysql", 1)
 	back.Started = 5e18
-	r.do(upsertOf(back))
+	r.applyCommand(upsertCommand(back))
 	if r.Member("a").DrainedAt == 0 {
 		t.Error("it is no longer draining")
 	}
 	fresh := proto.Clone(back).(*pb.Entry)
 	fresh.Started = 5e18 + 1
-	if r.do(upsertOf(fresh)); r.Member("a").DrainedAt != 0 {
+	if r.applyCommand(upsertCommand(fresh)); r.Member("a").DrainedAt != 0 {
 		t.Error("a new start is draining")
 	}
 	stopped := proto.Clone(fresh).(*pb.Entry)
 	stopped.State = "draining"
-	if r.do(upsertOf(stopped)); r.Member("a").DrainedAt == 0 {
+	if r.applyCommand(upsertCommand(stopped)); r.Member("a").DrainedAt == 0 {
 		t.Error("the inventory's drain was not taken")
 	}
 }
 
-func TestUpsertsAreChecked(t *testing.T) {
-	r := newRig()
-	r.do(upsertOf(entry("a", "mysql", 1)))
-	checked := upsertOf(entry("b", "mysql", 1))
+func TestInvalidUpsertsAreRefused(t *testing.T) {
+	r := newTestCatalog()
+	r.applyCommand(upsertCommand(entry("a", "mysql", 1)))
+	checked := upsertCommand(entry("b", "mysql", 1))
 	checked.GetUpsertMembers().Checked = true
 	before := r.Records()
-	for _, c := range []*pb.Command{checked, upsertOf(entry("b", "", 0), &pb.Entry{Id: "c"}), upsertOf(entry("b", "", 0), entry("b", "", 0)),
-		upsertOf(&pb.Entry{Address: "x"}), removal("a", ""), reported("mysql", 1, "a", 0), reported("postgres", 1, "a", 1e18)} {
-		if x := r.do(c); x.Refused == "" || !reflect.DeepEqual(r.Records(), before) || r.InventoryVersion() != 1 {
+	for _, c := range []*pb.Command{checked, upsertCommand(entry("b", "", 0), &pb.Entry{Id: "c"}), upsertCommand(entry("b", "", 0), entry("b", "", 0)),
+		upsertCommand(&pb.Entry{Address: "x"}), removeCommand("a", ""), reportPrimaryCommand("mysql", 1, "a", 0), reportPrimaryCommand("postgres", 1, "a", 1e18)} {
+		if x := r.applyCommand(c); x.Refused == "" || !reflect.DeepEqual(r.Records(), before) || r.InventoryVersion() != 1 {
 			t.Errorf("%v: %v", c, x)
 		}
 	}
 }
 
 // Guards the caps: twice the planned fleet fits, and one member more than the cap is turned down.
-func TestTwiceThePlannedFleetFits(t *testing.T) {
-	r := newRig()
+func TestLimitsHoldTwiceThePlannedFleet(t *testing.T) {
+	r := newTestCatalog()
 	const fleet, groups = 2 * 21000, 2 * 3500
 	p := &pb.PutInventory{}
 	for i := range fleet {
 		p.Members = append(p.Members, entry(fmt.Sprint("m", i), "mysql", int32(i%groups)))
 	}
-	if x := r.do(&pb.Command{Body: &pb.Command_PutInventory{PutInventory: p}}); x.Refused != "" {
+	if x := r.applyCommand(&pb.Command{Body: &pb.Command_PutInventory{PutInventory: p}}); x.Refused != "" {
 		t.Fatal(x.Refused)
 	}
 	for i := range groups {
-		if x := r.do(reported("mysql", int32(i), fmt.Sprint("m", i), r.at)); x.Refused != "" {
+		if x := r.applyCommand(reportPrimaryCommand("mysql", int32(i), fmt.Sprint("m", i), r.at)); x.Refused != "" {
 			t.Fatal(x.Refused)
 		}
 	}
@@ -150,10 +150,10 @@
 	for i := range maxMembers - fleet + 1 {
 		more = append(more, entry(fmt.Sprint("n", i), "mysql", 0))
 	}
-	if x := r.do(upsertOf(more...)); x.Refused == "" || len(r.Members()) != fleet {
+	if x := r.applyCommand(upsertCommand(more...)); x.Refused == "" || len(r.Members()) != fleet {
 		t.Errorf("beyond the cap: %v, %d members", x, len(r.Members()))
 	}
-	if x := r.do(upsertOf(more[1:]...)); x.Refused != "" {
+	if x := r.applyCommand(upsertCommand(more[1:]...)); x.Refused != "" {
 		t.Error(x.Refused)
 	}
 }
@@ -167,7 +167,7 @@
 }
 
 // A record that is unreadable or absurd is named, and changes nothing, neither alone nor among good ones.
-func TestBadRecordsChangeNothing(t *testing.T) {
+func TestInvalidRecordsChangeNothing(t *testing.T) {
 	s := New("t")
 	good := []revision.Record{encodedRecord("member/a", &pb.Member{Entry: entry("a", "mysql", 1)}), encodedRecord("pair/k", &pb.Pair{Key: "k"})}
 	if err := s.ResetRecords(7, good); err != nil {
@@ -215,7 +215,7 @@
 }
 
 // A subscriber's versions rise where its readers must look again; the inventory's only where its list has changed.
-func TestASubscribersVersions(t *testing.T) {
+func TestSubscriberVersions(t *testing.T) {
 	s := New("t")
 	if err := s.ResetRecords(1, []revision.Record{encodedRecord("member/a", &pb.Member{Entry: entry("a", "mysql", 1)})}); err != nil {
 		t.Fatal(err)
@@ -236,7 +236,7 @@
 }
 
 // A snapshot that the release before primaries and records wrote is read, and goes on from there.
-func TestASnapshotOfTheEarlierRelease(t *testing.T) {
+func TestDecodeSnapshotOfEarlierRelease(t *testing.T) {
 	b, err := os.ReadFile("testdata/snapshot-without-primaries.bin")
 	if err != nil {
 		t.Fatal(err)
@@ -245,8 +245,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{Catalog: c, at: c.Now(), seq: 100, index: c.Index()}
-	if got := r.do(reported("mysql", 1, "b", r.at)); got.Refused != "" {
+	r := &testCatalog{Catalog: c, at: c.Now(), seq: 100, index: c.Index()}
+	if got := r.applyCommand(reportPrimaryCommand("mysql", 1, "b", r.at)); got.Refused != "" {
 		t.Error(got.Refused)
 	}
 	var keys []string
--- a/internal/controlplane/commandqueue/queue_test.go
+++ b/internal/controlplane/commandqueue/queue_test.go
@@ -9,13 +9,13 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-func set(key, value string) *pb.Command {
+func setCommand(key, value string) *pb.Command {
 	return &pb.Command{Body: &pb.Command_Set{Set: &pb.Set{Key: key, Value: []byte(value)}}}
 }
 
 // A queue that nobody empties turns away what it cannot hold, says of the rest that nothing was done, and keeps only
 // the newest of what is offered under one key.
-func TestAStoreSlowerThanItsTraffic(t *testing.T) {
+func TestFullQueueRefusesCommands(t *testing.T) {
 	block, end := make(chan struct{}), make(chan struct{})
 	var got []*pb.Batch
 	q := New("o", func(b *pb.Batch) ([]*pb.Result, bool, error) {
@@ -27,7 +27,7 @@
 	errs := make(chan error, 2*maxSubmitted)
 	for i := range 2 * maxSubmitted {
 		go func() {
-			_, err := q.Submit(set(fmt.Sprint(i), ""), 20*time.Millisecond)
+			_, err := q.Submit(setCommand(fmt.Sprint(i), ""), 20*time.Millisecond)
 			errs <- err
 		}()
 	}
@@ -43,7 +43,7 @@
 		t.Errorf("%d are still held", q.Queued())
 	}
 	for i := range 100 {
-		q.Offer("same", set("k", fmt.Sprint(i)))
+		q.Offer("same", setCommand("k", fmt.Sprint(i)))
 	}
 	go func() { q.Run(); close(done) }()
 	close(block)
--- a/internal/controlplane/lease/sim_test.go
+++ b/internal/controlplane/lease/sim_test.go
@@ -18,55 +18,55 @@
 // late, are cut off, crash and come back from the log's beginning. Each has a clock of its own that starts anywhere
 // and runs at a rate within the bound.
 type sim struct {
-	rng   *rand.Rand
-	now   int64 // real, ns
-	log   []*pb.Batch
-	nodes []*node
-	lead  int // -1: none
-	way   []wire
+	rng      *rand.Rand
+	now      int64 // real, ns
+	log      []*pb.Batch
+	nodes    []*node
+	leader   int // -1: none
+	inFlight []inFlightCommand
 }
 
 type node struct {
-	id      string
-	boot    int
-	rate    float64
-	zero    int64
-	up      bool
-	side    int // of the split; nodes hear only those on their side
-	applied int
-	cat     *catalog.Catalog
-	holder  *Holder
-	grantor *Grantor
-	seq     uint64
-	heard   map[string]int64 // member and start: when this instance first heard of it, by its own clock
+	id          string
+	boot        int
+	rate        float64
+	clockOffset int64
+	up          bool
+	partition   int // of the split; nodes hear only those on their side
+	applied     int
+	catalog     *catalog.Catalog
+	holder      *Holder
+	grantor     *Grantor
+	seq         uint64
+	firstSeen   map[string]int64 // member and start: when this instance first heard of it, by its own clock
 }
 
-type wire struct {
-	at  int64
-	cmd *pb.Command
-	by  int
+type inFlightCommand struct {
+	deliverAt int64
+	command   *pb.Command
+	sender    int
 }
 
 func (n *node) clock(real int64) aspenshed.Nanos {
-	return aspenshed.Nanos(n.zero + int64(float64(real)*n.rate))
+	return aspenshed.Nanos(n.clockOffset + int64(float64(real)*n.rate))
 }
 
 func newSim(seed uint64, n int) *sim {
-	s := &sim{rng: rand.New(rand.NewPCG(seed, 1)), lead: -1}
+	s := &sim{rng: rand.New(rand.NewPCG(seed, 1)), leader: -1}
 	for i := range n {
-		x := &node{id: fmt.Sprint("i", i), rate: 0.95 + 0.1*s.rng.Float64(), zero: s.rng.Int64N(1e15)}
+		x := &node{id: fmt.Sprint("i", i), rate: 0.95 + 0.1*s.rng.Float64(), clockOffset: s.rng.Int64N(1e15)}
 		if i < 2 {
 			x.rate = []float64{0.95, 1.05}[i] // the two ends of the bound
 		}
 		s.nodes = append(s.nodes, x)
-		s.boot(x)
+		s.restart(x)
 	}
 	return s
 }
 
-func (s *sim) boot(n *node) {
+func (s *sim) restart(n *node) {
 	n.up, n.applied, n.seq, n.boot = true, 0, 0, n.boot+1
-	n.cat, n.heard = catalog.New("t"), map[string]int64{}
+	n.catalog, n.firstSeen = catalog.New("t"), map[string]int64{}
 	n.holder, n.grantor = NewHolder(n.id, fmt.Sprint(n.boot), 4e9), NewGrantor()
 }
 
@@ -74,7 +74,7 @@
 func (s *sim) majority(n *node) bool {
 	k := 0
 	for _, x := range s.nodes {
-		if x.up && x.side == n.side {
+		if x.up && x.partition == n.partition {
 			k++
 		}
 	}
@@ -86,50 +86,50 @@
 	n.seq++
 	body.Origin, body.Seq = fmt.Sprint(n.id, "/", n.boot), n.seq
 	for range 1 + s.rng.IntN(2) { // now and then twice
-		s.way = append(s.way, wire{s.now + s.rng.Int64N(800e6), body, by})
+		s.inFlight = append(s.inFlight, inFlightCommand{s.now + s.rng.Int64N(800e6), body, by})
 	}
 }
 
 func (s *sim) step(dt int64) {
 	s.now += dt
-	if s.lead < 0 || !s.majority(s.nodes[s.lead]) { // elections take a while
-		if s.lead = -1; s.rng.IntN(8) == 0 {
+	if s.leader < 0 || !s.majority(s.nodes[s.leader]) { // elections take a while
+		if s.leader = -1; s.rng.IntN(8) == 0 {
 			if i := s.rng.IntN(len(s.nodes)); s.majority(s.nodes[i]) {
-				s.lead = i
+				s.leader = i
 				s.apply(s.nodes[i], len(s.log))
 			}
 		}
 	}
-	keep := s.way[:0]
-	for _, w := range s.way {
-		n := s.nodes[w.by]
+	keep := s.inFlight[:0]
+	for _, w := range s.inFlight {
+		n := s.nodes[w.sender]
 		switch {
-		case w.at > s.now:
+		case w.deliverAt > s.now:
 			keep = append(keep, w)
-		case s.lead >= 0 && n.up && n.side == s.nodes[s.lead].side && s.rng.IntN(6) > 0: // else dropped
-			c := proto.Clone(w.cmd).(*pb.Command)
-			c.At = int64(s.nodes[s.lead].clock(s.now))
+		case s.leader >= 0 && n.up && n.partition == s.nodes[s.leader].partition && s.rng.IntN(6) > 0: // else dropped
+			c := proto.Clone(w.command).(*pb.Command)
+			c.At = int64(s.nodes[s.leader].clock(s.now))
 			s.log = append(s.log, &pb.Batch{Commands: []*pb.Command{c}})
 		}
 	}
-	s.way = keep
+	s.inFlight = keep
 	for i, n := range s.nodes {
 		if !n.up {
 			continue
 		}
-		if s.lead >= 0 && n.side == s.nodes[s.lead].side && (i == s.lead || s.rng.IntN(3) == 0) {
+		if s.leader >= 0 && n.partition == s.nodes[s.leader].partition && (i == s.leader || s.rng.IntN(3) == 0) {
 			s.apply(n, n.applied+s.rng.IntN(len(s.log)-n.applied+1))
 		}
 		now := n.clock(s.now)
-		for _, m := range n.cat.Members() {
-			if k := fmt.Sprint(m.Entry.Id, m.Start); n.heard[k] == 0 {
-				n.heard[k] = int64(now)
+		for _, m := range n.catalog.Members() {
+			if k := fmt.Sprint(m.Entry.Id, m.Start); n.firstSeen[k] == 0 {
+				n.firstSeen[k] = int64(now)
 			}
 		}
-		for _, a := range n.holder.Step(now, n.cat.Members(), func(int32) float64 { return float64(i + 1) }) {
+		for _, a := range n.holder.Step(now, n.catalog.Members(), func(int32) float64 { return float64(i + 1) }) {
 			s.propose(i, &pb.Command{Body: &pb.Command_Ask{Ask: a}})
 		}
-		for _, c := range n.grantor.Step(now, i == s.lead, n.cat.Members(), n.cat.Rules()) {
+		for _, c := range n.grantor.Step(now, i == s.leader, n.catalog.Members(), n.catalog.Rules()) {
 			s.propose(i, c)
 		}
 	}
@@ -137,7 +137,7 @@
 
 func (s *sim) apply(n *node, upTo int) {
 	for ; n.applied < upTo; n.applied++ {
-		n.cat.Apply(uint64(n.applied+1), proto.Clone(s.log[n.applied]).(*pb.Batch))
+		n.catalog.Apply(uint64(n.applied+1), proto.Clone(s.log[n.applied]).(*pb.Batch))
 	}
 }
 
@@ -147,16 +147,16 @@
 	s.log = append(s.log, &pb.Batch{Commands: []*pb.Command{c}})
 }
 
-// used is the part of a cold member's whole budget that all instances together may use just now, by what each of
+// usableShare is the part of a cold member's whole budget that all instances together may use just now, by what each of
 // them knows; warm counts who takes that start for warm.
-func (s *sim) used(member string, start int64, rules *pb.Rules) (sum float64, warm int) {
+func (s *sim) usableShare(member string, start int64, rules *pb.Rules) (sum float64, warm int) {
 	for _, n := range s.nodes {
 		now := n.clock(s.now)
-		m := n.cat.Member(member)
+		m := n.catalog.Member(member)
 		if !n.up || m == nil || m.Start != start {
 			continue
 		}
-		if !catalog.IsWarming(m) || int64(now) >= n.heard[fmt.Sprint(member, start)]+rules.ColdLongest {
+		if !catalog.IsWarming(m) || int64(now) >= n.firstSeen[fmt.Sprint(member, start)]+rules.ColdLongest {
 			warm++
 			continue
 		}
@@ -169,7 +169,7 @@
 // Guards cold members in every partition and at every instant: whoever is cut off, however clocks run, crash or
 // answers get lost, all instances together never may use more than the whole budget, and nobody takes a start for
 // warm before its cold time has passed in reality. Also that leases are of use: they are held in calm times.
-func TestNoPartitionPushesAColdMemberOver(t *testing.T) {
+func TestSharesStayWithinBudgetUnderFaults(t *testing.T) {
 	held := 0
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(rapid.Uint64().Draw(t, "seed"), rapid.SampledFrom([]int{3, 3, 5}).Draw(t, "instances"))
@@ -192,23 +192,23 @@
 				x := s.nodes[s.rng.IntN(len(s.nodes))]
 				switch s.rng.IntN(4) {
 				case 0:
-					x.side = s.rng.IntN(2)
+					x.partition = s.rng.IntN(2)
 				case 1: // the old leader on the small side
-					if s.lead >= 0 {
-						s.nodes[s.lead].side = 1 - s.nodes[s.lead].side
+					if s.leader >= 0 {
+						s.nodes[s.leader].partition = 1 - s.nodes[s.leader].partition
 					}
 				case 2:
 					if x.up = !x.up; x.up {
-						s.boot(x)
+						s.restart(x)
 					}
 				case 3:
 					for _, n := range s.nodes {
-						n.side = 0
+						n.partition = 0
 					}
 				}
 			}
 			s.step(20e6 + s.rng.Int64N(100e6))
-			sum, warm := s.used("a", start, rules)
+			sum, warm := s.usableShare("a", start, rules)
 			if sum > 1+1e-9 {
 				t.Fatalf("%.3f of the budget may be used %.2f s after the start", sum, float64(s.now-began)/1e9)
 			}
@@ -226,7 +226,7 @@
 }
 
 // What was granted before a restart is not used: nobody knows when it was asked for.
-func TestAGrantCountsFromItsAsk(t *testing.T) {
+func TestLeaseIsTimedFromItsRequest(t *testing.T) {
 	m := &pb.Member{Entry: &pb.Entry{Id: "a"}, Start: 5, ColdSince: 1}
 	want := func(int32) float64 { return 1 }
 	h := NewHolder("x", "1", 4e9)
--- a/internal/controlplane/membership/membership_test.go
+++ b/internal/controlplane/membership/membership_test.go
@@ -7,7 +7,7 @@
 	"aspenshed"
 )
 
-func view(ids ...string) (v View) {
+func newView(ids ...string) (v View) {
 	v.CommitIndex = 100
 	for _, id := range ids {
 		name, non := strings.CutSuffix(id, "*")
@@ -17,9 +17,9 @@
 }
 
 // A join goes through its steps, one change at a time, and a dead joiner blocks the others for a while only.
-func TestJoinsGoOneAtATime(t *testing.T) {
+func TestJoinsAreSerialized(t *testing.T) {
 	var m StateMachine
-	pending := view("a", "b")
+	pending := newView("a", "b")
 	pending.ChangePending = true
 	for i, x := range []struct {
 		at    int64
@@ -30,28 +30,28 @@
 		want  Action
 		done  bool
 	}{
-		{1, view("a", "b"), "c", 0, true, AddNonvoter, false},
+		{1, newView("a", "b"), "c", 0, true, AddNonvoter, false},
 		{2, pending, "c", 0, true, NoAction, false},
-		{3, view("a", "b", "c*"), "d", 0, true, NoAction, false},   // c joins
-		{4, view("a", "b", "c*"), "c", 50, false, NoAction, false}, // far behind
-		{5, view("a", "b", "c*"), "c", 95, false, Promote, false},
-		{6, view("a", "b", "c"), "c", 100, false, NoAction, true},
-		{7, view("a", "b", "c"), "d", 0, true, AddNonvoter, false},
-		{8, view("a", "b", "c", "d*"), "e", 0, true, NoAction, false},
-		{8 + int64(joinTimeout), view("a", "b", "c", "d*"), "e", 0, true, AddNonvoter, false}, // d has died
-		{9 + int64(joinTimeout), view("a", "b", "c"), "b", 0, true, Remove, false},            // its disk is empty: its votes are forgotten
+		{3, newView("a", "b", "c*"), "d", 0, true, NoAction, false},   // c joins
+		{4, newView("a", "b", "c*"), "c", 50, false, NoAction, false}, // far behind
+		{5, newView("a", "b", "c*"), "c", 95, false, Promote, false},
+		{6, newView("a", "b", "c"), "c", 100, false, NoAction, true},
+		{7, newView("a", "b", "c"), "d", 0, true, AddNonvoter, false},
+		{8, newView("a", "b", "c", "d*"), "e", 0, true, NoAction, false},
+		{8 + int64(joinTimeout), newView("a", "b", "c", "d*"), "e", 0, true, AddNonvoter, false}, // d has died
+		{9 + int64(joinTimeout), newView("a", "b", "c"), "b", 0, true, Remove, false},            // its disk is empty: its votes are forgotten
 	} {
-		m.now(t, i, x.at, x.v, x.id, x.app, x.empty, x.want, x.done)
+		m.checkJoin(t, i, x.at, x.v, x.id, x.app, x.empty, x.want, x.done)
 	}
-	if v := m.Leave(1e12, view("a"), "a"); v.Refused == "" || v.Action != NoAction {
+	if v := m.Leave(1e12, newView("a"), "a"); v.Refused == "" || v.Action != NoAction {
 		t.Errorf("the last voter may leave: %+v", v)
 	}
-	if v := m.Join(1e12, view("a", "b"), "x", "a:1", 0, true); v.Refused == "" || v.Retry {
+	if v := m.Join(1e12, newView("a", "b"), "x", "a:1", 0, true); v.Refused == "" || v.Retry {
 		t.Errorf("the address of another: %+v", v)
 	}
 }
 
-func (m *StateMachine) now(t *testing.T, i int, at int64, v View, id string, applied uint64, empty bool, want Action, done bool) {
+func (m *StateMachine) checkJoin(t *testing.T, i int, at int64, v View, id string, applied uint64, empty bool, want Action, done bool) {
 	t.Helper()
 	got := m.Join(aspenshed.Nanos(at), v, id, id+":1", applied, empty)
 	if got.Action != want || got.Done != done {
--- a/internal/controlplane/store/alone_test.go
+++ b/internal/controlplane/store/alone_test.go
@@ -8,21 +8,21 @@
 )
 
 // Alone, in memory, it serves at once and opens no socket.
-func TestAlone(t *testing.T) {
+func TestStandalone(t *testing.T) {
 	s, err := Open(Config{ID: "only"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, err := s.Submit(set("k", "v"), patient); err != nil || r.Version != 1 {
+	if r, err := s.Submit(setCommand("k", "v"), waitTimeout); err != nil || r.Version != 1 {
 		t.Errorf("%v %v", r, err)
 	}
-	if s.Mode() != mode.Standalone || get(s, "k") != "v" {
+	if s.Mode() != mode.Standalone || getValue(s, "k") != "v" {
 		t.Errorf("mode %v", s.Mode())
 	}
 	if err := s.Close(); err != nil {
 		t.Error(err)
 	}
-	if _, err := s.Submit(set("k", "v"), patient); !errors.Is(err, ErrClosed) && !errors.Is(err, ErrUnavailable) {
+	if _, err := s.Submit(setCommand("k", "v"), waitTimeout); !errors.Is(err, ErrClosed) && !errors.Is(err, ErrUnavailable) {
 		t.Errorf("after its end: %v", err)
 	}
 }
--- a/internal/controlplane/store/carry_test.go
+++ b/internal/controlplane/store/carry_test.go
@@ -12,8 +12,8 @@
 	"aspenshed/internal/controlplane/commandqueue"
 )
 
-// numbered gives commands a subscriber's origin and numbers.
-func numbered(origin string, first uint64, commands ...*pb.Command) *pb.Batch {
+// numberedBatch gives commands a subscriber's origin and numbers.
+func numberedBatch(origin string, first uint64, commands ...*pb.Command) *pb.Batch {
 	b := &pb.Batch{}
 	for i, x := range commands {
 		x = proto.Clone(x).(*pb.Command)
@@ -23,17 +23,17 @@
 	return b
 }
 
-func report(member string, at int64) *pb.Command {
+func reportPrimaryCommand(member string, at int64) *pb.Command {
 	return &pb.Command{Body: &pb.Command_ReportPrimary{ReportPrimary: &pb.ReportPrimary{Member: member, At: at}}}
 }
 
-// countSubmits counts the batches that an instance sends to the leader.
-type countSubmits struct {
+// submitCounter counts the batches that an instance sends to the leader.
+type submitCounter struct {
 	Caller
 	n *atomic.Int64
 }
 
-func (x countSubmits) Call(service string, call *pb.Call, limit time.Duration) (*pb.Reply, error) {
+func (x submitCounter) Call(service string, call *pb.Call, limit time.Duration) (*pb.Reply, error) {
 	if _, ok := call.Body.(*pb.Call_Submit); ok {
 		x.n.Add(1)
 	}
@@ -42,13 +42,13 @@
 
 // What a thousand gateways report of one event becomes one entry of the log: the first report. The others are answered
 // as done, and what a batch holds besides is carried out.
-func TestReportsOfWhatIsKnownMakeNoEntry(t *testing.T) {
+func TestRedundantReportsMakeNoLogEntry(t *testing.T) {
 	s, err := Open(Config{ID: "only"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if r, err := s.Submit(upsert("m1", "m2"), patient); err != nil || r.Refused != "" {
+	if r, err := s.Submit(upsertCommand("m1", "m2"), waitTimeout); err != nil || r.Refused != "" {
 		t.Fatal(r, err)
 	}
 	now := time.Now().UnixNano()
@@ -66,16 +66,16 @@
 	}
 	start := &pb.Command{Body: &pb.Command_Start{Start: &pb.Start{Member: "m1", Start: now}}}
 	drain := &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: "m1", Start: now}}}
-	for _, r := range carry(numbered("g1/1", 1, start, drain, report("m2", now))) {
+	for _, r := range carry(numberedBatch("g1/1", 1, start, drain, reportPrimaryCommand("m2", now))) {
 		if r.Refused != "" {
 			t.Error(r.Refused)
 		}
 	}
 	first := index()
 	for _, b := range []*pb.Batch{
-		numbered("g2/1", 1, start, drain, report("m2", now)),
-		numbered("g3/1", 1, report("m2", now+1e9), report("m1", now-1)), // the same primary a little later; an older report
-		numbered("g4/1", 1, &pb.Command{Body: &pb.Command_Start{Start: &pb.Start{Member: "m1", Start: now - 1}}}),
+		numberedBatch("g2/1", 1, start, drain, reportPrimaryCommand("m2", now)),
+		numberedBatch("g3/1", 1, reportPrimaryCommand("m2", now+1e9), reportPrimaryCommand("m1", now-1)), // the same primary a little later; an older report
+		numberedBatch("g4/1", 1, &pb.Command{Body: &pb.Command_Start{Start: &pb.Start{Member: "m1", Start: now - 1}}}),
 	} {
 		for i, r := range carry(b) {
 			if r.Refused != "" || r.Seq != b.Commands[i].Seq {
@@ -86,15 +86,15 @@
 	if index() != first {
 		t.Errorf("%d entries for what was known", index()-first)
 	}
-	mixed := carry(numbered("g5/1", 1, drain, set("k", "v"), drain))
+	mixed := carry(numberedBatch("g5/1", 1, drain, setCommand("k", "v"), drain))
 	if index() != first+1 || mixed[0].Version != 0 || mixed[1].Version != 1 || mixed[1].Seq != 2 || mixed[2].Seq != 3 {
 		t.Errorf("%d entries, results %v", index()-first, mixed)
 	}
-	again := carry(numbered("g5/1", 2, set("k", "v")))
+	again := carry(numberedBatch("g5/1", 2, setCommand("k", "v")))
 	if !again[0].Repeated || again[0].Version != 1 {
 		t.Errorf("a batch that came twice: %v", again)
 	}
-	carry(numbered("g6/1", 1, report("m1", now+2)))
+	carry(numberedBatch("g6/1", 1, reportPrimaryCommand("m1", now+2)))
 	s.Read(func(c *catalog.Catalog) {
 		if w := c.GroupSummaries()[catalog.Group{}]; w.Primary != "m1" || w.PrimaryAt != now+2 {
 			t.Errorf("the newest report: %+v", w)
@@ -102,7 +102,7 @@
 	})
 }
 
-func TestCarryTurnsDownWhatIsNoSubscribers(t *testing.T) {
+func TestForwardBatchRefusesInvalidBatches(t *testing.T) {
 	s, err := Open(Config{ID: "only"})
 	if err != nil {
 		t.Fatal(err)
@@ -115,7 +115,7 @@
 	}
 	beat := &pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: "g"}}}
 	learn := &pb.Command{Body: &pb.Command_Learn{Learn: &pb.Learn{Instance: "g"}}}
-	for _, b := range []*pb.Batch{{Commands: []*pb.Command{set("k", "v")}}, numbered("g/1", 1, beat), numbered("g/1", 2, learn)} {
+	for _, b := range []*pb.Batch{{Commands: []*pb.Command{setCommand("k", "v")}}, numberedBatch("g/1", 1, beat), numberedBatch("g/1", 2, learn)} {
 		if r := s.ForwardBatch(b); r.Refused != "" || len(r.Results) != 1 || r.Results[0].Refused == "" {
 			t.Errorf("%v: %v", b, r)
 		}
@@ -129,17 +129,17 @@
 
 // A voter that does not lead carries a batch to the leader once, and not at all where nothing of it is needed. Without
 // a leader the subscriber is told that nothing was done.
-func TestCarryThroughAFollower(t *testing.T) {
+func TestForwardBatchThroughFollower(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	c.submit(c.leader(), upsert("m1"))
+	c.submit(c.leader(), upsertCommand("m1"))
 	id := c.follower()
 	submits := &atomic.Int64{}
 	c.kill(id)
-	c.nodes[id].cfg.WrapCaller = func(x Caller) Caller { return countSubmits{x, submits} }
+	c.nodes[id].cfg.WrapCaller = func(x Caller) Caller { return submitCounter{x, submits} }
 	c.open(id)
 	s := c.nodes[id].store
 	var start int64
-	c.until("the member", func() (there bool) {
+	c.waitFor("the member", func() (there bool) {
 		s.Read(func(x *catalog.Catalog) {
 			if m := x.Member("m1"); m != nil {
 				there, start = true, m.Start
@@ -148,25 +148,25 @@
 		return there
 	})
 	drain := &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: "m1", Start: start}}}
-	c.until("the drain", func() bool { return s.ForwardBatch(numbered("g1/1", 1, drain)).Refused == "" })
-	c.until("the drain here", func() (there bool) {
+	c.waitFor("the drain", func() bool { return s.ForwardBatch(numberedBatch("g1/1", 1, drain)).Refused == "" })
+	c.waitFor("the drain here", func() (there bool) {
 		s.Read(func(x *catalog.Catalog) { there = x.Member("m1").DrainedAt != 0 })
 		return there
 	})
 	others := []string{"a", "b", "c"}
-	c.split(true, []string{id}, others)
-	c.split(true, others, []string{id})
-	if r := s.ForwardBatch(numbered("g2/1", 1, drain)); r.Refused != "" {
+	c.setBlocked(true, []string{id}, others)
+	c.setBlocked(true, others, []string{id})
+	if r := s.ForwardBatch(numberedBatch("g2/1", 1, drain)); r.Refused != "" {
 		t.Errorf("what is known here: %v", r)
 	}
 	before := submits.Load()
-	if r := s.ForwardBatch(numbered("g2/1", 2, set("k", "v"))); r.Refused == "" || !r.Retry {
+	if r := s.ForwardBatch(numberedBatch("g2/1", 2, setCommand("k", "v"))); r.Refused == "" || !r.Retry {
 		t.Errorf("cut off: %v", r)
 	}
-	c.split(false, others, others)
-	c.until("the healed way", func() bool { return s.ForwardBatch(numbered("g2/1", 2, set("k", "v"))).Refused == "" })
+	c.setBlocked(false, others, others)
+	c.waitFor("the healed way", func() bool { return s.ForwardBatch(numberedBatch("g2/1", 2, setCommand("k", "v"))).Refused == "" })
 	if submits.Load() == before {
 		t.Error("no batch was counted")
 	}
-	c.equal(map[string]string{"k": "v"})
+	c.waitForEqual(map[string]string{"k": "v"})
 }
--- a/internal/controlplane/store/cluster_test.go
+++ b/internal/controlplane/store/cluster_test.go
@@ -13,25 +13,25 @@
 	"aspenshed/internal/controlplane/mode"
 )
 
-const patient = 30 * time.Second // for what must come
+const waitTimeout = 30 * time.Second // for what must come
 
 // cluster is some instances in one process: replication and calls pass through seams at which they are cut.
 type cluster struct {
-	t     *testing.T
-	mu    sync.Mutex
-	cut   map[[2]string]bool // from, to
-	nodes map[string]*node
-	peers []Peer
+	t       *testing.T
+	mu      sync.Mutex
+	blocked map[[2]string]bool // from, to
+	nodes   map[string]*node
+	peers   []Peer
 }
 
 type node struct {
-	cfg   Config
-	store *Store // nil: down
-	trans *raft.InmemTransport
+	cfg       Config
+	store     *Store // nil: down
+	transport *raft.InmemTransport
 }
 
 func newCluster(t *testing.T, ids ...string) *cluster {
-	c := &cluster{t: t, cut: map[[2]string]bool{}, nodes: map[string]*node{}}
+	c := &cluster{t: t, blocked: map[[2]string]bool{}, nodes: map[string]*node{}}
 	for _, id := range ids {
 		c.peers = append(c.peers, Peer{id, "r-" + id, "s-" + id})
 	}
@@ -51,7 +51,7 @@
 
 func (c *cluster) add(id string) *node {
 	n := &node{cfg: Config{Cluster: "t", ID: id, Address: "r-" + id, Service: "s-" + id, Peers: c.peers, DataDir: c.t.TempDir(), ShortTimeouts: true}}
-	n.cfg.Caller = caller{c, id}
+	n.cfg.Caller = testCaller{c, id}
 	c.mu.Lock()
 	c.nodes[id] = n
 	c.mu.Unlock()
@@ -66,9 +66,9 @@
 
 func (c *cluster) tryOpen(id string) (err error) {
 	n := c.nodes[id]
-	_, n.trans = raft.NewInmemTransportWithTimeout(raft.ServerAddress(n.cfg.Address), 500*time.Millisecond)
-	n.cfg.Transport = n.trans
-	c.wire()
+	_, n.transport = raft.NewInmemTransportWithTimeout(raft.ServerAddress(n.cfg.Address), 500*time.Millisecond)
+	n.cfg.Transport = n.transport
+	c.updateConnections()
 	s, err := Open(n.cfg)
 	c.mu.Lock()
 	n.store = s
@@ -87,57 +87,57 @@
 		if err := s.Close(); err != nil {
 			c.t.Error(err)
 		}
-		n.trans.DisconnectAll()
+		n.transport.DisconnectAll()
 		for _, x := range c.nodes {
-			if x.trans != nil {
-				x.trans.Disconnect(raft.ServerAddress(n.cfg.Address))
+			if x.transport != nil {
+				x.transport.Disconnect(raft.ServerAddress(n.cfg.Address))
 			}
 		}
 	}
 }
 
-// wire connects all that is not cut.
-func (c *cluster) wire() {
+// updateConnections connects all that is not cut.
+func (c *cluster) updateConnections() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for a, x := range c.nodes {
 		for b, y := range c.nodes {
-			if a == b || x.trans == nil || y.trans == nil {
+			if a == b || x.transport == nil || y.transport == nil {
 				continue
 			}
-			if c.cut[[2]string{a, b}] {
-				x.trans.Disconnect(raft.ServerAddress(y.cfg.Address))
+			if c.blocked[[2]string{a, b}] {
+				x.transport.Disconnect(raft.ServerAddress(y.cfg.Address))
 			} else {
-				x.trans.Connect(raft.ServerAddress(y.cfg.Address), y.trans)
+				x.transport.Connect(raft.ServerAddress(y.cfg.Address), y.transport)
 			}
 		}
 	}
 }
 
-// split cuts what goes from any of from to any of to.
-func (c *cluster) split(cut bool, from, to []string) {
+// setBlocked cuts what goes from any of from to any of to.
+func (c *cluster) setBlocked(cut bool, from, to []string) {
 	c.mu.Lock()
 	for _, a := range from {
 		for _, b := range to {
-			c.cut[[2]string{a, b}] = cut
+			c.blocked[[2]string{a, b}] = cut
 		}
 	}
 	c.mu.Unlock()
-	c.wire()
+	c.updateConnections()
 }
 
-// caller is the way of one instance's calls to the others.
-type caller struct {
+// testCaller is the way of one instance's calls to the others.
+type testCaller struct {
 	c    *cluster
 	from string
 }
 
-func (x caller) Call(service string, call *pb.Call, _ time.Duration) (*pb.Reply, error) {
+func (x testCaller) Call(service string, call *pb.Call, _ time.Duration) (*pb.Reply, error) {
 	to := service[2:]
 	find := func(from, to string) *Store {
 		x.c.mu.Lock()
 		defer x.c.mu.Unlock()
-		if n := x.c.nodes[to]; n != nil && !x.c.cut[[2]string{from, to}] {
+		if n := x.c.nodes[to]; n != nil && !x.c.blocked[[2]string{from, to}] {
 			return n.store
 		}
 		return nil
@@ -153,9 +153,9 @@
 	return r, nil
 }
 
-func (c *cluster) until(what string, ok func() bool) {
+func (c *cluster) waitFor(what string, ok func() bool) {
 	c.t.Helper()
-	for end := time.Now().Add(patient); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			for id, n := range c.nodes {
 				if n.store != nil {
@@ -167,13 +167,13 @@
 	}
 }
 
-func (c *cluster) votes(id string) bool {
+func (c *cluster) isVoter(id string) bool {
 	s := c.nodes[id].store
 	r := s.raft.Load()
 	return r != nil && s.isVoter(r)
 }
 
-func (c *cluster) up() (out []*Store) {
+func (c *cluster) running() (out []*Store) {
 	for _, p := range c.nodes {
 		if p.store != nil {
 			out = append(out, p.store)
@@ -184,7 +184,7 @@
 
 func (c *cluster) leader() (id string) {
 	c.t.Helper()
-	c.until("a leader", func() bool {
+	c.waitFor("a leader", func() bool {
 		for n, x := range c.nodes {
 			if x.store != nil && x.store.Mode() == mode.Leading && x.store.raft.Load().State() == raft.Leader {
 				id = n
@@ -210,8 +210,8 @@
 // put writes until it is known to have been written, by whichever way that shows.
 func (c *cluster) put(from, key, value string) {
 	c.t.Helper()
-	for end := time.Now().Add(patient); ; {
-		r, err := c.nodes[from].store.Submit(set(key, value), 3*time.Second)
+	for end := time.Now().Add(waitTimeout); ; {
+		r, err := c.nodes[from].store.Submit(setCommand(key, value), 3*time.Second)
 		if err == nil && r.Refused == "" {
 			return
 		}
@@ -221,21 +221,21 @@
 	}
 }
 
-func set(key, value string) *pb.Command {
+func setCommand(key, value string) *pb.Command {
 	return &pb.Command{Body: &pb.Command_Set{Set: &pb.Set{Key: key, Value: []byte(value)}}}
 }
 
-func get(s *Store, key string) (value string) {
+func getValue(s *Store, key string) (value string) {
 	s.Read(func(c *catalog.Catalog) { value = string(c.Pair(key).GetValue()) })
 	return value
 }
 
-// equal waits until all that are up hold the same, and checks the values.
-func (c *cluster) equal(want map[string]string) {
+// waitForEqual waits until all that are up hold the same, and checks the values.
+func (c *cluster) waitForEqual(want map[string]string) {
 	c.t.Helper()
-	c.until("equal catalogs", func() bool {
+	c.waitFor("equal catalogs", func() bool {
 		digests := map[string]bool{}
-		for _, s := range c.up() {
+		for _, s := range c.running() {
 			s.Read(func(x *catalog.Catalog) {
 				d, err := x.Digest()
 				digests[fmt.Sprint(d, err)] = true
@@ -243,9 +243,9 @@
 		}
 		return len(digests) == 1
 	})
-	for _, s := range c.up() {
+	for _, s := range c.running() {
 		for k, v := range want {
-			if got := get(s, k); got != v {
+			if got := getValue(s, k); got != v {
 				c.t.Errorf("%s holds %s=%q, want %q", s.ID(), k, got, v)
 			}
 		}
--- a/internal/controlplane/store/damage_test.go
+++ b/internal/controlplane/store/damage_test.go
@@ -12,13 +12,13 @@
 	"go.etcd.io/bbolt"
 )
 
-// filled is the folder of one closed instance, with log and snapshots.
-func filled(t *testing.T) Config {
+// newFilledConfig is the folder of one closed instance, with log and snapshots.
+func newFilledConfig(t *testing.T) Config {
 	c := newCluster(t, "a")
 	for i := range 200 {
 		c.put("a", fmt.Sprint("k", i), "value")
 	}
-	c.until("a snapshot", func() bool {
+	c.waitFor("a snapshot", func() bool {
 		l, err := c.nodes["a"].store.snapshots.List()
 		return err == nil && len(l) > 0
 	})
@@ -26,7 +26,7 @@
 	return c.nodes["a"].cfg
 }
 
-func copied(t *testing.T, cfg Config) Config {
+func copyDataDir(t *testing.T, cfg Config) Config {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS(cfg.DataDir)); err != nil {
 		t.Fatal(err)
@@ -36,8 +36,8 @@
 }
 
 // Damage of whichever file stops the instance, which names it; nothing is served from it.
-func TestDamagedFilesStopTheInstance(t *testing.T) {
-	cfg := filled(t)
+func TestCorruptFilesStopInstance(t *testing.T) {
+	cfg := newFilledConfig(t)
 	for _, x := range []struct {
 		name, file string
 		damage     func(path string) error
@@ -73,7 +73,7 @@
 		{"a snapshot's description", "meta.json", func(path string) error { return os.WriteFile(path, []byte("{"), 0o600) }},
 		{"the identity", identityFile, func(path string) error { return os.WriteFile(path, []byte("?"), 0o600) }},
 	} {
-		bad := copied(t, cfg)
+		bad := copyDataDir(t, cfg)
 		hit := 0
 		err := filepath.WalkDir(bad.DataDir, func(path string, d os.DirEntry, err error) error {
 			if err == nil && d.Name() == x.file {
@@ -94,13 +94,13 @@
 			_ = s.Close()
 		}
 	}
-	other := copied(t, cfg)
+	other := copyDataDir(t, cfg)
 	other.Cluster = "another"
 	if _, err := Open(other); err == nil || !strings.Contains(err.Error(), `cluster "t"`) {
 		t.Errorf("another cluster's folder: %v", err)
 	}
 	// Killed in the middle of a snapshot: what is half written counts for nothing.
-	half := copied(t, cfg)
+	half := copyDataDir(t, cfg)
 	if err := os.MkdirAll(filepath.Join(half.DataDir, "snapshots", "9-9-9.tmp"), 0o700); err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +108,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if get(s, "k3") != "value" {
+	if getValue(s, "k3") != "value" {
 		t.Error("it does not hold what it held")
 	}
 	if err := s.Close(); err != nil {
--- a/internal/controlplane/store/history_test.go
+++ b/internal/controlplane/store/history_test.go
@@ -15,7 +15,7 @@
 
 // Counters written by all instances while leaders are killed and cut off: each step that is answered has been done
 // once, each that is refused not at all, and one in doubt at most once.
-func TestBatchesAreCarriedOutOnce(t *testing.T) {
+func TestBatchesAreAppliedOnce(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.leader()
 	stop := make(chan struct{})
@@ -29,12 +29,12 @@
 				for {
 					select {
 					case <-stop:
-						c.until("the count of "+key, func() (ok bool) {
+						c.waitFor("the count of "+key, func() (ok bool) {
 							s := c.store(id)
 							if s == nil {
 								return false
 							}
-							err := s.ReadLatest(patient, func(x *catalog.Catalog) {
+							err := s.ReadLatest(waitTimeout, func(x *catalog.Catalog) {
 								v := x.Pair(key).GetVersion()
 								ok = v >= sure && v <= sure+doubt
 							})
@@ -48,7 +48,7 @@
 						time.Sleep(time.Millisecond)
 						continue
 					}
-					switch r, err := s.Submit(set(key, "x"), 2*time.Second); {
+					switch r, err := s.Submit(setCommand(key, "x"), 2*time.Second); {
 					case err == nil && r.Refused == "":
 						sure++
 					case errors.Is(err, ErrUnknown):
@@ -65,14 +65,14 @@
 		c.open(id)
 		id = c.leader()
 		rest := []string{"a", "b", "c"}
-		c.split(true, []string{id}, rest)
-		c.split(true, rest, []string{id})
-		c.until("another leader", func() bool { return c.leader() != id })
-		c.split(false, rest, rest)
+		c.setBlocked(true, []string{id}, rest)
+		c.setBlocked(true, rest, []string{id})
+		c.waitFor("another leader", func() bool { return c.leader() != id })
+		c.setBlocked(false, rest, rest)
 	}
 	close(stop)
 	wg.Wait()
-	c.equal(nil)
+	c.waitForEqual(nil)
 }
 
 // Puts and reads of the latest are linearizable while leaders are killed and cut off.
@@ -107,7 +107,7 @@
 				op := porcupine.Operation{ClientId: client, Call: int64(time.Since(begin))}
 				if rng.IntN(2) == 0 {
 					v := fmt.Sprint(client, "-", i)
-					r, err := s.Submit(set("k", v), time.Second)
+					r, err := s.Submit(setCommand("k", v), time.Second)
 					op.Input, op.Output = in{true, v}, ""
 					if op.Return = int64(time.Since(begin)); errors.Is(err, ErrUnknown) {
 						op.Return = 1 << 62 // it may be done at any time
@@ -133,7 +133,7 @@
 		mu.Lock()
 		n := len(history) + 25
 		mu.Unlock()
-		c.until("more operations", func() bool {
+		c.waitFor("more operations", func() bool {
 			mu.Lock()
 			defer mu.Unlock()
 			return len(history) >= n
@@ -142,10 +142,10 @@
 	for range 2 {
 		more()
 		id := c.leader()
-		c.split(true, []string{id}, rest)
-		c.until("another leader", func() bool { return c.leader() != id })
+		c.setBlocked(true, []string{id}, rest)
+		c.waitFor("another leader", func() bool { return c.leader() != id })
 		more()
-		c.split(false, rest, rest)
+		c.setBlocked(false, rest, rest)
 		id = c.leader()
 		c.kill(id)
 		c.leader()
@@ -161,7 +161,7 @@
 		}
 		return output == state, state
 	}, Equal: func(a, b any) bool { return a == b }}
-	if got := porcupine.CheckOperationsTimeout(model, history, patient); got != porcupine.Ok {
+	if got := porcupine.CheckOperationsTimeout(model, history, waitTimeout); got != porcupine.Ok {
 		t.Errorf("%d operations: %v", len(history), got)
 	}
 }
--- a/internal/controlplane/store/killed_test.go
+++ b/internal/controlplane/store/killed_test.go
@@ -31,16 +31,16 @@
 	os.Exit(m.Run())
 }
 
-func lone(dir string) Config {
+func singleInstanceConfig(dir string) Config {
 	_, t := raft.NewInmemTransport("r-a")
 	return Config{Cluster: "t", ID: "a", Address: "r-a", Service: "s-a", Peers: []Peer{{"a", "r-a", "s-a"}}, DataDir: dir, ShortTimeouts: true,
-		Transport: t, Caller: caller{&cluster{}, "a"}}
+		Transport: t, Caller: testCaller{&cluster{}, "a"}}
 }
 
 // writeUntilKilled says each number once it is stored. Values are large, so that snapshots are being written most of
 // the time.
 func writeUntilKilled(dir string) {
-	s, err := Open(lone(dir))
+	s, err := Open(singleInstanceConfig(dir))
 	if err != nil {
 		fmt.Println(err)
 		os.Exit(1)
@@ -51,9 +51,9 @@
 	}
 	fill := strings.Repeat("x", 30<<10)
 	for i := from + 1; ; i++ {
-		_, err := s.Submit(set(fmt.Sprint("k", i%50), fill), patient)
+		_, err := s.Submit(setCommand(fmt.Sprint("k", i%50), fill), waitTimeout)
 		if err == nil {
-			_, err = s.Submit(set("last", fmt.Sprint(i)), patient)
+			_, err = s.Submit(setCommand("last", fmt.Sprint(i)), waitTimeout)
 		}
 		if err == nil {
 			fmt.Println(i)
@@ -63,7 +63,7 @@
 
 // An instance that is killed in the middle of snapshots and batches, at random moments, is never damaged, and holds
 // all that it said was stored.
-func TestKilledInTheMiddleOfASnapshot(t *testing.T) {
+func TestKilledDuringSnapshot(t *testing.T) {
 	const seed = 3
 	rng := rand.New(rand.NewPCG(seed, 0))
 	dir := t.TempDir()
@@ -96,12 +96,12 @@
 				}
 			}
 		}
-		s, err := Open(lone(dir))
+		s, err := Open(singleInstanceConfig(dir))
 		if err != nil {
 			t.Fatalf("seed %d, round %d: %v", seed, round, err)
 		}
 		got := -1
-		for end := time.Now().Add(patient); got < 0 && time.Now().Before(end); {
+		for end := time.Now().Add(waitTimeout); got < 0 && time.Now().Before(end); {
 			_ = s.ReadLatest(time.Second, func(c *catalog.Catalog) { got, _ = strconv.Atoi(string(c.Pair("last").GetValue())) })
 		}
 		if got < last {
--- a/internal/controlplane/store/membership_test.go
+++ b/internal/controlplane/store/membership_test.go
@@ -17,7 +17,7 @@
 )
 
 // An instance that lost its disk may have voted: it comes in anew, and only then votes.
-func TestAnEmptyDiskComesInAnew(t *testing.T) {
+func TestInstanceWithEmptyDiskRejoins(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.put(c.leader(), "k", "v")
 	id := c.follower()
@@ -26,35 +26,35 @@
 		t.Fatal(err)
 	}
 	c.open(id)
-	c.until("its vote", func() bool { return c.votes(id) && c.nodes[id].store.Mode() == mode.Following })
+	c.waitFor("its vote", func() bool { return c.isVoter(id) && c.nodes[id].store.Mode() == mode.Following })
 	c.put(id, "k2", "v2")
-	c.equal(map[string]string{"k": "v", "k2": "v2"})
+	c.waitForEqual(map[string]string{"k": "v", "k2": "v2"})
 }
 
 // A new instance joins, is killed in the middle of it and goes on; a dead one is replaced; one leaves.
-func TestMembershipChangesInService(t *testing.T) {
+func TestMembershipChanges(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.put(c.leader(), "k", "v")
 	c.add("d")
 	c.open("d")
-	c.until("its coming in", func() bool { return c.nodes["d"].store.raft.Load() != nil })
+	c.waitFor("its coming in", func() bool { return c.nodes["d"].store.raft.Load() != nil })
 	c.kill("d")
 	c.open("d")
-	c.until("its vote", func() bool { return c.votes("d") })
+	c.waitFor("its vote", func() bool { return c.isVoter("d") })
 	c.kill("c")
-	if err := c.nodes[c.leader()].store.RemoveInstance("c", patient); err != nil {
+	if err := c.nodes[c.leader()].store.RemoveInstance("c", waitTimeout); err != nil {
 		t.Fatal(err)
 	}
 	s := c.nodes["d"].store
-	c.until("three instances", func() bool { return len(s.Status().Servers) == 3 })
+	c.waitFor("three instances", func() bool { return len(s.Status().Servers) == 3 })
 	c.put("d", "k2", "v2")
-	c.equal(map[string]string{"k": "v", "k2": "v2"})
+	c.waitForEqual(map[string]string{"k": "v", "k2": "v2"})
 }
 
-// withoutCommands is a connection to the other instances over which no command gets through.
-type withoutCommands struct{ Caller }
+// submitBlocker is a connection to the other instances over which no command gets through.
+type submitBlocker struct{ Caller }
 
-func (c withoutCommands) Call(service string, call *pb.Call, limit time.Duration) (*pb.Reply, error) {
+func (c submitBlocker) Call(service string, call *pb.Call, limit time.Duration) (*pb.Reply, error) {
 	if call.GetSubmit() != nil {
 		return nil, ErrUnavailable
 	}
@@ -62,12 +62,12 @@
 }
 
 // Guards the removal of an instance that died before its first heartbeat was agreed on: the catalog has no record of it.
-func TestAnInstanceLeavesThatNeverSentAHeartbeat(t *testing.T) {
+func TestRemoveInstanceWithoutHeartbeat(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.put(c.leader(), "k", "v")
-	c.add("d").cfg.WrapCaller = func(all Caller) Caller { return withoutCommands{all} }
+	c.add("d").cfg.WrapCaller = func(all Caller) Caller { return submitBlocker{all} }
 	c.open("d")
-	c.until("its vote", func() bool { return c.votes("d") })
+	c.waitFor("its vote", func() bool { return c.isVoter("d") })
 	c.kill("d")
 	lead := c.nodes[c.leader()].store
 	lead.Read(func(x *catalog.Catalog) {
@@ -75,17 +75,17 @@
 			t.Fatal("its heartbeat came through")
 		}
 	})
-	if err := lead.RemoveInstance("d", patient); err != nil {
+	if err := lead.RemoveInstance("d", waitTimeout); err != nil {
 		t.Error(err)
 	}
-	if err := lead.RemoveInstance("never-there", patient); err == nil {
+	if err := lead.RemoveInstance("never-there", waitTimeout); err == nil {
 		t.Error("an id that nobody knows left")
 	}
 }
 
 // One instance is cut off, both ways or one way only: it serves what it holds, is told nothing wrong, and holds the
 // same as all once it is back. Its own writes are refused as never done or in doubt, not as done.
-func TestCutOffAndBack(t *testing.T) {
+func TestPartitionedInstanceRecovers(t *testing.T) {
 	for _, way := range []string{"both", "to it", "from it"} {
 		t.Run(way, func(t *testing.T) {
 			c := newCluster(t, "a", "b", "c")
@@ -98,40 +98,40 @@
 				}
 			}
 			if way != "from it" {
-				c.split(true, rest, []string{lead})
+				c.setBlocked(true, rest, []string{lead})
 			}
 			if way != "to it" {
-				c.split(true, []string{lead}, rest)
+				c.setBlocked(true, []string{lead}, rest)
 			}
 			if way == "both" {
-				c.until("the cut-off one's knowing", func() bool { return c.nodes[lead].store.Mode() == mode.Disconnected })
+				c.waitFor("the cut-off one's knowing", func() bool { return c.nodes[lead].store.Mode() == mode.Disconnected })
 				if err := c.nodes[lead].store.ReadLatest(300*time.Millisecond, func(*catalog.Catalog) {}); err == nil {
 					t.Error("a cut-off instance answers a read of the latest")
 				}
-				if _, err := c.nodes[lead].store.Submit(set("k", "lost"), 300*time.Millisecond); err == nil {
+				if _, err := c.nodes[lead].store.Submit(setCommand("k", "lost"), 300*time.Millisecond); err == nil {
 					t.Error("a cut-off instance takes a write")
 				}
 			}
 			writer := rest[0]
 			if way == "to it" { // its word still reaches the others, so it leads on; their calls do not reach it
-				if _, err := c.nodes[writer].store.Submit(set("k", "lost"), 300*time.Millisecond); !errors.Is(err, ErrUnavailable) && !errors.Is(err, ErrUnknown) {
+				if _, err := c.nodes[writer].store.Submit(setCommand("k", "lost"), 300*time.Millisecond); !errors.Is(err, ErrUnavailable) && !errors.Is(err, ErrUnknown) {
 					t.Errorf("a write that cannot arrive: %v", err)
 				}
 				writer = lead
 			}
 			c.put(writer, "k", "after")
-			if got := get(c.nodes[lead].store, "k"); way == "both" && got != "before" {
+			if got := getValue(c.nodes[lead].store, "k"); way == "both" && got != "before" {
 				t.Errorf("the cut-off one holds %q", got)
 			}
-			c.split(false, []string{"a", "b", "c"}, []string{"a", "b", "c"})
+			c.setBlocked(false, []string{"a", "b", "c"}, []string{"a", "b", "c"})
 			c.put(lead, "k2", "healed")
-			c.equal(map[string]string{"k2": "healed"})
+			c.waitForEqual(map[string]string{"k2": "healed"})
 		})
 	}
 }
 
 // A full disk at one instance harms no other, and its own log is whole when it can write again.
-func TestAFullDisk(t *testing.T) {
+func TestFullDisk(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.put(c.leader(), "k", "v")
 	for _, id := range []string{c.leader(), c.follower()} {
@@ -139,7 +139,7 @@
 		c.kill(id)
 		c.nodes[id].cfg.WrapLogStore = func(l raft.LogStore) raft.LogStore { full.LogStore = l; return full }
 		c.open(id)
-		c.until("its being in", func() bool { return c.votes(id) && c.nodes[id].store.Mode() != mode.CatchingUp })
+		c.waitFor("its being in", func() bool { return c.isVoter(id) && c.nodes[id].store.Mode() != mode.CatchingUp })
 		full.set(true)
 		for i := range 5 {
 			for other := range c.nodes {
@@ -150,7 +150,7 @@
 		}
 		full.set(false)
 		c.put(id, "k", "well again")
-		c.equal(map[string]string{"k": "well again"})
+		c.waitForEqual(map[string]string{"k": "well again"})
 	}
 }
 
@@ -178,7 +178,7 @@
 func (d *fullDisk) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
 
 // Writes from every instance reach all; the leader killed, a follower killed, each back from its disk, then all.
-func TestKilledInstancesComeBackFromTheirDisks(t *testing.T) {
+func TestKilledInstancesRecoverFromDisk(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.leader()
 	for _, id := range []string{"a", "b", "c"} {
@@ -193,7 +193,7 @@
 	c.put(lead, "k2", "after a follower")
 	c.open(other)
 	want := map[string]string{"from-a": "a", "from-b": "b", "from-c": "c", "k": "after the leader", "k2": "after a follower"}
-	c.equal(want)
+	c.waitForEqual(want)
 	for id := range c.nodes {
 		c.kill(id)
 	}
@@ -201,5 +201,5 @@
 		c.open(id)
 	}
 	c.leader()
-	c.equal(want)
+	c.waitForEqual(want)
 }
--- a/internal/controlplane/store/publish_test.go
+++ b/internal/controlplane/store/publish_test.go
@@ -11,8 +11,8 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// follower is a Publisher that holds what it has heard.
-type follower struct {
+// recordingPublisher is a Publisher that holds what it has heard.
+type recordingPublisher struct {
 	t *testing.T
 
 	mu     sync.Mutex
@@ -21,9 +21,11 @@
 	resets int
 }
 
-func newFollower(t *testing.T) *follower { return &follower{t: t, cat: catalog.New("t")} }
+func newRecordingPublisher(t *testing.T) *recordingPublisher {
+	return &recordingPublisher{t: t, cat: catalog.New("t")}
+}
 
-func (f *follower) Publish(rev uint64, changes []revision.Change) {
+func (f *recordingPublisher) Publish(rev uint64, changes []revision.Change) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if rev <= f.rev {
@@ -43,7 +45,7 @@
 	}
 }
 
-func (f *follower) Reset(rev uint64, records []revision.Record) {
+func (f *recordingPublisher) Reset(rev uint64, records []revision.Record) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if rev <= f.rev {
@@ -57,7 +59,7 @@
 }
 
 // holds reports whether the follower holds all that s distributes.
-func (f *follower) holds(s *Store) (same bool) {
+func (f *recordingPublisher) holds(s *Store) (same bool) {
 	s.Read(func(c *catalog.Catalog) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -66,13 +68,13 @@
 	return same
 }
 
-func (f *follower) count() int {
+func (f *recordingPublisher) count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.resets
 }
 
-func upsert(ids ...string) *pb.Command {
+func upsertCommand(ids ...string) *pb.Command {
 	p := &pb.UpsertMembers{Author: "t"}
 	for _, id := range ids {
 		p.Members = append(p.Members, &pb.Entry{Id: id, Address: id + ":1", State: "in_service"})
@@ -80,18 +82,18 @@
 	return &pb.Command{Body: &pb.Command_UpsertMembers{UpsertMembers: p}}
 }
 
-func drainOf(id string) *pb.Command {
+func drainCommand(id string) *pb.Command {
 	return &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: id, Reason: "test"}}}
 }
 
 // Who follows a voter's changes holds what the voter holds: while it writes, after a snapshot of the leader took the
 // place of log entries that it missed, and after a state was restored by hand, which has a newer revision.
-func TestWhoFollowsThePublishedChangesHoldsTheCatalog(t *testing.T) {
+func TestPublishedChangesReproduceCatalog(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	followers := map[string]*follower{}
+	followers := map[string]*recordingPublisher{}
 	reopen := func(id string) {
 		c.kill(id)
-		followers[id] = newFollower(t)
+		followers[id] = newRecordingPublisher(t)
 		c.nodes[id].cfg.Publisher = followers[id]
 		c.open(id)
 	}
@@ -100,14 +102,14 @@
 	}
 	same := func(when string) {
 		t.Helper()
-		c.equal(nil)
+		c.waitForEqual(nil)
 		for id, f := range followers {
-			c.until(fmt.Sprint("what ", id, " publishes ", when), func() bool { return f.holds(c.nodes[id].store) })
+			c.waitFor(fmt.Sprint("what ", id, " publishes ", when), func() bool { return f.holds(c.nodes[id].store) })
 		}
 	}
 	c.leader()
-	c.submit("a", upsert("m1", "m2", "m3"))
-	c.submit("b", drainOf("m2"))
+	c.submit("a", upsertCommand("m1", "m2", "m3"))
+	c.submit("b", drainCommand("m2"))
 	c.put("c", "k", "v")
 	c.submit("c", &pb.Command{Body: &pb.Command_RemoveMembers{RemoveMembers: &pb.RemoveMembers{Members: []string{"m3"}}}})
 	same("after writes")
@@ -118,10 +120,10 @@
 		c.put(writer, fmt.Sprint("k", i%7), fmt.Sprint(i))
 	}
 	reopen(away)
-	c.until("a snapshot at who was away", func() bool { return followers[away].count() > 0 })
+	c.waitFor("a snapshot at who was away", func() bool { return followers[away].count() > 0 })
 	same("after a snapshot")
 	lead := c.leader()
-	saved := encoded(t, c.nodes[lead].store)
+	saved := encodeCatalog(t, c.nodes[lead].store)
 	c.put(lead, "k", "later")
 	before := followers[lead].count()
 	if err := c.nodes[lead].store.Restore(saved); err != nil {
@@ -132,10 +134,10 @@
 	}
 	c.put(lead, "after", "the restore")
 	same("after a restore by hand")
-	c.equal(map[string]string{"k": "v", "after": "the restore"})
+	c.waitForEqual(map[string]string{"k": "v", "after": "the restore"})
 }
 
-func encoded(t *testing.T, s *Store) (b []byte) {
+func encodeCatalog(t *testing.T, s *Store) (b []byte) {
 	t.Helper()
 	var err error
 	if s.Read(func(c *catalog.Catalog) { b, err = c.Encode() }); err != nil {
@@ -147,26 +149,26 @@
 // submit has a command carried out.
 func (c *cluster) submit(from string, x *pb.Command) {
 	c.t.Helper()
-	if r, err := c.nodes[from].store.Submit(x, patient); err != nil || r.Refused != "" {
+	if r, err := c.nodes[from].store.Submit(x, waitTimeout); err != nil || r.Refused != "" {
 		c.t.Fatalf("%v: %v %v", x, r, err)
 	}
 }
 
 // An instance without a log publishes in the same way.
-func TestAnInstanceAlonePublishes(t *testing.T) {
-	f := newFollower(t)
+func TestStandaloneInstancePublishes(t *testing.T) {
+	f := newRecordingPublisher(t)
 	s, err := Open(Config{Cluster: "t", ID: "only", Publisher: f})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	for _, x := range []*pb.Command{upsert("m1", "m2"), drainOf("m1"), set("k", "v")} {
-		if r, err := s.Submit(x, patient); err != nil || r.Refused != "" {
+	for _, x := range []*pb.Command{upsertCommand("m1", "m2"), drainCommand("m1"), setCommand("k", "v")} {
+		if r, err := s.Submit(x, waitTimeout); err != nil || r.Refused != "" {
 			t.Fatal(r, err)
 		}
 	}
-	saved := encoded(t, s)
-	if r, err := s.Submit(set("k", "w"), patient); err != nil || r.Refused != "" {
+	saved := encodeCatalog(t, s)
+	if r, err := s.Submit(setCommand("k", "w"), waitTimeout); err != nil || r.Refused != "" {
 		t.Fatal(r, err)
 	}
 	if !f.holds(s) {
@@ -175,7 +177,7 @@
 	if err := s.Restore(saved); err != nil {
 		t.Fatal(err)
 	}
-	if !f.holds(s) || f.count() != 1 || get(s, "k") != "v" {
-		t.Errorf("after a restore: %d resets, k=%q", f.count(), get(s, "k"))
+	if !f.holds(s) || f.count() != 1 || getValue(s, "k") != "v" {
+		t.Errorf("after a restore: %d resets, k=%q", f.count(), getValue(s, "k"))
 	}
 }
--- a/internal/controlplane/store/rollout_test.go
+++ b/internal/controlplane/store/rollout_test.go
@@ -9,8 +9,8 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// subscribersOf is a voter's own count: ten subscribers, one of them behind, one that refused a change.
-func subscribersOf(id string) func(uint64) *pb.RolloutStatus {
+// rolloutStatusOf is a voter's own count: ten subscribers, one of them behind, one that refused a change.
+func rolloutStatusOf(id string) func(uint64) *pb.RolloutStatus {
 	return func(rev uint64) *pb.RolloutStatus {
 		return &pb.RolloutStatus{Revision: rev, Subscribers: 10, InForce: 9,
 			Lagging:  []*pb.Lagging{{Subscriber: "late-" + id, InForce: rev - 1}},
@@ -19,18 +19,18 @@
 }
 
 // Any voter tells how far a revision is, also of the others' subscribers; of one that does not answer it says so.
-func TestAnyVoterTellsTheRollout(t *testing.T) {
+func TestAnyVoterReportsRollout(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	for _, id := range []string{"a", "b", "c"} {
 		c.kill(id)
-		c.nodes[id].cfg.RolloutStatus = subscribersOf(id)
+		c.nodes[id].cfg.RolloutStatus = rolloutStatusOf(id)
 		c.open(id)
 	}
 	c.put(c.leader(), "k", "v")
-	c.equal(nil)
+	c.waitForEqual(nil)
 	for id, n := range c.nodes {
-		c.until("its configuration", func() bool { return c.votes(id) })
-		r, err := n.store.Rollout(7, patient)
+		c.waitFor("its configuration", func() bool { return c.isVoter(id) })
+		r, err := n.store.Rollout(7, waitTimeout)
 		if err != nil || r.Revision != 7 || r.Subscribers != 30 || r.Applied != 27 || len(r.Unreachable) != 0 ||
 			!reflect.DeepEqual(r.Answered, []string{"a", "b", "c"}) || r.Lagging[0] != (LaggingSubscriber{"late-a", 6}) ||
 			r.Refusals[2] != (RolloutRefusal{"late-c", 7, "config", "unreadable"}) {
@@ -47,7 +47,7 @@
 }
 
 // However much the voters name, a report stays short and begins with those furthest behind.
-func TestAReportIsBounded(t *testing.T) {
+func TestRolloutReportIsBounded(t *testing.T) {
 	var r RolloutReport
 	for voter := range 5 {
 		status := &pb.RolloutStatus{Subscribers: 100}
@@ -63,8 +63,8 @@
 	}
 }
 
-func TestRolloutAlone(t *testing.T) {
-	s, err := Open(Config{ID: "only", RolloutStatus: subscribersOf("only")})
+func TestRolloutStandalone(t *testing.T) {
+	s, err := Open(Config{ID: "only", RolloutStatus: rolloutStatusOf("only")})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/store/sockets_test.go
+++ b/internal/controlplane/store/sockets_test.go
@@ -50,19 +50,19 @@
 
 // A list of twice the planned fleet goes through a follower as one command: 2.6 MB, more than a connection queues
 // unless it is told to.
-func TestALongCommandOverSockets(t *testing.T) {
+func TestLargeCommandOverSockets(t *testing.T) {
 	c, _ := socketCluster(t)
 	c.put(c.leader(), "k", "v")
 	var fleet []string
 	for i := range 42000 {
 		fleet = append(fleet, fmt.Sprintf("database-%05d.some-zone", i))
 	}
-	c.until("the list", func() bool { // a leader that is replaced meanwhile leaves it in doubt: it is sent again
-		r, err := c.nodes[c.follower()].store.Submit(upsert(fleet...), patient)
+	c.waitFor("the list", func() bool { // a leader that is replaced meanwhile leaves it in doubt: it is sent again
+		r, err := c.nodes[c.follower()].store.Submit(upsertCommand(fleet...), waitTimeout)
 		return err == nil && r.Refused == ""
 	})
-	for _, s := range c.up() { // not by digests: to take three of 42,000 members lasts longer than from one beat to the next
-		c.until("the list at "+s.ID(), func() (there bool) {
+	for _, s := range c.running() { // not by digests: to take three of 42,000 members lasts longer than from one beat to the next
+		c.waitFor("the list at "+s.ID(), func() (there bool) {
 			s.Read(func(x *catalog.Catalog) { there = x.Counts()["members"] == len(fleet) })
 			return there
 		})
@@ -77,13 +77,13 @@
 	for _, p := range peers {
 		c.put(p.ID, "k"+p.ID, "v")
 	}
-	c.equal(map[string]string{"ka": "v", "kb": "v", "kc": "v"})
+	c.waitForEqual(map[string]string{"ka": "v", "kb": "v", "kc": "v"})
 	stranger := start("other", Peer{"x", freeAddress(t), freeAddress(t)})
-	if r, err := stranger.call(peers[0].Service, &pb.Call{Body: &pb.Call_Join{Join: &pb.Join{Id: "x", Address: "y"}}}, patient); err != nil || !strings.Contains(r.Refused, `cluster "t"`) {
+	if r, err := stranger.call(peers[0].Service, &pb.Call{Body: &pb.Call_Join{Join: &pb.Join{Id: "x", Address: "y"}}}, waitTimeout); err != nil || !strings.Contains(r.Refused, `cluster "t"`) {
 		t.Errorf("the stranger's call: %v %v", r, err)
 	}
 	l := &streamLayer{cluster: "other"}
-	if conn, err := l.Dial(raft.ServerAddress(peers[0].Address), patient); err == nil {
+	if conn, err := l.Dial(raft.ServerAddress(peers[0].Address), waitTimeout); err == nil {
 		t.Error("the stranger may replicate")
 		conn.Close()
 	}
@@ -102,11 +102,11 @@
 	if err := lead.Restore(bad); !errors.Is(err, catalog.ErrCorrupt) {
 		t.Errorf("a damaged snapshot: %v", err)
 	}
-	if get(lead, "ka") != "later" {
+	if getValue(lead, "ka") != "later" {
 		t.Error("a damaged snapshot changed something")
 	}
 	if err := lead.Restore(good); err != nil {
 		t.Fatal(err)
 	}
-	c.equal(map[string]string{"ka": "v"})
+	c.waitForEqual(map[string]string{"ka": "v"})
 }
