--- a/internal/controlplane/agent/members.go
+++ b/internal/controlplane/agent/members.go
@@ -77,11 +77,11 @@
 		version = 0
 	}
 	a.merger.SetCatalog(version, members)
-	a.starts = map[string]aspenshed.ColdShare{}
+	a.starts = map[string]aspenshed.SlowStartShare{}
 	for _, m := range members {
 		a.recordStart(m)
 	}
-	maps.DeleteFunc(a.postedShares, func(id string, _ aspenshed.ColdShare) bool { _, here := a.starts[id]; return !here })
+	maps.DeleteFunc(a.postedShares, func(id string, _ aspenshed.SlowStartShare) bool { _, here := a.starts[id]; return !here })
 }
 
 // applyMemberChanges brings what follows from single members up to date.
@@ -119,7 +119,7 @@
 // recordStart remembers whether a member's start is warm.
 func (a *Agent) recordStart(m *pb.Member) {
 	if m.Start > 0 {
-		a.starts[m.Entry.Id] = aspenshed.ColdShare{Member: m.Entry.Id, StartedAt: aspenshed.Nanos(m.Start), Warm: !catalog.IsWarming(m)}
+		a.starts[m.Entry.Id] = aspenshed.SlowStartShare{Member: m.Entry.Id, StartedAt: aspenshed.Nanos(m.Start), WarmedUp: !catalog.IsWarming(m)}
 	}
 }
 
@@ -150,7 +150,7 @@
 
 // postMemberList has the loop take a list, or a part of it.
 func (a *Agent) postMemberList(whole bool, list []roster.Entry) {
-	l, addresses := aspenshed.MemberList{Whole: whole}, map[string]string{}
+	l, addresses := aspenshed.MemberList{Complete: whole}, map[string]string{}
 	for _, t := range list {
 		t.Primary = t.Primary || a.postedPrimaries[t.ID]
 		l.Members = append(l.Members, t.Member)
@@ -162,8 +162,8 @@
 // postShares tells what is new of each start: that it is warm, or what may be sent to it while it is cold. It comes
 // after the list that names the start.
 func (a *Agent) postShares(now aspenshed.Nanos, n catalogChanges) {
-	var updates []aspenshed.ColdShare
-	tell := func(x aspenshed.ColdShare) {
+	var updates []aspenshed.SlowStartShare
+	tell := func(x aspenshed.SlowStartShare) {
 		if old, told := a.postedShares[x.Member]; !told || old != x && !nearlyEqual(old, x) {
 			a.postedShares[x.Member] = x
 			updates = append(updates, x)
@@ -171,8 +171,8 @@
 	}
 	for _, m := range a.warmingMembers {
 		x := a.starts[m.Entry.Id]
-		x.Part, x.Until = a.holder.Share(now, x.Member, m.Start)
-		x.Rate = a.groupSummaries[catalog.GroupOf(m.Entry)].WarmRate
+		x.LeasedShare, x.Until = a.holder.Share(now, x.Member, m.Start)
+		x.WorkRate = a.groupSummaries[catalog.GroupOf(m.Entry)].WarmRate
 		tell(x)
 	}
 	a.eachWarmedUp(n, tell)
@@ -186,16 +186,16 @@
 }
 
 // eachWarmedUp calls f for warm starts that may be new: thousands are not looked at at each tick.
-func (a *Agent) eachWarmedUp(n catalogChanges, f func(aspenshed.ColdShare)) {
+func (a *Agent) eachWarmedUp(n catalogChanges, f func(aspenshed.SlowStartShare)) {
 	if n.whole {
 		for _, x := range a.starts {
-			if x.Warm {
+			if x.WarmedUp {
 				f(x)
 			}
 		}
 	}
 	for _, id := range n.changed {
-		if x, here := a.starts[id]; here && x.Warm {
+		if x, here := a.starts[id]; here && x.WarmedUp {
 			f(x)
 		}
 	}
--- a/internal/dataplane/dispatch/attempt.go
+++ b/internal/dataplane/dispatch/attempt.go
@@ -30,7 +30,7 @@
 	r, p := s.FindRequest(id), s.pools[member]
 	if r == nil { // its client left while the module decided, in the same batch: what that counted is given back
 		s.Loop.Post(func() {
-			s.Emit(aspenshed.Answer{ID: id, Attempt: n, Member: member, Outcome: aspenshed.NotSent, Over: true})
+			s.Emit(aspenshed.AttemptResult{ID: id, Attempt: n, Member: member, Outcome: aspenshed.NotSent, Final: true})
 		})
 		return
 	}
@@ -92,7 +92,7 @@
 		s.acquireConnection(a)
 		return
 	}
-	s.finishLater(a, request.Result{Outcome: aspenshed.NoLink, Detail: detail})
+	s.finishLater(a, request.Result{Outcome: aspenshed.ConnectFailed, Detail: detail})
 }
 
 // Cancel gives one attempt up.
@@ -105,7 +105,7 @@
 // abort closes the attempt's connection before anything else may be sent for its request.
 func (s *Stage) abort(a *attempt, o aspenshed.Outcome) {
 	if o == aspenshed.TimedOut && (a.conn == nil || !a.conn.ready || !a.conn.backendConn.MayHaveSent()) {
-		o = aspenshed.NoLink // the statement never left: no connection came up in time
+		o = aspenshed.ConnectFailed // the statement never left: no connection came up in time
 	}
 	if a.conn != nil {
 		a.conn.close()
@@ -163,7 +163,7 @@
 	if a.pool != nil {
 		member = a.pool.memberID
 	}
-	neverRan := res.Outcome == aspenshed.Full || res.Outcome == aspenshed.NoLink || res.Outcome == aspenshed.NotSent || res.Outcome == aspenshed.Turned
+	neverRan := res.Outcome == aspenshed.Overloaded || res.Outcome == aspenshed.ConnectFailed || res.Outcome == aspenshed.NotSent || res.Outcome == aspenshed.Ineligible
 	a.request.InFlight = false
 	res.Elapsed, res.IdleTime = s.Loop.Now()-a.startedAt, a.connIdleTime
 	a.request.MayHaveRun = a.request.MayHaveRun || !neverRan
@@ -171,12 +171,12 @@
 	if a.request.Responded {
 		s.OnSettled(a.request)
 	}
-	answered := res.Outcome == aspenshed.Served || res.Outcome == aspenshed.Rejected
+	answered := res.Outcome == aspenshed.Served || res.Outcome == aspenshed.StatementError
 	if answered {
 		s.OnAnswer(a.request, res)
-	} else if a.request.LastError = nil; res.Outcome == aspenshed.Errored {
+	} else if a.request.LastError = nil; res.Outcome == aspenshed.ErrorResponse {
 		a.request.LastError = res.Value
 	}
-	s.Emit(aspenshed.Answer{ID: a.request.ID, Attempt: a.number, Member: member, Outcome: res.Outcome, Over: answered || a.request.Responded,
-		Took: s.Loop.Now() - a.startedAt, Role: res.Role, Position: res.Position, Report: res.Report})
+	s.Emit(aspenshed.AttemptResult{ID: a.request.ID, Attempt: a.number, Member: member, Outcome: res.Outcome, Final: answered || a.request.Responded,
+		Duration: s.Loop.Now() - a.startedAt, Role: res.Role, Position: res.Position, Report: res.Report})
 }
--- a/internal/dataplane/dispatch/connection.go
+++ b/internal/dataplane/dispatch/connection.go
@@ -51,7 +51,7 @@
 	case l.probing:
 		if !l.backendConn.Probe() {
 			l.close()
-			s.Loop.Post(func() { s.finishProbe(l, request.Result{Outcome: aspenshed.NoLink}) })
+			s.Loop.Post(func() { s.finishProbe(l, request.Result{Outcome: aspenshed.ConnectFailed}) })
 		}
 	}
 }
@@ -82,7 +82,7 @@
 	a := l.attempt
 	l.attempt = nil
 	l.close()
-	l.stage.finishLater(a, request.Result{Outcome: aspenshed.Turned, Detail: why})
+	l.stage.finishLater(a, request.Result{Outcome: aspenshed.Ineligible, Detail: why})
 }
 
 // Ready is called when the member is ready for a statement.
@@ -137,9 +137,9 @@
 	if err != nil {
 		detail = err.Error()
 	}
-	r := request.Result{Outcome: aspenshed.NoLink, Detail: detail}
+	r := request.Result{Outcome: aspenshed.ConnectFailed, Detail: detail}
 	if how == request.LostAfterSend {
-		r.Outcome = aspenshed.LinkBroke
+		r.Outcome = aspenshed.ConnectionLost
 	}
 	switch a := l.attempt; {
 	case a != nil && how == request.LostAfterSend:
--- a/internal/dataplane/pipeline/pipeline.go
+++ b/internal/dataplane/pipeline/pipeline.go
@@ -44,10 +44,10 @@
 
 // New wires an pipeline.
 func New(c Config) *Pipeline {
-	c.Settings.MayCopy = false // send carries one attempt of a request at a time, wherever more are allowed
+	c.Settings.MayHedge = false // send carries one attempt of a request at a time, wherever more are allowed
 	e := &Pipeline{Loop: c.Loop, config: c}
 	e.Accounting = accounting.New(c.Loop, c.Log)
-	e.Response = response.Stage{Loop: c.Loop, Grace: c.Settings.AnswerSlack / 2, OnResponse: func(r *request.Request, f request.Response) {
+	e.Response = response.Stage{Loop: c.Loop, Grace: c.Settings.ResponseSlack / 2, OnResponse: func(r *request.Request, f request.Response) {
 		e.Accounting.CountResponse(r, f)
 		e.Dispatch.Withdraw(r)
 		if !e.Dispatch.HasAttempt(r) {
@@ -55,13 +55,13 @@
 		}
 	}, OnDeadline: func(r *request.Request) {
 		c.Log.WithFields(logrus.Fields{"request": r.ID, "class": r.Class}).Warn("request answered at its deadline without the decision module")
-		e.Routing.AddEvent(aspenshed.Left{ID: r.ID})
+		e.Routing.AddEvent(aspenshed.RequestWithdrawn{ID: r.ID})
 	}}
 	e.Dispatch = dispatch.Stage{Loop: c.Loop, Log: c.Log, Backend: c.Backend, ConnectTimeout: c.Settings.ConnectTimeout,
-		IdleClose: c.Settings.IdleClose, RemovalNotBinding: c.Settings.RemovalIsSoft, FindRequest: e.Response.Get, Emit: e.Routing.AddEvent,
+		IdleClose: c.Settings.IdleTimeout, RemovalNotBinding: c.Settings.RemovalIsAdvisory, FindRequest: e.Response.Get, Emit: e.Routing.AddEvent,
 		OnAnswer: func(r *request.Request, res request.Result) {
 			f := request.Response{Status: request.Served, Value: res.Value}
-			if res.Outcome == aspenshed.Rejected {
+			if res.Outcome == aspenshed.StatementError {
 				f.Status, f.Reason = request.Failed, res.Detail
 			}
 			e.Response.Respond(r, f)
@@ -114,16 +114,16 @@
 func (e *Pipeline) Tell(x aspenshed.Event) { e.Routing.AddEvent(x) }
 
 // Learned is what the module has learned, where it is one that tells.
-func (e *Pipeline) Learned() (aspenshed.Learned, bool) { return e.Routing.Learned() }
+func (e *Pipeline) Learned() (aspenshed.LearnedState, bool) { return e.Routing.Learned() }
 
 // DiscoveryFailed says that the list cannot be had just now.
-func (e *Pipeline) DiscoveryFailed(b aspenshed.DiscoveryBroke) { e.Routing.AddEvent(b) }
+func (e *Pipeline) DiscoveryFailed(b aspenshed.DiscoveryFailed) { e.Routing.AddEvent(b) }
 
 // Abandon says that a request's client has gone.
 func (e *Pipeline) Abandon(r *request.Request) {
 	if !r.Responded {
 		e.Response.Respond(r, request.Response{Status: request.ClientGone})
-		e.Routing.AddEvent(aspenshed.Left{ID: r.ID})
+		e.Routing.AddEvent(aspenshed.RequestWithdrawn{ID: r.ID})
 	}
 }
 
@@ -131,7 +131,7 @@
 func (e *Pipeline) FailAll(reason string) {
 	for _, r := range e.Response.AllPending() {
 		e.Response.Respond(r, e.Response.FallbackResponse(r, reason))
-		e.Routing.AddEvent(aspenshed.Left{ID: r.ID})
+		e.Routing.AddEvent(aspenshed.RequestWithdrawn{ID: r.ID})
 	}
 }
 
--- a/internal/dataplane/routing/routing.go
+++ b/internal/dataplane/routing/routing.go
@@ -56,7 +56,7 @@
 	if err := s.resetDecider(); err != nil {
 		return err
 	}
-	s.UpdateMembers(aspenshed.MemberList{Whole: true, Remnant: true, Members: known})
+	s.UpdateMembers(aspenshed.MemberList{Complete: true, Cached: true, Members: known})
 	return nil
 }
 
@@ -76,18 +76,18 @@
 // Submit asks the module about a request.
 func (s *Stage) Submit(r *request.Request) {
 	s.AddEvent(aspenshed.Request{ID: r.ID, Class: r.Class, Group: r.Group, Tenant: r.Tenant, Session: r.Session,
-		Remaining: max(r.Deadline-s.Loop.Now(), 1), SinceCommit: r.SinceCommit, Repeat: r.IsRetry})
+		Remaining: max(r.Deadline-s.Loop.Now(), 1), SinceCommit: r.SinceCommit, IsRetry: r.IsRetry})
 }
 
 // UpdateMembers takes news of the member list.
 func (s *Stage) UpdateMembers(l aspenshed.MemberList) {
-	if l.Whole {
+	if l.Complete {
 		s.members, s.memberOrder = map[string]aspenshed.Member{}, nil
 	}
 	for _, m := range l.Members {
 		_, old := s.members[m.ID]
 		switch s.knownGroups[m.Group] = true; {
-		case m.State == aspenshed.Gone: // ids are always new: those that left must not be kept
+		case m.State == aspenshed.Removed: // ids are always new: those that left must not be kept
 			delete(s.members, m.ID)
 			s.memberOrder = slices.DeleteFunc(s.memberOrder, func(id string) bool { return id == m.ID })
 			continue
@@ -100,11 +100,11 @@
 }
 
 // Learned is what the Router has learned; false: another Decider is in its place.
-func (s *Stage) Learned() (aspenshed.Learned, bool) {
+func (s *Stage) Learned() (aspenshed.LearnedState, bool) {
 	if r, ok := s.decider.(*aspenshed.Router); ok {
 		return r.Learned(), true
 	}
-	return aspenshed.Learned{}, false
+	return aspenshed.LearnedState{}, false
 }
 
 // AddEvent keeps an event for the next Step.
@@ -143,7 +143,7 @@
 		return
 	}
 	s.pendingEvents = nil
-	s.AddEvent(aspenshed.MemberList{Whole: true, Remnant: true, Members: s.LastMembers()})
+	s.AddEvent(aspenshed.MemberList{Complete: true, Cached: true, Members: s.LastMembers()})
 	s.Loop.Post(func() {})
 }
 
@@ -159,22 +159,22 @@
 func (s *Stage) execute(a aspenshed.Action) {
 	switch a := a.(type) {
 	case aspenshed.Send:
-		s.Executor.Send(a.ID, a.Member, a.Attempt, a.GiveUpAt, a.LeaveBy)
+		s.Executor.Send(a.ID, a.Member, a.Attempt, a.Deadline, a.SendBy)
 	case aspenshed.Cancel:
 		s.Executor.Cancel(a.ID, a.Attempt)
 	case aspenshed.Probe:
 		s.Executor.Probe(a.Member)
-	case aspenshed.ClosePool:
+	case aspenshed.CloseIdleConnections:
 		s.Executor.ClosePool(a.Member)
 	case aspenshed.Refuse:
-		s.Executor.Refuse(a.ID, a.RetryIn)
+		s.Executor.Refuse(a.ID, a.RetryAfter)
 	case aspenshed.Fail:
 		s.Executor.Fail(a.ID)
 	case aspenshed.Watch:
 		s.Executor.Watch()
-	case aspenshed.Wake:
-		s.Loop.At(s.Loop.Now()+a.After, func() { s.AddEvent(aspenshed.Woke{Label: a.Label}) })
-	case aspenshed.Note:
+	case aspenshed.SetTimer:
+		s.Loop.At(s.Loop.Now()+a.After, func() { s.AddEvent(aspenshed.TimerFired{Label: a.Label}) })
+	case aspenshed.LogMessage:
 		s.Log.WithField("note", a.Text).Info("decision module")
 	}
 }
