--- a/internal/controlplane/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -1,6 +1,7 @@
-// Package lease decides on leases of cold capacity: Holder when to ask for them and until when they hold, Grantor
-// when they have surely run out and when a cold member is warm. Neither reads a clock: times are those of the
-// instance's own monotonic clock, handed in. docs/design/store.md proves what they keep together.
+// Package lease implements leases on the capacity of members in slow start. Holder decides when to request leases and
+// how long they are valid; Grantor decides when a lease has certainly expired and when a member is warmed up. Neither
+// reads a clock: times come from the instance's own monotonic clock and are passed in. docs/design/store.md proves the
+// invariants that they maintain together.
 package lease
 
 import (
@@ -14,18 +15,18 @@
 )
 
 const (
-	maxPendingRequests = 4   // asks without an answer that are remembered of one member; the oldest goes
-	retryFraction      = 0.2 // of the duration: between two asks without an answer
-	renewFraction      = 0.4 // of the duration, from the ask: a new one is asked for then, so that one lost answer does no harm
+	maxPendingRequests = 4   // unanswered requests remembered per member; the oldest is dropped
+	retryFraction      = 0.2 // of the lease duration: interval between two unanswered requests
+	renewFraction      = 0.4 // of the lease duration since the request: one lost response does no harm
 )
 
-// memberStart names a member's start.
+// memberStart identifies one start of a member.
 type memberStart struct {
 	member string
 	start  int64
 }
 
-// Holder keeps an instance's leases. A lease counts from when it was asked for, before anyone could have granted it.
+// Holder tracks the leases that an instance holds. A lease is timed from its request, which precedes any grant of it.
 type Holder struct {
 	instance, boot string
 	duration       aspenshed.Nanos
@@ -34,11 +35,11 @@
 }
 
 type heldLease struct {
-	pending       []pendingRequest // without an answer, the newest last
+	pending       []pendingRequest // unanswered, newest last
 	lastRequestAt aspenshed.Nanos
-	serial        uint64 // of the lease in force
+	serial        uint64 // of the current lease; 0: none
 	share         float64
-	requestedAt   aspenshed.Nanos // when it was asked for
+	requestedAt   aspenshed.Nanos // of the current lease
 	expiresAt     aspenshed.Nanos
 }
 
@@ -47,22 +48,22 @@
 	sentAt aspenshed.Nanos
 }
 
-// NewHolder makes an instance's. Its boot tells its nonces from those before a restart: what was granted to those
-// is not used, as nobody knows when they were asked for.
+// NewHolder creates the holder of one instance. boot distinguishes its nonces from those before a restart: a grant to
+// an earlier nonce is not used, as the time of its request is unknown.
 func NewHolder(instance, boot string, duration aspenshed.Nanos) *Holder {
 	return &Holder{instance: instance, boot: boot, duration: duration, leases: map[memberStart]*heldLease{}}
 }
 
-// Step takes what the local replica says of members and returns what to ask for. want is the work a second that
-// this instance has for members of a group.
-func (h *Holder) Step(now aspenshed.Nanos, members []*pb.Member, want func(group int32) float64) (asks []*pb.Ask) {
-	cold := map[memberStart]bool{}
+// Step processes the members as the local replica has them and returns the lease requests to send. demand returns the
+// work per second that this instance has for a group's members.
+func (h *Holder) Step(now aspenshed.Nanos, members []*pb.Member, demand func(group int32) float64) (requests []*pb.Ask) {
+	warming := map[memberStart]bool{}
 	for _, m := range members {
 		if !catalog.IsWarming(m) {
 			continue
 		}
 		k := memberStart{m.Entry.Id, m.Start}
-		cold[k] = true
+		warming[k] = true
 		x := h.leases[k]
 		if x == nil {
 			x = &heldLease{}
@@ -79,16 +80,16 @@
 				x.pending = slices.Delete(x.pending, 0, 1)
 			}
 			x.pending = append(x.pending, a)
-			asks = append(asks, &pb.Ask{Member: m.Entry.Id, Start: m.Start, Instance: h.instance, Nonce: a.nonce,
-				Want: want(m.Entry.Group), Duration: int64(h.duration)})
+			requests = append(requests, &pb.Ask{Member: m.Entry.Id, Start: m.Start, Instance: h.instance, Nonce: a.nonce,
+				Want: demand(m.Entry.Group), Duration: int64(h.duration)})
 		}
 	}
-	for k := range h.leases { // warm, gone or started again: nothing is held of that start
-		if !cold[k] {
+	for k := range h.leases { // warmed up, removed or restarted: its leases have ended
+		if !warming[k] {
 			delete(h.leases, k)
 		}
 	}
-	return asks
+	return requests
 }
 
 func (h *Holder) applyGrant(x *heldLease, l *pb.Lease) {
@@ -103,8 +104,8 @@
 	x.pending = slices.Delete(x.pending, 0, i+1)
 }
 
-// Share is the part of a cold member's budget that the instance may use until then; 0: it holds no valid lease, and
-// the safe share is all it has. The safe share comes on top of a lease.
+// Share returns the part of a warming member's budget that the instance may use, and until when. 0 means that it holds
+// no valid lease and has the safe share only. The safe share comes on top of a lease.
 func (h *Holder) Share(now aspenshed.Nanos, member string, start int64) (share float64, until aspenshed.Nanos) {
 	if x := h.leases[memberStart{member, start}]; x != nil && now < x.expiresAt {
 		return x.share, x.expiresAt
@@ -112,40 +113,40 @@
 	return 0, 0
 }
 
-// Grantor watches leases and cold members on every instance; only the leader's word on them is asked for. It counts
-// from when its own replica first showed them, which is never before the grant: so a new leader, or one that has
-// started again, waits longer, never shorter.
+// Grantor tracks leases and warming members on every instance; only the leader's proposals are used. It times them from
+// when its own replica first showed them, which is never before the grant, so a new or restarted leader waits longer,
+// never shorter.
 type Grantor struct {
 	leaseSeenAt   map[uint64]aspenshed.Nanos
 	warmingSeenAt map[memberStart]aspenshed.Nanos
-	proposedAt    map[any]aspenshed.Nanos // when a command was last proposed: it is not repeated at once
+	proposedAt    map[any]aspenshed.Nanos // last proposal of a command, which limits its retries
 }
 
 const proposalRetryInterval = aspenshed.Nanos(1e9)
 
-// NewGrantor makes one.
+// NewGrantor creates a Grantor without any leases.
 func NewGrantor() *Grantor {
 	return &Grantor{leaseSeenAt: map[uint64]aspenshed.Nanos{}, warmingSeenAt: map[memberStart]aspenshed.Nanos{}, proposedAt: map[any]aspenshed.Nanos{}}
 }
 
-// MaxLifetime is how long a lease of that duration may last at its holder, by this instance's own clock: its holder's
-// may run slow by the bound while this one runs fast.
+// MaxLifetime returns how long a lease of that duration may be valid at its holder, measured by this instance's clock:
+// the holder's clock may run slow by the bound while this one runs fast.
 func MaxLifetime(duration int64, bound float64) aspenshed.Nanos {
 	return aspenshed.Nanos(float64(duration) * (1 + bound) / (1 - bound))
 }
 
-// Step returns what to propose. Without the lead it only watches.
-func (g *Grantor) Step(now aspenshed.Nanos, leads bool, members []*pb.Member, rules *pb.Rules) (out []*pb.Command) {
-	seenLease, seenCold := map[uint64]bool{}, map[memberStart]bool{}
-	propose := func(what any, c *pb.Command) {
-		if at, ok := g.proposedAt[what]; leads && (!ok || now >= at+proposalRetryInterval) {
-			g.proposedAt[what] = now
+// Step returns the commands to propose. On an instance that does not lead it only observes.
+func (g *Grantor) Step(now aspenshed.Nanos, isLeader bool, members []*pb.Member, rules *pb.Rules) (out []*pb.Command) {
+	seenLeases, seenWarming := map[uint64]bool{}, map[memberStart]bool{}
+	propose := func(key any, c *pb.Command) {
+		if at, ok := g.proposedAt[key]; isLeader && (!ok || now >= at+proposalRetryInterval) {
+			g.proposedAt[key] = now
 			out = append(out, c)
 		}
 	}
 	for _, m := range members {
 		for _, l := range m.Leases {
-			seenLease[l.Serial] = true
+			seenLeases[l.Serial] = true
 			at, known := g.leaseSeenAt[l.Serial]
 			if !known {
 				g.leaseSeenAt[l.Serial], at = now, now
@@ -159,23 +160,23 @@
 			continue
 		}
 		k := memberStart{m.Entry.Id, m.Start}
-		seenCold[k] = true
+		seenWarming[k] = true
 		at, known := g.warmingSeenAt[k]
 		if !known {
 			g.warmingSeenAt[k], at = now, now
 		}
-		if now >= at+aspenshed.Nanos(float64(rules.ColdFor)*(1+rules.ClockBound)) { // this clock may run fast
+		if now >= at+aspenshed.Nanos(float64(rules.ColdFor)*(1+rules.ClockBound)) { // own clock may run fast
 			propose(k, &pb.Command{Body: &pb.Command_Warm{Warm: &pb.Warm{Member: m.Entry.Id, Start: m.Start}}})
 		}
 	}
 	for s := range g.leaseSeenAt {
-		if !seenLease[s] {
+		if !seenLeases[s] {
 			delete(g.leaseSeenAt, s)
 			delete(g.proposedAt, s)
 		}
 	}
 	for k := range g.warmingSeenAt {
-		if !seenCold[k] {
+		if !seenWarming[k] {
 			delete(g.warmingSeenAt, k)
 			delete(g.proposedAt, k)
 		}
--- a/internal/controlplane/lease/sim_test.go
+++ b/internal/controlplane/lease/sim_test.go
@@ -14,12 +14,12 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// sim is a cluster of catalog replicas in simulated time. The log is what a majority has agreed on; replicas apply it
-// late, are cut off, crash and come back from the log's beginning. Each has a clock of its own that starts anywhere
-// and runs at a rate within the bound.
+// sim is a cluster of catalog replicas in simulated time. The log holds the committed entries; replicas apply it late,
+// are partitioned, crash and replay it from the beginning. Each has its own clock, with a random offset and a rate
+// within the bound.
 type sim struct {
 	rng      *rand.Rand
-	now      int64 // real, ns
+	now      int64 // real time, ns
 	log      []*pb.Batch
 	nodes    []*node
 	leader   int // -1: none
@@ -32,13 +32,13 @@
 	rate        float64
 	clockOffset int64
 	up          bool
-	partition   int // of the split; nodes hear only those on their side
+	partition   int // nodes reach only those in the same partition
 	applied     int
 	catalog     *catalog.Catalog
 	holder      *Holder
 	grantor     *Grantor
 	seq         uint64
-	firstSeen   map[string]int64 // member and start: when this instance first heard of it, by its own clock
+	firstSeen   map[string]int64 // by member and start: when this instance first saw it, by its own clock
 }
 
 type inFlightCommand struct {
@@ -56,7 +56,7 @@
 	for i := range n {
 		x := &node{id: fmt.Sprint("i", i), rate: 0.95 + 0.1*s.rng.Float64(), clockOffset: s.rng.Int64N(1e15)}
 		if i < 2 {
-			x.rate = []float64{0.95, 1.05}[i] // the two ends of the bound
+			x.rate = []float64{0.95, 1.05}[i] // both limits of the bound
 		}
 		s.nodes = append(s.nodes, x)
 		s.restart(x)
@@ -70,7 +70,7 @@
 	n.holder, n.grantor = NewHolder(n.id, fmt.Sprint(n.boot), 4e9), NewGrantor()
 }
 
-// majority tells whether n reaches more than half.
+// majority reports whether n reaches more than half of the nodes.
 func (s *sim) majority(n *node) bool {
 	k := 0
 	for _, x := range s.nodes {
@@ -85,14 +85,14 @@
 	n := s.nodes[by]
 	n.seq++
 	body.Origin, body.Seq = fmt.Sprint(n.id, "/", n.boot), n.seq
-	for range 1 + s.rng.IntN(2) { // now and then twice
+	for range 1 + s.rng.IntN(2) { // sometimes duplicated
 		s.inFlight = append(s.inFlight, inFlightCommand{s.now + s.rng.Int64N(800e6), body, by})
 	}
 }
 
 func (s *sim) step(dt int64) {
 	s.now += dt
-	if s.leader < 0 || !s.majority(s.nodes[s.leader]) { // elections take a while
+	if s.leader < 0 || !s.majority(s.nodes[s.leader]) { // an election takes several steps
 		if s.leader = -1; s.rng.IntN(8) == 0 {
 			if i := s.rng.IntN(len(s.nodes)); s.majority(s.nodes[i]) {
 				s.leader = i
@@ -106,7 +106,8 @@
 		switch {
 		case w.deliverAt > s.now:
 			keep = append(keep, w)
-		case s.leader >= 0 && n.up && n.partition == s.nodes[s.leader].partition && s.rng.IntN(6) > 0: // else dropped
+		// A command that does not reach the leader is lost.
+		case s.leader >= 0 && n.up && n.partition == s.nodes[s.leader].partition && s.rng.IntN(6) > 0:
 			c := proto.Clone(w.command).(*pb.Command)
 			c.At = int64(s.nodes[s.leader].clock(s.now))
 			s.log = append(s.log, &pb.Batch{Commands: []*pb.Command{c}})
@@ -141,14 +142,14 @@
 	}
 }
 
-// commit has the log hold a command, whoever leads.
+// commit appends a command to the log, regardless of the leader.
 func (s *sim) commit(c *pb.Command) {
 	c.At = 1e18 + s.now
 	s.log = append(s.log, &pb.Batch{Commands: []*pb.Command{c}})
 }
 
-// usableShare is the part of a cold member's whole budget that all instances together may use just now, by what each of
-// them knows; warm counts who takes that start for warm.
+// usableShare returns the part of a warming member's budget that all instances together may use now, by what each of
+// them knows, and the number of instances that consider the start warmed up.
 func (s *sim) usableShare(member string, start int64, rules *pb.Rules) (sum float64, warm int) {
 	for _, n := range s.nodes {
 		now := n.clock(s.now)
@@ -166,11 +167,11 @@
 	return sum, warm
 }
 
-// Guards cold members in every partition and at every instant: whoever is cut off, however clocks run, crash or
-// answers get lost, all instances together never may use more than the whole budget, and nobody takes a start for
-// warm before its cold time has passed in reality. Also that leases are of use: they are held in calm times.
+// Guards warming members against overload: under partitions, clock drift, crashes and lost responses, all instances
+// together may never use more than the member's budget, and no instance may consider a start warmed up before its
+// slow-start time has passed in real time. Also checks that leases are granted while there are no faults.
 func TestSharesStayWithinBudgetUnderFaults(t *testing.T) {
-	held := 0
+	highUse := 0
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(rapid.Uint64().Draw(t, "seed"), rapid.SampledFrom([]int{3, 3, 5}).Draw(t, "instances"))
 		rules := catalog.DefaultRules()
@@ -186,14 +187,14 @@
 		start := int64(1e18) + s.now
 		began := s.now
 		s.commit(&pb.Command{Body: &pb.Command_Start{Start: &pb.Start{Member: "a", Start: start}}})
-		fault := rapid.IntRange(0, 40).Draw(t, "fault every")
+		fault := rapid.IntRange(0, 40).Draw(t, "fault interval")
 		for range 400 {
 			if s.rng.IntN(fault+4) == 0 {
 				x := s.nodes[s.rng.IntN(len(s.nodes))]
 				switch s.rng.IntN(4) {
 				case 0:
 					x.partition = s.rng.IntN(2)
-				case 1: // the old leader on the small side
+				case 1: // the leader alone in the smaller partition
 					if s.leader >= 0 {
 						s.nodes[s.leader].partition = 1 - s.nodes[s.leader].partition
 					}
@@ -210,41 +211,41 @@
 			s.step(20e6 + s.rng.Int64N(100e6))
 			sum, warm := s.usableShare("a", start, rules)
 			if sum > 1+1e-9 {
-				t.Fatalf("%.3f of the budget may be used %.2f s after the start", sum, float64(s.now-began)/1e9)
+				t.Fatalf("%.3f of the budget may be used %.2f s after the start, 1 at most", sum, float64(s.now-began)/1e9)
 			}
 			if warm > 0 && s.now-began < rules.ColdFor {
-				t.Fatalf("taken for warm %.2f s after the start", float64(s.now-began)/1e9)
+				t.Fatalf("considered warmed up %.2f s after the start", float64(s.now-began)/1e9)
 			}
 			if sum > 0.9 {
-				held++
+				highUse++
 			}
 		}
 	})
-	if held == 0 {
-		t.Error("the leases never brought the use above 0.9 of the budget")
+	if highUse == 0 {
+		t.Error("the leases never allowed more than 0.9 of the budget")
 	}
 }
 
-// What was granted before a restart is not used: nobody knows when it was asked for.
+// A lease is valid from the time of its request. A grant from before a restart is not used, as that time is unknown.
 func TestLeaseIsTimedFromItsRequest(t *testing.T) {
 	m := &pb.Member{Entry: &pb.Entry{Id: "a"}, Start: 5, ColdSince: 1}
 	want := func(int32) float64 { return 1 }
 	h := NewHolder("x", "1", 4e9)
-	asks := h.Step(100e9, []*pb.Member{m}, want)
-	if len(asks) != 1 || len(h.Step(100e9+1, []*pb.Member{m}, want)) != 0 {
-		t.Fatalf("asked %v", asks)
+	requests := h.Step(100e9, []*pb.Member{m}, want)
+	if len(requests) != 1 || len(h.Step(100e9+1, []*pb.Member{m}, want)) != 0 {
+		t.Fatalf("lease requests: %v", requests)
 	}
-	m.Leases = []*pb.Lease{{Instance: "x", Serial: 1, Share: 0.4, Duration: 4e9, Nonce: asks[0].Nonce}}
+	m.Leases = []*pb.Lease{{Instance: "x", Serial: 1, Share: 0.4, Duration: 4e9, Nonce: requests[0].Nonce}}
 	h.Step(103e9, []*pb.Member{m}, want)
 	if share, until := h.Share(103e9, "a", 5); share != 0.4 || until != 104e9 {
 		t.Errorf("share %v until %v", share, until)
 	}
 	if share, _ := h.Share(104e9, "a", 5); share != 0 {
-		t.Error("used after its time")
+		t.Error("the lease is used after its expiry")
 	}
-	again := NewHolder("x", "2", 4e9)
-	again.Step(103e9, []*pb.Member{m}, want)
-	if share, _ := again.Share(103e9, "a", 5); share != 0 {
-		t.Error("a grant from before the restart is used")
+	restarted := NewHolder("x", "2", 4e9)
+	restarted.Step(103e9, []*pb.Member{m}, want)
+	if share, _ := restarted.Share(103e9, "a", 5); share != 0 {
+		t.Error("a lease granted before the restart is used")
 	}
 }
