--- a/internal/controlplane/membership/membership.go
+++ b/internal/controlplane/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership decides on changes of the store's instances: never more than one at once, and nobody votes who
-// has not caught up.
+// Package membership decides on membership changes of the store's cluster: one change at a time, and an instance
+// becomes a voter only once it has caught up with the log.
 package membership
 
 import (
@@ -9,28 +9,28 @@
 )
 
 const (
-	// joinTimeout is how long a join may block others without a word from the one that joins.
+	// joinTimeout is how long a join blocks other changes without a request from the joining instance.
 	joinTimeout     = aspenshed.Nanos(30e9)
-	maxPromotionLag = 16 // log entries that an instance may be behind when it becomes a voter
+	maxPromotionLag = 16 // log entries that an instance may lag behind when it is promoted to voter
 )
 
-// Server is one instance of the store's configuration.
+// Server is one instance of the cluster configuration.
 type Server struct {
 	ID, Address string
 	Voter       bool
 }
 
-// View is what the leader sees.
+// View is the leader's view of the cluster.
 type View struct {
 	Servers       []Server
 	CommitIndex   uint64
-	ChangePending bool // a change has been made and is not yet agreed
+	ChangePending bool // the latest configuration is not yet committed
 }
 
-// Action is what the leader shall do.
+// Action is what the leader has to do to the configuration.
 type Action int
 
-// What there is to do.
+// The actions.
 const (
 	NoAction Action = iota
 	AddNonvoter
@@ -38,16 +38,17 @@
 	Remove
 )
 
-// Decision answers who asks. Later: it is to ask again; nothing is wrong.
+// Decision answers a request to join or to remove an instance. Retry asks the caller to repeat the request later; it is
+// not an error.
 type Decision struct {
 	Action  Action
-	Done    bool // it is a voter, or gone
-	Added   bool // the configuration names it: it may start
+	Done    bool // the instance is a voter, or has been removed
+	Added   bool // the configuration lists it: it may start replication
 	Retry   bool
 	Refused string
 }
 
-// StateMachine is the leader's. A new leader's knows of no join, and takes it from the configuration.
+// StateMachine is run by the leader. A new leader's has no join on record and finds it in the configuration.
 type StateMachine struct {
 	joiningID   string
 	lastHeardAt aspenshed.Nanos
@@ -62,7 +63,8 @@
 	return nil
 }
 
-// joinInProgress is who joins just now, if not id; one that has been silent for too long no longer counts.
+// joinInProgress returns the id of another instance that is joining, or "". A join without a request for joinTimeout is
+// ignored.
 func (m *StateMachine) joinInProgress(now aspenshed.Nanos, v View, id string) string {
 	for _, s := range v.Servers {
 		if s.Voter || s.ID == id {
@@ -78,8 +80,8 @@
 	return ""
 }
 
-// Join answers an instance that wants in, and asks again until it is Done. empty: it holds nothing, so a vote that it
-// once gave is forgotten: it comes in anew even where the configuration names it.
+// Join handles a join request, which the instance repeats until the decision is Done. empty means that the instance has
+// no stored state, so it may have forgotten a vote: it has to join anew even if the configuration lists it.
 func (m *StateMachine) Join(now aspenshed.Nanos, v View, id, address string, applied uint64, empty bool) Decision {
 	if id == "" || address == "" {
 		return Decision{Refused: "an instance needs an id and an address"}
@@ -102,7 +104,7 @@
 		return Decision{Action: AddNonvoter, Retry: true}
 	case s.Voter && !empty && s.Address == address:
 		return Decision{Done: true, Added: true}
-	case s.Voter || s.Address != address: // a lost disk or a new address: out first, in the next step in again
+	case s.Voter || s.Address != address: // a lost disk or a new address: remove it, then add it at its next request
 		return Decision{Action: Remove, Retry: true}
 	}
 	m.joiningID, m.lastHeardAt = id, now
@@ -112,7 +114,7 @@
 	return Decision{Action: Promote, Retry: true, Added: true}
 }
 
-// Leave answers who wants an instance out.
+// Leave handles a request to remove an instance.
 func (m *StateMachine) Leave(now aspenshed.Nanos, v View, id string) Decision {
 	s := v.findServer(id)
 	if s == nil {
--- a/internal/controlplane/membership/membership_test.go
+++ b/internal/controlplane/membership/membership_test.go
@@ -16,7 +16,8 @@
 	return v
 }
 
-// A join goes through its steps, one change at a time, and a dead joiner blocks the others for a while only.
+// A join takes one configuration change at a time, and a joining instance that fails blocks others for joinTimeout
+// only.
 func TestJoinsAreSerialized(t *testing.T) {
 	var m StateMachine
 	pending := newView("a", "b")
@@ -32,22 +33,22 @@
 	}{
 		{1, newView("a", "b"), "c", 0, true, AddNonvoter, false},
 		{2, pending, "c", 0, true, NoAction, false},
-		{3, newView("a", "b", "c*"), "d", 0, true, NoAction, false},   // c joins
-		{4, newView("a", "b", "c*"), "c", 50, false, NoAction, false}, // far behind
+		{3, newView("a", "b", "c*"), "d", 0, true, NoAction, false},   // c is joining
+		{4, newView("a", "b", "c*"), "c", 50, false, NoAction, false}, // c lags too far behind
 		{5, newView("a", "b", "c*"), "c", 95, false, Promote, false},
 		{6, newView("a", "b", "c"), "c", 100, false, NoAction, true},
 		{7, newView("a", "b", "c"), "d", 0, true, AddNonvoter, false},
 		{8, newView("a", "b", "c", "d*"), "e", 0, true, NoAction, false},
-		{8 + int64(joinTimeout), newView("a", "b", "c", "d*"), "e", 0, true, AddNonvoter, false}, // d has died
-		{9 + int64(joinTimeout), newView("a", "b", "c"), "b", 0, true, Remove, false},            // its disk is empty: its votes are forgotten
+		{8 + int64(joinTimeout), newView("a", "b", "c", "d*"), "e", 0, true, AddNonvoter, false}, // d has failed
+		{9 + int64(joinTimeout), newView("a", "b", "c"), "b", 0, true, Remove, false},            // b lost its disk
 	} {
 		m.checkJoin(t, i, x.at, x.v, x.id, x.app, x.empty, x.want, x.done)
 	}
 	if v := m.Leave(1e12, newView("a"), "a"); v.Refused == "" || v.Action != NoAction {
-		t.Errorf("the last voter may leave: %+v", v)
+		t.Errorf("removal of the last voter: %+v", v)
 	}
 	if v := m.Join(1e12, newView("a", "b"), "x", "a:1", 0, true); v.Refused == "" || v.Retry {
-		t.Errorf("the address of another: %+v", v)
+		t.Errorf("join with another instance's address: %+v", v)
 	}
 }
 
