--- a/internal/controlplane/mode/mode.go
+++ b/internal/controlplane/mode/mode.go
@@ -1,50 +1,50 @@
-// Package mode decides in which mode an instance of the store is: what it may believe of the others.
+// Package mode determines the mode of a store instance from its contact with the leader and its replication lag.
 package mode
 
 import "aspenshed"
 
-// Mode is what an instance takes itself to be.
+// Mode is the state of an instance within the cluster.
 type Mode int
 
 // The modes.
 const (
-	CatchingUp Mode = iota // it has not yet all that was agreed; its leases and drains may lag
+	CatchingUp Mode = iota // it has not applied all committed entries; its leases and drains may be out of date
 	Following
 	Leading
-	Disconnected // no word from a leader for too long: it serves from what it last held
-	Standalone   // it has no others
+	Disconnected // no contact with a leader for ContactTimeout: it serves its last applied state
+	Standalone   // it has no peers
 )
 
 func (m Mode) String() string {
 	return [...]string{"catching_up", "following", "leading", "cut_off", "alone"}[m]
 }
 
-// The limits, on the instance's own clock.
+// The time limits, by the instance's own clock.
 const (
-	ContactTimeout = aspenshed.Nanos(1500e6) // without contact: three heartbeats of a leader that is well
-	ReconnectAfter = aspenshed.Nanos(500e6)  // of unbroken contact before a cut-off instance counts as back
-	maxFollowerLag = 64                      // log entries that a follower may be behind and still follow
+	ContactTimeout = aspenshed.Nanos(1500e6) // without contact: three heartbeats of a healthy leader
+	ReconnectAfter = aspenshed.Nanos(500e6)  // of uninterrupted contact before a disconnected instance leaves that mode
+	maxFollowerLag = 64                      // log entries that a follower may lag behind without catching up
 )
 
-// Observation is what the instance sees of the store just now.
+// Observation is what the instance observes of the cluster at one step.
 type Observation struct {
 	Standalone, IsLeader, IsVoter bool
-	LeaderContact                 bool // a leader was heard of since the last Step, or is this instance with a majority behind it
+	LeaderContact                 bool // contact with a leader since the last Step, or it leads with a majority
 	AppliedIndex, CommitIndex     uint64
 }
 
-// StateMachine holds the mode.
+// StateMachine determines the mode.
 type StateMachine struct {
 	mode                        Mode
-	lastContactAt, contactSince aspenshed.Nanos // of the present stretch of contact
+	lastContactAt, contactSince aspenshed.Nanos // since when contact is uninterrupted; 0: none
 	initialized                 bool
-	catchUpTarget               uint64 // what it has to have applied to be back
+	catchUpTarget               uint64 // log index to apply before catching up ends
 }
 
-// Step takes what is seen and tells the mode, and whether it has changed.
+// Step processes an observation and returns the mode, and whether it has changed.
 func (m *StateMachine) Step(now aspenshed.Nanos, s Observation) (Mode, bool) {
-	was, born := m.mode, m.initialized
-	if !born {
+	previous, initialized := m.mode, m.initialized
+	if !initialized {
 		m.initialized, m.lastContactAt = true, now
 	}
 	if s.LeaderContact {
@@ -53,14 +53,14 @@
 		}
 		m.lastContactAt = now
 	}
-	cut := now-m.lastContactAt >= ContactTimeout
-	if cut {
+	timedOut := now-m.lastContactAt >= ContactTimeout
+	if timedOut {
 		m.contactSince = 0
 	}
 	switch {
 	case s.Standalone:
 		m.mode = Standalone
-	case cut:
+	case timedOut:
 		m.mode = Disconnected
 	case m.mode == Disconnected:
 		if m.catchUpTarget = max(m.catchUpTarget, s.CommitIndex); m.contactSince > 0 && now >= m.contactSince+ReconnectAfter {
@@ -77,10 +77,10 @@
 	default:
 		m.mode = Following
 	}
-	return m.mode, m.mode != was || !born
+	return m.mode, m.mode != previous || !initialized
 }
 
-// endCatchUp ends the mode once all that was agreed when it began has been applied.
+// endCatchUp leaves CatchingUp once everything that was committed when it began has been applied.
 func (m *StateMachine) endCatchUp(s Observation) {
 	switch {
 	case s.IsLeader:
--- a/internal/controlplane/mode/mode_test.go
+++ b/internal/controlplane/mode/mode_test.go
@@ -6,9 +6,9 @@
 	"aspenshed"
 )
 
-// The modes of one instance's day: it starts, follows, is cut off, comes back and has to catch up before it counts
-// as following again; a flicker of contact does not bring it back.
-func TestADay(t *testing.T) {
+// An instance starts, follows, is disconnected, reconnects and has to catch up before it follows again. Brief contact
+// does not end the disconnected mode.
+func TestModeTransitions(t *testing.T) {
 	var m StateMachine
 	at := aspenshed.Nanos(1e9)
 	for i, x := range []struct {
@@ -36,8 +36,8 @@
 	}
 }
 
-// A joiner that may not vote yet is still catching up, however little it lacks.
-func TestANonvoterIsNotYetFollowing(t *testing.T) {
+// An instance that is not yet a voter stays in CatchingUp, even with all entries applied.
+func TestNonvoterStaysCatchingUp(t *testing.T) {
 	var m StateMachine
 	for i := range 9 {
 		if got, _ := m.Step(aspenshed.Nanos(1e9+i*1e8), Observation{LeaderContact: true, CommitIndex: 5, AppliedIndex: 5}); got != CatchingUp {
