--- a/internal/controlplane/roster/changes.go
+++ b/internal/controlplane/roster/changes.go
@@ -6,19 +6,20 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// Change is what has become of one member that the catalog knows or knew.
+// Change is the new state of one member of the catalog.
 type Change struct {
 	ID     string
-	Member *pb.Member // nil: the catalog has it no more
+	Member *pb.Member // nil: removed from the catalog
 }
 
-// CanApplyChanges reports whether Changes may be used: the catalog's list leads, and has been told whole.
+// CanApplyChanges reports whether ApplyChanges may be used: the catalog's list takes precedence, and a whole list has
+// been merged.
 func (m *Merger) CanApplyChanges() bool {
 	return m.inventoryVersion != 0 && !m.localIsNewer && m.lastMerged != nil
 }
 
-// ApplyChanges takes what has changed of the catalog and returns what differs in the merged list; members that have left it
-// are there as gone. It costs as much as there are changes, whatever the length of the list.
+// ApplyChanges applies changes of the catalog and returns the entries of the merged list that differ; removed members
+// are returned as Removed. Its cost is proportional to the number of changes, whatever the length of the list.
 func (m *Merger) ApplyChanges(version uint64, changes []Change) (differs []Entry) {
 	m.inventoryVersion = version
 	for _, c := range changes {
@@ -38,16 +39,16 @@
 	return differs
 }
 
-// updateMerged brings one member of the merged list up to date.
+// updateMerged recomputes one member of the merged list.
 func (m *Merger) updateMerged(id string) (t Entry, changed bool) {
-	was, known := m.lastMerged[id]
-	held, there := m.catalog[id]
-	if !there {
+	previous, known := m.lastMerged[id]
+	current, present := m.catalog[id]
+	if !present {
 		delete(m.lastMerged, id)
-		was.State = aspenshed.Removed
-		return was, known
+		previous.State = aspenshed.Removed
+		return previous, known
 	}
-	t = m.mergeEntry(held, m.local)
+	t = m.mergeEntry(current, m.local)
 	m.lastMerged[id] = t
-	return t, !known || t != was
+	return t, !known || t != previous
 }
--- a/internal/controlplane/roster/roster.go
+++ b/internal/controlplane/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster decides which members an instance's Router is told of: it merges what its own list says (a file,
-// discovery) with what the catalog says. A drain counts from whichever side it was heard, for that start, for good.
+// Package roster determines the member list of an instance's Router: it merges the local list (from a file or
+// discovery) with the catalog. A drain from either source holds until the member starts again.
 package roster
 
 import (
@@ -12,35 +12,35 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// maxUnlistedDrains bounds what is remembered of members that are on no list; the oldest go.
+// maxUnlistedDrains bounds the remembered drains of members that are on no list; the oldest are dropped.
 const maxUnlistedDrains = 4096
 
-// Entry is one member as a list has it.
+// Entry is one member of a list.
 type Entry struct {
 	aspenshed.Member
 	Address string
-	Site    string // numbered here, so that both sides number alike; empty: Zone stands as it is
+	Site    string // mapped to Zone here, so that both sources number sites alike; empty: Zone is kept
 }
 
-// Merger holds both sides.
+// Merger merges the local list and the catalog.
 type Merger struct {
-	Zones            []string // sites, in the order in which they are numbered
+	Zones            []string // sites by their number
 	local            map[string]Entry
-	localIsNewer     bool // the own list came after the catalog's inventory, which does not have it yet
+	localIsNewer     bool // the local list is newer than the catalog's inventory and takes precedence
 	inventoryVersion uint64
 	catalog          map[string]Entry
-	drains           map[string]aspenshed.Nanos // member: the newest start for which a drain was heard
-	lastMerged       map[string]Entry           // as last told
-	// unreportedDrains are drains that were heard here and that the store has yet to be told.
+	drains           map[string]aspenshed.Nanos // by member: the newest start with a drain
+	lastMerged       map[string]Entry           // the list that Merge returned last
+	// unreportedDrains are drains that were received here and that the store does not have yet.
 	unreportedDrains map[string]aspenshed.Nanos
 }
 
-// New makes a merger.
+// New creates an empty Merger.
 func New() *Merger {
 	return &Merger{local: map[string]Entry{}, catalog: map[string]Entry{}, drains: map[string]aspenshed.Nanos{}, unreportedDrains: map[string]aspenshed.Nanos{}}
 }
 
-// ZoneIndex numbers a site.
+// ZoneIndex returns the number of a site, a new one if needed.
 func (m *Merger) ZoneIndex(site string) int {
 	i := slices.Index(m.Zones, site)
 	if i < 0 {
@@ -49,7 +49,7 @@
 	return i
 }
 
-// SetLocal takes the instance's own list, whole. It counts until the catalog has another inventory than now.
+// SetLocal replaces the local list. It takes precedence until the catalog has a newer inventory.
 func (m *Merger) SetLocal(list []Entry) {
 	m.local, m.localIsNewer = byID(list), true
 	for _, t := range list {
@@ -61,7 +61,7 @@
 	m.applyLocalDrains()
 }
 
-// ObserveStart takes word of one member's start.
+// ObserveStart records a start of a member on the local list.
 func (m *Merger) ObserveStart(id string, at aspenshed.Nanos) {
 	if t, ok := m.local[id]; ok {
 		t.StartedAt = max(t.StartedAt, at)
@@ -69,22 +69,24 @@
 	}
 }
 
-// Drain takes the word of a drain that came with no list: it holds here at once, and the store is to be told.
+// Drain records a drain that came without a list: it holds here at once, and has to be reported to the store.
 func (m *Merger) Drain(id string) {
 	start := max(m.catalog[id].StartedAt, m.local[id].StartedAt)
-	if was, known := m.drains[id]; !known || start > was {
+	if previous, known := m.drains[id]; !known || start > previous {
 		m.unreportedDrains[id] = start
 	}
 	m.recordDrain(id, start)
 }
 
-// applyLocalDrains hears the drains of the own list. One that tells no start means whichever start is known.
+// applyLocalDrains records the drains of the local list.
 func (m *Merger) applyLocalDrains() {
 	for id, t := range m.local {
 		m.applyLocalDrain(id, t)
 	}
 }
 
+// applyLocalDrain records the drain of one local entry. A drain without a start applies to the start that the catalog
+// has.
 func (m *Merger) applyLocalDrain(id string, t Entry) {
 	if t.State == aspenshed.Up {
 		return
@@ -93,13 +95,13 @@
 	if start == 0 {
 		start = m.catalog[id].StartedAt
 	}
-	if was, known := m.drains[id]; !known || start > was {
+	if previous, known := m.drains[id]; !known || start > previous {
 		m.unreportedDrains[id] = start
 	}
 	m.recordDrain(id, start)
 }
 
-// SetCatalog takes all that the catalog holds, whole, with the version of its inventory.
+// SetCatalog replaces the catalog's members; version is that of its inventory.
 func (m *Merger) SetCatalog(version uint64, members []*pb.Member) {
 	if version != m.inventoryVersion {
 		m.inventoryVersion, m.localIsNewer = version, false
@@ -111,7 +113,7 @@
 	m.applyLocalDrains()
 }
 
-// setCatalogMember takes one member of the catalog.
+// setCatalogMember adds or replaces one member of the catalog.
 func (m *Merger) setCatalogMember(x *pb.Member) {
 	t := Entry{Member: aspenshed.Member{ID: x.Entry.Id, Group: int(x.Entry.Group), Zone: m.ZoneIndex(x.Entry.Site), Weight: 1,
 		StartedAt: aspenshed.Nanos(x.Start), State: aspenshed.Up}, Address: x.Entry.Address, Site: x.Entry.Site}
@@ -130,15 +132,15 @@
 	return out
 }
 
-// recordDrain binds a drain to a start. Older or repeated news changes nothing.
+// recordDrain records a drain of a start. Older or repeated ones have no effect.
 func (m *Merger) recordDrain(id string, start aspenshed.Nanos) {
-	if was, known := m.drains[id]; !known || start > was {
+	if previous, known := m.drains[id]; !known || start > previous {
 		m.drains[id] = start
 	}
 }
 
-// UnreportedDrains are drains heard from the own list that the catalog does not have: the store is to be told. They are
-// named again until the catalog has them.
+// UnreportedDrains returns the drains received here that the catalog does not have yet. They are returned until it has
+// them.
 func (m *Merger) UnreportedDrains() map[string]aspenshed.Nanos {
 	for id, start := range m.unreportedDrains {
 		if c, ok := m.catalog[id]; ok && (c.StartedAt > start || c.State != aspenshed.Up) {
@@ -148,8 +150,8 @@
 	return m.unreportedDrains
 }
 
-// Merge is the list as it stands, by id, and whether it differs from the one before. The catalog's inventory is the
-// list, unless there is none or the own one is newer; of a member that both name the newer start counts.
+// Merge returns the current list, sorted by id, and whether it differs from the previous one. The catalog's inventory
+// is the list unless there is none or the local list is newer. For a member on both, the newer start is used.
 func (m *Merger) Merge() (list []Entry, changed bool) {
 	from, other := m.catalog, m.local
 	if m.inventoryVersion == 0 || m.localIsNewer {
@@ -168,7 +170,7 @@
 	return list, changed
 }
 
-// mergeEntry is one member of the list that leads, with what the other list says of it, and its drain.
+// mergeEntry merges one member of the list that takes precedence with the other list and its drain.
 func (m *Merger) mergeEntry(t Entry, other map[string]Entry) Entry {
 	if o, both := other[t.ID]; both {
 		t.StartedAt, t.Primary = max(t.StartedAt, o.StartedAt), t.Primary || o.Primary
@@ -180,9 +182,10 @@
 	return t
 }
 
-// pruneDrains bounds the drains of members that are on no list: a list may name them again, so they are not dropped at once.
+// pruneDrains bounds the drains of members that are on no list. They are not dropped at once, as a list may name them
+// again.
 func (m *Merger) pruneDrains(present map[string]Entry) {
-	if len(m.drains) <= len(present)+maxUnlistedDrains+maxUnlistedDrains/4 { // in steps: to look at all of them takes time
+	if len(m.drains) <= len(present)+maxUnlistedDrains+maxUnlistedDrains/4 { // in batches: it scans all drains
 		return
 	}
 	var gone []string
--- a/internal/controlplane/roster/roster_test.go
+++ b/internal/controlplane/roster/roster_test.go
@@ -25,8 +25,8 @@
 	return out
 }
 
-// Guards drains from both sides: the store's against an own list that says in_service, the own list's against a
-// store that has not heard, each until a new start.
+// A drain of the store holds against a local list with state in_service, and a drain of the local list against a store
+// that does not have it, each until a new start.
 func TestDrainHoldsFromEitherSource(t *testing.T) {
 	m := New()
 	m.SetLocal([]Entry{localEntry("a", 5, aspenshed.Up), localEntry("b", 5, aspenshed.Up)})
@@ -37,28 +37,28 @@
 			t.Errorf("%s: %q, want %q", what, got, want)
 		}
 	}
-	step("calm", "a5up b5up ")
+	step("no drain", "a5up b5up ")
 	m.SetCatalog(1, []*pb.Member{catalogMember("a", 5, 9), catalogMember("b", 5, 0)})
 	step("the store drains a", "a5drain b5up ")
 	m.SetLocal([]Entry{localEntry("a", 5, aspenshed.Up), localEntry("b", 5, aspenshed.Draining)})
-	step("the own list is old on a and drains b", "a5drain b5drain ")
+	step("the local list is out of date on a and drains b", "a5drain b5drain ")
 	if u := m.UnreportedDrains(); len(u) != 1 || u["b"] != 5 {
-		t.Errorf("the store is to be told %v", u)
+		t.Errorf("drains to report: %v", u)
 	}
 	m.SetLocal([]Entry{localEntry("a", 5, aspenshed.Up), localEntry("b", 5, aspenshed.Up)})
 	m.SetCatalog(2, []*pb.Member{catalogMember("a", 5, 0), catalogMember("b", 5, 0)})
-	step("older news from both sides", "a5drain b5drain ")
+	step("older state from both sources", "a5drain b5drain ")
 	m.SetCatalog(2, []*pb.Member{catalogMember("a", 6, 0), catalogMember("b", 5, 9)})
 	step("a has started again", "a6up b5drain ")
 	if len(m.UnreportedDrains()) != 0 {
-		t.Error("the store is told what it has")
+		t.Error("a drain that the store has is reported")
 	}
 	if _, changed := m.Merge(); changed {
-		t.Error("a change without news")
+		t.Error("changed without a new update")
 	}
 }
 
-// An own list that tells no start drains whichever start is known by then.
+// A drain of the local list without a start applies to the start that is known then.
 func TestDrainWithoutStart(t *testing.T) {
 	m := New()
 	m.SetLocal([]Entry{localEntry("a", 0, aspenshed.Draining)})
@@ -66,7 +66,8 @@
 	if got := describe(m); got != "a7drain c7up " {
 		t.Error(got)
 	}
-	m.SetLocal([]Entry{localEntry("a", 0, aspenshed.Up), localEntry("d", 0, aspenshed.Up)}) // newer than the catalog's inventory: it is the list
+	// The local list is newer than the catalog's inventory and takes precedence.
+	m.SetLocal([]Entry{localEntry("a", 0, aspenshed.Up), localEntry("d", 0, aspenshed.Up)})
 	if got := describe(m); got != "a7drain d0up " {
 		t.Error(got)
 	}
@@ -76,7 +77,7 @@
 	}
 }
 
-// A member's zone is the same whichever side names it, in whatever order the sites appear there.
+// A member's zone does not depend on the source of its entry, nor on the order of sites in it.
 func TestSourcesNumberSitesAlike(t *testing.T) {
 	m := New()
 	a, b := localEntry("a", 0, aspenshed.Up), localEntry("b", 0, aspenshed.Up)
@@ -99,6 +100,6 @@
 		m.Merge()
 	}
 	if len(m.drains) > 2*maxUnlistedDrains-9 || len(m.unreportedDrains) > 2*maxUnlistedDrains-9 {
-		t.Errorf("%d drains, %d unsaid are held", len(m.drains), len(m.unreportedDrains))
+		t.Errorf("%d drains, %d of them unreported, are kept", len(m.drains), len(m.unreportedDrains))
 	}
 }
