--- a/internal/controlplane/catalog/catalog.go
+++ b/internal/controlplane/catalog/catalog.go
@@ -1,6 +1,6 @@
-// Package catalog is the state that the instances of an installation agree on: configuration and inventory versions,
-// drains, starts of members, leases of cold capacity, what instances have learned. It is a state machine: equal
-// commands in equal order give equal catalogs. It reads no clock and does no I/O; times come with the commands.
+// Package catalog implements the replicated state of an installation: versions of configuration and inventory, drains,
+// member starts, slow-start leases and state learned by instances. It is a deterministic state machine: the same
+// commands in the same order give equal catalogs. It reads no clock and does no I/O; times come with the commands.
 package catalog
 
 import (
@@ -14,29 +14,29 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// Catalog is one replica's. It is not safe for concurrent use.
+// Catalog is the state of one replica. It is not safe for concurrent use.
 type Catalog struct {
-	state      *pb.State // the scalar fields and small lists; what is looked up lies in the maps below
+	state      *pb.State // the scalar fields and small lists; its keyed records are in the maps below
 	members    map[string]*pb.Member
 	tombstones map[string]*pb.Tombstone
 	instances  map[string]*pb.Instance
 	origins    map[string]*pb.Origin
 	pairs      map[string]*pb.Pair
-	primaries  map[string]*pb.Primary // by the group's name
-	groups     map[Group]int          // how many members each group has
+	primaries  map[string]*pb.Primary // by Group.String
+	groups     map[Group]int          // number of members by group
 	recorder   recorder
-	// Versions rise with each change of their part, for those who look at it again and again.
+	// Each version increases with every change of its part, so that pollers can skip an unchanged one.
 	membersVersion, learnedVersion, leasesVersion uint64
 }
 
-// New makes an empty catalog of that cluster.
+// New creates an empty catalog of a cluster.
 func New(cluster string) *Catalog {
 	c := &Catalog{}
 	c.load(&pb.State{Rules: DefaultRules(), Cluster: cluster})
 	return c
 }
 
-// CommandKind is the number of a command's body; 0: it has none that this release knows.
+// CommandKind returns the field number of a command's body; 0: it has none that this release knows.
 func CommandKind(c *pb.Command) uint32 {
 	r := c.ProtoReflect()
 	if f := r.WhichOneof(r.Descriptor().Oneofs().ByName("body")); f != nil {
@@ -45,7 +45,7 @@
 	return 0
 }
 
-// Apply carries out one entry of the log and returns a result for each of its commands.
+// Apply applies one log entry and returns a result for each of its commands.
 func (c *Catalog) Apply(index uint64, b *pb.Batch) []*pb.Result {
 	c.state.Index = max(c.state.Index, index)
 	out := make([]*pb.Result, 0, len(b.Commands))
@@ -102,30 +102,30 @@
 	return refused("kind %d of a later release: kept, not carried out here", x.Kind)
 }
 
-// Index is the log entry that the catalog stands after.
+// Index is the index of the last applied log entry.
 func (c *Catalog) Index() uint64 { return c.state.Index }
 
-// Cluster is the id of the cluster whose state this is.
+// Cluster is the id of the cluster that the catalog belongs to.
 func (c *Catalog) Cluster() string { return c.state.Cluster }
 
-// Now is the newest time that a command has told.
+// Now is the newest time among the applied commands.
 func (c *Catalog) Now() int64 { return c.state.Now }
 
-// Rules are those in force. They must not be changed.
+// Rules returns the current rules. They must not be modified.
 func (c *Catalog) Rules() *pb.Rules { return c.state.Rules }
 
-// RulesSet tells whether a command has set the rules.
+// RulesSet reports whether a command has set the rules.
 func (c *Catalog) RulesSet() bool { return c.state.RulesSet }
 
-// Versions tell whether members, learned state or leases have changed since they were last looked at.
+// Versions increase with each change of the members, the learned state and the leases.
 func (c *Catalog) Versions() (members, learned, leases uint64) {
 	return c.membersVersion, c.learnedVersion, c.leasesVersion
 }
 
-// InventoryVersion is the version of the list of members; 0: there has been none.
+// InventoryVersion is the version of the member list; 0: there has been none.
 func (c *Catalog) InventoryVersion() uint64 { return c.state.Inventory }
 
-// Config is the newest configuration; nil: none.
+// Config returns the newest configuration, nil if there is none.
 func (c *Catalog) Config() *pb.ConfigVersion {
 	if n := len(c.state.Configs); n > 0 {
 		return c.state.Configs[n-1]
@@ -133,13 +133,13 @@
 	return nil
 }
 
-// Member is one member's record, nil if it is not present. It must not be changed.
+// Member returns a member's record, nil if there is none. It must not be modified.
 func (c *Catalog) Member(id string) *pb.Member { return c.members[id] }
 
-// Members are all records, by id. They must not be changed.
+// Members returns all member records, sorted by id. They must not be modified.
 func (c *Catalog) Members() []*pb.Member { return sortedValues(c.members) }
 
-// WarmingMembers are copies of the records of cold members, by id; no others have leases.
+// WarmingMembers returns copies of the records of members in slow start, sorted by id; no others have leases.
 func (c *Catalog) WarmingMembers() (out []*pb.Member) {
 	for _, m := range c.members {
 		if IsWarming(m) {
@@ -150,13 +150,13 @@
 	return out
 }
 
-// Instances are all records, by id. They must not be changed.
+// Instances returns all instance records, sorted by id. They must not be modified.
 func (c *Catalog) Instances() []*pb.Instance { return sortedValues(c.instances) }
 
-// Pair is the value under a key, nil if there is none.
+// Pair returns the value of a key, nil if there is none.
 func (c *Catalog) Pair(key string) *pb.Pair { return c.pairs[key] }
 
-// UnknownCommands are commands of later releases that are kept, and how many more came.
+// UnknownCommands returns the commands of later releases that are kept, and the number of those that were dropped.
 func (c *Catalog) UnknownCommands() (kept []*pb.Command, lost uint64) {
 	return c.state.Later, c.state.LaterLost
 }
@@ -171,7 +171,7 @@
 	return out
 }
 
-// byAge orders tombstones from the oldest.
+// byAge orders tombstones, oldest first.
 func byAge(a, b *pb.Tombstone) int {
 	return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.Member, b.Member))
 }
--- a/internal/controlplane/catalog/catalog_test.go
+++ b/internal/controlplane/catalog/catalog_test.go
@@ -15,7 +15,7 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// testCatalog applies commands one an entry, as one writer.
+// testCatalog applies commands from one origin, one command per log entry.
 type testCatalog struct {
 	*Catalog
 	at    int64
@@ -47,8 +47,8 @@
 	return &pb.Command{Body: &pb.Command_Start{Start: &pb.Start{Member: id, Start: start}}}
 }
 
-// Guards drains: neither a newer inventory that says in_service, nor old or repeated news takes one back, nor leaving
-// the list and coming back with the same start; a new start begins anew, and cold.
+// A drain must not be lost to a newer inventory with state in_service, to old or repeated commands, or to removal and
+// return with the same start. Only a new start ends it, and begins a slow start.
 func TestDrainHoldsUntilNewStart(t *testing.T) {
 	r := newTestCatalog()
 	r.applyCommand(inventoryCommand(0, "a", "b"))
@@ -58,17 +58,17 @@
 	for i, c := range []*pb.Command{inventoryCommand(1, "a", "b"), startCommand("a", s), startCommand("a", s-1), inventoryCommand(2, "b")} {
 		r.applyCommand(c)
 		if m := r.Member("a"); m != nil && m.DrainedAt == 0 {
-			t.Errorf("command %d took the drain back", i)
+			t.Errorf("command %d ended the drain", i)
 		}
 	}
 	back := inventoryCommand(3, "a", "b")
 	back.GetPutInventory().Members[0].Started = s
 	r.applyCommand(back)
 	if r.Member("a").DrainedAt == 0 {
-		t.Error("coming back with the same start took the drain back")
+		t.Error("a return with the same start ended the drain")
 	}
 	if x := r.applyCommand(drainCommand("a", s-1)); x.Refused == "" {
-		t.Error("a drain of an earlier start was taken")
+		t.Error("a drain of an earlier start was accepted")
 	}
 	r.applyCommand(startCommand("a", s+1))
 	if m := r.Member("a"); m.DrainedAt != 0 || !IsWarming(m) {
@@ -84,7 +84,7 @@
 		{Body: &pb.Command_SetRules{SetRules: &pb.SetRules{}}}, {Body: &pb.Command_Ask{Ask: &pb.Ask{}}}} {
 		before, _ := r.Digest()
 		if x := r.applyCommand(c); x.Refused == "" {
-			t.Errorf("command %d was carried out", i)
+			t.Errorf("command %d was applied", i)
 		}
 		if r.InventoryVersion() != 0 || r.Config() != nil || before == 0 {
 			t.Errorf("command %d changed something", i)
@@ -92,8 +92,7 @@
 	}
 }
 
-// Guards installations in the middle of an upgrade: what a later release says is kept, named, and carried out once
-// this release knows it.
+// During an upgrade, a command of a later release is kept, reported, and applied once the release knows it.
 func TestCommandOfLaterReleaseIsKept(t *testing.T) {
 	known, err := proto.Marshal(&pb.Command{Kind: 20, Body: &pb.Command_Set{Set: &pb.Set{Key: "k", Value: []byte("v")}}})
 	if err != nil {
@@ -107,9 +106,9 @@
 	later.Kind = 99
 	r := newTestCatalog()
 	if x := r.applyCommand(later); !strings.Contains(x.Refused, "kind 99") {
-		t.Errorf("answered %q", x.Refused)
+		t.Errorf("refused with %q", x.Refused)
 	}
-	// as an earlier release would have kept the set: with its body among the unknown fields
+	// The set command as an earlier release would have kept it: with its body among the unknown fields.
 	old := &pb.Command{Kind: 20}
 	old.ProtoReflect().SetUnknown(known)
 	r.state.Later = append(r.state.Later, old)
@@ -122,20 +121,20 @@
 		t.Fatal(err)
 	}
 	if kept, _ := c.UnknownCommands(); len(kept) != 1 || kept[0].Kind != 99 || len(kept[0].ProtoReflect().GetUnknown()) == 0 {
-		t.Errorf("kept: %v", kept)
+		t.Errorf("kept commands: %v", kept)
 	}
 	if p := c.Pair("k"); p == nil || string(p.Value) != "v" {
-		t.Errorf("what is known by now was not carried out: %v", p)
+		t.Errorf("the command that is known by now was not applied: %v", p)
 	}
 	for range maxUnknownCommands + 5 {
 		r.applyCommand(proto.Clone(later).(*pb.Command))
 	}
 	if kept, lost := r.UnknownCommands(); len(kept) != maxUnknownCommands || lost == 0 {
-		t.Errorf("%d kept, %d lost", len(kept), lost)
+		t.Errorf("%d kept, %d dropped", len(kept), lost)
 	}
 }
 
-// Guards memory: ids come and go all day.
+// The memory of a catalog must stay bounded while member ids and origins come and go.
 func TestSizeIsBoundedByPresentMembers(t *testing.T) {
 	r := newTestCatalog()
 	size := func() int { b, _ := r.Encode(); return len(b) }
@@ -161,11 +160,11 @@
 		r.Apply(0, &pb.Batch{Commands: []*pb.Command{{Origin: fmt.Sprint("o", i), Seq: 1, At: r.at + int64(i), Body: &pb.Command_Beat{Beat: &pb.Beat{}}}}})
 	}
 	if n := r.Counts()["origins"]; n > maxOrigins || n <= maxOrigins-originEvictionBatch {
-		t.Errorf("%d origins are held", n)
+		t.Errorf("%d origins are kept", n)
 	}
-	for name, o := range r.origins { // the newest stay
+	for name, o := range r.origins { // the newest are kept
 		if o.At <= r.at+2*maxOrigins {
-			t.Fatalf("%s is held, silent since %d", name, o.At-r.at)
+			t.Fatalf("%s is kept, inactive since %d", name, o.At-r.at)
 		}
 	}
 }
@@ -208,11 +207,11 @@
 	return &pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: inst}}}
 }
 
-// applyChanges applies changes as a subscriber does, and checks that they continue what it holds.
+// applyChanges applies changes as a subscriber does, and checks that their previous records match its own.
 func applyChanges(t *rapid.T, subscriber *Catalog, changes []revision.Change) {
 	for _, x := range changes {
 		if held := subscriber.currentRecord(x.Key); !reflect.DeepEqual(held, x.Before) {
-			t.Fatalf("%q was %v before, not %v", x.Key, held, x.Before)
+			t.Fatalf("%q was %v, the change has %v before it", x.Key, held, x.Before)
 		}
 		err := error(nil)
 		if x.Removed {
@@ -226,8 +225,8 @@
 	}
 }
 
-// Guards replicas from one another: one that is fed everything twice and late, and restarted from snapshots at any
-// point, is equal to one that is not. On the way no drain is taken back and no pool is passed.
+// A replica that gets commands twice and late and is restarted from snapshots at random stays equal to one that does
+// not. Meanwhile no drain is lost and no pool is exceeded.
 func TestReplicasStayEqualAndKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New("t"), New("t")
@@ -245,15 +244,15 @@
 			}
 			rb := b.Apply(uint64(i+1), &pb.Batch{Commands: twice})
 			if ra[0].Refused != rb[0].Refused || rb[1].Refused != rb[0].Refused || !rb[1].Repeated {
-				t.Fatalf("answers differ: %v, %v", ra, rb)
+				t.Fatalf("results differ: %v, %v", ra, rb)
 			}
 			changes := a.TakeChanges()
 			if also := b.TakeChanges(); !reflect.DeepEqual(changes, also) {
-				t.Fatalf("equal replicas changed %v and %v", changes, also)
+				t.Fatalf("changes of equal replicas differ: %v, %v", changes, also)
 			}
 			applyChanges(t, subscriber, changes)
 			if want, have := a.Records(), subscriber.Records(); !reflect.DeepEqual(want, have) {
-				t.Fatalf("after %v a subscriber holds\n%v\nnot\n%v", c, have, want)
+				t.Fatalf("after %v a subscriber has the records\n%v\nwant\n%v", c, have, want)
 			}
 			if rapid.IntRange(0, 5).Draw(t, "restart") == 0 {
 				snap, err := b.Encode()
@@ -266,7 +265,7 @@
 			}
 			for _, m := range a.Members() {
 				if s, was := drained[m.Entry.Id]; was && s == m.Start && m.DrainedAt == 0 && m.Start > 0 {
-					t.Fatalf("the drain of %v was taken back", m)
+					t.Fatalf("the drain of %v was lost", m)
 				}
 				if m.DrainedAt != 0 {
 					drained[m.Entry.Id] = m.Start
@@ -276,14 +275,14 @@
 					sum += OutstandingShare(m, id)
 				}
 				if sum > a.Rules().Pool+1e-9 {
-					t.Fatalf("%v of the pool is out at %v", sum, m)
+					t.Fatalf("leases of %v of the pool are outstanding at %v", sum, m)
 				}
 			}
 		}
 		da, _ := a.Digest()
 		again := New("t")
 		if err := again.ResetRecords(a.Index(), a.Records()); err != nil || !reflect.DeepEqual(again.Records(), a.Records()) {
-			t.Fatalf("built from all records at once: %v, %v", again.Records(), err)
+			t.Fatalf("reset from all records: %v, %v", again.Records(), err)
 		}
 		if db, _ := b.Digest(); da != db {
 			t.Fatalf("replicas differ:\n%v\n%v", a.Counts(), b.Counts())
@@ -291,7 +290,7 @@
 	})
 }
 
-// A snapshot is read as it was written, or not at all.
+// A snapshot is decoded completely or not at all.
 func FuzzDecode(f *testing.F) {
 	r := newTestCatalog()
 	r.applyCommand(inventoryCommand(0, "a", "b"))
@@ -300,15 +299,15 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	for i := range good { // each byte damaged in turn is found
+	for i := range good { // corruption of any byte is detected
 		bad := append([]byte(nil), good...)
 		bad[i] ^= 0x40
 		if _, err := Decode(bad); err == nil {
-			f.Errorf("damage at byte %d passed", i)
+			f.Errorf("corruption of byte %d is not detected", i)
 		}
 	}
 	if _, err := Decode(good[:len(good)-1]); !errors.Is(err, ErrCorrupt) {
-		f.Errorf("cut short: %v", err)
+		f.Errorf("truncated: %v", err)
 	}
 	f.Add(good)
 	f.Add(good[:headerSize])
@@ -322,12 +321,12 @@
 			t.Fatal(err)
 		}
 		if _, err := Decode(again); err != nil {
-			t.Fatalf("what was read cannot be read again: %v", err)
+			t.Fatalf("a decoded snapshot cannot be decoded after encoding it again: %v", err)
 		}
 	})
 }
 
-// A record of the log may be anything: it is read or turned down, and never brings the catalog down.
+// Any log entry is either applied or refused, and never causes a panic.
 func FuzzApply(f *testing.F) {
 	b, _ := proto.Marshal(&pb.Batch{Commands: []*pb.Command{inventoryCommand(0, "a"), drainCommand("a", 0)}})
 	f.Add(b)
@@ -338,7 +337,7 @@
 		}
 		c := New("t")
 		if n := len(c.Apply(1, x)); n != len(x.Commands) {
-			t.Fatalf("%d answers to %d commands", n, len(x.Commands))
+			t.Fatalf("%d results of %d commands", n, len(x.Commands))
 		}
 		if _, err := c.Encode(); err != nil {
 			t.Fatal(err)
@@ -346,48 +345,48 @@
 	})
 }
 
-// Guards the agreed rate: what an instance said some time ago is not added to what others say now, as its clients may
-// be theirs by then. Of a primary the newest word counts, whoever said it.
+// An old rate of one instance must not be added to current rates of others, as its clients may have moved to them. The
+// newest report of a primary is used, whichever instance sent it.
 func TestOnlyConcurrentRatesAreSummed(t *testing.T) {
 	r := newTestCatalog()
 	r.applyCommand(inventoryCommand(0, "a", "b"))
-	say := func(instance, primary string, at int64, rate float64) {
+	report := func(instance, primary string, at int64, rate float64) {
 		r.applyCommand(&pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: instance}}})
 		r.applyCommand(&pb.Command{Body: &pb.Command_Learn{Learn: &pb.Learn{Instance: instance, Groups: []*pb.GroupWord{{Primary: primary, PrimaryAt: at, WarmRate: rate}}}}})
 	}
-	say("x", "a", 7, 10)
-	say("y", "b", 6, 5)
+	report("x", "a", 7, 10)
+	report("y", "b", 6, 5)
 	if w := r.GroupSummaries()[Group{}]; w.WarmRate != 15 || w.Primary != "a" {
 		t.Errorf("%+v", w)
 	}
 	r.at += maxRateAge
-	say("y", "b", 9, 14)
+	report("y", "b", 9, 14)
 	if w := r.GroupSummaries()[Group{}]; w.WarmRate != 14 || w.Primary != "b" {
-		t.Errorf("after a while: %+v", w)
+		t.Errorf("after maxRateAge: %+v", w)
 	}
 }
 
-// Guards customers from one another: an instance's two fronts serve groups of the same number and classes of the same name,
-// and what is learned of one's stands beside the other's.
+// An instance's fronts may serve groups of the same number and classes of the same name for different customers: the
+// learned state of each front is kept separately.
 func TestLearnedStateIsSeparateByFront(t *testing.T) {
 	r := newTestCatalog()
 	p := inventoryCommand(0, "a", "b")
 	p.GetPutInventory().Members[0].Wire, p.GetPutInventory().Members[1].Wire = "mysql", "postgres"
 	r.applyCommand(p)
 	r.applyCommand(&pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: "x"}}})
-	say := func(wire, primary string, rate float64, typical int64) {
+	report := func(wire, primary string, rate float64, typical int64) {
 		r.applyCommand(&pb.Command{Body: &pb.Command_Learn{Learn: &pb.Learn{Instance: "x", Wire: wire,
 			Groups:  []*pb.GroupWord{{Primary: primary, PrimaryAt: 1, WarmRate: rate}},
 			Classes: []*pb.ClassWord{{Name: "booking", Typical: typical}}}}})
 	}
-	say("mysql", "a", 10, 7e6)
-	say("postgres", "b", 3, 900e6)
-	say("postgres", "a", 4, 800e6) // no member of its own: the name is dropped
+	report("mysql", "a", 10, 7e6)
+	report("postgres", "b", 3, 900e6)
+	report("postgres", "a", 4, 800e6) // not a member of that wire: the primary is ignored
 	my, pg := r.GroupSummaries()[Group{Wire: "mysql"}], r.GroupSummaries()[Group{Wire: "postgres"}]
 	if my.WarmRate != 10 || my.Primary != "a" || pg.WarmRate != 4 || pg.Primary != "" {
 		t.Errorf("mysql's group %+v, postgres's %+v", my, pg)
 	}
 	if a, b := r.TypicalResponseTime("mysql", "booking"), r.TypicalResponseTime("postgres", "booking"); a != 7e6 || b != 800e6 {
-		t.Errorf("booking takes %d and %d", a, b)
+		t.Errorf("response times of booking: %d and %d", a, b)
 	}
 }
--- a/internal/controlplane/catalog/changes.go
+++ b/internal/controlplane/catalog/changes.go
@@ -10,30 +10,30 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// recorder collects which records the entry that is being applied changes. A record that an entry changes several times
-// is one change: nobody sees the states between.
+// recorder collects the records that the current log entry changes. A record that an entry changes several times counts
+// as one change, as the states in between are not observable.
 type recorder struct {
-	committedAt int64 // of the command that is being applied, Unix ns
+	committedAt int64 // time of the current command, Unix ns
 	touched     map[string]touchedRecord
-	changes     []revision.Change // of entries applied since the last TakeChanges
+	changes     []revision.Change // by entries applied since the last TakeChanges
 }
 
-// touchedRecord is a record as it was before the entry, and when the newest command touched it.
+// touchedRecord is the state of a record before the current entry, with the time of the last command that touched it.
 type touchedRecord struct {
-	before           *revision.Record // nil: there was none
+	before           *revision.Record // nil: it did not exist
 	start, drainedAt int64            // of a member
 	committedAt      int64
 }
 
-// TakeChanges returns what the entries applied since the last call have changed, in order; within one entry by key.
-// Who calls Apply takes the changes of each entry, as they are kept until then.
+// TakeChanges returns the changes of the entries applied since the last call, in order; within an entry sorted by key.
+// The caller of Apply has to take the changes of each entry, as they are kept until then.
 func (c *Catalog) TakeChanges() []revision.Change {
 	out := c.recorder.changes
 	c.recorder.changes = nil
 	return out
 }
 
-// touch is called before anything of the record under key may change.
+// touch has to be called before a record is modified.
 func (c *Catalog) touch(key string) {
 	t, known := c.recorder.touched[key]
 	if !known {
@@ -51,7 +51,7 @@
 
 func (c *Catalog) touchMember(id string) { c.touch(revision.MemberPrefix + id) }
 
-// recordChanges turns what one entry has touched into changes.
+// recordChanges converts the records touched by one entry into changes.
 func (c *Catalog) recordChanges(index uint64) {
 	for _, key := range sortedKeys(c.recorder.touched) {
 		t := c.recorder.touched[key]
@@ -75,7 +75,7 @@
 }
 
 // isBinding reports whether a change must reach every subscriber: a new drain, a new start, the removal of a member, or
-// whatever concerns a primary.
+// any change of a primary.
 func (c *Catalog) isBinding(key string, before touchedRecord, removed bool) bool {
 	if strings.HasPrefix(key, revision.PrimaryPrefix) {
 		return true
@@ -90,7 +90,7 @@
 	return newDrain || newStart
 }
 
-// currentRecord is the currentRecord under a key as it stands, nil if there is none.
+// currentRecord returns the current record of a key, nil if there is none.
 func (c *Catalog) currentRecord(key string) *revision.Record {
 	if id, ok := strings.CutPrefix(key, revision.MemberPrefix); ok {
 		if m := c.members[id]; m != nil {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// memberRecord is a member's record. Leases are no part of it: they concern their holders alone.
+// memberRecord returns a member's record, without its leases, which concern their holders only.
 func memberRecord(m *pb.Member) *revision.Record {
 	r := encodeRecord(revision.MemberPrefix+m.Entry.Id, &pb.Member{Entry: m.Entry, Start: m.Start, ColdSince: m.ColdSince,
 		WarmAt: m.WarmAt, DrainedAt: m.DrainedAt, DrainReason: m.DrainReason})
@@ -127,17 +127,17 @@
 	return r
 }
 
-// encodeRecord encodes a value. Equal values give equal bytes.
+// encodeRecord encodes a value deterministically.
 func encodeRecord(key string, value proto.Message) *revision.Record {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(value)
-	if err != nil { // a string that is not UTF-8, which no command that was read from the log can hold
+	if err != nil { // invalid UTF-8, which a command decoded from the log cannot contain
 		b = nil
 	}
 	return &revision.Record{Key: key, Value: b}
 }
 
-// IsRedundant reports whether a command says only what this catalog holds already: a drain that is recorded for that
-// start, a start that is known, a primary whose report is not newer. Later entries never make it necessary again.
+// IsRedundant reports whether a command would change nothing: a drain that is recorded for that start, a start that is
+// known, a report of a primary that is not newer. Later entries never make it necessary again.
 func (c *Catalog) IsRedundant(x *pb.Command) bool {
 	switch b := x.Body.(type) {
 	case *pb.Command_Drain:
--- a/internal/controlplane/catalog/difference.go
+++ b/internal/controlplane/catalog/difference.go
@@ -8,8 +8,8 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// Difference is what makes one wire's members those of a list: the entries that are new or changed, in the order of the
-// list, and the ids of members that are no longer on it.
+// Difference returns the changes that make one wire's members equal to a list: new and changed entries, in list order,
+// and the ids of members that are no longer listed, sorted.
 func (c *Catalog) Difference(wire string, list []*pb.Entry) (changed []*pb.Entry, removed []string) {
 	listed := make(map[string]bool, len(list))
 	for _, e := range list {
@@ -28,7 +28,7 @@
 	return changed, removed
 }
 
-// HasWire reports whether any member speaks that wire.
+// HasWire reports whether the catalog has a member of that wire.
 func (c *Catalog) HasWire(wire string) bool {
 	for group := range c.groups {
 		if group.Wire == wire {
--- a/internal/controlplane/catalog/instances.go
+++ b/internal/controlplane/catalog/instances.go
@@ -13,7 +13,7 @@
 	}
 	x := c.instances[b.Instance]
 	if x == nil {
-		// Guards the safe shares: they are split by the number of instances that may exist at once.
+		// The safe shares are computed for most_instances, so that more instances would exceed the budget.
 		if len(c.instances) >= int(c.state.Rules.MostInstances) {
 			return refused("%d instances are known already, most_instances allows no more", len(c.instances))
 		}
@@ -24,7 +24,8 @@
 	return &pb.Result{}
 }
 
-// removeInstance forgets an instance: its place among most_instances is free again. It is the operator's word that it is off.
+// removeInstance deletes an instance, which frees its place among most_instances. The operator has to make sure that it
+// is stopped.
 func (c *Catalog) removeInstance(id string) *pb.Result {
 	if c.instances[id] == nil {
 		return refused("no instance %q is known", id)
@@ -39,7 +40,7 @@
 	if x == nil {
 		return refused("no instance %q is known", l.Instance)
 	}
-	// What the instance's other front has said stands: its groups and classes may have the same numbers and names.
+	// Keep what the instance's other fronts reported: their groups and classes may have the same numbers and names.
 	x.Groups = slices.DeleteFunc(x.Groups, func(g *pb.GroupWord) bool { return g.Wire == l.Wire })
 	x.Classes = slices.DeleteFunc(x.Classes, func(k *pb.ClassWord) bool { return k.Wire == l.Wire })
 	x.Learned = c.state.Now
@@ -63,22 +64,22 @@
 	return &pb.Result{}
 }
 
-// GroupSummary is what all instances together have learned of a group.
+// GroupSummary aggregates what all instances have learned of a group.
 type GroupSummary struct {
 	Primary   string // by the newest report
 	PrimaryAt int64
-	// WarmRate is the work a second and size that its warm members answer for all instances together. Only rates of
-	// the same few moments are added up: clients that move to another instance would count at both.
+	// WarmRate is the work per second and unit of size that its warmed-up members do for all instances together. Only
+	// rates of about the same time are summed: clients that moved to another instance would be counted twice.
 	WarmRate float64
 }
 
-// Group is a group of members: each wire, and so each customer that it serves, has groups of its own.
+// Group identifies a group of members. Each wire, and so each customer that it serves, has its own groups.
 type Group = revision.Group
 
-// GroupOf is the group of a member.
+// GroupOf returns the group of an entry.
 func GroupOf(e *pb.Entry) Group { return Group{Wire: e.Wire, ID: e.Group} }
 
-// GroupSummaries are those of all groups.
+// GroupSummaries returns the summaries of all groups.
 func (c *Catalog) GroupSummaries() map[Group]GroupSummary {
 	out := map[Group]GroupSummary{}
 	for _, p := range c.primaries {
@@ -102,7 +103,7 @@
 	return out
 }
 
-// TypicalResponseTime is the median of the instances' typical answer times of a wire's class, in ns; 0: unknown.
+// TypicalResponseTime returns the median of the instances' typical response times of a wire's class, in ns; 0: unknown.
 func (c *Catalog) TypicalResponseTime(wire, class string) int64 {
 	var all []int64
 	for _, x := range c.instances {
--- a/internal/controlplane/catalog/leases.go
+++ b/internal/controlplane/catalog/leases.go
@@ -6,8 +6,8 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// OutstandingShare is the part of a cold member's pool that an instance may be using: the largest of its leases that have
-// not been released. One that has been replaced counts until it has surely run out.
+// OutstandingShare returns the part of a warming member's pool that an instance may be using: the largest of its leases
+// that have not been released. A replaced lease counts until it has certainly expired.
 func OutstandingShare(m *pb.Member, instance string) (share float64) {
 	for _, l := range m.Leases {
 		if l.Instance == instance {
@@ -17,8 +17,8 @@
 	return share
 }
 
-// grantLease grants a share of a cold member's pool: in proportion to what the instances want, as far as it is free. The
-// sum of all that is outstanding never passes the pool, whoever is cut off.
+// grantLease grants a share of a warming member's pool, in proportion to the demand of the instances, as far as it is
+// available. The sum of outstanding shares never exceeds the pool, whichever instances are disconnected.
 func (c *Catalog) grantLease(a *pb.Ask) *pb.Result {
 	m := c.members[a.Member]
 	switch {
@@ -29,19 +29,19 @@
 	case a.Duration <= 0 || a.Duration > c.state.Rules.ColdFor || a.Nonce == "" || !(a.Want >= 0 && a.Want < 1e9):
 		return refused("a lease needs a nonce, a want and a duration of at most the cold time")
 	}
-	held, taken := 0, 0.0
+	leases, used := 0, 0.0
 	for _, id := range leaseHolders(m) {
 		if id != a.Instance {
-			taken += OutstandingShare(m, id)
+			used += OutstandingShare(m, id)
 		}
 	}
 	for _, l := range m.Leases {
 		if l.Instance == a.Instance {
-			held++
+			leases++
 		}
 	}
-	share := min(c.fairShare(m, a), c.state.Rules.Pool-taken)
-	if held >= maxLeasesPerHolder || share < minLeaseShare {
+	share := min(c.fairShare(m, a), c.state.Rules.Pool-used)
+	if leases >= maxLeasesPerHolder || share < minLeaseShare {
 		return refused("no share of %s is free", a.Member)
 	}
 	c.state.Serial++
@@ -60,9 +60,10 @@
 	return ids
 }
 
-// fairShare is the part of the pool that is due to who asks, by what all instances want of that group.
+// fairShare returns the part of the pool that is due to the requesting instance, by the demand of all instances for the
+// group.
 func (c *Catalog) fairShare(m *pb.Member, a *pb.Ask) float64 {
-	var wants []float64
+	var demands []float64
 	own, sum := a.Want, 0.0
 	for _, id := range sortedKeys(c.instances) {
 		w := 0.0
@@ -75,20 +76,20 @@
 				}
 			}
 		}
-		wants, sum = append(wants, w), sum+w
+		demands, sum = append(demands, w), sum+w
 	}
-	least := minDemandWeight * sum / float64(len(wants))
+	least := minDemandWeight * sum / float64(len(demands))
 	if sum == 0 {
 		least, own = 1, 1
 	}
 	total := 0.0
-	for _, w := range wants {
+	for _, w := range demands {
 		total += max(w, least)
 	}
 	return c.state.Rules.Pool * max(own, least) / total
 }
 
-// releaseLease takes a lease back whose time has surely passed at its holder, as the leader's own clock showed.
+// releaseLease releases a lease that has certainly expired at its holder, as measured by the leader's clock.
 func (c *Catalog) releaseLease(r *pb.Release) *pb.Result {
 	m := c.members[r.Member]
 	if m == nil || m.Start != r.Start {
--- a/internal/controlplane/catalog/members.go
+++ b/internal/controlplane/catalog/members.go
@@ -9,12 +9,10 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// inService is the state of an inventory's member that may be sent requests.
+// inService is the inventory state of a member that may receive requests.
 const inService = "in_service"
 
-// The list of members: the inventory and the changes of single members.
-
-// putInventory replaces the whole list.
+// putInventory replaces the whole member list.
 func (c *Catalog) putInventory(p *pb.PutInventory) *pb.Result {
 	if p.Base != c.state.Inventory {
 		return refused("the inventory is at version %d, not %d", c.state.Inventory, p.Base)
@@ -37,7 +35,7 @@
 	return &pb.Result{Version: c.state.Inventory}
 }
 
-// upsertMembers changes or adds the members that it names.
+// upsertMembers changes or adds single members.
 func (c *Catalog) upsertMembers(p *pb.UpsertMembers) *pb.Result {
 	listed, problem := checkEntries(p.Members)
 	if problem != "" {
@@ -61,7 +59,7 @@
 	return &pb.Result{Version: c.state.Inventory}
 }
 
-// removeMembers takes members off the list. Those that are not on it stay away.
+// removeMembers removes members from the list. Unknown ids are ignored.
 func (c *Catalog) removeMembers(p *pb.RemoveMembers) *pb.Result {
 	if slices.Contains(p.Members, "") {
 		return refused("a member needs an id")
@@ -83,7 +81,7 @@
 	c.membersVersion++
 }
 
-// checkEntries returns the ids that a list names, or what is wrong with the list.
+// checkEntries returns the ids of a list, or the problem of an invalid list.
 func checkEntries(list []*pb.Entry) (ids map[string]bool, problem string) {
 	ids = make(map[string]bool, len(list))
 	for i, e := range list {
@@ -98,9 +96,9 @@
 	return ids, ""
 }
 
-// upsertEntries takes in checked entries and reports whether they changed anything.
+// upsertEntries adds or changes validated entries and reports whether anything changed.
 func (c *Catalog) upsertEntries(list []*pb.Entry) (changed bool) {
-	known := map[string]bool{} // wires that the installation has had members of
+	known := map[string]bool{} // wires that have members
 	for group := range c.groups {
 		known[group.Wire] = true
 	}
@@ -124,7 +122,7 @@
 	return changed
 }
 
-// isDraining reports whether an inventory says that a member is to get nothing new.
+// isDraining reports whether the inventory state of a member excludes it from new requests.
 func isDraining(e *pb.Entry) bool { return e.State != "" && e.State != inService }
 
 func (c *Catalog) replaceEntry(m *pb.Member, e *pb.Entry) {
@@ -140,7 +138,7 @@
 	}
 }
 
-// countMember keeps the number of members of each group that has any.
+// countMember adds n to the number of members of a group.
 func (c *Catalog) countMember(group Group, n int) {
 	c.groups[group] += n
 	if c.groups[group] <= 0 {
@@ -148,7 +146,7 @@
 	}
 }
 
-// removeMember takes a member off the list and keeps its start and drain, in case that it comes back.
+// removeMember removes a member from the list and keeps its start and drain in a tombstone, in case it returns.
 func (c *Catalog) removeMember(id string) bool {
 	m := c.members[id]
 	if m == nil {
@@ -162,8 +160,8 @@
 	return true
 }
 
-// addMember takes in a member that was not present. What is new to a running installation is cold; at the first
-// inventory of a wire, what does not tell its start has been there for long.
+// addMember adds a member that was not present. A new member of a running installation is in slow start; in the first
+// inventory of a wire, a member without a start time is considered warmed up.
 func (c *Catalog) addMember(e *pb.Entry, first bool) *pb.Member {
 	m := &pb.Member{Entry: e}
 	c.members[e.Id] = m
@@ -171,7 +169,7 @@
 	t := c.tombstones[e.Id]
 	delete(c.tombstones, e.Id)
 	switch {
-	case t != nil && e.Started > 0 && e.Started <= t.Start: // it never went: its drain still holds
+	case t != nil && e.Started > 0 && e.Started <= t.Start: // it has not restarted: its drain still holds
 		m.Start = t.Start
 		if m.ColdSince = c.state.Now; t.Drained {
 			c.markDraining(m, "it was draining when it left the list")
@@ -190,13 +188,13 @@
 }
 
 func (c *Catalog) trimTombstones() {
-	most := 2*len(c.members) + tombstoneSlack
-	if len(c.tombstones) <= most+tombstoneSlack/4 { // in steps: sorting at each change would cost more than the space
+	limit := 2*len(c.members) + tombstoneSlack
+	if len(c.tombstones) <= limit+tombstoneSlack/4 { // in batches: sorting costs more than the space
 		return
 	}
 	all := sortedValues(c.tombstones)
 	slices.SortFunc(all, byAge)
-	for _, t := range all[:len(all)-most] {
+	for _, t := range all[:len(all)-limit] {
 		delete(c.tombstones, t.Member)
 	}
 }
--- a/internal/controlplane/catalog/origins.go
+++ b/internal/controlplane/catalog/origins.go
@@ -7,8 +7,9 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// applyOnce applies a command unless its origin's number shows that it, or a later one, has been applied. An origin has
-// one batch out at a time, so an earlier number that comes late was given up by its sender.
+// applyOnce applies a command unless its sequence number shows that it, or a later one of its origin, has been applied.
+// An origin has one batch in flight at a time, so a late command with an earlier number has been abandoned by its
+// sender.
 func (c *Catalog) applyOnce(x *pb.Command) *pb.Result {
 	c.state.Now = max(c.state.Now, x.At)
 	if x.Origin == "" || x.Seq == 0 {
@@ -39,7 +40,7 @@
 	return r
 }
 
-// evictOrigins drops the origins that have been silent for longest: some at once, as finding them takes a sort.
+// evictOrigins drops the origins that have been inactive for longest, in batches, as finding them takes a sort.
 func (c *Catalog) evictOrigins() {
 	all := sortedValues(c.origins)
 	slices.SortStableFunc(all, func(a, b *pb.Origin) int { return cmp.Compare(a.At, b.At) })
--- a/internal/controlplane/catalog/primaries.go
+++ b/internal/controlplane/catalog/primaries.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// primaryRefreshInterval (ns) is how much newer a report of the known primary must be to count: every gateway that sees a
-	// change of primary reports it, and only the first of them must reach all the others.
+	// primaryRefreshInterval (ns) is how much newer a report of the known primary must be to be recorded: every gateway
+	// that observes a change of primary reports it, and only the first report has to reach all the others.
 	primaryRefreshInterval = 10e9
-	// maxClockAhead (ns) is how far a report's time may lie ahead of the leader's clock. One from a clock that runs
+	// maxClockAhead (ns) is how far a report's time may be ahead of the leader's clock. A report from a clock that is
 	// further ahead would hide all later reports.
 	maxClockAhead = 60e9
 )
 
 func primaryGroup(p *pb.Primary) Group { return Group{Wire: p.Wire, ID: p.Group} }
 
-// reportPrimary takes the newest report of who takes a group's writes.
+// reportPrimary records the newest report of the member that takes a group's writes.
 func (c *Catalog) reportPrimary(r *pb.ReportPrimary) *pb.Result {
 	group := Group{Wire: r.Wire, ID: r.Group}
 	known := c.primaries[group.String()]
@@ -39,15 +39,15 @@
 	return &pb.Result{}
 }
 
-// Primary is the newest report of a group, nil if there is none. It must not be changed.
+// Primary returns the newest report of a group's primary, nil if there is none. It must not be modified.
 func (c *Catalog) Primary(group Group) *pb.Primary { return c.primaries[group.String()] }
 
-// isRefresh reports whether a report says what is known and is hardly newer.
+// isRefresh reports whether a report names the known primary and is within primaryRefreshInterval of its last report.
 func isRefresh(known *pb.Primary, r *pb.ReportPrimary) bool {
 	return known != nil && known.Member == r.Member && r.At <= known.At+primaryRefreshInterval
 }
 
-// dropPrimary drops a group's primary if it is that member, which has left the group.
+// dropPrimary drops a group's primary if it is the given member, which has left the group.
 func (c *Catalog) dropPrimary(group Group, member string) {
 	key := group.String()
 	if p := c.primaries[key]; p != nil && p.Member == member {
--- a/internal/controlplane/catalog/records.go
+++ b/internal/controlplane/catalog/records.go
@@ -12,14 +12,14 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// A subscriber's catalog has no commands: it is built from the records that the control plane distributes.
+// A subscriber's catalog applies no commands: it is built from the records that the control plane distributes.
 
-// RecordError says why a record was not taken.
+// RecordError reports a record that was not accepted.
 type RecordError struct{ Key, Problem string }
 
 func (e *RecordError) Error() string { return fmt.Sprintf("catalog: record %q: %s", e.Key, e.Problem) }
 
-// Records are all that is distributed, in key order.
+// Records returns all records that are distributed, sorted by key.
 func (c *Catalog) Records() []revision.Record {
 	out := make([]revision.Record, 0, len(c.members)+len(c.primaries)+len(c.pairs)+2)
 	add := func(key string) {
@@ -42,10 +42,10 @@
 	return out
 }
 
-// SetIndex notes the revision that the catalog stands at.
+// SetIndex sets the revision of the catalog.
 func (c *Catalog) SetIndex(revision uint64) { c.state.Index = revision }
 
-// ResetRecords replaces all that the catalog holds. With an error, a *RecordError, nothing has changed.
+// ResetRecords replaces the content of the catalog. On an error, a *RecordError, nothing has changed.
 func (c *Catalog) ResetRecords(rev uint64, records []revision.Record) error {
 	fresh := New(c.state.Cluster)
 	for _, r := range records {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// SetRecord takes one record over as it is. With an error, a *RecordError, nothing has changed.
+// SetRecord adds or replaces one record. On an error, a *RecordError, nothing has changed.
 func (c *Catalog) SetRecord(r revision.Record) error {
 	if id, ok := strings.CutPrefix(r.Key, revision.MemberPrefix); ok {
 		return c.setMemberRecord(r, id)
@@ -78,7 +78,7 @@
 	return &RecordError{r.Key, "no kind of record that this release knows"}
 }
 
-// RemoveRecord drops one record. One that is not there is no error.
+// RemoveRecord removes one record. An unknown id is no error.
 func (c *Catalog) RemoveRecord(key string) error {
 	if id, ok := strings.CutPrefix(key, revision.MemberPrefix); ok {
 		if m := c.members[id]; m != nil {
@@ -110,9 +110,9 @@
 	return &RecordError{key, "no kind of record that this release knows"}
 }
 
-// decode reads a record's value.
-func decode(r revision.Record, into proto.Message) error {
-	if err := proto.Unmarshal(r.Value, into); err != nil {
+// decode unmarshals a record's value.
+func decode(r revision.Record, value proto.Message) error {
+	if err := proto.Unmarshal(r.Value, value); err != nil {
 		return &RecordError{r.Key, err.Error()}
 	}
 	return nil
--- a/internal/controlplane/catalog/records_test.go
+++ b/internal/controlplane/catalog/records_test.go
@@ -30,7 +30,7 @@
 	return &pb.Command{Body: &pb.Command_ReportPrimary{ReportPrimary: &pb.ReportPrimary{Wire: wire, Group: group, Member: member, At: at}}}
 }
 
-// summary is what a change says, without its values.
+// summary describes a change without its values.
 func summary(x revision.Change) string {
 	out := x.Key
 	for _, word := range []struct {
@@ -44,12 +44,12 @@
 	return out
 }
 
-// Each command changes the records that it should, and marks what must reach every subscriber.
+// Each command changes the expected records, and marks the changes that must reach every subscriber.
 func TestChangesOfEachCommand(t *testing.T) {
 	r := newTestCatalog()
 	for i, x := range []struct {
 		c    *pb.Command
-		want string // of all changes, in order
+		want string // summaries of all changes, in order
 	}{
 		{upsertCommand(entry("a", "mysql", 1), entry("b", "mysql", 1)), "member/a new; member/b new"},
 		{upsertCommand(entry("a", "mysql", 1)), ""},
@@ -57,11 +57,11 @@
 		{drainCommand("a", 0), ""},
 		{startCommand("a", 2e18), "member/a binding"},
 		{reportPrimaryCommand("mysql", 1, "a", 1e18), "primary/mysql/1 new binding"},
-		{reportPrimaryCommand("mysql", 1, "a", 1e18+5e9), ""}, // another gateway's report of the same change
+		{reportPrimaryCommand("mysql", 1, "a", 1e18+5e9), ""}, // another gateway reports the same change
 		{reportPrimaryCommand("mysql", 1, "b", 1e18-1), ""},
 		{reportPrimaryCommand("mysql", 1, "b", 1e18+6e9), "primary/mysql/1 binding"},
-		{reportPrimaryCommand("mysql", 2, "b", 1e18+7e9), ""}, // of another group
-		{reportPrimaryCommand("mysql", 1, "a", 9e18), ""},     // of a clock that runs years ahead
+		{reportPrimaryCommand("mysql", 2, "b", 1e18+7e9), ""}, // b is in another group
+		{reportPrimaryCommand("mysql", 1, "a", 9e18), ""},     // from a clock that is years ahead
 		{upsertCommand(entry("b", "mysql", 2)), "member/b; primary/mysql/1 removed binding"},
 		{reportPrimaryCommand("mysql", 2, "b", 1e18+8e9), "primary/mysql/2 new binding"},
 		{removeCommand("b", "zz"), "member/b removed binding; primary/mysql/2 removed binding"},
@@ -88,7 +88,7 @@
 	}
 }
 
-// A member that leaves and comes back with the same start is draining still, whichever command names it.
+// A member that is removed and returns with the same start is still draining, whichever command adds it.
 func TestRemovalAndUpsertKeepDrains(t *testing.T) {
 	r := newTestCatalog()
 	r.applyCommand(upsertCommand(entry("a", "mysql", 1)))
@@ -99,7 +99,7 @@
 	back.Started = 5e18
 	r.applyCommand(upsertCommand(back))
 	if r.Member("a").DrainedAt == 0 {
-		t.Error("it is no longer draining")
+		t.Error("the drain was lost")
 	}
 	fresh := proto.Clone(back).(*pb.Entry)
 	fresh.Started = 5e18 + 1
@@ -109,7 +109,7 @@
 	stopped := proto.Clone(fresh).(*pb.Entry)
 	stopped.State = "draining"
 	if r.applyCommand(upsertCommand(stopped)); r.Member("a").DrainedAt == 0 {
-		t.Error("the inventory's drain was not taken")
+		t.Error("the drain of the inventory was not recorded")
 	}
 }
 
@@ -127,7 +127,7 @@
 	}
 }
 
-// Guards the caps: twice the planned fleet fits, and one member more than the cap is turned down.
+// The limits hold twice the planned fleet, and one member beyond the limit is refused.
 func TestLimitsHoldTwiceThePlannedFleet(t *testing.T) {
 	r := newTestCatalog()
 	const fleet, groups = 2 * 21000, 2 * 3500
@@ -151,7 +151,7 @@
 		more = append(more, entry(fmt.Sprint("n", i), "mysql", 0))
 	}
 	if x := r.applyCommand(upsertCommand(more...)); x.Refused == "" || len(r.Members()) != fleet {
-		t.Errorf("beyond the cap: %v, %d members", x, len(r.Members()))
+		t.Errorf("beyond the limit: %v, %d members", x, len(r.Members()))
 	}
 	if x := r.applyCommand(upsertCommand(more[1:]...)); x.Refused != "" {
 		t.Error(x.Refused)
@@ -166,7 +166,8 @@
 	return revision.Record{Key: key, Value: b}
 }
 
-// A record that is unreadable or absurd is named, and changes nothing, neither alone nor among good ones.
+// The error for an unreadable or invalid record names it, and nothing changes, whether it comes alone or with valid
+// ones.
 func TestInvalidRecordsChangeNothing(t *testing.T) {
 	s := New("t")
 	good := []revision.Record{encodedRecord("member/a", &pb.Member{Entry: entry("a", "mysql", 1)}), encodedRecord("pair/k", &pb.Pair{Key: "k"})}
@@ -207,27 +208,27 @@
 		}
 	}
 	if err := s.RemoveRecord("novelty/x"); err == nil {
-		t.Error("an unknown kind was removed")
+		t.Error("a record of an unknown kind was removed")
 	}
 	if err := s.RemoveRecord("member/zz"); err != nil {
 		t.Error(err)
 	}
 }
 
-// A subscriber's versions rise where its readers must look again; the inventory's only where its list has changed.
+// A subscriber's versions increase with each change; the inventory version only when the member list changes.
 func TestSubscriberVersions(t *testing.T) {
 	s := New("t")
 	if err := s.ResetRecords(1, []revision.Record{encodedRecord("member/a", &pb.Member{Entry: entry("a", "mysql", 1)})}); err != nil {
 		t.Fatal(err)
 	}
 	inventory, members := s.InventoryVersion(), func() uint64 { m, _, _ := s.Versions(); return m }
-	was := members()
+	previous := members()
 	draining := encodedRecord("member/a", &pb.Member{Entry: entry("a", "mysql", 1), DrainedAt: 3})
-	if err := s.SetRecord(draining); err != nil || s.InventoryVersion() != inventory || members() == was {
-		t.Errorf("a drain: %v, inventory %d after %d, members %d", err, s.InventoryVersion(), inventory, members())
+	if err := s.SetRecord(draining); err != nil || s.InventoryVersion() != inventory || members() == previous {
+		t.Errorf("after a drain: %v, inventory version %d, was %d, members version %d", err, s.InventoryVersion(), inventory, members())
 	}
 	if err := s.RemoveRecord("member/a"); err != nil || s.InventoryVersion() == inventory {
-		t.Errorf("a removal: %v, inventory %d after %d", err, s.InventoryVersion(), inventory)
+		t.Errorf("after a removal: %v, inventory version %d, was %d", err, s.InventoryVersion(), inventory)
 	}
 	s.SetIndex(9)
 	if s.Index() != 9 {
@@ -235,7 +236,7 @@
 	}
 }
 
-// A snapshot that the release before primaries and records wrote is read, and goes on from there.
+// A snapshot of the release before primaries and records is decoded and accepts further commands.
 func TestDecodeSnapshotOfEarlierRelease(t *testing.T) {
 	b, err := os.ReadFile("testdata/snapshot-without-primaries.bin")
 	if err != nil {
@@ -254,7 +255,7 @@
 		keys = append(keys, x.Key)
 	}
 	if want := "config member/a member/b member/c pair/k primary/mysql/1"; strings.Join(keys, " ") != want {
-		t.Errorf("it holds %v", keys)
+		t.Errorf("records: %v", keys)
 	}
 	if r.Member("a").DrainedAt == 0 || r.GroupSummaries()[Group{Wire: "mysql", ID: 0}].Primary != "a" {
 		t.Errorf("%v, %v", r.Member("a"), r.GroupSummaries())
@@ -264,6 +265,6 @@
 		t.Fatal(err)
 	}
 	if d, err := Decode(again); err != nil || !reflect.DeepEqual(d.Records(), r.Records()) {
-		t.Errorf("written again: %v", err)
+		t.Errorf("after encoding it again: %v", err)
 	}
 }
--- a/internal/controlplane/catalog/rules.go
+++ b/internal/controlplane/catalog/rules.go
@@ -7,12 +7,12 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// DefaultRules are in force until a command sets others.
+// DefaultRules returns the rules that apply until a command sets others.
 func DefaultRules() *pb.Rules {
 	return &pb.Rules{ColdFor: 16e9, ColdLongest: 20e9, ClockBound: 0.05, MostInstances: 8, Pool: 0.5}
 }
 
-// ValidateRules says what is wrong with rules, or nothing.
+// ValidateRules returns the problem of invalid rules, or "".
 func ValidateRules(r *pb.Rules) string {
 	switch {
 	case r == nil:
@@ -29,15 +29,15 @@
 	return ""
 }
 
-// SafeShare is the part of a cold member's budget that every instance may use without a lease, whatever the others do.
+// SafeShare returns the part of a warming member's budget that every instance may use without a lease.
 func SafeShare(r *pb.Rules) float64 { return (1 - r.Pool) / float64(r.MostInstances) }
 
 func (c *Catalog) setRules(r *pb.Rules) *pb.Result {
 	if problem := ValidateRules(r); problem != "" {
 		return refused("%s", problem)
 	}
-	// Guards the proof of the leases: the safe shares are split by the number of instances, and one that is cut off
-	// goes on by the rules that it has. So they change only while no member is cold.
+	// The safe shares depend on the number of instances, and a disconnected instance continues with its own rules. So
+	// that the shares never add up to more than the budget, rules change only while no member is in slow start.
 	if r.MostInstances < uint32(len(c.instances)) {
 		return refused("there are %d instances already", len(c.instances))
 	}
--- a/internal/controlplane/catalog/settings.go
+++ b/internal/controlplane/catalog/settings.go
@@ -8,13 +8,13 @@
 )
 
 func (c *Catalog) putConfig(p *pb.PutConfig) *pb.Result {
-	have := uint64(0)
+	version := uint64(0)
 	if n := len(c.state.Configs); n > 0 {
-		have = c.state.Configs[n-1].Version
+		version = c.state.Configs[n-1].Version
 	}
 	switch {
-	case p.Base != have:
-		return refused("the configuration is at version %d, not %d", have, p.Base)
+	case p.Base != version:
+		return refused("the configuration is at version %d, not %d", version, p.Base)
 	case len(p.Text) > maxValueBytes:
 		return refused("the configuration has %d bytes, %d at most", len(p.Text), maxValueBytes)
 	}
@@ -22,8 +22,8 @@
 	if len(c.state.Configs) >= maxConfigs {
 		c.state.Configs = slices.Delete(c.state.Configs, 0, 1)
 	}
-	c.state.Configs = append(c.state.Configs, &pb.ConfigVersion{Version: have + 1, Text: p.Text, Author: p.Author, At: c.state.Now})
-	return &pb.Result{Version: have + 1}
+	c.state.Configs = append(c.state.Configs, &pb.ConfigVersion{Version: version + 1, Text: p.Text, Author: p.Author, At: c.state.Now})
+	return &pb.Result{Version: version + 1}
 }
 
 func (c *Catalog) setPair(p *pb.Set) *pb.Result {
--- a/internal/controlplane/catalog/snapshot.go
+++ b/internal/controlplane/catalog/snapshot.go
@@ -14,7 +14,7 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// A snapshot is a head of 24 bytes and the state: magic, formatVersion, length of the state, its CRC32C.
+// A snapshot is a header of 24 bytes (magic number, format version, length and CRC32C of the state) and the state.
 const (
 	magic            = "ASPCATLG"
 	formatVersion    = 1
@@ -22,15 +22,15 @@
 	maxSnapshotBytes = 1 << 30
 )
 
-// ErrCorrupt says that a snapshot is not what was written.
-var ErrCorrupt = errors.New("snapshot is damaged")
+// ErrCorrupt reports a corrupt snapshot.
+var ErrCorrupt = errors.New("snapshot is corrupt")
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Checksum is the CRC32C of b.
+// Checksum returns the CRC32C of b.
 func Checksum(b []byte) uint32 { return crc32.Checksum(b, castagnoli) }
 
-// Encode writes the whole catalog. Equal catalogs give equal bytes.
+// Encode encodes the whole catalog as a snapshot. Equal catalogs give equal bytes.
 func (c *Catalog) Encode() ([]byte, error) {
 	s := proto.Clone(c.state).(*pb.State)
 	s.Members, s.Tombstones, s.Instances = sortedValues(c.members), sortedValues(c.tombstones), sortedValues(c.instances)
@@ -47,26 +47,26 @@
 	return out, nil
 }
 
-// Digest is equal for equal catalogs: for comparing replicas.
+// Digest returns a hash of the catalog that is equal for equal catalogs, to compare replicas.
 func (c *Catalog) Digest() (uint64, error) {
 	b, err := c.Encode()
 	return xxhash.Sum64(b), err
 }
 
-// Decode reads what Encode wrote. A damaged snapshot or one of a newer format is an error; then nothing is made.
+// Decode decodes a snapshot. A corrupt snapshot, or one of a newer format version, is an error.
 func Decode(b []byte) (*Catalog, error) {
 	if len(b) < headerSize || string(b[:8]) != magic {
-		return nil, fmt.Errorf("%w: it does not begin as one", ErrCorrupt)
+		return nil, fmt.Errorf("%w: the header is incomplete or has no magic number", ErrCorrupt)
 	}
 	if f := binary.BigEndian.Uint32(b[8:]); f == 0 || f > formatVersion {
 		return nil, fmt.Errorf("snapshot has format %d, this release reads %d at most", f, formatVersion)
 	}
 	body := b[headerSize:]
 	if n := binary.BigEndian.Uint64(b[12:]); n != uint64(len(body)) || n > maxSnapshotBytes {
-		return nil, fmt.Errorf("%w: %d bytes follow the head, not %d", ErrCorrupt, len(body), n)
+		return nil, fmt.Errorf("%w: %d bytes follow the header, not %d", ErrCorrupt, len(body), n)
 	}
 	if Checksum(body) != binary.BigEndian.Uint32(b[20:]) {
-		return nil, fmt.Errorf("%w: the checksum does not fit", ErrCorrupt)
+		return nil, fmt.Errorf("%w: checksum mismatch", ErrCorrupt)
 	}
 	s := &pb.State{}
 	if err := proto.Unmarshal(body, s); err != nil {
@@ -77,7 +77,7 @@
 	}
 	for _, m := range s.Members {
 		if m.GetEntry() == nil {
-			return nil, fmt.Errorf("%w: a member without an entry", ErrCorrupt)
+			return nil, fmt.Errorf("%w: a member has no entry", ErrCorrupt)
 		}
 	}
 	c := &Catalog{}
@@ -87,8 +87,8 @@
 }
 
 func (c *Catalog) load(s *pb.State) {
-	index := func(n int) int { return n + 16 }
-	c.members, c.tombstones = make(map[string]*pb.Member, index(len(s.Members))), map[string]*pb.Tombstone{}
+	capacity := func(n int) int { return n + 16 }
+	c.members, c.tombstones = make(map[string]*pb.Member, capacity(len(s.Members))), map[string]*pb.Tombstone{}
 	c.instances, c.origins, c.pairs = map[string]*pb.Instance{}, map[string]*pb.Origin{}, map[string]*pb.Pair{}
 	c.primaries, c.groups = map[string]*pb.Primary{}, map[Group]int{}
 	for _, m := range s.Members {
@@ -117,7 +117,8 @@
 	c.membersVersion, c.learnedVersion, c.leasesVersion = 1, 1, 1
 }
 
-// applyNowKnownCommands carries out what an earlier release has kept and this one knows. Its results were told long ago.
+// applyNowKnownCommands applies commands that an earlier release kept and this one knows. Their results were returned
+// when they were kept.
 func (c *Catalog) applyNowKnownCommands() {
 	var known []*pb.Command
 	c.state.Later = slices.DeleteFunc(c.state.Later, func(x *pb.Command) bool {
@@ -132,17 +133,17 @@
 	for _, x := range known {
 		c.apply(x)
 	}
-	c.recorder = recorder{} // who reads a snapshot takes all records anew
+	c.recorder = recorder{} // a snapshot is distributed as a whole, not as changes
 }
 
-// ReplaceWith takes over all that another catalog holds, with versions above those told so far.
+// ReplaceWith replaces the content with that of another catalog. The versions continue from the current ones.
 func (c *Catalog) ReplaceWith(o *Catalog) {
 	m, l, s := c.membersVersion, c.learnedVersion, c.leasesVersion
 	*c = *o
 	c.membersVersion, c.learnedVersion, c.leasesVersion = m+1, l+1, s+1
 }
 
-// Counts are the sizes of what is held, for status and for tests of its bounds.
+// Counts returns the number of items of each kind, for the status and for tests of the limits.
 func (c *Catalog) Counts() map[string]int {
 	out := map[string]int{"members": len(c.members), "tombstones": len(c.tombstones), "instances": len(c.instances),
 		"origins": len(c.origins), "pairs": len(c.pairs), "configs": len(c.state.Configs), "later": len(c.state.Later)}
--- a/internal/controlplane/catalog/starts.go
+++ b/internal/controlplane/catalog/starts.go
@@ -11,7 +11,7 @@
 	}
 }
 
-// drain binds a drain to (member, start). Nothing takes it back but a newer start.
+// drain records a drain of a member's start. Only a newer start ends it.
 func (c *Catalog) drain(d *pb.Drain) *pb.Result {
 	m := c.members[d.Member]
 	if m == nil {
@@ -24,7 +24,7 @@
 	switch {
 	case d.Start != 0 && d.Start < m.Start:
 		return refused("%s has started again since", d.Member)
-	case d.Start > m.Start: // its start is news as well
+	case d.Start > m.Start: // the command also reports a newer start
 		c.applyStart(m, d.Start)
 	}
 	c.markDraining(m, d.Reason)
@@ -45,7 +45,7 @@
 	return &pb.Result{}
 }
 
-// markWarmedUp agrees that a start is markWarmedUp. Who asks for it has seen the cold time pass on its own clock.
+// markWarmedUp ends the slow start of a member. The proposer has measured its duration by its own clock.
 func (c *Catalog) markWarmedUp(w *pb.Warm) *pb.Result {
 	m := c.members[w.Member]
 	if m == nil || m.Start != w.Start || !IsWarming(m) {
@@ -58,8 +58,8 @@
 	return &pb.Result{}
 }
 
-// applyStart makes a new start of m: cold, not draining, without leases. How long it has run already is not believed, as
-// clocks may be apart, unless it is very long.
+// applyStart records a new start of m: in slow start, not draining, without leases. Its reported age is ignored, as
+// clocks may differ, unless it exceeds warmedUpStartAge.
 func (c *Catalog) applyStart(m *pb.Member, start int64) {
 	c.touchMember(m.Entry.Id)
 	m.Start, m.WarmAt, m.DrainedAt, m.DrainReason, m.Leases = start, 0, 0, "", nil
@@ -69,5 +69,5 @@
 	c.leasesVersion++
 }
 
-// IsWarming tells whether m is cold as far as this replica has heard.
+// IsWarming reports whether m is in slow start, as far as this replica knows.
 func IsWarming(m *pb.Member) bool { return m.ColdSince != 0 && m.WarmAt == 0 }
