--- a/internal/controlplane/commandqueue/queue.go
+++ b/internal/controlplane/commandqueue/queue.go
@@ -1,5 +1,5 @@
-// Package commandqueue carries commands to where they are agreed on, in batches: one batch at a time, each command under
-// its own number, so that a batch that arrives twice is applied once.
+// Package commandqueue submits commands to the replicated log in batches. One batch is in flight at a time and each
+// command has a sequence number, so that a batch that arrives twice is applied once.
 package commandqueue
 
 import (
@@ -14,7 +14,7 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// The errors that callers tell apart. Only after ErrUnknown may a command have been carried out.
+// The errors that callers distinguish. Only after ErrUnknown may a command have been applied.
 var (
 	ErrBusy        = errors.New("store: too many commands wait")
 	ErrUnavailable = errors.New("store: no leader could be reached; nothing was done")
@@ -23,30 +23,30 @@
 )
 
 const (
-	// MaxBatch is the number of commands in one batch: as many as results that the catalog remembers.
+	// MaxBatch is the maximum number of commands in a batch: the catalog remembers as many results per origin.
 	MaxBatch = 64
-	// MinRetryDelay and MaxRetryDelay bound the wait before a batch is tried again.
+	// MinRetryDelay and MaxRetryDelay bound the delay before a batch is retried.
 	MinRetryDelay = 10 * time.Millisecond
 	MaxRetryDelay = 400 * time.Millisecond
 
-	maxSubmitted  = 1024            // commands whose callers wait; further ones get ErrBusy
-	maxOffers     = 4096            // commands that nobody waits for, by key; further keys are dropped: they come again
-	maxBatchBytes = 512 << 10       // of one batch, from which on no more are added
-	batchTimeout  = 5 * time.Second // a batch that found no leader by then is given up, and the next has its turn
+	maxSubmitted  = 1024            // commands with waiting callers; further ones get ErrBusy
+	maxOffers     = 4096            // keys of offers; further ones are dropped, their callers offer again
+	maxBatchBytes = 512 << 10       // size from which no further command is added to a batch
+	batchTimeout  = 5 * time.Second // without a leader for this long, a batch is dropped for the next one
 )
 
-// SubmitFunc takes a batch to where it is agreed on. mayHaveRun: the batch may be agreed on in spite of the error.
+// SubmitFunc submits a batch to the replicated log. mayHaveRun: the batch may be committed despite the error.
 type SubmitFunc func(*pb.Batch) (results []*pb.Result, mayHaveRun bool, err error)
 
-// entry is one command in the queue.
+// entry is one queued command.
 type entry struct {
 	command *pb.Command
-	done    chan struct{} // nil: nobody waits
+	done    chan struct{} // nil: no caller waits
 	result  *pb.Result
 	err     error
 }
 
-// Queue holds commands until they are carried out. Its methods may be called from any goroutine.
+// Queue holds commands until they are applied. Its methods are safe for concurrent use.
 type Queue struct {
 	origin      string
 	submitBatch SubmitFunc
@@ -55,32 +55,32 @@
 
 	mu        sync.Mutex
 	sequence  uint64
-	submitted []*entry // of callers that wait
-	offerKeys []string // of offers, in order
+	submitted []*entry // with waiting callers
+	offerKeys []string // of offers, in order of arrival
 	offers    map[string]*pb.Command
 	closed    bool
 }
 
-// New makes a queue that ends when end is closed. origin names the sender of its commands: no two queues share one.
-func New(origin string, carry SubmitFunc, end <-chan struct{}) *Queue {
-	return &Queue{origin: origin, submitBatch: carry, stop: end, wake: make(chan struct{}, 1), offers: map[string]*pb.Command{}}
+// New creates a queue that stops when stop is closed. origin identifies the sender of its commands and must be unique.
+func New(origin string, submitBatch SubmitFunc, stop <-chan struct{}) *Queue {
+	return &Queue{origin: origin, submitBatch: submitBatch, stop: stop, wake: make(chan struct{}, 1), offers: map[string]*pb.Command{}}
 }
 
-// Offer has a command carried out some time; a later one with the same key takes the place of one that still waits.
+// Offer queues a command without waiting for it. It replaces a queued command with the same key.
 func (q *Queue) Offer(key string, c *pb.Command) {
 	q.mu.Lock()
-	_, waits := q.offers[key]
-	if !waits && len(q.offers) < maxOffers {
+	_, queued := q.offers[key]
+	if !queued && len(q.offers) < maxOffers {
 		q.offerKeys = append(q.offerKeys, key)
 		q.offers[key] = c
-	} else if waits {
+	} else if queued {
 		q.offers[key] = c
 	}
 	q.mu.Unlock()
 	q.notify()
 }
 
-// Submit has a command carried out and waits for its result. A queue that is full returns ErrBusy at once.
+// Submit queues a command and waits up to limit for its result. A full queue returns ErrBusy at once.
 func (q *Queue) Submit(c *pb.Command, limit time.Duration) (*pb.Result, error) {
 	e := &entry{command: proto.Clone(c).(*pb.Command), done: make(chan struct{})}
 	if err := q.enqueue(e); err != nil {
@@ -100,14 +100,14 @@
 	return nil, ErrUnknown
 }
 
-// Queued is the number of commands that no batch has taken up.
+// Queued returns the number of commands that are not part of a batch yet.
 func (q *Queue) Queued() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.submitted) + len(q.offers)
 }
 
-// Run carries batches until the queue's end. Callers that wait then get ErrClosed.
+// Run submits batches until the queue is stopped. Waiting callers then get ErrClosed.
 func (q *Queue) Run() {
 	for {
 		entries, b := q.nextBatch()
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// withdraw removes a command that has not been taken up; then it cannot run.
+// withdraw removes a command that is not part of a batch yet. On success the command will not run.
 func (q *Queue) withdraw(e *entry) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -158,7 +158,7 @@
 	return false
 }
 
-// nextBatch forms the next batch: commands that somebody waits for first.
+// nextBatch forms the next batch: commands with waiting callers first, then offers.
 func (q *Queue) nextBatch() (entries []*entry, b *pb.Batch) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -186,7 +186,7 @@
 	return entries, b
 }
 
-// deliverBatch carries a batch and hands out its results.
+// deliverBatch submits a batch and returns its results to the callers.
 func (q *Queue) deliverBatch(entries []*entry, b *pb.Batch) {
 	results, err := q.submitWithRetry(b)
 	for i, e := range entries {
@@ -199,24 +199,25 @@
 	}
 }
 
-// submitWithRetry repeats a batch until it is answered, for a while. What may have run once stays in doubt.
+// submitWithRetry retries a batch until it has results, for at most batchTimeout. Once an attempt may have run, the
+// error is ErrUnknown.
 func (q *Queue) submitWithRetry(b *pb.Batch) ([]*pb.Result, error) {
-	doubt := ErrUnavailable
+	failure := ErrUnavailable
 	for end, delay := time.Now().Add(batchTimeout), MinRetryDelay; ; delay = min(2*delay, MaxRetryDelay) {
 		results, mayHaveRun, err := q.submitBatch(b)
 		if err == nil && len(results) == len(b.Commands) {
 			return results, nil
 		}
 		if mayHaveRun {
-			doubt = ErrUnknown
+			failure = ErrUnknown
 		}
 		if time.Now().After(end) {
-			return nil, doubt
+			return nil, failure
 		}
 		select {
 		case <-q.stop:
-			return nil, doubt
-		case <-time.After(delay/2 + rand.N(delay)): // instances must not come back all at once
+			return nil, failure
+		case <-time.After(delay/2 + rand.N(delay)): // jitter: instances must not all retry at once
 		}
 	}
 }
--- a/internal/controlplane/commandqueue/queue_test.go
+++ b/internal/controlplane/commandqueue/queue_test.go
@@ -13,8 +13,8 @@
 	return &pb.Command{Body: &pb.Command_Set{Set: &pb.Set{Key: key, Value: []byte(value)}}}
 }
 
-// A queue that nobody empties turns away what it cannot hold, says of the rest that nothing was done, and keeps only
-// the newest of what is offered under one key.
+// A queue that is not drained refuses commands beyond its limit, returns ErrUnavailable for those that time out in it,
+// and keeps only the newest offer of a key.
 func TestFullQueueRefusesCommands(t *testing.T) {
 	block, end := make(chan struct{}), make(chan struct{})
 	var got []*pb.Batch
@@ -36,11 +36,11 @@
 		if err := <-errs; errors.Is(err, ErrBusy) {
 			busy++
 		} else if !errors.Is(err, ErrUnavailable) {
-			t.Errorf("nobody took it up: %v", err)
+			t.Errorf("a command in no batch: %v", err)
 		}
 	}
 	if q.Queued() != 0 {
-		t.Errorf("%d are still held", q.Queued())
+		t.Errorf("%d commands are still queued", q.Queued())
 	}
 	for i := range 100 {
 		q.Offer("same", setCommand("k", fmt.Sprint(i)))
@@ -53,6 +53,6 @@
 	close(end)
 	<-done
 	if len(got) != 1 || len(got[0].Commands) != 1 || string(got[0].Commands[0].GetSet().Value) != "99" {
-		t.Errorf("carried: %v (%d turned away)", got, busy)
+		t.Errorf("submitted: %v (%d refused)", got, busy)
 	}
 }
