--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent stands between the store and one pipeline: it tells the pipeline which members there are, what drains and
-// what share of a cold one is its own, and tells the store what the pipeline has learned. It decides nothing; roster,
-// lease and catalog do. It runs on a goroutine of its own and only posts to the loop.
+// Package agent connects the store with one pipeline. It passes members, drains and slow-start shares to the pipeline,
+// and reports what the pipeline has learned to the store. All decisions are made by the packages roster, lease and
+// catalog. An agent runs on its own goroutine and only posts to the event loop.
 package agent
 
 import (
@@ -23,17 +23,17 @@
 const (
 	tickInterval        = 100 * time.Millisecond
 	learnInterval       = aspenshed.Nanos(1e9)
-	drainReportInterval = aspenshed.Nanos(1e9) // between two tellings of the store of a drain that it does not show yet
+	drainReportInterval = aspenshed.Nanos(1e9) // between two reports of a drain that the store does not have yet
 )
 
-// Pipeline is what an agent tells; its methods are called on the loop.
+// Pipeline receives the updates of an agent; its methods are called on the loop.
 type Pipeline interface {
 	Members(aspenshed.MemberList, map[string]string)
 	Tell(aspenshed.Event)
 	Learned() (aspenshed.LearnedState, bool)
 }
 
-// Store is what an agent needs of the control plane: an instance's own replica, or a subscriber's copy.
+// Store is the agent's access to the control plane: a voter's own replica, or a subscriber's copy.
 type Store interface {
 	ID() string
 	Boot() string
@@ -43,22 +43,23 @@
 	Submit(c *pb.Command, limit time.Duration) (*pb.Result, error)
 }
 
-// Config is what an agent is made of.
+// Config configures an agent.
 type Config struct {
 	Store         Store
 	Loop          *eventloop.Loop
 	Log           *logrus.Entry
 	Pipeline      Pipeline
-	Wire          string // of the catalog's members only these are the pipeline's
+	Wire          string // the pipeline's wire: members of other wires are ignored
 	Classes       []aspenshed.Class
-	LeaseDuration aspenshed.Nanos // 0: no leases are asked for
-	// KeepLearnedLocal keeps learned rates and times to this instance: a subscriber's are of no use to the others one by one.
+	LeaseDuration aspenshed.Nanos // 0: no leases are requested
+	// KeepLearnedLocal keeps learned rates and times in this instance: those of a single subscriber are of no use to
+	// other instances.
 	KeepLearnedLocal bool
-	// OnApplied hears, on the loop, of each revision that the pipeline has come to go by; nil: nobody does.
+	// OnApplied is called on the loop with each revision that the pipeline has applied; nil: no callback.
 	OnApplied func(rev uint64)
 }
 
-// Agent is one pipeline's.
+// Agent connects one pipeline with the store.
 type Agent struct {
 	cfg  Config
 	wake chan struct{}
@@ -70,32 +71,32 @@
 	holder          *lease.Holder
 	learned         aspenshed.LearnedState
 	localChanged    bool
-	hasWireMembers  bool                                // the catalog has named members of this wire
-	seenVersions    [3]uint64                           // versions of the catalog that the four below were taken at
+	hasWireMembers  bool                                // the catalog has had members of this wire
+	seenVersions    [3]uint64                           // catalog versions at which the next four fields were read
 	warmingMembers  []*pb.Member                        // copies
-	starts          map[string]aspenshed.SlowStartShare // of all members that have told a start: whether it is warm
+	starts          map[string]aspenshed.SlowStartShare // of all members with a known start: whether it is warmed up
 	groupSummaries  map[catalog.Group]catalog.GroupSummary
-	postedPrimaries map[string]bool                     // as told
-	postedShares    map[string]aspenshed.SlowStartShare // as told
+	postedPrimaries map[string]bool                     // as last posted
+	postedShares    map[string]aspenshed.SlowStartShare // as last posted
 	drainReportedAt map[string]aspenshed.Nanos
 	lastLearnAt     aspenshed.Nanos
-	revision        uint64 // of the catalog, when it was last looked at
-	postedRevision  uint64 // the revision that the loop has last been told of
+	revision        uint64 // of the catalog when it was last read
+	postedRevision  uint64 // the last revision posted to the loop
 }
 
-// Start begins; own is the instance's own list, as far as it has one.
-func Start(c Config, own []roster.Entry) *Agent {
+// Start starts an agent. local is the local member list; nil: there is none yet.
+func Start(c Config, local []roster.Entry) *Agent {
 	a := &Agent{cfg: c, wake: make(chan struct{}, 1), done: make(chan struct{}), stop: make(chan struct{}), merger: roster.New(),
 		postedShares: map[string]aspenshed.SlowStartShare{}, postedPrimaries: map[string]bool{}, starts: map[string]aspenshed.SlowStartShare{}, drainReportedAt: map[string]aspenshed.Nanos{},
 		holder: lease.NewHolder(c.Store.ID(), c.Store.Boot(), c.LeaseDuration)}
-	if own != nil {
-		a.SetLocalMembers(own)
+	if local != nil {
+		a.SetLocalMembers(local)
 	}
 	go a.run()
 	return a
 }
 
-// Wake has the agent look again soon. It does not block.
+// Wake makes the agent tick soon. It does not block.
 func (a *Agent) Wake() {
 	select {
 	case a.wake <- struct{}{}:
@@ -103,7 +104,7 @@
 	}
 }
 
-// SetLocalMembers takes the instance's own list.
+// SetLocalMembers replaces the local member list.
 func (a *Agent) SetLocalMembers(list []roster.Entry) {
 	a.mu.Lock()
 	a.merger.SetLocal(list)
@@ -112,7 +113,7 @@
 	a.Wake()
 }
 
-// ObserveStart takes word of a member's start that came with no list.
+// ObserveStart records a member's start that came without a list.
 func (a *Agent) ObserveStart(id string, at aspenshed.Nanos) {
 	a.mu.Lock()
 	a.merger.ObserveStart(id, at)
@@ -121,7 +122,7 @@
 	a.Wake()
 }
 
-// Drain takes the administrator's word. It holds here whether or not there is a majority to agree on it.
+// Drain records a drain by the administrator. It holds here whether or not a majority of the store is available.
 func (a *Agent) Drain(id string) {
 	a.mu.Lock()
 	a.merger.Drain(id)
@@ -151,15 +152,15 @@
 	}
 }
 
-// Tick looks at the catalog, asks for leases and says what has to be said.
+// Tick reads the catalog, requests leases and posts updates to the pipeline and the store.
 func (a *Agent) Tick(now aspenshed.Nanos) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	n := a.readCatalog()
-	if len(n.differs) > 0 {
-		a.postChangedMembers(n.differs)
+	changes := a.readCatalog()
+	if len(changes.differs) > 0 {
+		a.postChangedMembers(changes.differs)
 	}
-	if n.whole {
+	if changes.whole {
 		a.postMembers()
 	}
 	if a.cfg.LeaseDuration > 0 {
@@ -167,7 +168,7 @@
 			a.cfg.Store.Offer("ask "+x.Member, &pb.Command{Body: &pb.Command_Ask{Ask: x}})
 		}
 	}
-	a.postShares(now, n)
+	a.postShares(now, changes)
 	a.postApplied(a.revision)
 	a.reportDrains(now)
 	if now >= a.lastLearnAt+learnInterval {
@@ -176,7 +177,7 @@
 	}
 }
 
-// postApplied follows what was posted to the loop for a revision.
+// postApplied reports a revision after everything that was posted to the loop for it.
 func (a *Agent) postApplied(rev uint64) {
 	if a.cfg.OnApplied == nil || rev == a.postedRevision {
 		return
@@ -185,7 +186,7 @@
 	a.cfg.Loop.Post(func() { a.cfg.OnApplied(rev) })
 }
 
-// demand is the work a second that this instance sees in a group.
+// demand returns the work per second that this instance has for a group.
 func (a *Agent) demand(group int32) float64 {
 	for _, g := range a.learned.Groups {
 		if g.Group == int(group) {
@@ -195,7 +196,7 @@
 	return 0
 }
 
-// nearlyEqual tells whether two shares differ in nothing but a rate that has changed by less than a tenth.
+// nearlyEqual reports whether two shares differ at most in their rate, by less than a tenth.
 func nearlyEqual(a, b aspenshed.SlowStartShare) bool {
 	d := a.WorkRate - b.WorkRate
 	a.WorkRate = b.WorkRate
@@ -203,19 +204,19 @@
 }
 
 func (a *Agent) reportDrains(now aspenshed.Nanos) {
-	unsaid := a.merger.UnreportedDrains()
-	for _, id := range slices.Sorted(maps.Keys(unsaid)) {
-		if at, said := a.drainReportedAt[id]; said && now < at+drainReportInterval {
+	unreported := a.merger.UnreportedDrains()
+	for _, id := range slices.Sorted(maps.Keys(unreported)) {
+		if at, reported := a.drainReportedAt[id]; reported && now < at+drainReportInterval {
 			continue
 		}
 		a.drainReportedAt[id] = now
-		a.cfg.Store.Offer("drain "+id, &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: id, Start: int64(unsaid[id]),
+		a.cfg.Store.Offer("drain "+id, &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: id, Start: int64(unreported[id]),
 			Reason: "told to " + a.cfg.Store.ID()}}})
 	}
-	maps.DeleteFunc(a.drainReportedAt, func(id string, _ aspenshed.Nanos) bool { _, still := unsaid[id]; return !still })
+	maps.DeleteFunc(a.drainReportedAt, func(id string, _ aspenshed.Nanos) bool { _, pending := unreported[id]; return !pending })
 }
 
-// filterWire are the members that speak the pipeline's wire.
+// filterWire returns the members of the pipeline's wire. It reuses the slice.
 func (a *Agent) filterWire(all []*pb.Member) []*pb.Member {
 	return slices.DeleteFunc(all, func(m *pb.Member) bool { return m.Entry.Wire != a.cfg.Wire })
 }
--- a/internal/controlplane/agent/bench_test.go
+++ b/internal/controlplane/agent/bench_test.go
@@ -7,7 +7,7 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// What one change of a member costs a gateway that knows 21,000, and what a tick without any does.
+// BenchmarkTick measures a tick with one changed member out of 21,000, and one without changes.
 func BenchmarkTick(b *testing.B) {
 	h := newMemoryStore()
 	entry := func(i int) *pb.Entry {
@@ -17,7 +17,8 @@
 	for i := range 21000 {
 		entries = append(entries, entry(i))
 	}
-	h.apply(&pb.Command{Body: &pb.Command_PutInventory{PutInventory: &pb.PutInventory{Members: entries, Author: "test"}}}) // all are warm
+	// Members of the first inventory are warmed up.
+	h.apply(&pb.Command{Body: &pb.Command_PutInventory{PutInventory: &pb.PutInventory{Members: entries, Author: "test"}}})
 	if n := len(h.catalog.Members()); n != 21000 {
 		b.Fatal(n)
 	}
--- a/internal/controlplane/agent/learn.go
+++ b/internal/controlplane/agent/learn.go
@@ -7,19 +7,19 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// collectLearned has the loop tell what the Router knows, and passes on what the store has not heard.
+// collectLearned reads the learned state on the loop and reports what the store does not have.
 func (a *Agent) collectLearned() {
 	a.cfg.Loop.Post(func() {
 		l, ok := a.cfg.Pipeline.Learned()
 		if !ok {
 			return
 		}
-		go a.ReportLearned(l) // the loop must not wait for the store's lock
+		go a.ReportLearned(l) // the loop must not block on the store's lock
 	})
 }
 
-// ReportLearned takes what the Router knows. Starts and changes of primary go to the store at once, rates and times as a
-// summary.
+// ReportLearned reports the learned state of the Router to the store: starts and changes of primary at once, rates and
+// times as a summary.
 func (a *Agent) ReportLearned(l aspenshed.LearnedState) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -33,7 +33,7 @@
 	})
 }
 
-// learnedSummary is what the others hear of rates and times.
+// learnedSummary summarizes rates and times for other instances.
 func (a *Agent) learnedSummary(l aspenshed.LearnedState) *pb.Learn {
 	x := &pb.Learn{Instance: a.cfg.Store.ID(), Wire: a.cfg.Wire}
 	for _, g := range l.Groups {
@@ -47,7 +47,7 @@
 	return x
 }
 
-// reportStarts tells of members that have come back; another instance may have told of that start already.
+// reportStarts reports members that have returned, unless the catalog has that start already.
 func (a *Agent) reportStarts(c *catalog.Catalog, back []aspenshed.ObservedRestart) {
 	for _, b := range back {
 		if m := c.Member(b.Member); m != nil && m.Start < int64(b.UnreachableAt) {
@@ -56,8 +56,8 @@
 	}
 }
 
-// reportPrimaries tells of groups whose primary is another one than the catalog knows. Newer sightings of the same one
-// are not told: thousands of instances have them all the time.
+// reportPrimaries reports groups whose primary differs from the catalog's. Newer observations of the same primary are
+// not reported, as thousands of instances make them all the time.
 func (a *Agent) reportPrimaries(c *catalog.Catalog, groups []aspenshed.LearnedGroup) {
 	for _, g := range groups {
 		group := catalog.Group{Wire: a.cfg.Wire, ID: int32(g.Group)}
--- a/internal/controlplane/agent/members.go
+++ b/internal/controlplane/agent/members.go
@@ -13,55 +13,55 @@
 	"aspenshed/internal/controlplane/roster"
 )
 
-// changeFeed is a Store that knows which members have changed after a revision; false: all may have. It is called
-// within Read. With thousands of members a change then costs no walk over all of them.
+// changeFeed is a Store that knows which members have changed after a revision; known is false if any may have. It is
+// called within Read. With thousands of members, a change then needs no iteration over all of them.
 type changeFeed interface {
 	ChangedMembers(rev uint64) (ids []string, known bool)
 }
 
-// catalogChanges is what a look at the catalog has found.
+// catalogChanges is the result of reading the catalog.
 type catalogChanges struct {
-	whole   bool           // everything may differ
-	changed []string       // else: these members may
-	differs []roster.Entry // of them, what the merged list has otherwise than before
+	whole   bool           // anything may have changed
+	changed []string       // otherwise the members that may have changed
+	differs []roster.Entry // of these, the changed entries of the merged list
 }
 
-// readCatalog takes what is new in the catalog.
-func (a *Agent) readCatalog() (n catalogChanges) {
+// readCatalog reads what has changed in the catalog.
+func (a *Agent) readCatalog() (changes catalogChanges) {
 	a.cfg.Store.Read(func(c *catalog.Catalog) {
 		members, learned, leases := c.Versions()
-		was, since := a.seenVersions, a.revision
+		previous, since := a.seenVersions, a.revision
 		a.seenVersions, a.revision = [3]uint64{members, learned, leases}, c.Index()
-		if a.localChanged || members != was[0] {
-			n = a.readMembers(c, since)
+		if a.localChanged || members != previous[0] {
+			changes = a.readMembers(c, since)
 		}
-		if n.whole || leases != was[2] {
+		if changes.whole || leases != previous[2] {
 			a.warmingMembers = a.filterWire(c.WarmingMembers())
 		}
-		if n.whole || learned != was[1] {
-			a.groupSummaries, n.whole = c.GroupSummaries(), true
+		if changes.whole || learned != previous[1] {
+			a.groupSummaries, changes.whole = c.GroupSummaries(), true
 		}
 	})
 	a.localChanged = false
-	return n
+	return changes
 }
 
-// readMembers takes the members that have changed after a revision, or all of them.
-func (a *Agent) readMembers(c *catalog.Catalog, since uint64) (n catalogChanges) {
-	feed, has := a.cfg.Store.(changeFeed)
-	if has && !a.localChanged && a.merger.CanApplyChanges() {
+// readMembers reads the members that have changed after a revision, or all of them.
+func (a *Agent) readMembers(c *catalog.Catalog, since uint64) (changes catalogChanges) {
+	feed, ok := a.cfg.Store.(changeFeed)
+	if ok && !a.localChanged && a.merger.CanApplyChanges() {
 		ids, known := feed.ChangedMembers(since)
 		if known {
-			n.changed, n.differs = ids, a.applyMemberChanges(c, ids)
-			n.whole = a.hasNewPrimary(c, ids)
-			return n
+			changes.changed, changes.differs = ids, a.applyMemberChanges(c, ids)
+			changes.whole = a.hasNewPrimary(c, ids)
+			return changes
 		}
 	}
 	a.loadMembers(c)
 	return catalogChanges{whole: true}
 }
 
-// hasNewPrimary reports whether one of the members is known for a primary, and has not been told as one.
+// hasNewPrimary reports whether one of the members is a known primary and has not been posted as one.
 func (a *Agent) hasNewPrimary(c *catalog.Catalog, ids []string) bool {
 	return slices.ContainsFunc(ids, func(id string) bool {
 		m := c.Member(id)
@@ -69,11 +69,12 @@
 	})
 }
 
-// loadMembers takes all that the catalog holds of this wire.
+// loadMembers reads all members of this wire from the catalog.
 func (a *Agent) loadMembers(c *catalog.Catalog) {
 	members := a.filterWire(c.Members())
 	version := c.InventoryVersion()
-	if a.hasWireMembers = a.hasWireMembers || len(members) > 0; !a.hasWireMembers { // an inventory of another wire says nothing of this one
+	// An inventory with members of other wires only does not apply to this one.
+	if a.hasWireMembers = a.hasWireMembers || len(members) > 0; !a.hasWireMembers {
 		version = 0
 	}
 	a.merger.SetCatalog(version, members)
@@ -81,10 +82,10 @@
 	for _, m := range members {
 		a.recordStart(m)
 	}
-	maps.DeleteFunc(a.postedShares, func(id string, _ aspenshed.SlowStartShare) bool { _, here := a.starts[id]; return !here })
+	maps.DeleteFunc(a.postedShares, func(id string, _ aspenshed.SlowStartShare) bool { _, present := a.starts[id]; return !present })
 }
 
-// applyMemberChanges brings what follows from single members up to date.
+// applyMemberChanges updates the state derived from single members.
 func (a *Agent) applyMemberChanges(c *catalog.Catalog, ids []string) (differs []roster.Entry) {
 	changes := make([]roster.Change, 0, len(ids))
 	changed := make(map[string]bool, len(ids))
@@ -111,19 +112,19 @@
 			a.warmingMembers = append(a.warmingMembers, proto.Clone(x.Member).(*pb.Member))
 		}
 	}
-	if _, here := a.starts[x.ID]; !here {
+	if _, present := a.starts[x.ID]; !present {
 		delete(a.postedShares, x.ID)
 	}
 }
 
-// recordStart remembers whether a member's start is warm.
+// recordStart records whether a member's start is warmed up.
 func (a *Agent) recordStart(m *pb.Member) {
 	if m.Start > 0 {
 		a.starts[m.Entry.Id] = aspenshed.SlowStartShare{Member: m.Entry.Id, StartedAt: aspenshed.Nanos(m.Start), WarmedUp: !catalog.IsWarming(m)}
 	}
 }
 
-// postMembers tells the list if it, or whom the instances take for primaries, has changed.
+// postMembers posts the member list if it, or the set of known primaries, has changed.
 func (a *Agent) postMembers() {
 	list, changed := a.merger.Merge()
 	primary := map[string]bool{}
@@ -142,13 +143,13 @@
 	a.postMemberList(true, list)
 }
 
-// postChangedMembers tells members that have changed, or are gone, out of a list that stays.
+// postChangedMembers posts the changed and removed members of the list.
 func (a *Agent) postChangedMembers(differs []roster.Entry) {
 	a.cfg.Log.WithField("changed", len(differs)).Debug("inventory in use")
 	a.postMemberList(false, differs)
 }
 
-// postMemberList has the loop take a list, or a part of it.
+// postMemberList posts a whole list, or the changed part of it, to the loop.
 func (a *Agent) postMemberList(whole bool, list []roster.Entry) {
 	l, addresses := aspenshed.MemberList{Complete: whole}, map[string]string{}
 	for _, t := range list {
@@ -159,12 +160,12 @@
 	a.cfg.Loop.Post(func() { a.cfg.Pipeline.Members(l, addresses) })
 }
 
-// postShares tells what is new of each start: that it is warm, or what may be sent to it while it is cold. It comes
-// after the list that names the start.
-func (a *Agent) postShares(now aspenshed.Nanos, n catalogChanges) {
+// postShares posts changes of each start: that it is warmed up, or its share during slow start. It has to follow the
+// list that contains the start.
+func (a *Agent) postShares(now aspenshed.Nanos, changes catalogChanges) {
 	var updates []aspenshed.SlowStartShare
-	tell := func(x aspenshed.SlowStartShare) {
-		if old, told := a.postedShares[x.Member]; !told || old != x && !nearlyEqual(old, x) {
+	update := func(x aspenshed.SlowStartShare) {
+		if old, posted := a.postedShares[x.Member]; !posted || old != x && !nearlyEqual(old, x) {
 			a.postedShares[x.Member] = x
 			updates = append(updates, x)
 		}
@@ -173,9 +174,9 @@
 		x := a.starts[m.Entry.Id]
 		x.LeasedShare, x.Until = a.holder.Share(now, x.Member, m.Start)
 		x.WorkRate = a.groupSummaries[catalog.GroupOf(m.Entry)].WarmRate
-		tell(x)
+		update(x)
 	}
-	a.eachWarmedUp(n, tell)
+	a.eachWarmedUp(changes, update)
 	if len(updates) > 0 {
 		a.cfg.Loop.Post(func() {
 			for _, x := range updates {
@@ -185,17 +186,17 @@
 	}
 }
 
-// eachWarmedUp calls f for warm starts that may be new: thousands are not looked at at each tick.
-func (a *Agent) eachWarmedUp(n catalogChanges, f func(aspenshed.SlowStartShare)) {
-	if n.whole {
+// eachWarmedUp calls f for warmed-up starts that may be new, so that not all of thousands are checked at each tick.
+func (a *Agent) eachWarmedUp(changes catalogChanges, f func(aspenshed.SlowStartShare)) {
+	if changes.whole {
 		for _, x := range a.starts {
 			if x.WarmedUp {
 				f(x)
 			}
 		}
 	}
-	for _, id := range n.changed {
-		if x, here := a.starts[id]; here && x.WarmedUp {
+	for _, id := range changes.changed {
+		if x, present := a.starts[id]; present && x.WarmedUp {
 			f(x)
 		}
 	}
--- a/internal/controlplane/agent/members_test.go
+++ b/internal/controlplane/agent/members_test.go
@@ -23,7 +23,7 @@
 	"aspenshed/internal/dataplane/eventloop"
 )
 
-// memoryStore is a Store that the test alone writes to.
+// memoryStore is a Store with a catalog in memory that the test writes to.
 type memoryStore struct {
 	catalog *catalog.Catalog
 	changed map[uint64][]string // ids of members by revision
@@ -42,7 +42,7 @@
 	return &pb.Result{}, nil
 }
 
-// apply carries commands out as one entry. What the catalog refuses changes nothing.
+// apply applies commands as one log entry. Refused commands change nothing.
 func (h *memoryStore) apply(commands ...*pb.Command) {
 	rev := h.catalog.Index() + 1
 	for i, c := range commands {
@@ -56,7 +56,7 @@
 	}
 }
 
-// changeFeedStore is a heldCatalog that knows what has changed.
+// changeFeedStore is a memoryStore that implements changeFeed.
 type changeFeedStore struct{ *memoryStore }
 
 func (f changeFeedStore) ChangedMembers(rev uint64) (ids []string, known bool) {
@@ -72,20 +72,20 @@
 	return ids, true
 }
 
-// noopPipeline takes everything.
+// noopPipeline ignores all updates.
 type noopPipeline struct{}
 
 func (noopPipeline) Members(aspenshed.MemberList, map[string]string) {}
 func (noopPipeline) Tell(aspenshed.Event)                            {}
 func (noopPipeline) Learned() (aspenshed.LearnedState, bool)         { return aspenshed.LearnedState{}, false }
 
-// recordingPipeline keeps what a pipeline would go by.
+// recordingPipeline keeps the state that a pipeline would have.
 type recordingPipeline struct {
 	noopPipeline
 	members      map[string]aspenshed.Member
 	addresses    map[string]string
 	shares       map[string]aspenshed.SlowStartShare
-	partialLists int // lists that were not whole
+	partialLists int // number of updates that were not whole lists
 }
 
 func (p *recordingPipeline) Members(l aspenshed.MemberList, addresses map[string]string) {
@@ -114,20 +114,20 @@
 	}
 }
 
-// equal compares what counts: members, and the shares of those that are there.
+// equal compares members, their addresses and the shares of their current starts.
 func (p *recordingPipeline) equal(q *recordingPipeline) bool {
-	there := func(t *recordingPipeline) map[string]aspenshed.SlowStartShare {
+	currentShares := func(t *recordingPipeline) map[string]aspenshed.SlowStartShare {
 		out := maps.Clone(t.shares)
 		maps.DeleteFunc(out, func(id string, x aspenshed.SlowStartShare) bool {
-			m, here := t.members[id]
-			return !here || x.StartedAt != m.StartedAt
+			m, present := t.members[id]
+			return !present || x.StartedAt != m.StartedAt
 		})
 		return out
 	}
-	return maps.Equal(p.members, q.members) && maps.Equal(p.addresses, q.addresses) && maps.Equal(there(p), there(q))
+	return maps.Equal(p.members, q.members) && maps.Equal(p.addresses, q.addresses) && maps.Equal(currentShares(p), currentShares(q))
 }
 
-// newAgent is one that ticks only when the test has it tick.
+// newAgent returns an agent that ticks only when the test calls tickOnce.
 func newAgent(s Store, p Pipeline) *Agent {
 	log, _ := logtest.NewNullLogger()
 	return &Agent{cfg: Config{Store: s, Loop: eventloop.NewLoop(eventloop.NewClock()), Log: logrus.NewEntry(log), Pipeline: p, Wire: "mysql",
@@ -141,7 +141,7 @@
 	a.cfg.Loop.RunPending()
 }
 
-// randomCommand is one that members are told of.
+// randomCommand returns a command that affects members.
 func randomCommand(rng *rand.Rand, h *memoryStore) *pb.Command {
 	id := fmt.Sprint("m", rng.IntN(8))
 	start := int64(0)
@@ -176,7 +176,7 @@
 	return &pb.Command{Body: &pb.Command_UpsertMembers{UpsertMembers: &pb.UpsertMembers{Members: []*pb.Entry{entry}, Author: "test"}}}
 }
 
-// Guards that an agent that follows single changes has its pipeline go by the same as one that takes whole lists.
+// An agent that applies single changes gives its pipeline the same state as one that reads whole lists.
 func TestSingleChangesEqualWholeLists(t *testing.T) {
 	parts := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -192,7 +192,7 @@
 				}
 				h.apply(commands...)
 			}
-			if rng.IntN(10) == 0 { // an administrator's drain at the instance
+			if rng.IntN(10) == 0 { // an administrator's drain at this instance
 				id := fmt.Sprint("m", rng.IntN(8))
 				taker.merger.Drain(id)
 				follower.merger.Drain(id)
@@ -201,17 +201,17 @@
 			taker.tickOnce()
 			follower.tickOnce()
 			if !whole.equal(&followed) {
-				t.Fatalf("step %d: whole lists give\n%+v\nsingle changes\n%+v", step, whole, followed)
+				t.Fatalf("step %d: from whole lists\n%+v\nfrom single changes\n%+v", step, whole, followed)
 			}
 		}
 		parts += followed.partialLists
 	})
 	if parts == 0 {
-		t.Error("no change was followed")
+		t.Error("no single change was applied")
 	}
 }
 
-// Within a scope a primary may be known before the member comes into sight; it is told as the primary then.
+// A subscriber with a scope may know a primary before the member is in scope; the member is posted as the primary then.
 func TestPrimaryKnownBeforeItsMember(t *testing.T) {
 	h := newMemoryStore()
 	var table recordingPipeline
@@ -239,6 +239,6 @@
 	record("primary/mysql/1", &pb.Primary{Wire: "mysql", Group: 1, Member: "b", At: 5})
 	record("member/b", member("b"))
 	if !table.members["b"].Primary || table.members["a"].Primary {
-		t.Errorf("told: %+v", table.members)
+		t.Errorf("posted members: %+v", table.members)
 	}
 }
--- a/internal/controlplane/agent/publish.go
+++ b/internal/controlplane/agent/publish.go
@@ -14,38 +14,38 @@
 const (
 	publishTimeout = 10 * time.Second
 	// maxPublishBytes bounds one command of a published list: far below a frame's 4 MiB, so that a large list does not
-	// hold up what else goes to the leader.
+	// delay other commands to the leader.
 	maxPublishBytes = 256 << 10
-	// maxInitialListBytes bounds a first list, which goes in one command: below a frame's 4 MiB, with room for the rest of it.
-	// 42,000 members, twice the planned fleet, take 2.6 MB.
+	// maxInitialListBytes bounds an initial list, which is sent as one command: below a frame's 4 MiB, with room for
+	// the rest of the frame. 42,000 members, twice the planned fleet, take 2.6 MB.
 	maxInitialListBytes = 4<<20 - 64<<10
-	entryOverhead       = 6 // bytes of an entry or id in a command, beside its own: tag and length
+	entryOverhead       = 6 // bytes per entry or id in a command beyond its own size: tag and length
 )
 
-// RefusedError is a list, or a part of it, that the store did not take.
+// RefusedError reports a list, or a part of it, that the store refused.
 type RefusedError struct{ Reason string }
 
 func (e *RefusedError) Error() string { return "store: " + e.Reason }
 
-// ListSizeError is a first list that is too long for one command. To publish it again does not help.
+// ListSizeError reports an initial list that is too long for one command. Retrying does not help.
 type ListSizeError struct{ Bytes, Limit int }
 
 func (e *ListSizeError) Error() string {
-	return fmt.Sprintf("the first inventory has %d bytes, %d at most", e.Bytes, e.Limit)
+	return fmt.Sprintf("the initial inventory has %d bytes, %d at most", e.Bytes, e.Limit)
 }
 
-// Publish makes the instance's own list that of all. Only what differs from the list that all have is sent, so one
-// member's change costs as much as one member.
-func (a *Agent) Publish(own []*pb.Entry) error {
+// Publish replaces the catalog's list of this wire with the local list. Only the difference is sent, so that the cost
+// of one member's change does not depend on the length of the list.
+func (a *Agent) Publish(local []*pb.Entry) error {
 	var changed []*pb.Entry
 	var removed []string
 	err := a.cfg.Store.ReadLatest(publishTimeout, func(c *catalog.Catalog) {
-		changed, removed = c.Difference(a.cfg.Wire, own)
+		changed, removed = c.Difference(a.cfg.Wire, local)
 	})
 	if err != nil {
 		return err
 	}
-	// What is new comes first: no group is without members on the way.
+	// Additions come first, so that no group is without members in between.
 	for _, c := range a.publishCommands(changed, removed) {
 		if err := a.submitCommand(c); err != nil {
 			return err
@@ -54,12 +54,11 @@
 	return nil
 }
 
-// PublishInitial makes the own list that of all where the catalog knows no member of this wire: at the first start of an
-// installation. It retries until it is settled, the list proves too long, or
-// the agent stops.
-func (a *Agent) PublishInitial(own []*pb.Entry) (err error) {
+// PublishInitial publishes the local list if the catalog has no member of this wire, at the first start of an
+// installation. It retries until the catalog has a list, the local list is too long, or the agent stops.
+func (a *Agent) PublishInitial(local []*pb.Entry) (err error) {
 	for wait := tickInterval; ; wait = min(2*wait, publishTimeout) {
-		err = a.tryPublishInitial(own)
+		err = a.tryPublishInitial(local)
 		if tooLong := (*ListSizeError)(nil); err == nil || errors.As(err, &tooLong) {
 			return err
 		}
@@ -71,16 +70,16 @@
 	}
 }
 
-// tryPublishInitial sends the whole list as one command, so that nobody goes by a part of it, and on top of the version
-// that it has seen, as another instance may do the same.
-func (a *Agent) tryPublishInitial(own []*pb.Entry) error {
-	list := &pb.UpsertMembers{Members: own, Author: a.cfg.Store.ID(), Checked: true}
+// tryPublishInitial sends the whole list as one command, so that it is never applied in part, and based on the version
+// that it has read, as another instance may do the same.
+func (a *Agent) tryPublishInitial(local []*pb.Entry) error {
+	list := &pb.UpsertMembers{Members: local, Author: a.cfg.Store.ID(), Checked: true}
 	known := false
 	err := a.cfg.Store.ReadLatest(publishTimeout, func(c *catalog.Catalog) {
 		known = c.HasWire(a.cfg.Wire)
 		list.Base = c.InventoryVersion()
 	})
-	if err != nil || known || len(own) == 0 {
+	if err != nil || known || len(local) == 0 {
 		return err
 	}
 	if n := proto.Size(list); n > maxInitialListBytes {
@@ -97,7 +96,7 @@
 	return err
 }
 
-// publishCommands are the commands that carry a difference, each within maxPublishBytes unless one entry alone is longer.
+// publishCommands returns the commands for a difference, each within maxPublishBytes unless a single entry is longer.
 func (a *Agent) publishCommands(changed []*pb.Entry, removed []string) (out []*pb.Command) {
 	author := a.cfg.Store.ID()
 	entryBytes := func(e *pb.Entry) int { return proto.Size(e) + entryOverhead }
@@ -111,7 +110,7 @@
 	return out
 }
 
-// splitBySize cuts a list into parts of at most maxPublishBytes.
+// splitBySize splits a list into parts of at most maxPublishBytes.
 func splitBySize[T any](list []T, size func(T) int) (parts [][]T) {
 	begin, bytes := 0, 0
 	for i, x := range list {
--- a/internal/controlplane/agent/publish_test.go
+++ b/internal/controlplane/agent/publish_test.go
@@ -17,9 +17,9 @@
 	"aspenshed/internal/controlplane/store"
 )
 
-const waitTimeout = 30 * time.Second // for what must come
+const waitTimeout = 30 * time.Second // for operations that must succeed
 
-// inventoryLog counts the bytes of log entries that hold changes of the inventory.
+// inventoryLog counts the log entries with changes of the inventory, and their bytes.
 type inventoryLog struct {
 	raft.LogStore
 
@@ -51,7 +51,7 @@
 	return false
 }
 
-// takeCounts returns what has been counted since the last call.
+// takeCounts returns the counts since the last call.
 func (l *inventoryLog) takeCounts() (bytes, entries int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,14 +60,14 @@
 	return bytes, entries
 }
 
-// noCaller is the way to other instances, of which there are none.
+// noCaller is the Caller of an instance without peers.
 type noCaller struct{}
 
 func (noCaller) Call(string, *pb.Call, time.Duration) (*pb.Reply, error) {
 	return nil, store.ErrUnavailable
 }
 
-// newSingleInstanceAgent is an agent over a store of one instance with a log.
+// newSingleInstanceAgent returns an agent of a store with one instance and a log.
 func newSingleInstanceAgent(t *testing.T) (*Agent, *inventoryLog) {
 	t.Helper()
 	log := &inventoryLog{}
@@ -87,7 +87,7 @@
 	return &Agent{cfg: Config{Store: s, Wire: "mysql"}, stop: make(chan struct{})}, log
 }
 
-// memberList is a list of so many members, as a front makes it of its file.
+// memberList returns a list of n members, as a front builds it from its file.
 func memberList(n int) (list []*pb.Entry) {
 	for i := range n {
 		list = append(list, &pb.Entry{Id: fmt.Sprintf("db-%05d", i), Address: fmt.Sprintf("10.%d.%d.%d:3306", i>>16, i>>8&255, i&255),
@@ -113,7 +113,7 @@
 	return out
 }
 
-// A change of one member costs the log as much as one member, however long the inventory is.
+// The log bytes of one member's change do not depend on the length of the inventory.
 func TestLogBytesOfOneMemberChange(t *testing.T) {
 	for _, members := range []int{2100, 10500, 21000} {
 		a, log := newSingleInstanceAgent(t)
@@ -123,7 +123,7 @@
 		}
 		first, entries := log.takeCounts()
 		if entries != 1 {
-			t.Errorf("%d members: the first list took %d entries", members, entries)
+			t.Errorf("%d members: the initial list took %d log entries", members, entries)
 		}
 		whole := &pb.Command{Body: &pb.Command_PutInventory{PutInventory: &pb.PutInventory{Base: 1, Members: list, Author: "a"}}}
 		if r, err := a.cfg.Store.Submit(whole, waitTimeout); err != nil || r.Refused != "" {
@@ -137,19 +137,19 @@
 		}
 		after, entries := log.takeCounts()
 		if entries != 1 || after > 256 || !slices.Equal(a.heldMembers(), memberKeys(list)) {
-			t.Errorf("%d members: %d entries, %d bytes", members, entries, after)
+			t.Errorf("%d members: %d log entries, %d bytes", members, entries, after)
 		}
-		t.Logf("%d members: first list %d bytes of log; one member changed: %d bytes as a whole list, %d as a difference", members, first, before, after)
+		t.Logf("%d members: initial list %d bytes of log; one changed member: %d bytes as a whole list, %d as a difference", members, first, before, after)
 		if err := a.Publish(list); err != nil {
 			t.Fatal(err)
 		}
 		if _, entries := log.takeCounts(); entries != 0 {
-			t.Errorf("%d members: %d entries for an equal list", members, entries)
+			t.Errorf("%d members: %d log entries for an equal list", members, entries)
 		}
 	}
 }
 
-// A list of which half is new goes in commands of bounded size, additions before removals, and touches no other wire.
+// A large difference is split into commands of bounded size, and does not affect members of other wires.
 func TestLargeDifferenceIsSplit(t *testing.T) {
 	a, log := newSingleInstanceAgent(t)
 	if err := a.PublishInitial(memberList(12000)); err != nil {
@@ -167,14 +167,14 @@
 	}
 	bytes, entries := log.takeCounts()
 	if entries < 4 || bytes/entries > maxPublishBytes+1024 {
-		t.Errorf("%d bytes in %d entries", bytes, entries)
+		t.Errorf("%d bytes in %d log entries", bytes, entries)
 	}
 	if !slices.Equal(a.heldMembers(), memberKeys(append(slices.Clone(list), foreign...))) {
-		t.Errorf("%d members are held", len(a.heldMembers()))
+		t.Errorf("%d members are in the catalog", len(a.heldMembers()))
 	}
 }
 
-// A first list makes nobody cold, is not put over another's, and one that is too long is named at once.
+// An initial list starts no slow start and does not replace an existing one; one that is too long is an error at once.
 func TestInitialListIsPublishedOnce(t *testing.T) {
 	a, _ := newSingleInstanceAgent(t)
 	if err := a.PublishInitial(memberList(3)); err != nil {
@@ -182,11 +182,11 @@
 	}
 	a.cfg.Store.Read(func(c *catalog.Catalog) {
 		if n := len(c.WarmingMembers()); n != 0 {
-			t.Errorf("%d members are cold", n)
+			t.Errorf("%d members are in slow start", n)
 		}
 	})
 	if err := a.PublishInitial(memberList(5)); err != nil || len(a.heldMembers()) != 3 {
-		t.Errorf("a second first list: %v, %d members", err, len(a.heldMembers()))
+		t.Errorf("a second initial list: %v, %d members", err, len(a.heldMembers()))
 	}
 	long := &Agent{cfg: Config{Store: a.cfg.Store, Wire: "postgres"}, stop: make(chan struct{})}
 	list := memberList(1000)
@@ -207,7 +207,7 @@
 	}{
 		{nil, "[]"},
 		{[]int{half, half, half}, fmt.Sprint([][]int{{half, half}, {half}})},
-		{[]int{1, 3 * half, 1}, fmt.Sprint([][]int{{1}, {3 * half}, {1}})}, // one that is longer than a part goes alone
+		{[]int{1, 3 * half, 1}, fmt.Sprint([][]int{{1}, {3 * half}, {1}})}, // an oversized item is its own part
 	} {
 		if got := fmt.Sprint(splitBySize(x.sizes, func(n int) int { return n })); got != x.want {
 			t.Errorf("%v: %s, want %s", x.sizes, got, x.want)
