--- a/internal/controlplane/imports_test.go
+++ b/internal/controlplane/imports_test.go
@@ -11,12 +11,12 @@
 	"testing"
 )
 
-// The state machines must not be able to look at a clock, a socket or a file, nor to wait for another goroutine: then
-// a year of it can be run in a second, and the same events always give the same actions.
+// forbidden are imports that state machines must not use: without clocks, sockets, files and goroutines, a test can
+// simulate a year in a second, and the same events always give the same actions.
 var forbidden = []string{"net", "os", "syscall", "sync", "log", "io/fs", "math/rand", "crypto/rand", "runtime",
 	"github.com/sirupsen/logrus", "github.com/lesismal/nbio", "github.com/hashicorp/raft"}
 
-// problem says why a file may not import path, or nothing.
+// problem returns why a state machine may not import path, or "".
 func problem(path string) string {
 	for _, f := range forbidden {
 		if path == f || strings.HasPrefix(path, f+"/") {
@@ -46,7 +46,7 @@
 	return slices.Contains(ioPackages, first)
 }
 
-// faults are the ways in which a file touches what it must not.
+// faults returns the violations in a file.
 func faults(f *ast.File) (out []string) {
 	for _, im := range f.Imports {
 		if p := problem(strings.Trim(im.Path.Value, `"`)); p != "" {
@@ -71,7 +71,7 @@
 func TestStateMachinesDoNoIO(t *testing.T) {
 	seen := 0
 	check := func(path string) {
-		if strings.HasSuffix(path, "_test.go") || strings.HasSuffix(path, ".pb.go") { // generated: its own use of sync is no wait
+		if strings.HasSuffix(path, "_test.go") || strings.HasSuffix(path, ".pb.go") { // generated code may use sync
 			return
 		}
 		tree, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
@@ -97,7 +97,7 @@
 	}
 }
 
-// The test above must be able to fail.
+// The check above must detect violations.
 func TestForbiddenUsesAreFound(t *testing.T) {
 	tree, err := parser.ParseFile(token.NewFileSet(), "x.go", `package x
 import ("net/http"; "time"; "aspenshed/internal/dataplane/eventloop"
