--- a/internal/controlplane/agent/bench_test.go
+++ b/internal/controlplane/agent/bench_test.go
@@ -7,9 +7,9 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// What one change of a member costs a gateway that knows 21,000, and what a tick without any does.
+// BenchmarkTick measures a tick with one changed member out of 21,000, and one without changes.
 func BenchmarkTick(b *testing.B) {
-	h := newHeldCatalog()
+	h := newMemoryStore()
 	entry := func(i int) *pb.Entry {
 		return &pb.Entry{Id: fmt.Sprintf("db-%05d", i), Address: fmt.Sprintf("10.0.%d.%d:3306", i/250, i%250), Site: "z1", Group: int32(i / 6), Wire: "mysql", Kind: "std", State: "in_service"}
 	}
@@ -17,11 +17,12 @@
 	for i := range 21000 {
 		entries = append(entries, entry(i))
 	}
-	h.apply(&pb.Command{Body: &pb.Command_PutInventory{PutInventory: &pb.PutInventory{Members: entries, Author: "test"}}}) // all are warm
+	// Members of the first inventory are warmed up.
+	h.apply(&pb.Command{Body: &pb.Command_PutInventory{PutInventory: &pb.PutInventory{Members: entries, Author: "test"}}})
 	if n := len(h.catalog.Members()); n != 21000 {
 		b.Fatal(n)
 	}
-	a := newAgent(feedOf{h}, silentPipeline{})
+	a := newAgent(changeFeedStore{h}, noopPipeline{})
 	loop := a.cfg.Loop
 	a.Tick(0)
 	loop.RunPending()
--- a/internal/controlplane/agent/members_test.go
+++ b/internal/controlplane/agent/members_test.go
@@ -23,27 +23,27 @@
 	"aspenshed/internal/dataplane/eventloop"
 )
 
-// heldCatalog is a Store that the test alone writes to.
-type heldCatalog struct {
+// memoryStore is a Store with a catalog in memory that the test writes to.
+type memoryStore struct {
 	catalog *catalog.Catalog
 	changed map[uint64][]string // ids of members by revision
 }
 
-func newHeldCatalog() *heldCatalog {
-	return &heldCatalog{catalog.New("test"), map[uint64][]string{}}
+func newMemoryStore() *memoryStore {
+	return &memoryStore{catalog.New("test"), map[uint64][]string{}}
 }
 
-func (h *heldCatalog) ID() string                                             { return "gw1" }
-func (h *heldCatalog) Boot() string                                           { return "1" }
-func (h *heldCatalog) Read(f func(*catalog.Catalog))                          { f(h.catalog) }
-func (h *heldCatalog) ReadLatest(time.Duration, func(*catalog.Catalog)) error { return nil }
-func (h *heldCatalog) Offer(string, *pb.Command)                              {}
-func (h *heldCatalog) Submit(*pb.Command, time.Duration) (*pb.Result, error) {
+func (h *memoryStore) ID() string                                             { return "gw1" }
+func (h *memoryStore) Boot() string                                           { return "1" }
+func (h *memoryStore) Read(f func(*catalog.Catalog))                          { f(h.catalog) }
+func (h *memoryStore) ReadLatest(time.Duration, func(*catalog.Catalog)) error { return nil }
+func (h *memoryStore) Offer(string, *pb.Command)                              {}
+func (h *memoryStore) Submit(*pb.Command, time.Duration) (*pb.Result, error) {
 	return &pb.Result{}, nil
 }
 
-// apply carries commands out as one entry. What the catalog refuses changes nothing.
-func (h *heldCatalog) apply(commands ...*pb.Command) {
+// apply applies commands as one log entry. Refused commands change nothing.
+func (h *memoryStore) apply(commands ...*pb.Command) {
 	rev := h.catalog.Index() + 1
 	for i, c := range commands {
 		c.Origin, c.Seq, c.Kind, c.At = "test", 1000*rev+uint64(i), catalog.CommandKind(c), int64(rev)*1e9
@@ -56,10 +56,10 @@
 	}
 }
 
-// feedOf is a heldCatalog that knows what has changed.
-type feedOf struct{ *heldCatalog }
+// changeFeedStore is a memoryStore that implements changeFeed.
+type changeFeedStore struct{ *memoryStore }
 
-func (f feedOf) ChangedMembers(rev uint64) (ids []string, known bool) {
+func (f changeFeedStore) ChangedMembers(rev uint64) (ids []string, known bool) {
 	seen := map[string]bool{}
 	for ; rev <= f.catalog.Index(); rev++ {
 		for _, id := range f.changed[rev+1] {
@@ -72,30 +72,28 @@
 	return ids, true
 }
 
-// silentPipeline takes everything.
-type silentPipeline struct{}
+// noopPipeline ignores all updates.
+type noopPipeline struct{}
 
-func (silentPipeline) Members(aspenshed.MemberList, map[string]string) {}
-func (silentPipeline) Tell(aspenshed.Event)                            {}
-func (silentPipeline) Learned() (aspenshed.LearnedState, bool) {
-	return aspenshed.LearnedState{}, false
-}
+func (noopPipeline) Members(aspenshed.MemberList, map[string]string) {}
+func (noopPipeline) Tell(aspenshed.Event)                            {}
+func (noopPipeline) Learned() (aspenshed.LearnedState, bool)         { return aspenshed.LearnedState{}, false }
 
-// tablePipeline keeps what a pipeline would go by.
-type tablePipeline struct {
-	silentPipeline
-	members   map[string]aspenshed.Member
-	addresses map[string]string
-	shares    map[string]aspenshed.SlowStartShare
-	parts     int // lists that were not whole
+// recordingPipeline keeps the state that a pipeline would have.
+type recordingPipeline struct {
+	noopPipeline
+	members      map[string]aspenshed.Member
+	addresses    map[string]string
+	shares       map[string]aspenshed.SlowStartShare
+	partialLists int // number of updates that were not whole lists
 }
 
-func (p *tablePipeline) Members(l aspenshed.MemberList, addresses map[string]string) {
+func (p *recordingPipeline) Members(l aspenshed.MemberList, addresses map[string]string) {
 	if l.Complete || p.members == nil {
 		p.members, p.addresses = map[string]aspenshed.Member{}, map[string]string{}
 	}
 	if !l.Complete {
-		p.parts++
+		p.partialLists++
 	}
 	for _, m := range l.Members {
 		if m.State == aspenshed.Removed {
@@ -107,7 +105,7 @@
 	}
 }
 
-func (p *tablePipeline) Tell(e aspenshed.Event) {
+func (p *recordingPipeline) Tell(e aspenshed.Event) {
 	if x, is := e.(aspenshed.SlowStartShare); is {
 		if p.shares == nil {
 			p.shares = map[string]aspenshed.SlowStartShare{}
@@ -116,20 +114,20 @@
 	}
 }
 
-// equal compares what counts: members, and the shares of those that are there.
-func (p *tablePipeline) equal(q *tablePipeline) bool {
-	there := func(t *tablePipeline) map[string]aspenshed.SlowStartShare {
+// equal compares members, their addresses and the shares of their current starts.
+func (p *recordingPipeline) equal(q *recordingPipeline) bool {
+	currentShares := func(t *recordingPipeline) map[string]aspenshed.SlowStartShare {
 		out := maps.Clone(t.shares)
 		maps.DeleteFunc(out, func(id string, x aspenshed.SlowStartShare) bool {
-			m, here := t.members[id]
-			return !here || x.StartedAt != m.StartedAt
+			m, present := t.members[id]
+			return !present || x.StartedAt != m.StartedAt
 		})
 		return out
 	}
-	return maps.Equal(p.members, q.members) && maps.Equal(p.addresses, q.addresses) && maps.Equal(there(p), there(q))
+	return maps.Equal(p.members, q.members) && maps.Equal(p.addresses, q.addresses) && maps.Equal(currentShares(p), currentShares(q))
 }
 
-// newAgent is one that ticks only when the test has it tick.
+// newAgent returns an agent that ticks only when the test calls tickOnce.
 func newAgent(s Store, p Pipeline) *Agent {
 	log, _ := logtest.NewNullLogger()
 	return &Agent{cfg: Config{Store: s, Loop: eventloop.NewLoop(eventloop.NewClock()), Log: logrus.NewEntry(log), Pipeline: p, Wire: "mysql",
@@ -143,8 +141,8 @@
 	a.cfg.Loop.RunPending()
 }
 
-// randomCommand is one that members are told of.
-func randomCommand(rng *rand.Rand, h *heldCatalog) *pb.Command {
+// randomCommand returns a command that affects members.
+func randomCommand(rng *rand.Rand, h *memoryStore) *pb.Command {
 	id := fmt.Sprint("m", rng.IntN(8))
 	start := int64(0)
 	if m := h.catalog.Member(id); m != nil {
@@ -178,14 +176,14 @@
 	return &pb.Command{Body: &pb.Command_UpsertMembers{UpsertMembers: &pb.UpsertMembers{Members: []*pb.Entry{entry}, Author: "test"}}}
 }
 
-// Guards that an agent that follows single changes has its pipeline go by the same as one that takes whole lists.
-func TestFollowingChangesEqualsTakingTheWholeList(t *testing.T) {
+// An agent that applies single changes gives its pipeline the same state as one that reads whole lists.
+func TestSingleChangesEqualWholeLists(t *testing.T) {
 	parts := 0
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		h := newHeldCatalog()
-		var whole, followed tablePipeline
-		taker, follower := newAgent(h, &whole), newAgent(feedOf{h}, &followed)
+		h := newMemoryStore()
+		var whole, followed recordingPipeline
+		taker, follower := newAgent(h, &whole), newAgent(changeFeedStore{h}, &followed)
 		for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			for range 1 + rng.IntN(3) {
 				var commands []*pb.Command
@@ -194,7 +192,7 @@
 				}
 				h.apply(commands...)
 			}
-			if rng.IntN(10) == 0 { // an administrator's drain at the instance
+			if rng.IntN(10) == 0 { // an administrator's drain at this instance
 				id := fmt.Sprint("m", rng.IntN(8))
 				taker.merger.Drain(id)
 				follower.merger.Drain(id)
@@ -203,21 +201,21 @@
 			taker.tickOnce()
 			follower.tickOnce()
 			if !whole.equal(&followed) {
-				t.Fatalf("step %d: whole lists give\n%+v\nsingle changes\n%+v", step, whole, followed)
+				t.Fatalf("step %d: from whole lists\n%+v\nfrom single changes\n%+v", step, whole, followed)
 			}
 		}
-		parts += followed.parts
+		parts += followed.partialLists
 	})
 	if parts == 0 {
-		t.Error("no change was followed")
+		t.Error("no single change was applied")
 	}
 }
 
-// Within a scope a primary may be known before the member comes into sight; it is told as the primary then.
-func TestAMemberThatIsAlreadyKnownForThePrimary(t *testing.T) {
-	h := newHeldCatalog()
-	var table tablePipeline
-	a := newAgent(feedOf{h}, &table)
+// A subscriber with a scope may know a primary before the member is in scope; the member is posted as the primary then.
+func TestPrimaryKnownBeforeItsMember(t *testing.T) {
+	h := newMemoryStore()
+	var table recordingPipeline
+	a := newAgent(changeFeedStore{h}, &table)
 	record := func(key string, m proto.Message) {
 		t.Helper()
 		value, err := proto.Marshal(m)
@@ -241,6 +239,6 @@
 	record("primary/mysql/1", &pb.Primary{Wire: "mysql", Group: 1, Member: "b", At: 5})
 	record("member/b", member("b"))
 	if !table.members["b"].Primary || table.members["a"].Primary {
-		t.Errorf("told: %+v", table.members)
+		t.Errorf("posted members: %+v", table.members)
 	}
 }
--- a/internal/controlplane/agent/publish_test.go
+++ b/internal/controlplane/agent/publish_test.go
@@ -17,9 +17,9 @@
 	"aspenshed/internal/controlplane/store"
 )
 
-const patient = 30 * time.Second // for what must come
+const waitTimeout = 30 * time.Second // for operations that must succeed
 
-// inventoryLog counts the bytes of log entries that hold changes of the inventory.
+// inventoryLog counts the log entries with changes of the inventory, and their bytes.
 type inventoryLog struct {
 	raft.LogStore
 
@@ -51,8 +51,8 @@
 	return false
 }
 
-// take returns what has been counted since the last call.
-func (l *inventoryLog) take() (bytes, entries int) {
+// takeCounts returns the counts since the last call.
+func (l *inventoryLog) takeCounts() (bytes, entries int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	bytes, entries = l.bytes, l.entries
@@ -60,15 +60,15 @@
 	return bytes, entries
 }
 
-// noCaller is the way to other instances, of which there are none.
+// noCaller is the Caller of an instance without peers.
 type noCaller struct{}
 
 func (noCaller) Call(string, *pb.Call, time.Duration) (*pb.Reply, error) {
 	return nil, store.ErrUnavailable
 }
 
-// single is an agent over a store of one instance with a log.
-func single(t *testing.T) (*Agent, *inventoryLog) {
+// newSingleInstanceAgent returns an agent of a store with one instance and a log.
+func newSingleInstanceAgent(t *testing.T) (*Agent, *inventoryLog) {
 	t.Helper()
 	log := &inventoryLog{}
 	_, transport := raft.NewInmemTransport("r-a")
@@ -87,8 +87,8 @@
 	return &Agent{cfg: Config{Store: s, Wire: "mysql"}, stop: make(chan struct{})}, log
 }
 
-// fleet is a list of so many members, as a front makes it of its file.
-func fleet(n int) (list []*pb.Entry) {
+// memberList returns a list of n members, as a front builds it from its file.
+func memberList(n int) (list []*pb.Entry) {
 	for i := range n {
 		list = append(list, &pb.Entry{Id: fmt.Sprintf("db-%05d", i), Address: fmt.Sprintf("10.%d.%d.%d:3306", i>>16, i>>8&255, i&255),
 			Site: fmt.Sprint("zone-", i%19), Group: int32(i / 6), Kind: "replica", State: "in_service", Wire: "mysql"})
@@ -96,7 +96,7 @@
 	return list
 }
 
-func (a *Agent) held() (ids []string) {
+func (a *Agent) heldMembers() (ids []string) {
 	a.cfg.Store.Read(func(c *catalog.Catalog) {
 		for _, m := range c.Members() {
 			ids = append(ids, m.Entry.Id+"@"+m.Entry.Address)
@@ -105,7 +105,7 @@
 	return ids
 }
 
-func ids(list []*pb.Entry) (out []string) {
+func memberKeys(list []*pb.Entry) (out []string) {
 	for _, e := range list {
 		out = append(out, e.Id+"@"+e.Address)
 	}
@@ -113,46 +113,46 @@
 	return out
 }
 
-// A change of one member costs the log as much as one member, however long the inventory is.
-func TestOneMembersChangeCostsTheBytesOfOneMember(t *testing.T) {
+// The log bytes of one member's change do not depend on the length of the inventory.
+func TestLogBytesOfOneMemberChange(t *testing.T) {
 	for _, members := range []int{2100, 10500, 21000} {
-		a, log := single(t)
-		list := fleet(members)
+		a, log := newSingleInstanceAgent(t)
+		list := memberList(members)
 		if err := a.PublishInitial(list); err != nil {
 			t.Fatal(err)
 		}
-		first, entries := log.take()
+		first, entries := log.takeCounts()
 		if entries != 1 {
-			t.Errorf("%d members: the first list took %d entries", members, entries)
+			t.Errorf("%d members: the initial list took %d log entries", members, entries)
 		}
 		whole := &pb.Command{Body: &pb.Command_PutInventory{PutInventory: &pb.PutInventory{Base: 1, Members: list, Author: "a"}}}
-		if r, err := a.cfg.Store.Submit(whole, patient); err != nil || r.Refused != "" {
+		if r, err := a.cfg.Store.Submit(whole, waitTimeout); err != nil || r.Refused != "" {
 			t.Fatal(r, err)
 		}
-		before, _ := log.take()
+		before, _ := log.takeCounts()
 		list[members/2] = proto.Clone(list[members/2]).(*pb.Entry)
 		list[members/2].Address = "10.99.0.1:3306"
 		if err := a.Publish(list); err != nil {
 			t.Fatal(err)
 		}
-		after, entries := log.take()
-		if entries != 1 || after > 256 || !slices.Equal(a.held(), ids(list)) {
-			t.Errorf("%d members: %d entries, %d bytes", members, entries, after)
+		after, entries := log.takeCounts()
+		if entries != 1 || after > 256 || !slices.Equal(a.heldMembers(), memberKeys(list)) {
+			t.Errorf("%d members: %d log entries, %d bytes", members, entries, after)
 		}
-		t.Logf("%d members: first list %d bytes of log; one member changed: %d bytes as a whole list, %d as a difference", members, first, before, after)
+		t.Logf("%d members: initial list %d bytes of log; one changed member: %d bytes as a whole list, %d as a difference", members, first, before, after)
 		if err := a.Publish(list); err != nil {
 			t.Fatal(err)
 		}
-		if _, entries := log.take(); entries != 0 {
-			t.Errorf("%d members: %d entries for an equal list", members, entries)
+		if _, entries := log.takeCounts(); entries != 0 {
+			t.Errorf("%d members: %d log entries for an equal list", members, entries)
 		}
 	}
 }
 
-// A list of which half is new goes in commands of bounded size, additions before removals, and touches no other wire.
-func TestALargeDifferenceGoesInParts(t *testing.T) {
-	a, log := single(t)
-	if err := a.PublishInitial(fleet(12000)); err != nil {
+// A large difference is split into commands of bounded size, and does not affect members of other wires.
+func TestLargeDifferenceIsSplit(t *testing.T) {
+	a, log := newSingleInstanceAgent(t)
+	if err := a.PublishInitial(memberList(12000)); err != nil {
 		t.Fatal(err)
 	}
 	other := &Agent{cfg: Config{Store: a.cfg.Store, Wire: "postgres"}, stop: make(chan struct{})}
@@ -160,46 +160,46 @@
 	if err := other.PublishInitial(foreign); err != nil {
 		t.Fatal(err)
 	}
-	log.take()
-	list := fleet(24000)[6000:]
+	log.takeCounts()
+	list := memberList(24000)[6000:]
 	if err := a.Publish(list); err != nil {
 		t.Fatal(err)
 	}
-	bytes, entries := log.take()
+	bytes, entries := log.takeCounts()
 	if entries < 4 || bytes/entries > maxPublishBytes+1024 {
-		t.Errorf("%d bytes in %d entries", bytes, entries)
+		t.Errorf("%d bytes in %d log entries", bytes, entries)
 	}
-	if !slices.Equal(a.held(), ids(append(slices.Clone(list), foreign...))) {
-		t.Errorf("%d members are held", len(a.held()))
+	if !slices.Equal(a.heldMembers(), memberKeys(append(slices.Clone(list), foreign...))) {
+		t.Errorf("%d members are in the catalog", len(a.heldMembers()))
 	}
 }
 
-// A first list makes nobody cold, is not put over another's, and one that is too long is named at once.
-func TestAFirstListIsPutOnce(t *testing.T) {
-	a, _ := single(t)
-	if err := a.PublishInitial(fleet(3)); err != nil {
+// An initial list starts no slow start and does not replace an existing one; one that is too long is an error at once.
+func TestInitialListIsPublishedOnce(t *testing.T) {
+	a, _ := newSingleInstanceAgent(t)
+	if err := a.PublishInitial(memberList(3)); err != nil {
 		t.Fatal(err)
 	}
 	a.cfg.Store.Read(func(c *catalog.Catalog) {
 		if n := len(c.WarmingMembers()); n != 0 {
-			t.Errorf("%d members are cold", n)
+			t.Errorf("%d members are in slow start", n)
 		}
 	})
-	if err := a.PublishInitial(fleet(5)); err != nil || len(a.held()) != 3 {
-		t.Errorf("a second first list: %v, %d members", err, len(a.held()))
+	if err := a.PublishInitial(memberList(5)); err != nil || len(a.heldMembers()) != 3 {
+		t.Errorf("a second initial list: %v, %d members", err, len(a.heldMembers()))
 	}
 	long := &Agent{cfg: Config{Store: a.cfg.Store, Wire: "postgres"}, stop: make(chan struct{})}
-	list := fleet(1000)
+	list := memberList(1000)
 	for _, e := range list {
 		e.Id, e.Wire = e.Id+strings.Repeat("x", 5000), "postgres"
 	}
 	var tooLong *ListSizeError
-	if err := long.PublishInitial(list); !errors.As(err, &tooLong) || len(a.held()) != 3 {
+	if err := long.PublishInitial(list); !errors.As(err, &tooLong) || len(a.heldMembers()) != 3 {
 		t.Errorf("a list that is too long: %v", err)
 	}
 }
 
-func TestPartsOfAList(t *testing.T) {
+func TestSplitBySize(t *testing.T) {
 	const half = maxPublishBytes / 2
 	for _, x := range []struct {
 		sizes []int
@@ -207,7 +207,7 @@
 	}{
 		{nil, "[]"},
 		{[]int{half, half, half}, fmt.Sprint([][]int{{half, half}, {half}})},
-		{[]int{1, 3 * half, 1}, fmt.Sprint([][]int{{1}, {3 * half}, {1}})}, // one that is longer than a part goes alone
+		{[]int{1, 3 * half, 1}, fmt.Sprint([][]int{{1}, {3 * half}, {1}})}, // an oversized item is its own part
 	} {
 		if got := fmt.Sprint(splitBySize(x.sizes, func(n int) int { return n })); got != x.want {
 			t.Errorf("%v: %s, want %s", x.sizes, got, x.want)
--- a/internal/controlplane/catalog/catalog_test.go
+++ b/internal/controlplane/catalog/catalog_test.go
@@ -15,23 +15,23 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// rig applies commands one an entry, as one writer.
-type rig struct {
+// testCatalog applies commands from one origin, one command per log entry.
+type testCatalog struct {
 	*Catalog
 	at    int64
 	seq   uint64
 	index uint64
 }
 
-func newRig() *rig { return &rig{Catalog: New("t"), at: 1e18} }
+func newTestCatalog() *testCatalog { return &testCatalog{Catalog: New("t"), at: 1e18} }
 
-func (r *rig) do(c *pb.Command) *pb.Result {
+func (r *testCatalog) applyCommand(c *pb.Command) *pb.Result {
 	r.at, r.seq, r.index = r.at+1e6, r.seq+1, r.index+1
 	c.Origin, c.Seq, c.At = "w", r.seq, r.at
 	return r.Apply(r.index, &pb.Batch{Commands: []*pb.Command{c}})[0]
 }
 
-func inventory(base uint64, members ...string) *pb.Command {
+func inventoryCommand(base uint64, members ...string) *pb.Command {
 	p := &pb.PutInventory{Base: base}
 	for _, m := range members {
 		p.Members = append(p.Members, &pb.Entry{Id: m, Address: m + ":1", State: "in_service"})
@@ -39,52 +39,52 @@
 	return &pb.Command{Body: &pb.Command_PutInventory{PutInventory: p}}
 }
 
-func drain(id string, start int64) *pb.Command {
+func drainCommand(id string, start int64) *pb.Command {
 	return &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: id, Start: start}}}
 }
 
-func started(id string, start int64) *pb.Command {
+func startCommand(id string, start int64) *pb.Command {
 	return &pb.Command{Body: &pb.Command_Start{Start: &pb.Start{Member: id, Start: start}}}
 }
 
-// Guards drains: neither a newer inventory that says in_service, nor old or repeated news takes one back, nor leaving
-// the list and coming back with the same start; a new start begins anew, and cold.
-func TestADrainHoldsUntilANewStart(t *testing.T) {
-	r := newRig()
-	r.do(inventory(0, "a", "b"))
-	r.do(started("a", r.at))
+// A drain must not be lost to a newer inventory with state in_service, to old or repeated commands, or to removal and
+// return with the same start. Only a new start ends it, and begins a slow start.
+func TestDrainHoldsUntilNewStart(t *testing.T) {
+	r := newTestCatalog()
+	r.applyCommand(inventoryCommand(0, "a", "b"))
+	r.applyCommand(startCommand("a", r.at))
 	s := r.Member("a").Start
-	r.do(drain("a", 0))
-	for i, c := range []*pb.Command{inventory(1, "a", "b"), started("a", s), started("a", s-1), inventory(2, "b")} {
-		r.do(c)
+	r.applyCommand(drainCommand("a", 0))
+	for i, c := range []*pb.Command{inventoryCommand(1, "a", "b"), startCommand("a", s), startCommand("a", s-1), inventoryCommand(2, "b")} {
+		r.applyCommand(c)
 		if m := r.Member("a"); m != nil && m.DrainedAt == 0 {
-			t.Errorf("command %d took the drain back", i)
+			t.Errorf("command %d ended the drain", i)
 		}
 	}
-	back := inventory(3, "a", "b")
+	back := inventoryCommand(3, "a", "b")
 	back.GetPutInventory().Members[0].Started = s
-	r.do(back)
+	r.applyCommand(back)
 	if r.Member("a").DrainedAt == 0 {
-		t.Error("coming back with the same start took the drain back")
+		t.Error("a return with the same start ended the drain")
 	}
-	if x := r.do(drain("a", s-1)); x.Refused == "" {
-		t.Error("a drain of an earlier start was taken")
+	if x := r.applyCommand(drainCommand("a", s-1)); x.Refused == "" {
+		t.Error("a drain of an earlier start was accepted")
 	}
-	r.do(started("a", s+1))
+	r.applyCommand(startCommand("a", s+1))
 	if m := r.Member("a"); m.DrainedAt != 0 || !IsWarming(m) {
 		t.Errorf("after a new start: %v", m)
 	}
 }
 
-func TestVersionsTurnAwayWhatOthersHaveOvertaken(t *testing.T) {
-	r := newRig()
-	for i, c := range []*pb.Command{inventory(1, "a"), inventory(0, "a", "a"), inventory(0, ""),
+func TestInvalidCommandsAreRefused(t *testing.T) {
+	r := newTestCatalog()
+	for i, c := range []*pb.Command{inventoryCommand(1, "a"), inventoryCommand(0, "a", "a"), inventoryCommand(0, ""),
 		{Body: &pb.Command_PutConfig{PutConfig: &pb.PutConfig{Base: 1}}}, {Body: &pb.Command_Leave{Leave: &pb.Leave{Instance: "x"}}},
-		{Body: &pb.Command_Set{Set: &pb.Set{Key: "k", Checked: true, Base: 1}}}, drain("zz", 0), started("zz", 1),
+		{Body: &pb.Command_Set{Set: &pb.Set{Key: "k", Checked: true, Base: 1}}}, drainCommand("zz", 0), startCommand("zz", 1),
 		{Body: &pb.Command_SetRules{SetRules: &pb.SetRules{}}}, {Body: &pb.Command_Ask{Ask: &pb.Ask{}}}} {
 		before, _ := r.Digest()
-		if x := r.do(c); x.Refused == "" {
-			t.Errorf("command %d was carried out", i)
+		if x := r.applyCommand(c); x.Refused == "" {
+			t.Errorf("command %d was applied", i)
 		}
 		if r.InventoryVersion() != 0 || r.Config() != nil || before == 0 {
 			t.Errorf("command %d changed something", i)
@@ -92,9 +92,8 @@
 	}
 }
 
-// Guards installations in the middle of an upgrade: what a later release says is kept, named, and carried out once
-// this release knows it.
-func TestACommandOfALaterReleaseIsKept(t *testing.T) {
+// During an upgrade, a command of a later release is kept, reported, and applied once the release knows it.
+func TestCommandOfLaterReleaseIsKept(t *testing.T) {
 	known, err := proto.Marshal(&pb.Command{Kind: 20, Body: &pb.Command_Set{Set: &pb.Set{Key: "k", Value: []byte("v")}}})
 	if err != nil {
 		t.Fatal(err)
@@ -105,11 +104,11 @@
 		t.Fatal(err)
 	}
 	later.Kind = 99
-	r := newRig()
-	if x := r.do(later); !strings.Contains(x.Refused, "kind 99") {
-		t.Errorf("answered %q", x.Refused)
+	r := newTestCatalog()
+	if x := r.applyCommand(later); !strings.Contains(x.Refused, "kind 99") {
+		t.Errorf("refused with %q", x.Refused)
 	}
-	// as an earlier release would have kept the set: with its body among the unknown fields
+	// The set command as an earlier release would have kept it: with its body among the unknown fields.
 	old := &pb.Command{Kind: 20}
 	old.ProtoReflect().SetUnknown(known)
 	r.state.Later = append(r.state.Later, old)
@@ -122,22 +121,22 @@
 		t.Fatal(err)
 	}
 	if kept, _ := c.UnknownCommands(); len(kept) != 1 || kept[0].Kind != 99 || len(kept[0].ProtoReflect().GetUnknown()) == 0 {
-		t.Errorf("kept: %v", kept)
+		t.Errorf("kept commands: %v", kept)
 	}
 	if p := c.Pair("k"); p == nil || string(p.Value) != "v" {
-		t.Errorf("what is known by now was not carried out: %v", p)
+		t.Errorf("the command that is known by now was not applied: %v", p)
 	}
 	for range maxUnknownCommands + 5 {
-		r.do(proto.Clone(later).(*pb.Command))
+		r.applyCommand(proto.Clone(later).(*pb.Command))
 	}
 	if kept, lost := r.UnknownCommands(); len(kept) != maxUnknownCommands || lost == 0 {
-		t.Errorf("%d kept, %d lost", len(kept), lost)
+		t.Errorf("%d kept, %d dropped", len(kept), lost)
 	}
 }
 
-// Guards memory: ids come and go all day.
-func TestSizeFollowsTheMembersPresent(t *testing.T) {
-	r := newRig()
+// The memory of a catalog must stay bounded while member ids and origins come and go.
+func TestSizeIsBoundedByPresentMembers(t *testing.T) {
+	r := newTestCatalog()
 	size := func() int { b, _ := r.Encode(); return len(b) }
 	var ids []string
 	for i := range 20 {
@@ -146,10 +145,10 @@
 	early := 0
 	for i := range 3000 {
 		ids = append(ids[1:], fmt.Sprint("n", i))
-		if x := r.do(inventory(uint64(i), ids...)); x.Refused != "" {
+		if x := r.applyCommand(inventoryCommand(uint64(i), ids...)); x.Refused != "" {
 			t.Fatal(x.Refused)
 		}
-		r.do(drain(ids[3], 0))
+		r.applyCommand(drainCommand(ids[3], 0))
 		if i == 600 {
 			early = size()
 		}
@@ -161,27 +160,27 @@
 		r.Apply(0, &pb.Batch{Commands: []*pb.Command{{Origin: fmt.Sprint("o", i), Seq: 1, At: r.at + int64(i), Body: &pb.Command_Beat{Beat: &pb.Beat{}}}}})
 	}
 	if n := r.Counts()["origins"]; n > maxOrigins || n <= maxOrigins-originEvictionBatch {
-		t.Errorf("%d origins are held", n)
+		t.Errorf("%d origins are kept", n)
 	}
-	for name, o := range r.origins { // the newest stay
+	for name, o := range r.origins { // the newest are kept
 		if o.At <= r.at+2*maxOrigins {
-			t.Fatalf("%s is held, silent since %d", name, o.At-r.at)
+			t.Fatalf("%s is kept, inactive since %d", name, o.At-r.at)
 		}
 	}
 }
 
-func aCommand(t *rapid.T) *pb.Command {
+func randomCommand(t *rapid.T) *pb.Command {
 	id := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "member")
 	inst := rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "instance")
 	start := rapid.Int64Range(0, 5).Draw(t, "start") * 1e9
 	switch rapid.IntRange(0, 15).Draw(t, "kind") {
 	case 0:
 		ids := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 0, 3, rapid.ID).Draw(t, "ids")
-		return inventory(rapid.Uint64Range(0, 3).Draw(t, "base"), ids...)
+		return inventoryCommand(rapid.Uint64Range(0, 3).Draw(t, "base"), ids...)
 	case 1:
-		return drain(id, start)
+		return drainCommand(id, start)
 	case 2:
-		return started(id, start)
+		return startCommand(id, start)
 	case 3:
 		return &pb.Command{Body: &pb.Command_Warm{Warm: &pb.Warm{Member: id, Start: start}}}
 	case 4, 5, 6:
@@ -208,11 +207,11 @@
 	return &pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: inst}}}
 }
 
-// follow applies changes as a subscriber does, and checks that they continue what it holds.
-func follow(t *rapid.T, subscriber *Catalog, changes []revision.Change) {
+// applyChanges applies changes as a subscriber does, and checks that their previous records match its own.
+func applyChanges(t *rapid.T, subscriber *Catalog, changes []revision.Change) {
 	for _, x := range changes {
 		if held := subscriber.currentRecord(x.Key); !reflect.DeepEqual(held, x.Before) {
-			t.Fatalf("%q was %v before, not %v", x.Key, held, x.Before)
+			t.Fatalf("%q was %v, the change has %v before it", x.Key, held, x.Before)
 		}
 		err := error(nil)
 		if x.Removed {
@@ -226,16 +225,16 @@
 	}
 }
 
-// Guards replicas from one another: one that is fed everything twice and late, and restarted from snapshots at any
-// point, is equal to one that is not. On the way no drain is taken back and no pool is passed.
-func TestReplicasStayEqualAndKeepTheirRules(t *testing.T) {
+// A replica that gets commands twice and late and is restarted from snapshots at random stays equal to one that does
+// not. Meanwhile no drain is lost and no pool is exceeded.
+func TestReplicasStayEqualAndKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New("t"), New("t")
 		drained := map[string]int64{}
 		subscriber := New("t")
 		var old []*pb.Command
 		for i := range rapid.IntRange(1, 60).Draw(t, "commands") {
-			c := aCommand(t)
+			c := randomCommand(t)
 			c.Origin, c.Seq, c.At = "w", uint64(i+1), int64(1e9+i)
 			ra := a.Apply(uint64(i+1), &pb.Batch{Commands: []*pb.Command{proto.Clone(c).(*pb.Command)}})
 			old = append(old, c)
@@ -245,15 +244,15 @@
 			}
 			rb := b.Apply(uint64(i+1), &pb.Batch{Commands: twice})
 			if ra[0].Refused != rb[0].Refused || rb[1].Refused != rb[0].Refused || !rb[1].Repeated {
-				t.Fatalf("answers differ: %v, %v", ra, rb)
+				t.Fatalf("results differ: %v, %v", ra, rb)
 			}
 			changes := a.TakeChanges()
 			if also := b.TakeChanges(); !reflect.DeepEqual(changes, also) {
-				t.Fatalf("equal replicas changed %v and %v", changes, also)
+				t.Fatalf("changes of equal replicas differ: %v, %v", changes, also)
 			}
-			follow(t, subscriber, changes)
+			applyChanges(t, subscriber, changes)
 			if want, have := a.Records(), subscriber.Records(); !reflect.DeepEqual(want, have) {
-				t.Fatalf("after %v a subscriber holds\n%v\nnot\n%v", c, have, want)
+				t.Fatalf("after %v a subscriber has the records\n%v\nwant\n%v", c, have, want)
 			}
 			if rapid.IntRange(0, 5).Draw(t, "restart") == 0 {
 				snap, err := b.Encode()
@@ -266,7 +265,7 @@
 			}
 			for _, m := range a.Members() {
 				if s, was := drained[m.Entry.Id]; was && s == m.Start && m.DrainedAt == 0 && m.Start > 0 {
-					t.Fatalf("the drain of %v was taken back", m)
+					t.Fatalf("the drain of %v was lost", m)
 				}
 				if m.DrainedAt != 0 {
 					drained[m.Entry.Id] = m.Start
@@ -276,14 +275,14 @@
 					sum += OutstandingShare(m, id)
 				}
 				if sum > a.Rules().Pool+1e-9 {
-					t.Fatalf("%v of the pool is out at %v", sum, m)
+					t.Fatalf("leases of %v of the pool are outstanding at %v", sum, m)
 				}
 			}
 		}
 		da, _ := a.Digest()
 		again := New("t")
 		if err := again.ResetRecords(a.Index(), a.Records()); err != nil || !reflect.DeepEqual(again.Records(), a.Records()) {
-			t.Fatalf("built from all records at once: %v, %v", again.Records(), err)
+			t.Fatalf("reset from all records: %v, %v", again.Records(), err)
 		}
 		if db, _ := b.Digest(); da != db {
 			t.Fatalf("replicas differ:\n%v\n%v", a.Counts(), b.Counts())
@@ -291,24 +290,24 @@
 	})
 }
 
-// A snapshot is read as it was written, or not at all.
+// A snapshot is decoded completely or not at all.
 func FuzzDecode(f *testing.F) {
-	r := newRig()
-	r.do(inventory(0, "a", "b"))
-	r.do(drain("a", 0))
+	r := newTestCatalog()
+	r.applyCommand(inventoryCommand(0, "a", "b"))
+	r.applyCommand(drainCommand("a", 0))
 	good, err := r.Encode()
 	if err != nil {
 		f.Fatal(err)
 	}
-	for i := range good { // each byte damaged in turn is found
+	for i := range good { // corruption of any byte is detected
 		bad := append([]byte(nil), good...)
 		bad[i] ^= 0x40
 		if _, err := Decode(bad); err == nil {
-			f.Errorf("damage at byte %d passed", i)
+			f.Errorf("corruption of byte %d is not detected", i)
 		}
 	}
 	if _, err := Decode(good[:len(good)-1]); !errors.Is(err, ErrCorrupt) {
-		f.Errorf("cut short: %v", err)
+		f.Errorf("truncated: %v", err)
 	}
 	f.Add(good)
 	f.Add(good[:headerSize])
@@ -322,14 +321,14 @@
 			t.Fatal(err)
 		}
 		if _, err := Decode(again); err != nil {
-			t.Fatalf("what was read cannot be read again: %v", err)
+			t.Fatalf("a decoded snapshot cannot be decoded after encoding it again: %v", err)
 		}
 	})
 }
 
-// A record of the log may be anything: it is read or turned down, and never brings the catalog down.
+// Any log entry is either applied or refused, and never causes a panic.
 func FuzzApply(f *testing.F) {
-	b, _ := proto.Marshal(&pb.Batch{Commands: []*pb.Command{inventory(0, "a"), drain("a", 0)}})
+	b, _ := proto.Marshal(&pb.Batch{Commands: []*pb.Command{inventoryCommand(0, "a"), drainCommand("a", 0)}})
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		x := &pb.Batch{}
@@ -338,7 +337,7 @@
 		}
 		c := New("t")
 		if n := len(c.Apply(1, x)); n != len(x.Commands) {
-			t.Fatalf("%d answers to %d commands", n, len(x.Commands))
+			t.Fatalf("%d results of %d commands", n, len(x.Commands))
 		}
 		if _, err := c.Encode(); err != nil {
 			t.Fatal(err)
@@ -346,48 +345,48 @@
 	})
 }
 
-// Guards the agreed rate: what an instance said some time ago is not added to what others say now, as its clients may
-// be theirs by then. Of a primary the newest word counts, whoever said it.
-func TestOnlyRatesOfTheSameMomentsAreAdded(t *testing.T) {
-	r := newRig()
-	r.do(inventory(0, "a", "b"))
-	say := func(instance, primary string, at int64, rate float64) {
-		r.do(&pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: instance}}})
-		r.do(&pb.Command{Body: &pb.Command_Learn{Learn: &pb.Learn{Instance: instance, Groups: []*pb.GroupWord{{Primary: primary, PrimaryAt: at, WarmRate: rate}}}}})
-	}
-	say("x", "a", 7, 10)
-	say("y", "b", 6, 5)
+// An old rate of one instance must not be added to current rates of others, as its clients may have moved to them. The
+// newest report of a primary is used, whichever instance sent it.
+func TestOnlyConcurrentRatesAreSummed(t *testing.T) {
+	r := newTestCatalog()
+	r.applyCommand(inventoryCommand(0, "a", "b"))
+	report := func(instance, primary string, at int64, rate float64) {
+		r.applyCommand(&pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: instance}}})
+		r.applyCommand(&pb.Command{Body: &pb.Command_Learn{Learn: &pb.Learn{Instance: instance, Groups: []*pb.GroupWord{{Primary: primary, PrimaryAt: at, WarmRate: rate}}}}})
+	}
+	report("x", "a", 7, 10)
+	report("y", "b", 6, 5)
 	if w := r.GroupSummaries()[Group{}]; w.WarmRate != 15 || w.Primary != "a" {
 		t.Errorf("%+v", w)
 	}
 	r.at += maxRateAge
-	say("y", "b", 9, 14)
+	report("y", "b", 9, 14)
 	if w := r.GroupSummaries()[Group{}]; w.WarmRate != 14 || w.Primary != "b" {
-		t.Errorf("after a while: %+v", w)
+		t.Errorf("after maxRateAge: %+v", w)
 	}
 }
 
-// Guards customers from one another: an instance's two fronts serve groups of the same number and classes of the same name,
-// and what is learned of one's stands beside the other's.
-func TestFrontsDoNotSpeakForEachOther(t *testing.T) {
-	r := newRig()
-	p := inventory(0, "a", "b")
+// An instance's fronts may serve groups of the same number and classes of the same name for different customers: the
+// learned state of each front is kept separately.
+func TestLearnedStateIsSeparateByFront(t *testing.T) {
+	r := newTestCatalog()
+	p := inventoryCommand(0, "a", "b")
 	p.GetPutInventory().Members[0].Wire, p.GetPutInventory().Members[1].Wire = "mysql", "postgres"
-	r.do(p)
-	r.do(&pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: "x"}}})
-	say := func(wire, primary string, rate float64, typical int64) {
-		r.do(&pb.Command{Body: &pb.Command_Learn{Learn: &pb.Learn{Instance: "x", Wire: wire,
+	r.applyCommand(p)
+	r.applyCommand(&pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: "x"}}})
+	report := func(wire, primary string, rate float64, typical int64) {
+		r.applyCommand(&pb.Command{Body: &pb.Command_Learn{Learn: &pb.Learn{Instance: "x", Wire: wire,
 			Groups:  []*pb.GroupWord{{Primary: primary, PrimaryAt: 1, WarmRate: rate}},
 			Classes: []*pb.ClassWord{{Name: "booking", Typical: typical}}}}})
 	}
-	say("mysql", "a", 10, 7e6)
-	say("postgres", "b", 3, 900e6)
-	say("postgres", "a", 4, 800e6) // no member of its own: the name is dropped
+	report("mysql", "a", 10, 7e6)
+	report("postgres", "b", 3, 900e6)
+	report("postgres", "a", 4, 800e6) // not a member of that wire: the primary is ignored
 	my, pg := r.GroupSummaries()[Group{Wire: "mysql"}], r.GroupSummaries()[Group{Wire: "postgres"}]
 	if my.WarmRate != 10 || my.Primary != "a" || pg.WarmRate != 4 || pg.Primary != "" {
 		t.Errorf("mysql's group %+v, postgres's %+v", my, pg)
 	}
 	if a, b := r.TypicalResponseTime("mysql", "booking"), r.TypicalResponseTime("postgres", "booking"); a != 7e6 || b != 800e6 {
-		t.Errorf("booking takes %d and %d", a, b)
+		t.Errorf("response times of booking: %d and %d", a, b)
 	}
 }
--- a/internal/controlplane/commandqueue/queue_test.go
+++ b/internal/controlplane/commandqueue/queue_test.go
@@ -9,13 +9,13 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-func set(key, value string) *pb.Command {
+func setCommand(key, value string) *pb.Command {
 	return &pb.Command{Body: &pb.Command_Set{Set: &pb.Set{Key: key, Value: []byte(value)}}}
 }
 
-// A queue that nobody empties turns away what it cannot hold, says of the rest that nothing was done, and keeps only
-// the newest of what is offered under one key.
-func TestAStoreSlowerThanItsTraffic(t *testing.T) {
+// A queue that is not drained refuses commands beyond its limit, returns ErrUnavailable for those that time out in it,
+// and keeps only the newest offer of a key.
+func TestFullQueueRefusesCommands(t *testing.T) {
 	block, end := make(chan struct{}), make(chan struct{})
 	var got []*pb.Batch
 	q := New("o", func(b *pb.Batch) ([]*pb.Result, bool, error) {
@@ -27,7 +27,7 @@
 	errs := make(chan error, 2*maxSubmitted)
 	for i := range 2 * maxSubmitted {
 		go func() {
-			_, err := q.Submit(set(fmt.Sprint(i), ""), 20*time.Millisecond)
+			_, err := q.Submit(setCommand(fmt.Sprint(i), ""), 20*time.Millisecond)
 			errs <- err
 		}()
 	}
@@ -36,14 +36,14 @@
 		if err := <-errs; errors.Is(err, ErrBusy) {
 			busy++
 		} else if !errors.Is(err, ErrUnavailable) {
-			t.Errorf("nobody took it up: %v", err)
+			t.Errorf("a command in no batch: %v", err)
 		}
 	}
 	if q.Queued() != 0 {
-		t.Errorf("%d are still held", q.Queued())
+		t.Errorf("%d commands are still queued", q.Queued())
 	}
 	for i := range 100 {
-		q.Offer("same", set("k", fmt.Sprint(i)))
+		q.Offer("same", setCommand("k", fmt.Sprint(i)))
 	}
 	go func() { q.Run(); close(done) }()
 	close(block)
@@ -53,6 +53,6 @@
 	close(end)
 	<-done
 	if len(got) != 1 || len(got[0].Commands) != 1 || string(got[0].Commands[0].GetSet().Value) != "99" {
-		t.Errorf("carried: %v (%d turned away)", got, busy)
+		t.Errorf("submitted: %v (%d refused)", got, busy)
 	}
 }
