--- a/cmd/aspenshed/gateway.go
+++ b/cmd/aspenshed/gateway.go
@@ -119,7 +119,7 @@
 	tick = func() {
 		now := g.loop.Now()
 		if now >= respondAll { // requests that are pending at SIGKILL are lost
-			g.pipeline.FailAll("the gateway is shutting down")
+			g.pipeline.FailAll("the gateway ends")
 		}
 		if now >= closeFrom {
 			g.front.CloseIdle()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -197,7 +197,7 @@
 		now, remaining := d.loop.Now(), 0
 		for _, f := range d.Fronts {
 			if now >= respondAll {
-				f.Pipeline.FailAll("the gateway is shutting down")
+				f.Pipeline.FailAll("the gateway ends")
 			}
 			remaining += f.Remaining(now >= max(closeFrom, start+acceptAfterTerm))
 		}
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -105,7 +105,7 @@
 func (f *Front) parseStatement(sql string) (request.Query, error) {
 	tag, err := sqlcomment.Parse(sql)
 	if err == nil && tag.Fields["id"] == "" {
-		err = errors.New("comment: id is missing")
+		err = errors.New("comment names no id")
 	}
 	if err != nil {
 		return request.Query{}, err
--- a/internal/frontend/session/session.go
+++ b/internal/frontend/session/session.go
@@ -129,7 +129,7 @@
 		s.overLimit = true
 		s.manager.Loop.Post(func() {
 			s.commandsSeen++
-			s.rejectFurther("too many bytes without a response")
+			s.rejectFurther("too many bytes without an answer")
 		})
 		return
 	}
@@ -141,7 +141,7 @@
 		}
 		if len(s.slots) >= maxPendingCommands {
 			s.releasePending(size)
-			s.rejectFurther("too many commands without a response on one connection")
+			s.rejectFurther("too many commands without an answer on one connection")
 			return
 		}
 		s.sentCommand = true
@@ -211,7 +211,7 @@
 		s.idleSince = s.manager.Loop.Now()
 	}
 	if blocked && !s.withinLimits(0) {
-		s.manager.CountRejected("too many bytes without a response")
+		s.manager.CountRejected("too many bytes without an answer")
 		s.closeNow()
 		return
 	}
