--- a/internal/controlplane/store/alone_test.go
+++ b/internal/controlplane/store/alone_test.go
@@ -7,7 +7,7 @@
 	"aspenshed/internal/controlplane/mode"
 )
 
-// Alone, in memory, it serves at once and opens no socket.
+// A standalone instance is in memory, serves at once and opens no socket.
 func TestStandalone(t *testing.T) {
 	s, err := Open(Config{ID: "only"})
 	if err != nil {
@@ -23,6 +23,6 @@
 		t.Error(err)
 	}
 	if _, err := s.Submit(setCommand("k", "v"), waitTimeout); !errors.Is(err, ErrClosed) && !errors.Is(err, ErrUnavailable) {
-		t.Errorf("after its end: %v", err)
+		t.Errorf("after Close: %v", err)
 	}
 }
--- a/internal/controlplane/store/carry.go
+++ b/internal/controlplane/store/carry.go
@@ -10,9 +10,9 @@
 	"aspenshed/internal/controlplane/commandqueue"
 )
 
-// ForwardBatch brings a subscriber's batch to the leader, under the origin and the numbers that the subscriber gave. What
-// changes nothing any more is answered as done and goes no further: each gateway that sees a drain, a start or a change
-// of primary reports it, and only the first report needs an entry of the log.
+// ForwardBatch forwards a subscriber's batch to the leader, with the subscriber's origin and sequence numbers.
+// Redundant commands are answered as done here: each gateway that observes a drain, a start or a change of primary
+// reports it, and only the first report needs a log entry.
 func (s *Store) ForwardBatch(b *pb.Batch) *pb.Reply {
 	if n := len(b.GetCommands()); n == 0 || n > commandqueue.MaxBatch {
 		return &pb.Reply{Refused: fmt.Sprintf("a batch has 1 to %d commands", commandqueue.MaxBatch)}
@@ -46,7 +46,7 @@
 	return &pb.Reply{Results: results}
 }
 
-// answerLocally is the answer to a subscriber's command that needs no entry of the log; nil: it needs one.
+// answerLocally returns the result of a subscriber's command that needs no log entry; nil: it needs one.
 func answerLocally(c *catalog.Catalog, x *pb.Command) *pb.Result {
 	if x.Origin == "" || x.Seq == 0 {
 		return &pb.Result{Seq: x.Seq, Refused: "a subscriber's command needs an origin and a number"}
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// forwardNeeded has the leader carry a batch out. Without Refused, the reply has a result for each command.
+// forwardNeeded submits a batch to the leader. Unless refused, the reply has a result for each command.
 func (s *Store) forwardNeeded(b *pb.Batch) *pb.Reply {
 	results, mayHaveRun, err := s.submitToLeader(b)
 	if err == nil && len(results) != len(b.Commands) {
@@ -73,7 +73,7 @@
 	return &pb.Reply{Results: results}
 }
 
-// submitToLeader brings a batch to the leader, wherever that is. mayHaveRun: the batch may be agreed on in spite of the error.
+// submitToLeader submits a batch to the leader. mayHaveRun: the batch may be committed despite the error.
 func (s *Store) submitToLeader(b *pb.Batch) (results []*pb.Result, mayHaveRun bool, err error) {
 	if s.cfg.Address == "" {
 		return s.applyStandalone(b), false, nil
--- a/internal/controlplane/store/carry_test.go
+++ b/internal/controlplane/store/carry_test.go
@@ -12,7 +12,7 @@
 	"aspenshed/internal/controlplane/commandqueue"
 )
 
-// numberedBatch gives commands a subscriber's origin and numbers.
+// numberedBatch returns a batch of commands with a subscriber's origin and sequence numbers.
 func numberedBatch(origin string, first uint64, commands ...*pb.Command) *pb.Batch {
 	b := &pb.Batch{}
 	for i, x := range commands {
@@ -40,8 +40,8 @@
 	return x.Caller.Call(service, call, limit)
 }
 
-// What a thousand gateways report of one event becomes one entry of the log: the first report. The others are answered
-// as done, and what a batch holds besides is carried out.
+// Of many gateways' reports of one event, only the first makes a log entry. The others are answered as done, while
+// other commands in their batches are applied.
 func TestRedundantReportsMakeNoLogEntry(t *testing.T) {
 	s, err := Open(Config{ID: "only"})
 	if err != nil {
@@ -52,7 +52,7 @@
 		t.Fatal(r, err)
 	}
 	now := time.Now().UnixNano()
-	carry := func(b *pb.Batch) []*pb.Result {
+	forward := func(b *pb.Batch) []*pb.Result {
 		t.Helper()
 		r := s.ForwardBatch(b)
 		if r.Refused != "" || len(r.Results) != len(b.Commands) {
@@ -66,7 +66,7 @@
 	}
 	start := &pb.Command{Body: &pb.Command_Start{Start: &pb.Start{Member: "m1", Start: now}}}
 	drain := &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: "m1", Start: now}}}
-	for _, r := range carry(numberedBatch("g1/1", 1, start, drain, reportPrimaryCommand("m2", now))) {
+	for _, r := range forward(numberedBatch("g1/1", 1, start, drain, reportPrimaryCommand("m2", now))) {
 		if r.Refused != "" {
 			t.Error(r.Refused)
 		}
@@ -74,27 +74,28 @@
 	first := index()
 	for _, b := range []*pb.Batch{
 		numberedBatch("g2/1", 1, start, drain, reportPrimaryCommand("m2", now)),
-		numberedBatch("g3/1", 1, reportPrimaryCommand("m2", now+1e9), reportPrimaryCommand("m1", now-1)), // the same primary a little later; an older report
+		// A slightly later report of the same primary and an older report.
+		numberedBatch("g3/1", 1, reportPrimaryCommand("m2", now+1e9), reportPrimaryCommand("m1", now-1)),
 		numberedBatch("g4/1", 1, &pb.Command{Body: &pb.Command_Start{Start: &pb.Start{Member: "m1", Start: now - 1}}}),
 	} {
-		for i, r := range carry(b) {
+		for i, r := range forward(b) {
 			if r.Refused != "" || r.Seq != b.Commands[i].Seq {
 				t.Errorf("%v: %v", b.Commands[i], r)
 			}
 		}
 	}
 	if index() != first {
-		t.Errorf("%d entries for what was known", index()-first)
+		t.Errorf("%d log entries for redundant reports", index()-first)
 	}
-	mixed := carry(numberedBatch("g5/1", 1, drain, setCommand("k", "v"), drain))
+	mixed := forward(numberedBatch("g5/1", 1, drain, setCommand("k", "v"), drain))
 	if index() != first+1 || mixed[0].Version != 0 || mixed[1].Version != 1 || mixed[1].Seq != 2 || mixed[2].Seq != 3 {
-		t.Errorf("%d entries, results %v", index()-first, mixed)
+		t.Errorf("%d log entries, results %v", index()-first, mixed)
 	}
-	again := carry(numberedBatch("g5/1", 2, setCommand("k", "v")))
+	again := forward(numberedBatch("g5/1", 2, setCommand("k", "v")))
 	if !again[0].Repeated || again[0].Version != 1 {
-		t.Errorf("a batch that came twice: %v", again)
+		t.Errorf("a duplicate batch: %v", again)
 	}
-	carry(numberedBatch("g6/1", 1, reportPrimaryCommand("m1", now+2)))
+	forward(numberedBatch("g6/1", 1, reportPrimaryCommand("m1", now+2)))
 	s.Read(func(c *catalog.Catalog) {
 		if w := c.GroupSummaries()[catalog.Group{}]; w.Primary != "m1" || w.PrimaryAt != now+2 {
 			t.Errorf("the newest report: %+v", w)
@@ -127,8 +128,8 @@
 	})
 }
 
-// A voter that does not lead carries a batch to the leader once, and not at all where nothing of it is needed. Without
-// a leader the subscriber is told that nothing was done.
+// A follower forwards a batch to the leader, unless all of it is redundant. Without a leader it replies that nothing
+// was done and that the batch may be retried.
 func TestForwardBatchThroughFollower(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.submit(c.leader(), upsertCommand("m1"))
@@ -139,34 +140,34 @@
 	c.open(id)
 	s := c.nodes[id].store
 	var start int64
-	c.waitFor("the member", func() (there bool) {
+	c.waitFor("the member", func() (found bool) {
 		s.Read(func(x *catalog.Catalog) {
 			if m := x.Member("m1"); m != nil {
-				there, start = true, m.Start
+				found, start = true, m.Start
 			}
 		})
-		return there
+		return found
 	})
 	drain := &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: "m1", Start: start}}}
 	c.waitFor("the drain", func() bool { return s.ForwardBatch(numberedBatch("g1/1", 1, drain)).Refused == "" })
-	c.waitFor("the drain here", func() (there bool) {
-		s.Read(func(x *catalog.Catalog) { there = x.Member("m1").DrainedAt != 0 })
-		return there
+	c.waitFor("the drain at the follower", func() (found bool) {
+		s.Read(func(x *catalog.Catalog) { found = x.Member("m1").DrainedAt != 0 })
+		return found
 	})
 	others := []string{"a", "b", "c"}
 	c.setBlocked(true, []string{id}, others)
 	c.setBlocked(true, others, []string{id})
 	if r := s.ForwardBatch(numberedBatch("g2/1", 1, drain)); r.Refused != "" {
-		t.Errorf("what is known here: %v", r)
+		t.Errorf("a redundant command while disconnected: %v", r)
 	}
 	before := submits.Load()
 	if r := s.ForwardBatch(numberedBatch("g2/1", 2, setCommand("k", "v"))); r.Refused == "" || !r.Retry {
-		t.Errorf("cut off: %v", r)
+		t.Errorf("a new command while disconnected: %v", r)
 	}
 	c.setBlocked(false, others, others)
-	c.waitFor("the healed way", func() bool { return s.ForwardBatch(numberedBatch("g2/1", 2, setCommand("k", "v"))).Refused == "" })
+	c.waitFor("the repaired connection", func() bool { return s.ForwardBatch(numberedBatch("g2/1", 2, setCommand("k", "v"))).Refused == "" })
 	if submits.Load() == before {
-		t.Error("no batch was counted")
+		t.Error("no batch was sent to the leader")
 	}
 	c.waitForEqual(map[string]string{"k": "v"})
 }
--- a/internal/controlplane/store/change.go
+++ b/internal/controlplane/store/change.go
@@ -10,6 +10,7 @@
 	"aspenshed/internal/controlplane/membership"
 )
 
+// decideChange calls f with the current configuration of the cluster.
 func (s *Store) decideChange(r *raft.Raft, f func(membership.View) membership.Decision) membership.Decision {
 	g := r.GetConfiguration()
 	if err := g.Error(); err != nil {
@@ -24,7 +25,7 @@
 	return f(v)
 }
 
-// applyDecision carries a verdict out. raft turns a second applyDecision away while one is not agreed.
+// applyDecision applies a membership decision. raft refuses a change while another one is not committed.
 func (s *Store) applyDecision(r *raft.Raft, v membership.Decision, id, address string) *pb.Reply {
 	var f raft.IndexFuture
 	switch v.Action {
@@ -53,7 +54,8 @@
 	return x
 }
 
-// RemoveInstance takes an instance out: its vote, and its record in the catalog. The operator's word says that it is off.
+// RemoveInstance removes an instance: its vote, and its record in the catalog. The operator has to make sure that it is
+// stopped.
 func (s *Store) RemoveInstance(id string, limit time.Duration) error {
 	if s.cfg.Address == "" {
 		return ErrStandalone
@@ -65,13 +67,13 @@
 		switch {
 		case err != nil:
 			last = err
-		case r.Voter: // done
+		case r.Voter: // removed
 			return s.removeInstanceRecord(id, removed, time.Until(end))
 		case r.Refused != "" && !r.Retry:
 			return errors.New(r.Refused)
 		case r.Refused != "":
 			last = errors.New(r.Refused)
-		default: // it is being taken out
+		default: // the removal is in progress
 			removed = true
 		}
 		if !s.sleep(50 * time.Millisecond) {
@@ -81,8 +83,8 @@
 	return last
 }
 
-// removeInstanceRecord takes an instance's record out of the catalog. An instance that was removed before its first heartbeat
-// was agreed on has none, and is gone all the same; otherwise an id without a record is not known at all.
+// removeInstanceRecord removes an instance's record from the catalog. An instance that was removed before its first
+// heartbeat was committed has none, which is no error; otherwise an id without a record is unknown.
 func (s *Store) removeInstanceRecord(id string, removed bool, limit time.Duration) error {
 	result, err := s.Submit(&pb.Command{Body: &pb.Command_Leave{Leave: &pb.Leave{Instance: id}}}, limit)
 	if err != nil || result.Refused == "" || removed {
--- a/internal/controlplane/store/cluster_test.go
+++ b/internal/controlplane/store/cluster_test.go
@@ -13,9 +13,9 @@
 	"aspenshed/internal/controlplane/mode"
 )
 
-const waitTimeout = 30 * time.Second // for what must come
+const waitTimeout = 30 * time.Second // for conditions that must become true
 
-// cluster is some instances in one process: replication and calls pass through seams at which they are cut.
+// cluster runs several instances in one process; replication and calls between them can be blocked.
 type cluster struct {
 	t       *testing.T
 	mu      sync.Mutex
@@ -76,7 +76,7 @@
 	return err
 }
 
-// kill ends an instance as it is.
+// kill stops an instance.
 func (c *cluster) kill(id string) {
 	n := c.nodes[id]
 	c.mu.Lock()
@@ -96,7 +96,7 @@
 	}
 }
 
-// updateConnections connects all that is not cut.
+// updateConnections connects all instances whose link is not blocked.
 func (c *cluster) updateConnections() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,7 +114,7 @@
 	}
 }
 
-// setBlocked cuts what goes from any of from to any of to.
+// setBlocked blocks or unblocks messages from any of from to any of to.
 func (c *cluster) setBlocked(cut bool, from, to []string) {
 	c.mu.Lock()
 	for _, a := range from {
@@ -126,7 +126,7 @@
 	c.updateConnections()
 }
 
-// testCaller is the way of one instance's calls to the others.
+// testCaller sends the calls of one instance to the others.
 type testCaller struct {
 	c    *cluster
 	from string
@@ -147,7 +147,7 @@
 		return nil, ErrUnavailable
 	}
 	r := s.handleCall(call)
-	if find(to, x.from) == nil { // the answer is lost
+	if find(to, x.from) == nil { // the response is lost
 		return nil, ErrUnknown
 	}
 	return r, nil
@@ -162,7 +162,7 @@
 					c.t.Logf("%s: %+v", id, n.store.Status())
 				}
 			}
-			c.t.Fatalf("never came: %s", what)
+			c.t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
@@ -207,7 +207,7 @@
 	return ""
 }
 
-// put writes until it is known to have been written, by whichever way that shows.
+// put retries a write until it succeeds.
 func (c *cluster) put(from, key, value string) {
 	c.t.Helper()
 	for end := time.Now().Add(waitTimeout); ; {
@@ -230,7 +230,7 @@
 	return value
 }
 
-// waitForEqual waits until all that are up hold the same, and checks the values.
+// waitForEqual waits until all running instances have equal catalogs, and checks the values.
 func (c *cluster) waitForEqual(want map[string]string) {
 	c.t.Helper()
 	c.waitFor("equal catalogs", func() bool {
@@ -246,13 +246,13 @@
 	for _, s := range c.running() {
 		for k, v := range want {
 			if got := getValue(s, k); got != v {
-				c.t.Errorf("%s holds %s=%q, want %q", s.ID(), k, got, v)
+				c.t.Errorf("%s has %s=%q, want %q", s.ID(), k, got, v)
 			}
 		}
 	}
 }
 
-// store is an instance's, or nil while it is down.
+// store returns the store of an instance, nil while it is down.
 func (c *cluster) store(id string) *Store {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlplane/store/damage_test.go
+++ b/internal/controlplane/store/damage_test.go
@@ -12,7 +12,7 @@
 	"go.etcd.io/bbolt"
 )
 
-// newFilledConfig is the folder of one closed instance, with log and snapshots.
+// newFilledConfig returns the configuration of a closed instance whose data directory has a log and snapshots.
 func newFilledConfig(t *testing.T) Config {
 	c := newCluster(t, "a")
 	for i := range 200 {
@@ -35,14 +35,14 @@
 	return cfg
 }
 
-// Damage of whichever file stops the instance, which names it; nothing is served from it.
+// Corruption of any file is an error of Open that names the file.
 func TestCorruptFilesStopInstance(t *testing.T) {
 	cfg := newFilledConfig(t)
 	for _, x := range []struct {
 		name, file string
 		damage     func(path string) error
 	}{
-		{"a byte of an entry", logFile, func(path string) error {
+		{"one byte of a log entry", logFile, func(path string) error {
 			db, err := bbolt.Open(path, 0o600, nil)
 			if err != nil {
 				return err
@@ -52,7 +52,7 @@
 				b := tx.Bucket([]byte("logs"))
 				cur := b.Cursor()
 				k, v := cur.Last()
-				for !bytes.Contains(v, []byte("value")) { // behind it come the store's own
+				for !bytes.Contains(v, []byte("value")) { // the entries after it are commands of the store itself
 					k, v = cur.Prev()
 				}
 				v = bytes.Clone(v)
@@ -60,8 +60,8 @@
 				return b.Put(k, v)
 			})
 		}},
-		{"the log cut short", logFile, func(path string) error { return os.Truncate(path, 9000) }},
-		{"a byte of a snapshot", "state.bin", func(path string) error {
+		{"truncated log", logFile, func(path string) error { return os.Truncate(path, 9000) }},
+		{"one byte of a snapshot", "state.bin", func(path string) error {
 			b, err := os.ReadFile(path)
 			if err == nil {
 				b[len(b)/2] ^= 1
@@ -69,9 +69,9 @@
 			}
 			return err
 		}},
-		{"a snapshot cut short", "state.bin", func(path string) error { return os.Truncate(path, 40) }},
-		{"a snapshot's description", "meta.json", func(path string) error { return os.WriteFile(path, []byte("{"), 0o600) }},
-		{"the identity", identityFile, func(path string) error { return os.WriteFile(path, []byte("?"), 0o600) }},
+		{"truncated snapshot", "state.bin", func(path string) error { return os.Truncate(path, 40) }},
+		{"metadata of a snapshot", "meta.json", func(path string) error { return os.WriteFile(path, []byte("{"), 0o600) }},
+		{"identity file", identityFile, func(path string) error { return os.WriteFile(path, []byte("?"), 0o600) }},
 	} {
 		bad := copyDataDir(t, cfg)
 		hit := 0
@@ -97,19 +97,19 @@
 	other := copyDataDir(t, cfg)
 	other.Cluster = "another"
 	if _, err := Open(other); err == nil || !strings.Contains(err.Error(), `cluster "t"`) {
-		t.Errorf("another cluster's folder: %v", err)
+		t.Errorf("data directory of another cluster: %v", err)
 	}
-	// Killed in the middle of a snapshot: what is half written counts for nothing.
-	half := copyDataDir(t, cfg)
-	if err := os.MkdirAll(filepath.Join(half.DataDir, "snapshots", "9-9-9.tmp"), 0o700); err != nil {
+	// Killed during a snapshot: the incomplete snapshot is ignored.
+	incomplete := copyDataDir(t, cfg)
+	if err := os.MkdirAll(filepath.Join(incomplete.DataDir, "snapshots", "9-9-9.tmp"), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	s, err := Open(half)
+	s, err := Open(incomplete)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if getValue(s, "k3") != "value" {
-		t.Error("it does not hold what it held")
+		t.Error("the stored value is missing")
 	}
 	if err := s.Close(); err != nil {
 		t.Error(err)
--- a/internal/controlplane/store/enter.go
+++ b/internal/controlplane/store/enter.go
@@ -10,47 +10,47 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-const maxJoinServices = 8 // services named by hand to join through; the oldest goes
+const maxJoinServices = 8 // services given by Join; the oldest is dropped
 
-// joinCluster brings this instance into the cluster: it begins one with its peers if all of them hold nothing, joins one
-// that exists, or goes on in the one that it is in. An instance without any state does not vote before that: it cannot
-// know whether it did before its disk was lost.
+// joinCluster makes this instance part of the cluster: it bootstraps one with its peers if all of them are empty, joins
+// an existing one, or continues in its own. An instance without stored state does not vote before that, as it may have
+// voted before it lost its disk.
 func (s *Store) joinCluster(empty bool) {
 	logged := ""
-	waitFor := func(what string) {
+	waitFor := func(reason string) {
 		s.mu.Lock()
-		s.joinStatus = what
+		s.joinStatus = reason
 		s.mu.Unlock()
-		if what != logged {
-			s.log.WithField("reason", what).Info("store waits to come in")
-			logged = what
+		if reason != logged {
+			s.log.WithField("reason", reason).Info("store waits to join the cluster")
+			logged = reason
 		}
 	}
 	for wait := minJoinDelay; ; wait = min(2*wait, 2*time.Second) {
 		if r := s.raft.Load(); r != nil {
 			empty = false
 			if s.isVoter(r) {
-				s.log.Info("store is in")
+				s.log.Info("store joined the cluster")
 				return
 			}
 		} else if s.cfg.listsSelf() && s.allPeersEmpty(waitFor) {
 			if err := s.bootstrap(); err != nil {
-				s.log.WithError(err).Error("store did not start")
+				s.log.WithError(err).Error("store replication failed to start")
 				return
 			}
 			empty, wait = false, minJoinDelay
-			s.log.WithField("instances", len(s.cfg.Peers)).Info("store begins a cluster")
+			s.log.WithField("instances", len(s.cfg.Peers)).Info("store bootstrapped a new cluster")
 			return
 		}
 		for _, service := range s.joinServices() {
 			added, done := s.requestJoin(service, empty, waitFor)
 			if done {
-				s.log.Info("store is in")
+				s.log.Info("store joined the cluster")
 				return
 			}
 			if added && s.raft.Load() == nil {
 				if err := s.startRaft(); err != nil {
-					s.log.WithError(err).Error("store did not start")
+					s.log.WithError(err).Error("store replication failed to start")
 					return
 				}
 			}
@@ -65,7 +65,7 @@
 	}
 }
 
-// joinServices are the services through which this instance may come in.
+// joinServices returns the services through which this instance may join.
 func (s *Store) joinServices() (out []string) {
 	s.mu.Lock()
 	out = append(out, s.joinAddresses...)
@@ -78,7 +78,7 @@
 	return out
 }
 
-// Join has this instance come in through that service as well, and waits until it votes or the limit is over.
+// Join makes this instance also join through the given service, and waits until it is a voter or the limit has passed.
 func (s *Store) Join(service string, limit time.Duration) error {
 	if s.cfg.Address == "" {
 		return ErrStandalone
@@ -96,7 +96,7 @@
 			return ErrClosed
 		}
 	}
-	return fmt.Errorf("store: not in yet: %s", s.joinStatusText())
+	return fmt.Errorf("store: not in the cluster yet: %s", s.joinStatusText())
 }
 
 func (s *Store) joinStatusText() string {
@@ -105,7 +105,7 @@
 	return s.joinStatus
 }
 
-// allPeersEmpty tells whether all peers are there and hold nothing: only then is there nothing to be lost.
+// allPeersEmpty reports whether all peers are reachable and empty: only then can bootstrapping lose no data.
 func (s *Store) allPeersEmpty(waitFor func(string)) bool {
 	for _, p := range s.cfg.Peers {
 		if p.ID == s.cfg.ID {
@@ -114,7 +114,7 @@
 		r, err := s.call(p.Service, &pb.Call{Body: &pb.Call_Hello{Hello: &pb.Hello{Id: s.cfg.ID}}}, time.Second)
 		switch {
 		case err != nil:
-			waitFor("no word from " + p.ID)
+			waitFor("no response from " + p.ID)
 			return false
 		case r.Refused != "":
 			waitFor(p.ID + ": " + r.Refused)
@@ -138,12 +138,13 @@
 	return s.startRaft()
 }
 
+// requestJoin sends one join request. done: this instance is a voter.
 func (s *Store) requestJoin(service string, empty bool, waitFor func(string)) (added, done bool) {
 	applied := uint64(0)
 	if r := s.raft.Load(); r != nil {
 		applied = r.AppliedIndex()
 	}
-	for range 2 { // whom it asks, and whoever that one takes for the leader
+	for range 2 { // the given service, and the leader that it names
 		r, err := s.call(service, &pb.Call{Body: &pb.Call_Join{Join: &pb.Join{Id: s.cfg.ID, Address: s.cfg.Address,
 			Applied: applied, Empty: empty}}}, leaderTimeout+time.Second)
 		switch {
--- a/internal/controlplane/store/files.go
+++ b/internal/controlplane/store/files.go
@@ -25,9 +25,9 @@
 	retainedSnapshots = 2
 )
 
-var errChecksum = errors.New("the checksum does not fit")
+var errChecksum = errors.New("checksum mismatch")
 
-// identity guards a folder against another cluster's or another instance's program.
+// identity records which cluster and instance a data directory belongs to, so that no other uses it.
 type identity struct {
 	Format  int    `json:"format"`
 	Cluster string `json:"cluster"`
@@ -45,20 +45,20 @@
 	if err != nil {
 		return err
 	}
-	var have identity
-	if err := json.Unmarshal(data, &have); err != nil {
+	var stored identity
+	if err := json.Unmarshal(data, &stored); err != nil {
 		return &CorruptionError{path, err}
 	}
-	if have.Format > diskFormat {
-		return fmt.Errorf("store: %s has format %d, this release reads %d at most", path, have.Format, diskFormat)
+	if stored.Format > diskFormat {
+		return fmt.Errorf("store: %s has format %d, this release reads %d at most", path, stored.Format, diskFormat)
 	}
-	if have != want {
-		return fmt.Errorf("store: %s belongs to instance %q of cluster %q, this is %q of %q", path, have.ID, have.Cluster, c.ID, c.Cluster)
+	if stored != want {
+		return fmt.Errorf("store: %s belongs to instance %q of cluster %q, this is %q of %q", path, stored.ID, stored.Cluster, c.ID, c.Cluster)
 	}
 	return nil
 }
 
-// writeFileAtomic replaces a file whole or not at all, also across a crash.
+// writeFileAtomic replaces a file atomically, also across a crash.
 func writeFileAtomic(path string, data []byte) error {
 	dir := filepath.Dir(path)
 	f, err := os.CreateTemp(dir, ".new-*")
@@ -80,7 +80,8 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// checksumStore is log and stable store with a checksum on all that is kept: bolt checks its own pages' heads only.
+// checksumStore is the log store and stable store with checksums on all entries and values: bolt checks its page
+// headers only.
 type checksumStore struct {
 	raft.LogStore
 	stable       raft.StableStore
@@ -98,7 +99,7 @@
 	return binary.BigEndian.AppendUint32(nil, catalog.Checksum(b))
 }
 
-// GetLog turns away an entry that is not what was stored: it must neither be applied nor sent to others.
+// GetLog returns an error for a corrupt entry: it must neither be applied nor replicated.
 func (d *checksumStore) GetLog(index uint64, l *raft.Log) error {
 	if err := d.LogStore.GetLog(index, l); err != nil {
 		return err
@@ -115,15 +116,15 @@
 // StoreLog stores one entry.
 func (d *checksumStore) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
 
-// StoreLogs stores entries with their checksums. A full disk is said once, and once more when it is well again.
+// StoreLogs stores entries with their checksums. A write failure is logged once, and so is its end.
 func (d *checksumStore) StoreLogs(logs []*raft.Log) error {
-	with := make([]*raft.Log, len(logs))
+	summed := make([]*raft.Log, len(logs))
 	for i, l := range logs {
 		x := *l
 		x.Extensions = logChecksum(l)
-		with[i] = &x
+		summed[i] = &x
 	}
-	err := d.LogStore.StoreLogs(with)
+	err := d.LogStore.StoreLogs(summed)
 	d.recordWriteResult(err)
 	return err
 }
@@ -131,20 +132,20 @@
 func (d *checksumStore) recordWriteResult(err error) {
 	switch {
 	case err != nil && !d.writeFailing.Swap(true):
-		d.log.WithField("file", d.file).WithError(err).Error("store cannot write: its instance does not vote until it can")
+		d.log.WithField("file", d.file).WithError(err).Error("store cannot write to disk; this instance does not vote until it can")
 	case err == nil && d.writeFailing.Swap(false):
-		d.log.WithField("file", d.file).Info("store can write again")
+		d.log.WithField("file", d.file).Info("store can write to disk again")
 	}
 }
 
-// Set keeps a value with its checksum: a vote that was forgotten or changed could be given twice.
+// Set stores a value with its checksum: a lost or altered vote could be cast twice.
 func (d *checksumStore) Set(k, v []byte) error {
 	err := d.stable.Set(k, binary.BigEndian.AppendUint32(append([]byte(nil), v...), catalog.Checksum(v)))
 	d.recordWriteResult(err)
 	return err
 }
 
-// Get reads what Set kept.
+// Get returns a value stored by Set.
 func (d *checksumStore) Get(k []byte) ([]byte, error) {
 	b, err := d.stable.Get(k)
 	if err != nil || len(b) == 0 {
@@ -159,12 +160,12 @@
 	return b[:n], nil
 }
 
-// SetUint64 and GetUint64 are Set and Get of a number.
+// SetUint64 stores a number.
 func (d *checksumStore) SetUint64(k []byte, v uint64) error {
 	return d.Set(k, binary.BigEndian.AppendUint64(nil, v))
 }
 
-// GetUint64 reads a number.
+// GetUint64 returns a number stored by SetUint64.
 func (d *checksumStore) GetUint64(k []byte) (uint64, error) {
 	b, err := d.Get(k)
 	if err != nil || len(b) != 8 {
@@ -173,10 +174,11 @@
 	return binary.BigEndian.Uint64(b), nil
 }
 
-// openChecksumStore opens the log and reads all of it: damage stops the instance now rather than when it leads.
+// openChecksumStore opens the log and reads all of it, so that corruption stops the instance now rather than as the
+// leader.
 func openChecksumStore(c Config, damaged func(error)) (d *checksumStore, close func() error, err error) {
 	path := filepath.Join(c.DataDir, logFile)
-	// A file cut short makes bolt read beyond its end, which the system answers with a fault.
+	// On a truncated file, bolt reads beyond its end, which causes a memory fault.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if p := recover(); p != nil {
@@ -211,8 +213,8 @@
 	for i := first; i <= last && i > 0; i++ {
 		var l raft.Log
 		if err := d.GetLog(i, &l); err != nil {
-			var de *CorruptionError
-			if errors.As(err, &de) {
+			var corrupt *CorruptionError
+			if errors.As(err, &corrupt) {
 				return err
 			}
 			return &CorruptionError{d.file, fmt.Errorf("entry %d: %w", i, err)}
@@ -226,7 +228,7 @@
 	return nil
 }
 
-// verifySnapshots reads every snapshot: raft would pass over a damaged one for an older, and lose what lies between.
+// verifySnapshots reads every snapshot: raft would skip a corrupt one for an older one and lose the entries in between.
 func verifySnapshots(c Config, snaps raft.SnapshotStore) error {
 	list, err := snaps.List()
 	if err != nil {
@@ -254,9 +256,9 @@
 			return fmt.Errorf("store: %s: %w", path, err)
 		}
 	}
-	for _, e := range entries { // one whose description cannot be read is not listed; those being written end in .tmp
+	for _, e := range entries { // a snapshot with unreadable metadata is not listed; incomplete ones end in .tmp
 		if e.IsDir() && !known[e.Name()] && filepath.Ext(e.Name()) != ".tmp" && len(list) < retainedSnapshots {
-			return &CorruptionError{filepath.Join(c.DataDir, "snapshots", e.Name()), errors.New("its description cannot be read")}
+			return &CorruptionError{filepath.Join(c.DataDir, "snapshots", e.Name()), errors.New("its metadata is unreadable")}
 		}
 	}
 	return nil
--- a/internal/controlplane/store/fsm.go
+++ b/internal/controlplane/store/fsm.go
@@ -15,32 +15,32 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// Publisher hears what the log changes, in the order of the log. It must not block.
+// Publisher gets the changes of the log, in log order. Its methods must not block.
 type Publisher interface {
-	// Publish hands over what the entry with that index has changed; often that is nothing.
+	// Publish passes the changes of the entry with index rev; often there are none.
 	Publish(rev uint64, changes []revision.Change)
-	// Reset hands over all that is distributed, where it has been replaced.
+	// Reset passes all distributed records after the whole catalog was replaced.
 	Reset(rev uint64, records []revision.Record)
 }
 
-// noPublisher is the Publisher where none is configured.
+// noPublisher is used if no Publisher is configured.
 type noPublisher struct{}
 
 func (noPublisher) Publish(uint64, []revision.Change) {}
 func (noPublisher) Reset(uint64, []revision.Record)   {}
 
-// catalogFSM lets raft drive the catalog.
+// catalogFSM is the raft.FSM of the catalog.
 type catalogFSM struct {
-	applyMu          sync.Mutex // held while an entry or a snapshot is applied and published: one after the other
+	applyMu          sync.Mutex // held while applying and publishing, which keeps their order the same
 	mu               sync.RWMutex
 	catalog          *catalog.Catalog
 	cluster          string
 	onChange         func()
-	onUnknownCommand func(string) // hears of commands of a later release
+	onUnknownCommand func(string) // called with a command of a later release
 	publisher        Publisher
 }
 
-// Apply carries out one agreed entry. What cannot be read as a batch changes nothing on any replica.
+// Apply applies one committed entry. An entry that is no valid batch changes nothing on any replica.
 func (m *catalogFSM) Apply(l *raft.Log) any {
 	b := &pb.Batch{}
 	if err := proto.Unmarshal(l.Data, b); err != nil {
@@ -49,7 +49,7 @@
 	return m.apply(b, func() uint64 { return l.Index })
 }
 
-// applyNext carries out a batch as the entry after the last: for an instance without a log.
+// applyNext applies a batch at the next index, for an instance without a log.
 func (m *catalogFSM) applyNext(b *pb.Batch) []*pb.Result {
 	return m.apply(b, func() uint64 { return m.catalog.Index() + 1 })
 }
@@ -73,14 +73,14 @@
 	return results
 }
 
-// replace takes over all that another catalog holds.
+// replace replaces the content with that of another catalog.
 func (m *catalogFSM) replace(c *catalog.Catalog) {
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
 	m.install(c)
 }
 
-// replaceNext does so as the entry after the last: for an instance without a log.
+// replaceNext is replace at the next index, for an instance without a log.
 func (m *catalogFSM) replaceNext(c *catalog.Catalog) {
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
@@ -97,7 +97,7 @@
 	m.onChange()
 }
 
-// Snapshot freezes the catalog.
+// Snapshot encodes the current catalog.
 func (m *catalogFSM) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -105,7 +105,7 @@
 	return fsmSnapshot(b), err
 }
 
-// Restore replaces the catalog, or leaves it as it is where the snapshot is damaged or another cluster's.
+// Restore replaces the catalog with a snapshot. It changes nothing if the snapshot is corrupt or of another cluster.
 func (m *catalogFSM) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	b, err := io.ReadAll(r)
@@ -120,15 +120,16 @@
 	return nil
 }
 
-// decodeSnapshot decodes a snapshot of this cluster.
+// decodeSnapshot decodes a snapshot and checks its cluster.
 func decodeSnapshot(b []byte, cluster string) (*catalog.Catalog, error) {
 	c, err := catalog.Decode(b)
 	if err == nil && c.Cluster() != cluster {
-		err = fmt.Errorf("snapshot is of cluster %q, this is %q", c.Cluster(), cluster)
+		err = fmt.Errorf("snapshot belongs to cluster %q, this is %q", c.Cluster(), cluster)
 	}
 	return c, err
 }
 
+// fsmSnapshot is an encoded catalog.
 type fsmSnapshot []byte
 
 func (f fsmSnapshot) Persist(sink raft.SnapshotSink) error {
--- a/internal/controlplane/store/history_test.go
+++ b/internal/controlplane/store/history_test.go
@@ -13,8 +13,8 @@
 	"aspenshed/internal/controlplane/catalog"
 )
 
-// Counters written by all instances while leaders are killed and cut off: each step that is answered has been done
-// once, each that is refused not at all, and one in doubt at most once.
+// All instances increment counters while leaders are killed and partitioned: an acknowledged increment is applied once,
+// a refused one never, and one with an unknown result at most once.
 func TestBatchesAreAppliedOnce(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.leader()
@@ -25,7 +25,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				key, sure, doubt := fmt.Sprint(id, w), uint64(0), uint64(0)
+				key, acknowledged, unknown := fmt.Sprint(id, w), uint64(0), uint64(0)
 				for {
 					select {
 					case <-stop:
@@ -36,7 +36,7 @@
 							}
 							err := s.ReadLatest(waitTimeout, func(x *catalog.Catalog) {
 								v := x.Pair(key).GetVersion()
-								ok = v >= sure && v <= sure+doubt
+								ok = v >= acknowledged && v <= acknowledged+unknown
 							})
 							return err == nil && ok
 						})
@@ -50,9 +50,9 @@
 					}
 					switch r, err := s.Submit(setCommand(key, "x"), 2*time.Second); {
 					case err == nil && r.Refused == "":
-						sure++
+						acknowledged++
 					case errors.Is(err, ErrUnknown):
-						doubt++
+						unknown++
 					}
 				}
 			}()
@@ -75,7 +75,7 @@
 	c.waitForEqual(nil)
 }
 
-// Puts and reads of the latest are linearizable while leaders are killed and cut off.
+// Puts and ReadLatest are linearizable while leaders are killed and partitioned.
 func TestLinearizable(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.leader()
@@ -110,7 +110,7 @@
 					r, err := s.Submit(setCommand("k", v), time.Second)
 					op.Input, op.Output = in{true, v}, ""
 					if op.Return = int64(time.Since(begin)); errors.Is(err, ErrUnknown) {
-						op.Return = 1 << 62 // it may be done at any time
+						op.Return = 1 << 62 // it may be applied at any later time
 					} else if err != nil || r.Refused != "" {
 						continue
 					}
@@ -124,7 +124,7 @@
 				mu.Lock()
 				history = append(history, op)
 				mu.Unlock()
-				time.Sleep(time.Duration(rng.IntN(4)) * time.Millisecond) // a pace, not an order
+				time.Sleep(time.Duration(rng.IntN(4)) * time.Millisecond) // limits the rate of operations
 			}
 		}()
 	}
--- a/internal/controlplane/store/killed_test.go
+++ b/internal/controlplane/store/killed_test.go
@@ -19,10 +19,10 @@
 
 const childDir = "ASPENSHED_STORE_CHILD"
 
-// TestMain lets the test's own program stand in for an instance that is killed as a process.
+// TestMain runs the test binary as an instance in a child process that a test kills.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv(childDir); dir != "" {
-		go func() { // it must not outlive the test
+		go func() { // the child must not outlive the test
 			_, _ = io.Copy(io.Discard, os.Stdin)
 			os.Exit(1)
 		}()
@@ -37,7 +37,7 @@
 		Transport: t, Caller: testCaller{&cluster{}, "a"}}
 }
 
-// writeUntilKilled says each number once it is stored. Values are large, so that snapshots are being written most of
+// writeUntilKilled prints each number once it is stored. Values are large, so that snapshots are being written most of
 // the time.
 func writeUntilKilled(dir string) {
 	s, err := Open(singleInstanceConfig(dir))
@@ -61,8 +61,8 @@
 	}
 }
 
-// An instance that is killed in the middle of snapshots and batches, at random moments, is never damaged, and holds
-// all that it said was stored.
+// An instance that is killed at random times, during snapshots and batches, has no corrupt files and has everything
+// that it acknowledged.
 func TestKilledDuringSnapshot(t *testing.T) {
 	const seed = 3
 	rng := rand.New(rand.NewPCG(seed, 0))
@@ -105,11 +105,11 @@
 			_ = s.ReadLatest(time.Second, func(c *catalog.Catalog) { got, _ = strconv.Atoi(string(c.Pair("last").GetValue())) })
 		}
 		if got < last {
-			t.Errorf("seed %d, round %d: it holds %d, and had said %d", seed, round, got, last)
+			t.Errorf("seed %d, round %d: last stored number %d, acknowledged %d", seed, round, got, last)
 		}
 		if err := s.Close(); err != nil {
 			t.Error(err)
 		}
 	}
-	t.Logf("%d writes, %d snapshots were found half written", last, half)
+	t.Logf("%d writes, %d incomplete snapshots found", last, half)
 }
--- a/internal/controlplane/store/membership_test.go
+++ b/internal/controlplane/store/membership_test.go
@@ -16,7 +16,7 @@
 	"aspenshed/internal/controlplane/mode"
 )
 
-// An instance that lost its disk may have voted: it comes in anew, and only then votes.
+// An instance that lost its disk may have voted before, so it has to join again before it votes.
 func TestInstanceWithEmptyDiskRejoins(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.put(c.leader(), "k", "v")
@@ -31,13 +31,13 @@
 	c.waitForEqual(map[string]string{"k": "v", "k2": "v2"})
 }
 
-// A new instance joins, is killed in the middle of it and goes on; a dead one is replaced; one leaves.
+// A new instance joins although it is killed meanwhile, and a failed instance is removed.
 func TestMembershipChanges(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.put(c.leader(), "k", "v")
 	c.add("d")
 	c.open("d")
-	c.waitFor("its coming in", func() bool { return c.nodes["d"].store.raft.Load() != nil })
+	c.waitFor("the start of its replication", func() bool { return c.nodes["d"].store.raft.Load() != nil })
 	c.kill("d")
 	c.open("d")
 	c.waitFor("its vote", func() bool { return c.isVoter("d") })
@@ -51,7 +51,7 @@
 	c.waitForEqual(map[string]string{"k": "v", "k2": "v2"})
 }
 
-// submitBlocker is a connection to the other instances over which no command gets through.
+// submitBlocker is a Caller that blocks submitted commands.
 type submitBlocker struct{ Caller }
 
 func (c submitBlocker) Call(service string, call *pb.Call, limit time.Duration) (*pb.Reply, error) {
@@ -61,7 +61,7 @@
 	return c.Caller.Call(service, call, limit)
 }
 
-// Guards the removal of an instance that died before its first heartbeat was agreed on: the catalog has no record of it.
+// An instance that failed before its first heartbeat was committed has no record in the catalog, and can be removed.
 func TestRemoveInstanceWithoutHeartbeat(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.put(c.leader(), "k", "v")
@@ -72,24 +72,24 @@
 	lead := c.nodes[c.leader()].store
 	lead.Read(func(x *catalog.Catalog) {
 		if slices.ContainsFunc(x.Instances(), func(i *pb.Instance) bool { return i.Id == "d" }) {
-			t.Fatal("its heartbeat came through")
+			t.Fatal("its heartbeat was committed")
 		}
 	})
 	if err := lead.RemoveInstance("d", waitTimeout); err != nil {
 		t.Error(err)
 	}
 	if err := lead.RemoveInstance("never-there", waitTimeout); err == nil {
-		t.Error("an id that nobody knows left")
+		t.Error("an unknown id was removed")
 	}
 }
 
-// One instance is cut off, both ways or one way only: it serves what it holds, is told nothing wrong, and holds the
-// same as all once it is back. Its own writes are refused as never done or in doubt, not as done.
+// One instance is partitioned, in both directions or one: it serves its last state, and is equal to the others after
+// the partition. Its own writes fail as not done or unknown and are never reported as done.
 func TestPartitionedInstanceRecovers(t *testing.T) {
 	for _, way := range []string{"both", "to it", "from it"} {
 		t.Run(way, func(t *testing.T) {
 			c := newCluster(t, "a", "b", "c")
-			lead := c.leader() // the old leader on the small side
+			lead := c.leader() // the leader is in the smaller partition
 			c.put(lead, "k", "before")
 			var rest []string
 			for id := range c.nodes {
@@ -104,16 +104,16 @@
 				c.setBlocked(true, []string{lead}, rest)
 			}
 			if way == "both" {
-				c.waitFor("the cut-off one's knowing", func() bool { return c.nodes[lead].store.Mode() == mode.Disconnected })
+				c.waitFor("the mode of the disconnected instance", func() bool { return c.nodes[lead].store.Mode() == mode.Disconnected })
 				if err := c.nodes[lead].store.ReadLatest(300*time.Millisecond, func(*catalog.Catalog) {}); err == nil {
-					t.Error("a cut-off instance answers a read of the latest")
+					t.Error("ReadLatest succeeds on a disconnected instance")
 				}
 				if _, err := c.nodes[lead].store.Submit(setCommand("k", "lost"), 300*time.Millisecond); err == nil {
-					t.Error("a cut-off instance takes a write")
+					t.Error("a write succeeds on a disconnected instance")
 				}
 			}
 			writer := rest[0]
-			if way == "to it" { // its word still reaches the others, so it leads on; their calls do not reach it
+			if way == "to it" { // its heartbeats reach the others, so it stays the leader; their calls fail
 				if _, err := c.nodes[writer].store.Submit(setCommand("k", "lost"), 300*time.Millisecond); !errors.Is(err, ErrUnavailable) && !errors.Is(err, ErrUnknown) {
 					t.Errorf("a write that cannot arrive: %v", err)
 				}
@@ -121,7 +121,7 @@
 			}
 			c.put(writer, "k", "after")
 			if got := getValue(c.nodes[lead].store, "k"); way == "both" && got != "before" {
-				t.Errorf("the cut-off one holds %q", got)
+				t.Errorf("the disconnected instance has %q", got)
 			}
 			c.setBlocked(false, []string{"a", "b", "c"}, []string{"a", "b", "c"})
 			c.put(lead, "k2", "healed")
@@ -130,7 +130,7 @@
 	}
 }
 
-// A full disk at one instance harms no other, and its own log is whole when it can write again.
+// A full disk of one instance does not affect the others, and its log is complete once it can write again.
 func TestFullDisk(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.put(c.leader(), "k", "v")
@@ -139,7 +139,7 @@
 		c.kill(id)
 		c.nodes[id].cfg.WrapLogStore = func(l raft.LogStore) raft.LogStore { full.LogStore = l; return full }
 		c.open(id)
-		c.waitFor("its being in", func() bool { return c.isVoter(id) && c.nodes[id].store.Mode() != mode.CatchingUp })
+		c.waitFor("its vote and mode", func() bool { return c.isVoter(id) && c.nodes[id].store.Mode() != mode.CatchingUp })
 		full.set(true)
 		for i := range 5 {
 			for other := range c.nodes {
@@ -154,6 +154,7 @@
 	}
 }
 
+// fullDisk is a log store whose writes can be made to fail.
 type fullDisk struct {
 	raft.LogStore
 	mu   sync.Mutex
@@ -177,7 +178,7 @@
 
 func (d *fullDisk) StoreLog(l *raft.Log) error { return d.StoreLogs([]*raft.Log{l}) }
 
-// Writes from every instance reach all; the leader killed, a follower killed, each back from its disk, then all.
+// Writes survive the kill and restart of the leader, of a follower, and then of all instances.
 func TestKilledInstancesRecoverFromDisk(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.leader()
--- a/internal/controlplane/store/publish_test.go
+++ b/internal/controlplane/store/publish_test.go
@@ -11,7 +11,7 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// recordingPublisher is a Publisher that holds what it has heard.
+// recordingPublisher is a Publisher that builds a catalog from what is published.
 type recordingPublisher struct {
 	t *testing.T
 
@@ -58,7 +58,7 @@
 	}
 }
 
-// holds reports whether the follower holds all that s distributes.
+// holds reports whether its records equal those of s.
 func (f *recordingPublisher) holds(s *Store) (same bool) {
 	s.Read(func(c *catalog.Catalog) {
 		f.mu.Lock()
@@ -86,15 +86,15 @@
 	return &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: id, Reason: "test"}}}
 }
 
-// Who follows a voter's changes holds what the voter holds: while it writes, after a snapshot of the leader took the
-// place of log entries that it missed, and after a state was restored by hand, which has a newer revision.
+// The published changes of a voter reproduce its catalog: while it writes, after a snapshot of the leader replaced log
+// entries that it missed, and after an operator's restore, which has a newer revision.
 func TestPublishedChangesReproduceCatalog(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
-	followers := map[string]*recordingPublisher{}
+	publishers := map[string]*recordingPublisher{}
 	reopen := func(id string) {
 		c.kill(id)
-		followers[id] = newRecordingPublisher(t)
-		c.nodes[id].cfg.Publisher = followers[id]
+		publishers[id] = newRecordingPublisher(t)
+		c.nodes[id].cfg.Publisher = publishers[id]
 		c.open(id)
 	}
 	for _, id := range []string{"a", "b", "c"} {
@@ -103,7 +103,7 @@
 	same := func(when string) {
 		t.Helper()
 		c.waitForEqual(nil)
-		for id, f := range followers {
+		for id, f := range publishers {
 			c.waitFor(fmt.Sprint("what ", id, " publishes ", when), func() bool { return f.holds(c.nodes[id].store) })
 		}
 	}
@@ -113,27 +113,27 @@
 	c.put("c", "k", "v")
 	c.submit("c", &pb.Command{Body: &pb.Command_RemoveMembers{RemoveMembers: &pb.RemoveMembers{Members: []string{"m3"}}}})
 	same("after writes")
-	away := c.follower()
-	c.kill(away)
+	stopped := c.follower()
+	c.kill(stopped)
 	writer := c.leader()
-	for i := range 300 { // more than the log keeps
+	for i := range 300 { // more entries than the log keeps
 		c.put(writer, fmt.Sprint("k", i%7), fmt.Sprint(i))
 	}
-	reopen(away)
-	c.waitFor("a snapshot at who was away", func() bool { return followers[away].count() > 0 })
+	reopen(stopped)
+	c.waitFor("a snapshot at the restarted instance", func() bool { return publishers[stopped].count() > 0 })
 	same("after a snapshot")
 	lead := c.leader()
 	saved := encodeCatalog(t, c.nodes[lead].store)
 	c.put(lead, "k", "later")
-	before := followers[lead].count()
+	before := publishers[lead].count()
 	if err := c.nodes[lead].store.Restore(saved); err != nil {
 		t.Fatal(err)
 	}
-	if followers[lead].count() == before {
+	if publishers[lead].count() == before {
 		t.Error("the restored state was not published")
 	}
 	c.put(lead, "after", "the restore")
-	same("after a restore by hand")
+	same("after a restore")
 	c.waitForEqual(map[string]string{"k": "v", "after": "the restore"})
 }
 
@@ -146,7 +146,7 @@
 	return b
 }
 
-// submit has a command carried out.
+// submit submits a command, which has to succeed.
 func (c *cluster) submit(from string, x *pb.Command) {
 	c.t.Helper()
 	if r, err := c.nodes[from].store.Submit(x, waitTimeout); err != nil || r.Refused != "" {
@@ -154,7 +154,7 @@
 	}
 }
 
-// An instance without a log publishes in the same way.
+// An instance without a log publishes its changes as well.
 func TestStandaloneInstancePublishes(t *testing.T) {
 	f := newRecordingPublisher(t)
 	s, err := Open(Config{Cluster: "t", ID: "only", Publisher: f})
@@ -172,7 +172,7 @@
 		t.Fatal(r, err)
 	}
 	if !f.holds(s) {
-		t.Error("it does not publish what it holds")
+		t.Error("the published records differ from its own")
 	}
 	if err := s.Restore(saved); err != nil {
 		t.Fatal(err)
--- a/internal/controlplane/store/read.go
+++ b/internal/controlplane/store/read.go
@@ -8,14 +8,14 @@
 	"aspenshed/internal/controlplane/commandqueue"
 )
 
-// Read looks at what this instance has applied. f must not keep what it sees nor change it.
+// Read calls f with the state that this instance has applied. f must neither retain nor modify it.
 func (s *Store) Read(f func(*catalog.Catalog)) {
 	s.fsm.mu.RLock()
 	defer s.fsm.mu.RUnlock()
 	f(s.fsm.catalog)
 }
 
-// ReadLatest looks at a state that holds all that had been agreed when it was called.
+// ReadLatest calls f with a state that contains everything that was committed before the call.
 func (s *Store) ReadLatest(limit time.Duration, f func(*catalog.Catalog)) error {
 	if s.cfg.Address == "" {
 		s.Read(f)
@@ -36,14 +36,14 @@
 			return ErrUnavailable
 		}
 	}
-	for { // it is here within a round of heartbeats
-		there := false
+	for { // it is applied here within a heartbeat interval
+		applied := false
 		s.Read(func(c *catalog.Catalog) {
-			if there = c.Index() >= index; there {
+			if applied = c.Index() >= index; applied {
 				f(c)
 			}
 		})
-		if there {
+		if applied {
 			return nil
 		}
 		if time.Now().After(end) {
@@ -55,6 +55,7 @@
 	}
 }
 
+// sleep waits for d and reports false if the store is closed before.
 func (s *Store) sleep(d time.Duration) bool {
 	select {
 	case <-s.done:
--- a/internal/controlplane/store/replica.go
+++ b/internal/controlplane/store/replica.go
@@ -18,7 +18,7 @@
 		return err
 	}
 	disk, closeDisk, err := openChecksumStore(s.cfg, func(err error) {
-		s.log.WithError(err).Error("store stops: what it holds is damaged")
+		s.log.WithError(err).Error("store stops: stored data is corrupt")
 		s.cfg.OnCorruption(err)
 	})
 	if err != nil {
@@ -70,18 +70,19 @@
 	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: raftLogWriter{s.log}, DisableTime: true})
 }
 
-// raftLogWriter hands the library's raftLogWriter to our log; what it calls an error is nothing that staff can act on by itself.
+// raftLogWriter writes raft's log lines to the log at debug level: what raft logs as an error is not actionable for
+// operators.
 type raftLogWriter struct{ log *logrus.Entry }
 
 func (l raftLogWriter) Write(b []byte) (int, error) {
-	l.log.WithField("raft", string(b[:max(len(b)-1, 0)])).Debug("store library")
+	l.log.WithField("raft", string(b[:max(len(b)-1, 0)])).Debug("raft log line")
 	return len(b), nil
 }
 
 func (s *Store) raftConfig() *raft.Config {
 	rc := raft.DefaultConfig()
 	rc.LocalID, rc.Logger, rc.ShutdownOnRemove = raft.ServerID(s.cfg.ID), s.raftLogger(), false
-	// Heartbeats and beats write all day: snapshots keep log and restart short.
+	// Instance heartbeats are written continuously: frequent snapshots keep the log and restarts short.
 	rc.SnapshotThreshold, rc.TrailingLogs, rc.SnapshotInterval = 1024, 1024, 10*time.Second
 	if s.cfg.ShortTimeouts {
 		rc.SnapshotThreshold, rc.TrailingLogs, rc.SnapshotInterval = 64, 64, 50*time.Millisecond
@@ -99,7 +100,7 @@
 	return err
 }
 
-// isVoter tells whether this instance is a voter, as far as it knows.
+// isVoter reports whether this instance is a voter in the latest configuration that it knows.
 func (s *Store) isVoter(r *raft.Raft) bool {
 	f := r.GetConfiguration()
 	return f.Error() == nil && slices.ContainsFunc(f.Configuration().Servers, func(v raft.Server) bool {
--- a/internal/controlplane/store/restore.go
+++ b/internal/controlplane/store/restore.go
@@ -10,11 +10,11 @@
 	"aspenshed/internal/controlplane/catalog"
 )
 
-// restoreIndexGap is how far beyond the log's end (entries) a restored state is put: entries that are appended meanwhile must
-// not reach it, as a revision belongs to one state only.
+// restoreIndexGap is the distance (entries) between the log's end and the index of a restored state: entries appended
+// meanwhile must not reach that index, as a revision identifies one state only.
 const restoreIndexGap = 1 << 10
 
-// Save writes the catalog as it is here; atomically.
+// Save writes the catalog of this instance to a file, atomically.
 func (s *Store) Save(path string) error {
 	var b []byte
 	var err error
@@ -25,8 +25,8 @@
 	return writeFileAtomic(path, b)
 }
 
-// Restore has all instances hold what a file says. Only the leader takes it, and only a whole file of this cluster. What
-// they hold then has a revision above all earlier ones.
+// Restore replaces the catalog of all instances with a saved snapshot of this cluster. It has to be called on the
+// leader. The restored state has a revision above all earlier ones.
 func (s *Store) Restore(data []byte) error {
 	c, err := decodeSnapshot(data, s.cfg.Cluster)
 	if err != nil {
@@ -42,10 +42,10 @@
 	}
 	if r.State() != raft.Leader {
 		_, id := r.LeaderWithID()
-		return fmt.Errorf("store: %q leads: restore there", id)
+		return fmt.Errorf("store: instance %q is the leader: restore there", id)
 	}
 	before := max(c.Index(), r.LastIndex()) + restoreIndexGap
-	c.SetIndex(before + 1) // raft puts the restored state one entry after the index that it is told
+	c.SetIndex(before + 1) // raft restores the state at one entry after the index in its metadata
 	if data, err = c.Encode(); err != nil {
 		return err
 	}
--- a/internal/controlplane/store/rollout.go
+++ b/internal/controlplane/store/rollout.go
@@ -12,27 +12,27 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// maxRolloutRows is the number of lagging subscribers, and of refusals, that a report names: the voters name 20 each.
+// maxRolloutRows bounds the lagging subscribers and the refusals in a report: each voter reports at most 20.
 const maxRolloutRows = 20
 
-// RolloutReport tells how far a revision has come: at the subscribers of all voters that answered.
+// RolloutReport is the progress of a revision at the subscribers of all voters that answered.
 type RolloutReport struct {
 	Revision    uint64              `json:"revision"`
 	Subscribers uint64              `json:"subscribers"`
 	Applied     uint64              `json:"in_force"`
-	Lagging     []LaggingSubscriber `json:"lagging"`  // those furthest behind
-	Refusals    []RolloutRefusal    `json:"refusals"` // changes of the revision that a subscriber could not take
+	Lagging     []LaggingSubscriber `json:"lagging"`  // the furthest behind
+	Refusals    []RolloutRefusal    `json:"refusals"` // changes of the revision that a subscriber could not apply
 	Answered    []string            `json:"answered"`
 	Unreachable []string            `json:"silent"` // voters that did not answer: their subscribers are not counted
 }
 
-// LaggingSubscriber has not got the revision in force.
+// LaggingSubscriber is a subscriber that has not applied the revision.
 type LaggingSubscriber struct {
 	Subscriber string `json:"subscriber"`
-	Applied    uint64 `json:"in_force"` // the newest revision that it has
+	Applied    uint64 `json:"in_force"` // the newest revision that it has applied
 }
 
-// RolloutRefusal is one change that a subscriber could not take.
+// RolloutRefusal is one change that a subscriber could not apply.
 type RolloutRefusal struct {
 	Subscriber string `json:"subscriber"`
 	Revision   uint64 `json:"revision"`
@@ -40,8 +40,8 @@
 	Reason     string `json:"reason"`
 }
 
-// Rollout asks every voter, within limit, how far its subscribers are with a revision; 0: the newest that is applied
-// here.
+// Rollout queries every voter, within limit, for the progress of a revision at its subscribers; 0: the newest revision
+// that is applied here.
 func (s *Store) Rollout(rev uint64, limit time.Duration) (RolloutReport, error) {
 	if rev == 0 {
 		s.Read(func(c *catalog.Catalog) { rev = c.Index() })
@@ -59,7 +59,7 @@
 	return report, nil
 }
 
-// localRollout counts the subscribers of this instance.
+// localRollout returns the status of the subscribers of this instance.
 func (s *Store) localRollout(rev uint64) *pb.RolloutStatus {
 	if s.cfg.RolloutStatus == nil {
 		return &pb.RolloutStatus{Revision: rev}
@@ -67,7 +67,7 @@
 	return s.cfg.RolloutStatus(rev)
 }
 
-// handleRollout serves another voter's query.
+// handleRollout handles another voter's query.
 func (s *Store) handleRollout(q *pb.RolloutQuery) *pb.Reply {
 	rev := q.GetRevision()
 	if rev == 0 {
@@ -76,7 +76,7 @@
 	return &pb.Reply{Rollout: s.localRollout(rev)}
 }
 
-// otherVoters are the ids of the voters besides this instance.
+// otherVoters returns the ids of all voters except this instance.
 func (s *Store) otherVoters() (ids []string, err error) {
 	if s.cfg.Address == "" {
 		return nil, nil
@@ -97,7 +97,7 @@
 	return ids, nil
 }
 
-// queryRollout asks all of them at once. One that does not answer has a nil status.
+// queryRollout queries all of them concurrently. A voter that does not answer has a nil status.
 func (s *Store) queryRollout(ids []string, rev uint64, limit time.Duration) map[string]*pb.RolloutStatus {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -120,7 +120,7 @@
 	return statuses
 }
 
-// add counts one voter's answer; nil: there was none.
+// add adds one voter's status; nil: it did not answer.
 func (r *RolloutReport) add(voter string, status *pb.RolloutStatus) {
 	if status == nil {
 		r.Unreachable = append(r.Unreachable, voter)
@@ -137,7 +137,7 @@
 	}
 }
 
-// sortAndTruncate puts the furthest behind first, and bounds the lists.
+// sortAndTruncate sorts the lists, the furthest behind first, and limits their length.
 func (r *RolloutReport) sortAndTruncate() {
 	slices.Sort(r.Answered)
 	slices.Sort(r.Unreachable)
--- a/internal/controlplane/store/rollout_test.go
+++ b/internal/controlplane/store/rollout_test.go
@@ -9,7 +9,7 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// rolloutStatusOf is a voter's own count: ten subscribers, one of them behind, one that refused a change.
+// rolloutStatusOf returns a voter's status: ten subscribers, one of them lagging after it refused a change.
 func rolloutStatusOf(id string) func(uint64) *pb.RolloutStatus {
 	return func(rev uint64) *pb.RolloutStatus {
 		return &pb.RolloutStatus{Revision: rev, Subscribers: 10, InForce: 9,
@@ -18,7 +18,7 @@
 	}
 }
 
-// Any voter tells how far a revision is, also of the others' subscribers; of one that does not answer it says so.
+// Any voter reports the rollout at the subscribers of all voters, and names voters that do not answer.
 func TestAnyVoterReportsRollout(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	for _, id := range []string{"a", "b", "c"} {
@@ -29,12 +29,12 @@
 	c.put(c.leader(), "k", "v")
 	c.waitForEqual(nil)
 	for id, n := range c.nodes {
-		c.waitFor("its configuration", func() bool { return c.isVoter(id) })
+		c.waitFor("the configuration with its vote", func() bool { return c.isVoter(id) })
 		r, err := n.store.Rollout(7, waitTimeout)
 		if err != nil || r.Revision != 7 || r.Subscribers != 30 || r.Applied != 27 || len(r.Unreachable) != 0 ||
 			!reflect.DeepEqual(r.Answered, []string{"a", "b", "c"}) || r.Lagging[0] != (LaggingSubscriber{"late-a", 6}) ||
 			r.Refusals[2] != (RolloutRefusal{"late-c", 7, "config", "unreadable"}) {
-			t.Errorf("%s tells %+v, %v", id, r, err)
+			t.Errorf("%s reports %+v, %v", id, r, err)
 		}
 	}
 	down := c.follower()
@@ -46,7 +46,7 @@
 	}
 }
 
-// However much the voters name, a report stays short and begins with those furthest behind.
+// A report is bounded, whatever the voters return, and begins with the subscribers that are furthest behind.
 func TestRolloutReportIsBounded(t *testing.T) {
 	var r RolloutReport
 	for voter := range 5 {
--- a/internal/controlplane/store/serve.go
+++ b/internal/controlplane/store/serve.go
@@ -14,6 +14,7 @@
 	"aspenshed/internal/controlplane/membership"
 )
 
+// stampTime sets the time of all commands in a batch.
 func (s *Store) stampTime(b *pb.Batch) {
 	now := int64(s.cfg.Clock.Now())
 	for _, c := range b.Commands {
@@ -21,7 +22,7 @@
 	}
 }
 
-// callLeader asks this instance if it leads, else the one that does. ErrUnavailable: nothing was sent.
+// callLeader sends a call to the leader, which may be this instance. ErrUnavailable: nothing was sent.
 func (s *Store) callLeader(c *pb.Call, limit time.Duration) (*pb.Reply, error) {
 	r := s.raft.Load()
 	if r == nil {
@@ -43,7 +44,7 @@
 	return s.caller.Call(service, c, limit)
 }
 
-// serviceAddress is where an instance takes commands: as it says itself, else as the configuration names it.
+// serviceAddress returns the service address of an instance: from its heartbeat, otherwise from the configuration.
 func (s *Store) serviceAddress(id string) (service string) {
 	s.Read(func(c *catalog.Catalog) {
 		for _, x := range c.Instances() {
@@ -60,18 +61,18 @@
 	return service
 }
 
-// handleCall serves one call, on the instance that it reached.
+// handleCall handles one call that arrived at this instance.
 func (s *Store) handleCall(c *pb.Call) *pb.Reply {
 	if c.Cluster != s.cfg.Cluster {
 		return &pb.Reply{Refused: fmt.Sprintf("this is cluster %q, not %q", s.cfg.Cluster, c.Cluster)}
 	}
 	r := s.raft.Load()
 	if _, hello := c.Body.(*pb.Call_Hello); hello {
-		// What was begun and never agreed on anything may be begun again, together with who asks.
+		// A cluster that was bootstrapped but has committed nothing may be bootstrapped again, with the caller.
 		return &pb.Reply{Exists: r != nil && r.LastIndex() > 1}
 	}
-	if query, ok := c.Body.(*pb.Call_Rollout); ok {
-		return s.handleRollout(query.Rollout)
+	if rollout, ok := c.Body.(*pb.Call_Rollout); ok {
+		return s.handleRollout(rollout.Rollout)
 	}
 	if r == nil || r.State() != raft.Leader {
 		x := &pb.Reply{Refused: "another instance leads", Retry: true}
@@ -107,7 +108,7 @@
 		return &pb.Reply{Refused: err.Error(), Retry: true}
 	}
 	f := r.Apply(data, leaderTimeout)
-	if err := f.Error(); err != nil { // what is in the log may be agreed on later
+	if err := f.Error(); err != nil { // an entry in the log may still be committed
 		return &pb.Reply{Refused: err.Error(), Retry: errors.Is(err, raft.ErrNotLeader) || errors.Is(err, raft.ErrEnqueueTimeout)}
 	}
 	results, ok := f.Response().([]*pb.Result)
@@ -117,8 +118,9 @@
 	return &pb.Reply{Results: results}
 }
 
-// readIndex is an entry after all that was agreed when it was asked for: a leader that has been replaced unknowingly
-// cannot agree on one. Its own catalog stands there by then; raft's applied index tells only what is on its way to it.
+// readIndex returns an index that covers all entries committed before the call: a leader that was replaced without
+// knowing it cannot commit the barrier. It reads the index of the catalog, as raft's applied index includes entries
+// that are still queued for the catalog.
 func (s *Store) readIndex(r *raft.Raft) *pb.Reply {
 	if err := r.Barrier(leaderTimeout).Error(); err != nil {
 		return &pb.Reply{Refused: err.Error(), Retry: true}
--- a/internal/controlplane/store/service.go
+++ b/internal/controlplane/store/service.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// maxConcurrentCalls calls are served at once; further ones are told to come again. Each waits for a majority, and a burst
-	// of reports of 2,400 gateways comes through a few voters.
+	// maxConcurrentCalls calls are handled concurrently; further ones are refused and retried. Each waits for a
+	// majority, and a burst of reports of 2,400 gateways arrives through a few voters.
 	maxConcurrentCalls = 1024
-	// maxConnections in, and out: twice as many as instances in the planned fleet of 2,400, with room for commands.
+	// maxConnections each inbound and outbound: twice the planned fleet of 2,400 instances, with room for commands.
 	maxConnections = 5000
 	dialTimeout    = time.Second
 )
 
-// Caller carries a call to another instance's service. An error other than ErrUnavailable means that it may have
+// Caller sends a call to another instance's service. After an error other than ErrUnavailable, the call may have
 // arrived.
 type Caller interface {
 	Call(service string, c *pb.Call, limit time.Duration) (*pb.Reply, error)
 }
 
-// service takes calls of other instances and makes ours, in frames of length and protobuf.
+// service handles calls of other instances and sends calls to them, as length-prefixed protobuf frames.
 type service struct {
 	store     *Store
 	net       *netio.Net
-	callSlots chan struct{} // one for each call that is served
+	callSlots chan struct{} // one per call that is being handled
 
 	mu          sync.Mutex
 	nextID      uint64
@@ -43,7 +43,7 @@
 	v := &service{store: s, callSlots: make(chan struct{}, maxConcurrentCalls), connections: map[string]*outboundConn{}}
 	var err error
 	v.net, err = netio.New(netio.Config{Name: "store", Listen: s.cfg.Service, MaxClients: maxConnections, MaxDials: maxConnections,
-		MaxWriteBuffer: 2 * (frame.MaxSize + 4), // the longest message, and another behind it
+		MaxWriteBuffer: 2 * (frame.MaxSize + 4), // the longest message, and another one queued behind it
 		Accept:         func(c *netio.Conn) netio.Handler { return &inboundConn{v: v, c: c} }})
 	if err != nil {
 		return nil, err
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// inboundConn is a connection of another instance.
+// inboundConn is a connection from another instance.
 type inboundConn struct {
 	v  *service
 	c  *netio.Conn
@@ -79,14 +79,14 @@
 			i.reply(c.Id, &pb.Reply{Refused: "too many calls at once", Retry: true})
 			return nil
 		}
-		go func() { // it waits for a majority; the poller must not
+		go func() { // a call waits for a majority, the poller must not
 			defer func() { <-i.v.callSlots }()
 			i.reply(c.Id, i.v.store.handleCall(c))
 		}()
 		return nil
 	})
 	if err != nil {
-		i.v.store.log.WithError(err).Warn("store closes a connection that it cannot read")
+		i.v.store.log.WithError(err).Warn("store closed a connection after an invalid message")
 		i.c.Close()
 	}
 }
@@ -94,11 +94,11 @@
 func (i *inboundConn) reply(id uint64, r *pb.Reply) {
 	r.Id = id
 	if b, err := frame.Append(nil, r); err == nil {
-		_ = i.c.Write(b) // a connection that broke: its caller asks again
+		_ = i.c.Write(b) // on a broken connection, the caller retries
 	}
 }
 
-// outboundConn is our connection to another instance.
+// outboundConn is a connection to another instance.
 type outboundConn struct {
 	v           *service
 	addr        string
@@ -129,7 +129,7 @@
 		return nil
 	})
 	if err != nil {
-		o.v.mu.Lock() // to sets c under it
+		o.v.mu.Lock() // connect sets c under it
 		c := o.c
 		o.v.mu.Unlock()
 		c.Close()
@@ -137,7 +137,7 @@
 	}
 }
 
-// Closed ends all that waits on the connection, in doubt.
+// Closed ends all pending calls of the connection; their results are unknown.
 func (o *outboundConn) Closed(error) {
 	o.v.mu.Lock()
 	if o.v.connections[o.addr] == o {
@@ -153,6 +153,7 @@
 	}
 }
 
+// connect returns the connection to an address, a new one if needed.
 func (v *service) connect(addr string) (*outboundConn, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -196,7 +197,7 @@
 	defer t.Stop()
 	select {
 	case <-o.established:
-	case <-ch: // closed: it never came up
+	case <-ch: // closed: the connection was not established
 		return nil, ErrUnavailable
 	case <-t.C:
 		return nil, ErrUnavailable
@@ -209,7 +210,7 @@
 		return nil, errors.Join(ErrUnavailable, err)
 	}
 	if err := o.c.Write(b); err != nil {
-		return nil, ErrUnavailable // its last byte never left
+		return nil, ErrUnavailable // the call was not sent completely
 	}
 	select {
 	case r, ok := <-ch:
@@ -218,7 +219,7 @@
 		}
 		return r, nil
 	case <-t.C:
-		o.c.Close() // a peer that says nothing: the next call begins anew
+		o.c.Close() // an unresponsive peer: the next call opens a new connection
 		o.Closed(ErrUnknown)
 		return nil, ErrUnknown
 	case <-v.store.done:
--- a/internal/controlplane/store/sockets_test.go
+++ b/internal/controlplane/store/sockets_test.go
@@ -16,7 +16,7 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// socketCluster is three instances that speak over loopback, and how to start a further one.
+// socketCluster starts three instances on loopback sockets, and returns a function to start more.
 func socketCluster(t *testing.T) (c *cluster, start func(cluster string, p Peer) *Store) {
 	t.Helper()
 	c = &cluster{t: t, nodes: map[string]*node{}}
@@ -37,7 +37,7 @@
 	return c, start
 }
 
-// freeAddress is an ephemeral port, given back for an instance.
+// freeAddress returns a loopback address with a free port.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,8 +48,8 @@
 	return l.Addr().String()
 }
 
-// A list of twice the planned fleet goes through a follower as one command: 2.6 MB, more than a connection queues
-// unless it is told to.
+// A follower forwards a list of twice the planned fleet as one command: 2.6 MB, more than the default write buffer of a
+// connection.
 func TestLargeCommandOverSockets(t *testing.T) {
 	c, _ := socketCluster(t)
 	c.put(c.leader(), "k", "v")
@@ -57,20 +57,20 @@
 	for i := range 42000 {
 		fleet = append(fleet, fmt.Sprintf("database-%05d.some-zone", i))
 	}
-	c.waitFor("the list", func() bool { // a leader that is replaced meanwhile leaves it in doubt: it is sent again
+	c.waitFor("the list", func() bool { // retried, as its result is unknown if the leader changes meanwhile
 		r, err := c.nodes[c.follower()].store.Submit(upsertCommand(fleet...), waitTimeout)
 		return err == nil && r.Refused == ""
 	})
-	for _, s := range c.running() { // not by digests: to take three of 42,000 members lasts longer than from one beat to the next
-		c.waitFor("the list at "+s.ID(), func() (there bool) {
-			s.Read(func(x *catalog.Catalog) { there = x.Counts()["members"] == len(fleet) })
-			return there
+	for _, s := range c.running() { // no digests: three of 42,000 members take longer than a heartbeat interval
+		c.waitFor("the list at "+s.ID(), func() (found bool) {
+			s.Read(func(x *catalog.Catalog) { found = x.Counts()["members"] == len(fleet) })
+			return found
 		})
 	}
 }
 
-// Over real sockets: writes are forwarded, an instance of another cluster is turned away at both doors, a snapshot
-// saved by hand is restored, and a bad one changes nothing.
+// Over real sockets: writes are forwarded, an instance of another cluster is rejected by the service and the
+// replication transport, a saved snapshot is restored, and a corrupt one changes nothing.
 func TestOverSockets(t *testing.T) {
 	c, start := socketCluster(t)
 	peers := c.peers
@@ -78,18 +78,18 @@
 		c.put(p.ID, "k"+p.ID, "v")
 	}
 	c.waitForEqual(map[string]string{"ka": "v", "kb": "v", "kc": "v"})
-	stranger := start("other", Peer{"x", freeAddress(t), freeAddress(t)})
-	if r, err := stranger.call(peers[0].Service, &pb.Call{Body: &pb.Call_Join{Join: &pb.Join{Id: "x", Address: "y"}}}, waitTimeout); err != nil || !strings.Contains(r.Refused, `cluster "t"`) {
-		t.Errorf("the stranger's call: %v %v", r, err)
+	foreign := start("other", Peer{"x", freeAddress(t), freeAddress(t)})
+	if r, err := foreign.call(peers[0].Service, &pb.Call{Body: &pb.Call_Join{Join: &pb.Join{Id: "x", Address: "y"}}}, waitTimeout); err != nil || !strings.Contains(r.Refused, `cluster "t"`) {
+		t.Errorf("a call from another cluster: %v %v", r, err)
 	}
 	l := &streamLayer{cluster: "other"}
 	if conn, err := l.Dial(raft.ServerAddress(peers[0].Address), waitTimeout); err == nil {
-		t.Error("the stranger may replicate")
+		t.Error("an instance of another cluster may replicate")
 		conn.Close()
 	}
-	lead := c.nodes[c.leader()].store
+	leader := c.nodes[c.leader()].store
 	path := filepath.Join(t.TempDir(), "saved")
-	if err := lead.Save(path); err != nil {
+	if err := leader.Save(path); err != nil {
 		t.Fatal(err)
 	}
 	c.put("a", "ka", "later")
@@ -99,13 +99,13 @@
 	}
 	bad := bytes.Clone(good)
 	bad[len(bad)-1] ^= 1
-	if err := lead.Restore(bad); !errors.Is(err, catalog.ErrCorrupt) {
-		t.Errorf("a damaged snapshot: %v", err)
+	if err := leader.Restore(bad); !errors.Is(err, catalog.ErrCorrupt) {
+		t.Errorf("a corrupt snapshot: %v", err)
 	}
-	if getValue(lead, "ka") != "later" {
-		t.Error("a damaged snapshot changed something")
+	if getValue(leader, "ka") != "later" {
+		t.Error("a corrupt snapshot changed the catalog")
 	}
-	if err := lead.Restore(good); err != nil {
+	if err := leader.Restore(good); err != nil {
 		t.Fatal(err)
 	}
 	c.waitForEqual(map[string]string{"ka": "v"})
--- a/internal/controlplane/store/status.go
+++ b/internal/controlplane/store/status.go
@@ -10,7 +10,7 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// Status is what there is to tell of an instance.
+// Status is the status of an instance.
 type Status struct {
 	Cluster         string           `json:"cluster"`
 	ID              string           `json:"id"`
@@ -28,7 +28,7 @@
 	UnknownCommands int              `json:"later"`
 }
 
-// StatusInstance is one instance of the configuration.
+// StatusInstance is one instance of the cluster configuration.
 type StatusInstance struct {
 	ID            string `json:"id"`
 	Address       string `json:"address"`
@@ -39,7 +39,7 @@
 	LastHeartbeat int64  `json:"beat_unix_ms"`
 }
 
-// Status tells how this instance stands.
+// Status returns the status of this instance.
 func (s *Store) Status() Status {
 	out := Status{Cluster: s.cfg.Cluster, ID: s.cfg.ID, Mode: s.Mode().String(), Queued: s.queue.Queued()}
 	known := map[string]*pb.Instance{}
@@ -49,7 +49,7 @@
 		out.Config = c.Config().GetVersion()
 		out.Inventory, out.Digest, out.Counts, out.UnknownCommands = c.InventoryVersion(), fmt.Sprintf("%016x", d), c.Counts(), len(later)
 		for _, x := range c.Instances() {
-			known[x.Id] = proto.Clone(x).(*pb.Instance) // the next beat changes the record
+			known[x.Id] = proto.Clone(x).(*pb.Instance) // the next heartbeat modifies the record
 		}
 	})
 	r := s.raft.Load()
--- a/internal/controlplane/store/store.go
+++ b/internal/controlplane/store/store.go
@@ -25,11 +25,11 @@
 const (
 	tickInterval      = 100 * time.Millisecond
 	heartbeatInterval = aspenshed.Nanos(2e9)
-	leaderTimeout     = 2 * time.Second // for the leader to carry a batch out
+	leaderTimeout     = 2 * time.Second // for the leader to commit a batch
 	minJoinDelay      = 200 * time.Millisecond
 )
 
-// Store is one instance of the replicated catalog.
+// Store is one replica of the catalog.
 type Store struct {
 	cfg   Config
 	log   *logrus.Entry
@@ -37,34 +37,34 @@
 	fsm   *catalogFSM
 	queue *commandqueue.Queue
 
-	raft      atomic.Pointer[raft.Raft] // nil: alone, or not yet part of a cluster
+	raft      atomic.Pointer[raft.Raft] // nil: standalone, or not yet part of a cluster
 	logStore  *checksumStore
 	snapshots raft.SnapshotStore
 	transport raft.Transport
 	caller    Caller
 
-	mu                sync.Mutex // guards the deciders below
+	mu                sync.Mutex // guards the state machines below
 	modeMachine       mode.StateMachine
 	mode              mode.Mode
 	leaseGrantor      *lease.Grantor
 	membershipMachine membership.StateMachine
 	lastHeartbeatAt   aspenshed.Nanos
-	joinAddresses     []string  // services to join through, named by hand
-	joinStatus        string    // this instance is not in yet
-	warmingVersions   [2]uint64 // the catalog's versions that cold was taken at
+	joinAddresses     []string  // services to join through, given by Join
+	joinStatus        string    // why this instance is not part of the cluster yet
+	warmingVersions   [2]uint64 // catalog versions at which warmingMembers was read
 	warmingMembers    []*pb.Member
-	lastContactAt     time.Time // last contact with a leader that was taken note of
+	lastContactAt     time.Time // last observed contact with a leader
 
-	done      chan struct{} // closed at the end
+	done      chan struct{} // closed by Close
 	wg        sync.WaitGroup
 	closeOnce sync.Once
 	closers   []func() error
 }
 
-// Open starts an instance. It waits for nobody: until others are there it serves what it has.
+// Open starts an instance. It does not wait for other instances: without them it serves its stored state.
 func Open(c Config) (s *Store, err error) {
-	if faults := c.Validate(); len(faults) > 0 {
-		return nil, faults[0]
+	if problems := c.Validate(); len(problems) > 0 {
+		return nil, problems[0]
 	}
 	c = c.withDefaults()
 	boot := make([]byte, 6)
@@ -72,8 +72,8 @@
 		return nil, err
 	}
 	s = &Store{cfg: c, log: c.Log, boot: hex.EncodeToString(boot), done: make(chan struct{}), leaseGrantor: lease.NewGrantor()}
-	s.fsm = &catalogFSM{catalog: catalog.New(c.Cluster), cluster: c.Cluster, onChange: c.OnChange, publisher: c.Publisher, onUnknownCommand: func(what string) {
-		s.log.WithField("reason", what).Warn("store keeps a command of a later release")
+	s.fsm = &catalogFSM{catalog: catalog.New(c.Cluster), cluster: c.Cluster, onChange: c.OnChange, publisher: c.Publisher, onUnknownCommand: func(reason string) {
+		s.log.WithField("reason", reason).Warn("store kept a command of a later release without applying it")
 	}}
 	s.queue = commandqueue.New(s.origin(), s.submitToLeader, s.done)
 	if c.Address != "" {
@@ -88,7 +88,7 @@
 	return s, nil
 }
 
-// withDefaults fills in what is nil.
+// withDefaults replaces nil fields.
 func (c Config) withDefaults() Config {
 	if c.Log == nil {
 		c.Log = discardLogger()
@@ -118,28 +118,28 @@
 
 func (s *Store) origin() string { return s.cfg.ID + "/" + s.boot }
 
-// Submit has a command carried out, from whichever instance, and waits for its result.
+// Submit submits a command, from any instance, and waits for its result.
 func (s *Store) Submit(c *pb.Command, limit time.Duration) (*pb.Result, error) {
 	return s.queue.Submit(c, limit)
 }
 
-// Offer has a command carried out some time; a later one with the same key takes the place of one that still waits.
+// Offer queues a command without waiting for it. It replaces a queued command with the same key.
 func (s *Store) Offer(key string, c *pb.Command) { s.queue.Offer(key, c) }
 
-// Mode is the instance's mode as last decided.
+// Mode returns the current mode of the instance.
 func (s *Store) Mode() mode.Mode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.mode
 }
 
-// ID and Boot name this instance and its present run.
+// ID is the id of this instance.
 func (s *Store) ID() string { return s.cfg.ID }
 
-// Boot is new with each start.
+// Boot identifies the current run of this instance; it is new with each start.
 func (s *Store) Boot() string { return s.boot }
 
-// Close stops the instance. What it has written stays on disk.
+// Close stops the instance. Its stored state stays on disk.
 func (s *Store) Close() (err error) {
 	s.closeOnce.Do(func() {
 		close(s.done)
@@ -147,12 +147,12 @@
 			err = r.Shutdown().Error()
 		}
 		for i := len(s.closers) - 1; i >= 0; i-- {
-			if s.closers[i] != nil && i > 0 { // the disk last, once nobody writes any more
+			if s.closers[i] != nil && i > 0 { // the log store last, once there are no more writers
 				err = errors.Join(err, s.closers[i]())
 			}
 		}
 		s.wg.Wait()
-		if r := s.raft.Load(); r != nil { // one that started while this was closing
+		if r := s.raft.Load(); r != nil { // it may have started while the store was closing
 			err = errors.Join(err, r.Shutdown().Error())
 		}
 		if len(s.closers) > 0 {
--- a/internal/controlplane/store/tick.go
+++ b/internal/controlplane/store/tick.go
@@ -13,7 +13,7 @@
 	"aspenshed/internal/controlplane/mode"
 )
 
-// runTicks drive the deciders until the end.
+// runTicks drives the state machines until the store is closed.
 func (s *Store) runTicks() {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
@@ -27,30 +27,30 @@
 	}
 }
 
-// tick looks at the mode, at leases that have run out, and tells the others that this instance is there.
+// tick updates the mode, proposes the end of leases and slow starts, and sends the heartbeat of this instance.
 func (s *Store) tick(now aspenshed.Nanos) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seen := s.observe()
-	m, changed := s.modeMachine.Step(now, seen)
+	observed := s.observe()
+	m, changed := s.modeMachine.Step(now, observed)
 	s.mode = m
 	if changed {
-		s.log.WithField("mode", m.String()).Info("store mode")
+		s.log.WithField("mode", m.String()).Info("store mode changed")
 		s.cfg.OnChange()
 	}
 	var fresh bool
 	var rules *pb.Rules
 	s.Read(func(c *catalog.Catalog) {
 		members, _, leases := c.Versions()
-		if v := [2]uint64{members, leases}; v != s.warmingVersions { // thousands of members are not looked at at each tick
+		if v := [2]uint64{members, leases}; v != s.warmingVersions { // avoids a scan of all members at each tick
 			s.warmingVersions, s.warmingMembers = v, c.WarmingMembers()
 		}
 		fresh, rules = c.Index() > 0 && !c.RulesSet(), c.Rules()
 	})
-	for _, c := range s.leaseGrantor.Step(now, seen.IsLeader || seen.Standalone, s.warmingMembers, rules) {
+	for _, c := range s.leaseGrantor.Step(now, observed.IsLeader || observed.Standalone, s.warmingMembers, rules) {
 		s.queue.Offer(fmt.Sprint("grant ", c), c)
 	}
-	if r := s.cfg.initialRules(); fresh && seen.IsLeader && r != nil {
+	if r := s.cfg.initialRules(); fresh && observed.IsLeader && r != nil {
 		s.queue.Offer("rules", &pb.Command{Body: &pb.Command_SetRules{SetRules: &pb.SetRules{Rules: r}}})
 	}
 	if m != mode.Standalone && m != mode.Disconnected && (now >= s.lastHeartbeatAt+heartbeatInterval || changed) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// observe is what there is to see of the others. Only tick calls it.
+// observe returns the current observation of the cluster. Only tick calls it.
 func (s *Store) observe() (x mode.Observation) {
 	r := s.raft.Load()
 	if s.cfg.Address == "" {
@@ -71,7 +71,7 @@
 	}
 	x.IsLeader, x.AppliedIndex, x.CommitIndex = r.State() == raft.Leader, r.AppliedIndex(), r.CommitIndex()
 	last := r.LastContact()
-	x.LeaderContact = x.IsLeader || last.After(s.lastContactAt) // raft stamps it at each message of a leader
+	x.LeaderContact = x.IsLeader || last.After(s.lastContactAt) // raft updates it with each message of a leader
 	s.lastContactAt = last
 	x.IsVoter = s.isVoter(r)
 	return x
--- a/internal/controlplane/store/transport.go
+++ b/internal/controlplane/store/transport.go
@@ -14,29 +14,30 @@
 
 const (
 	handshakeMagic   = "ASPRAFT1"
-	handshakeSize    = 64 // of one length, so that a stranger cannot have us read without end
+	handshakeSize    = 64 // fixed, so that an unknown peer cannot make us read without bound
 	maxClusterBytes  = handshakeSize - len(handshakeMagic)
 	handshakeTimeout = 2 * time.Second
 	raftTimeout      = 2 * time.Second
-	maxHandshakes    = 32 // connections whose cluster is not known yet; further ones are closed
+	maxHandshakes    = 32 // concurrent inbound handshakes; further connections are closed
 )
 
-var errClusterMismatch = errors.New("store: the other end is of another cluster, or no store at all")
+var errClusterMismatch = errors.New("store: the peer belongs to another cluster, or is not a store")
 
-// newTransport is the library's own transport on a layer that asks both ends for the cluster's id first: an instance
-// of another cluster must neither vote here nor replicate to us.
+// newTransport creates raft's network transport on a stream layer that first compares the cluster ids of both ends: an
+// instance of another cluster must neither vote here nor replicate to this instance.
 func newTransport(c Config, log hclog.Logger) (*raft.NetworkTransport, error) {
 	ln, err := net.Listen("tcp", c.Address)
 	if err != nil {
 		return nil, err
 	}
 	l := &streamLayer{ln: ln, cluster: c.Cluster, ready: make(chan net.Conn), done: make(chan struct{}), onRejected: func(remote net.Addr) {
-		c.Log.WithField("from", remote.String()).Warn("store turned an instance of another cluster away")
+		c.Log.WithField("from", remote.String()).Warn("store rejected an instance of another cluster")
 	}}
 	go l.acceptLoop()
 	return raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: l, MaxPool: 3, Timeout: raftTimeout, Logger: log}), nil
 }
 
+// streamLayer is a raft.StreamLayer over TCP with a handshake.
 type streamLayer struct {
 	ln         net.Listener
 	cluster    string
@@ -61,7 +62,7 @@
 			select {
 			case <-l.done:
 				return
-			case <-time.After(20 * time.Millisecond): // for want of descriptors: not in a tight loop
+			case <-time.After(20 * time.Millisecond): // out of file descriptors: no tight loop
 				continue
 			}
 		}
@@ -86,7 +87,7 @@
 	}
 }
 
-// handshake has both ends say which cluster they are of; who dials speaks first.
+// handshake exchanges the cluster ids; the dialing end sends first.
 func (l *streamLayer) handshake(c net.Conn, dialled bool) error {
 	_ = c.SetDeadline(time.Now().Add(handshakeTimeout))
 	defer func() { _ = c.SetDeadline(time.Time{}) }()
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// Accept is the next connection of this cluster.
+// Accept returns the next connection from an instance of this cluster.
 func (l *streamLayer) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.ready:
@@ -122,13 +123,13 @@
 	}
 }
 
-// Close ends the layer.
+// Close closes the listener and ends Accept.
 func (l *streamLayer) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return l.ln.Close()
 }
 
-// Addr is where it listens.
+// Addr returns the listen address.
 func (l *streamLayer) Addr() net.Addr { return l.ln.Addr() }
 
 // Dial connects to another instance of this cluster.
