--- a/cmd/aspenshed/gateway.go
+++ b/cmd/aspenshed/gateway.go
@@ -28,7 +28,7 @@
 	// descriptors.
 	reclaimMinIdle      = aspenshed.Nanos(200e6)
 	reservedDescriptors = 32 // standard streams, epoll, listener, timers
-	maxHeld             = 8192
+	maxPendingRequests  = 8192
 	// memoryShare: commands without a response may use one part in memoryShare of the memory, and unread responses
 	// another.
 	memoryShare = 8
@@ -76,7 +76,7 @@
 	g.watcher = &discovery.Watcher{Loop: g.loop, Log: log, Net: g.net, Address: node.Discovery, Zones: node.Zones,
 		Version: node.Known.Generation, Pushed: !node.Settings.WatchDiscovery}
 	g.watcher.LogFaults(log.WithField("version", node.Known.Generation), faults)
-	maxPending := maxHeld
+	maxPending := maxPendingRequests
 	if node.MaxHeld > 0 {
 		maxPending = min(maxPending, node.MaxHeld)
 	}
--- a/cmd/aspenshed/main.go
+++ b/cmd/aspenshed/main.go
@@ -43,8 +43,8 @@
 func logFaults(err error) {
 	faults := config.Faults(err)
 	for _, f := range faults {
-		logrus.WithFields(logrus.Fields{"file": f.File, "line": f.Line, "field": f.Field, "problem": f.Problem}).
-			Error("invalid configuration")
+		logrus.WithFields(logrus.Fields{"file": f.File, "line": f.Line, "field": f.Field,
+			"problem": f.Problem}).Error("invalid configuration")
 	}
 	if len(faults) > 0 {
 		err = fmt.Errorf("%d faults in the configuration", len(faults))
--- a/cmd/aspenshed/main_test.go
+++ b/cmd/aspenshed/main_test.go
@@ -87,7 +87,7 @@
 	g, clock, ended := startGateway(t, &config.Deploy{})
 	old, got := connect(t, g)
 	if !strings.HasSuffix(got, "ZIZ") {
-		t.Errorf("an empty query is answered %q", got)
+		t.Errorf("an empty query gets %q", got)
 	}
 	g.loop.Post(g.drain)
 	g.loop.Post(g.drain) // a second signal changes nothing
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -47,16 +47,16 @@
 }
 
 type admin struct {
-	d    *Daemon
-	net  *netio.Net
-	path string
+	daemon *Daemon
+	net    *netio.Net
+	path   string
 }
 
 func newAdmin(d *Daemon, path string) (*admin, error) {
-	a := &admin{d: d, path: path}
+	a := &admin{daemon: d, path: path}
 	var err error
 	a.net, err = netio.New(netio.Config{Name: "admin", Listen: "unix:" + path, MaxClients: maxAdminClients,
-		Accept: func(c *netio.Conn) netio.Handler { return &adminConn{a: a, c: c} }})
+		Accept: func(c *netio.Conn) netio.Handler { return &adminConn{admin: a, conn: c} }})
 	if err != nil {
 		return nil, fmt.Errorf("field admin.socket: %w", err)
 	}
@@ -70,9 +70,9 @@
 
 // adminConn is one connection to the administration socket.
 type adminConn struct {
-	a  *admin
-	c  *netio.Conn
-	in []byte
+	admin  *admin
+	conn   *netio.Conn
+	buffer []byte
 }
 
 func (x *adminConn) Up() {}
@@ -80,23 +80,23 @@
 func (x *adminConn) Closed(error) {}
 
 func (x *adminConn) Data(b []byte) {
-	x.in = append(x.in, b...)
-	end := bytes.IndexByte(x.in, '\n')
+	x.buffer = append(x.buffer, b...)
+	end := bytes.IndexByte(x.buffer, '\n')
 	if end < 0 {
-		if len(x.in) > maxAdminLine {
-			x.c.Close()
+		if len(x.buffer) > maxAdminLine {
+			x.conn.Close()
 		}
 		return
 	}
-	line := x.in[:end]
-	x.in = nil
+	line := x.buffer[:end]
+	x.buffer = nil
 	go func() { // it may wait for a majority, which the poller must not
 		var q AdminRequest
 		var out AdminResponse
 		err := json.Unmarshal(line, &q)
 		if err == nil {
 			var data any
-			if data, err = x.a.do(q); err == nil {
+			if data, err = x.admin.do(q); err == nil {
 				out.Data, err = json.Marshal(data)
 			}
 		}
@@ -104,7 +104,7 @@
 			out = AdminResponse{Error: err.Error()}
 		}
 		b, _ := json.Marshal(out) // never fails: it holds only strings and JSON
-		_ = x.c.Write(append(b, '\n'))
+		_ = x.conn.Write(append(b, '\n'))
 	}()
 }
 
@@ -112,15 +112,15 @@
 var voterOnly = []string{"rollout", "join", "leave", "save", "restore"}
 
 func (a *admin) do(q AdminRequest) (any, error) {
-	st := a.d.Store
+	st := a.daemon.Store
 	if st == nil && slices.Contains(voterOnly, q.Command) {
 		return nil, subscriber.ErrNotVoter
 	}
 	switch q.Command {
 	case "status":
-		return a.d.Status(), nil
+		return a.daemon.Status(), nil
 	case "members":
-		return a.d.Members(), nil
+		return a.daemon.Members(), nil
 	case "rollout":
 		return st.Rollout(q.Revision, rolloutTimeout)
 	case "get":
@@ -128,14 +128,14 @@
 	case "put":
 		return a.submit(&pb.Command{Body: &pb.Command_Set{Set: &pb.Set{Key: q.Key, Value: []byte(q.Value), Base: q.Base, Checked: q.CheckBase}}})
 	case "drain":
-		held := a.d.drainHere(q.Key)
+		held := a.daemon.drainHere(q.Key)
 		x, err := a.submit(&pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: q.Key, Reason: "the operator's word"}}})
 		if err != nil && held {
 			err = fmt.Errorf("drained on this instance only; the other instances follow once there is a majority: %w", err)
 		}
 		return x, err
 	case "restart":
-		return a.submit(&pb.Command{Body: &pb.Command_Start{Start: &pb.Start{Member: q.Key, Start: int64(a.d.loop.Now())}}})
+		return a.submit(&pb.Command{Body: &pb.Command_Start{Start: &pb.Start{Member: q.Key, Start: int64(a.daemon.loop.Now())}}})
 	case "join":
 		return a.doneOrError(st.Join(q.Key, adminTimeout))
 	case "leave":
@@ -154,7 +154,7 @@
 		data, err := os.ReadFile(path)
 		if err == nil {
 			if err = st.Restore(data); err == nil {
-				a.d.log.WithFields(logrus.Fields{"file": path}).Warn("store restored by an administrator")
+				a.daemon.log.WithFields(logrus.Fields{"file": path}).Warn("store restored by an administrator")
 			}
 		}
 		return a.doneOrError(err)
@@ -184,12 +184,12 @@
 func (a *admin) doneOrError(err error) (any, error) { return doneResponse{Done: err == nil}, err }
 
 func (a *admin) submit(c *pb.Command) (any, error) {
-	r, err := a.d.control.Store.Submit(c, adminTimeout)
+	r, err := a.daemon.control.Store.Submit(c, adminTimeout)
 	if err == nil && r.Refused != "" {
 		err = errors.New(r.Refused)
 	}
 	if err == nil { // wait until this instance has applied the command, which a majority already has
-		_ = a.d.control.Store.ReadLatest(time.Second, func(*catalog.Catalog) {})
+		_ = a.daemon.control.Store.ReadLatest(time.Second, func(*catalog.Catalog) {})
 	}
 	return doneResponse{err == nil, r.GetVersion()}, err
 }
@@ -208,9 +208,9 @@
 		found, out = p != nil, Pair{q.Key, string(p.GetValue()), p.GetVersion()}
 	}
 	if q.Latest {
-		err = a.d.control.Store.ReadLatest(adminTimeout, look)
+		err = a.daemon.control.Store.ReadLatest(adminTimeout, look)
 	} else {
-		a.d.control.Store.Read(look)
+		a.daemon.control.Store.Read(look)
 	}
 	if err == nil && !found {
 		err = fmt.Errorf("no key %q", q.Key)
@@ -268,7 +268,7 @@
 	if err != nil {
 		return nil, err
 	}
-	x := &adminCall{up: make(chan struct{}), end: make(chan error, 1), got: make(chan []byte, 1)}
+	x := &adminCall{connected: make(chan struct{}), closed: make(chan error, 1), response: make(chan []byte, 1)}
 	c, err := n.Dial("unix:"+socket, time.Second, false, x)
 	if err != nil {
 		return nil, err
@@ -276,8 +276,8 @@
 	defer c.Close()
 	timeout := time.After(2 * adminTimeout)
 	select {
-	case <-x.up:
-	case err := <-x.end:
+	case <-x.connected:
+	case err := <-x.closed:
 		return nil, fmt.Errorf("no daemon is listening at %s: %w", socket, err)
 	case <-timeout:
 		return nil, fmt.Errorf("no daemon is listening at %s", socket)
@@ -290,7 +290,7 @@
 		return nil, err
 	}
 	select {
-	case line := <-x.got:
+	case line := <-x.response:
 		var a AdminResponse
 		if err := json.Unmarshal(line, &a); err != nil {
 			return nil, err
@@ -299,7 +299,7 @@
 			return nil, errors.New(a.Error)
 		}
 		return a.Data, nil
-	case err := <-x.end:
+	case err := <-x.closed:
 		return nil, fmt.Errorf("the daemon closed the connection: %w", err)
 	case <-timeout:
 		return nil, errors.New("timed out waiting for the response")
@@ -307,19 +307,19 @@
 }
 
 type adminCall struct {
-	up  chan struct{}
-	end chan error
-	got chan []byte
-	in  []byte
+	connected chan struct{}
+	closed    chan error
+	response  chan []byte
+	buffer    []byte
 }
 
-func (x *adminCall) Up() { close(x.up) }
+func (x *adminCall) Up() { close(x.connected) }
 
-func (x *adminCall) Closed(err error) { x.end <- err }
+func (x *adminCall) Closed(err error) { x.closed <- err }
 
 func (x *adminCall) Data(b []byte) {
-	x.in = append(x.in, b...)
-	if end := bytes.IndexByte(x.in, '\n'); end >= 0 {
-		x.got <- bytes.Clone(x.in[:end])
+	x.buffer = append(x.buffer, b...)
+	if end := bytes.IndexByte(x.buffer, '\n'); end >= 0 {
+		x.response <- bytes.Clone(x.buffer[:end])
 	}
 }
--- a/internal/daemon/demo.go
+++ b/internal/daemon/demo.go
@@ -83,13 +83,13 @@
 // NewDemo starts a demonstration in a directory.
 func NewDemo(dir string, o DemoOptions) (*Demo, error) {
 	d := &Demo{Dir: dir, Databases: map[string]*standin.Group{}, storeHook: o.StoreHook, clock: o.Clock}
-	if err := d.begin(o); err != nil {
+	if err := d.startAll(o); err != nil {
 		return nil, errors.Join(err, d.Stop())
 	}
 	return d, nil
 }
 
-func (d *Demo) begin(o DemoOptions) (err error) {
+func (d *Demo) startAll(o DemoOptions) (err error) {
 	for n, wire := range []standin.Wire{standin.Postgres, standin.MySQL} {
 		var ids []string
 		for _, x := range []string{"a", "b", "c"} {
@@ -236,22 +236,22 @@
 	if err != nil {
 		return "", err
 	}
-	q := &pgQuery{in: pgwire.Reader{MaxSize: 1 << 20}, up: make(chan struct{}), end: make(chan error, 2)}
+	q := &pgQuery{in: pgwire.Reader{MaxSize: 1 << 20}, connected: make(chan struct{}), finished: make(chan error, 2)}
 	c, err := n.Dial(address, timeout, false, q)
 	if err != nil {
 		return "", err
 	}
 	defer c.Close()
 	select {
-	case <-q.up:
+	case <-q.connected:
 		if err := c.Write(append(pgwire.StartupMessage("web", "orders"), pgwire.QueryMessage(sql)...)); err != nil {
 			return "", err
 		}
-	case err := <-q.end:
+	case err := <-q.finished:
 		return "", err
 	}
 	select {
-	case err = <-q.end:
+	case err = <-q.finished:
 		return q.row, err
 	case <-time.After(timeout):
 		return "", errors.New("timed out waiting for the response")
@@ -259,21 +259,21 @@
 }
 
 type pgQuery struct {
-	up            chan struct{}
+	connected     chan struct{}
 	in            pgwire.Reader
 	row           string
 	err           error
 	readyMessages int
-	end           chan error
+	finished      chan error
 }
 
-func (q *pgQuery) Up() { close(q.up) }
+func (q *pgQuery) Up() { close(q.connected) }
 
-func (q *pgQuery) Closed(err error) { q.end <- fmt.Errorf("connection closed: %w", err) }
+func (q *pgQuery) Closed(err error) { q.finished <- fmt.Errorf("connection closed: %w", err) }
 
 func (q *pgQuery) Data(b []byte) {
 	if err := q.in.Feed(b, q.message); err != nil {
-		q.end <- err
+		q.finished <- err
 	}
 }
 
@@ -286,7 +286,7 @@
 		q.err = fmt.Errorf("%s: %s", e.Code, e.Message)
 	case 'Z':
 		if q.readyMessages++; q.readyMessages == 2 { // the first one ends the startup
-			q.end <- q.err
+			q.finished <- q.err
 		}
 	}
 	return nil
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -31,9 +31,9 @@
 	// bound of pending commands.
 	maxQueuedResponseBytes = 64 << 20
 
-	loginTimeout   = aspenshed.Nanos(10e9) // as MySQL's connect_timeout: to log in and send the first command
-	startupTimeout = aspenshed.Nanos(2e9)  // the same for PostgreSQL's protocol, which requires no password here
-	maxHeld        = 8192
+	loginTimeout       = aspenshed.Nanos(10e9) // as MySQL's connect_timeout: to log in and send the first command
+	startupTimeout     = aspenshed.Nanos(2e9)  // the same for PostgreSQL's protocol, which requires no password here
+	maxPendingRequests = 8192
 )
 
 // The wire protocols, as members name them in the catalog.
@@ -98,7 +98,7 @@
 	if err != nil {
 		return err
 	}
-	f.Pipeline = pipeline.New(pipeline.Config{Loop: loop, Log: f.log, Settings: c.Settings, Seed: seed, MaxPending: maxHeld,
+	f.Pipeline = pipeline.New(pipeline.Config{Loop: loop, Log: f.log, Settings: c.Settings, Seed: seed, MaxPending: maxPendingRequests,
 		Backend: backend(f.Net), Watch: func() {}})
 	f.Manager.Submit, f.Manager.Cancel, f.Manager.CountRejected =
 		f.Pipeline.Accept.Accept, f.Pipeline.Abandon, f.Pipeline.Accounting.CountRejected
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -102,15 +102,15 @@
 
 // server is a connection of the fake discovery service.
 type server struct {
-	conn *netio.Conn
-	line string // the request line
-	asks chan *server
+	conn  *netio.Conn
+	line  string // the request line
+	calls chan *server
 }
 
 func (s *server) Up() {}
 func (s *server) Data(b []byte) {
 	s.line = strings.SplitN(string(b), "\r\n", 2)[0]
-	s.asks <- s
+	s.calls <- s
 }
 func (s *server) Closed(error) {}
 
@@ -119,7 +119,7 @@
 	*Watcher
 	t           *testing.T
 	clock       *fakeClock
-	asks        chan *server
+	calls       chan *server
 	versions    []string
 	states      map[string]aspenshed.MemberState
 	failures    int
@@ -127,7 +127,7 @@
 }
 
 func newFixture(t *testing.T) *fixture {
-	g := &fixture{t: t, clock: &fakeClock{100e9}, asks: make(chan *server, 10), states: map[string]aspenshed.MemberState{}}
+	g := &fixture{t: t, clock: &fakeClock{100e9}, calls: make(chan *server, 10), states: map[string]aspenshed.MemberState{}}
 	log := logrus.New()
 	log.SetLevel(logrus.FatalLevel)
 	n := g.startService()
@@ -144,7 +144,7 @@
 
 func (g *fixture) startService() *netio.Net {
 	n, err := netio.New(netio.Config{Listen: "127.0.0.1:0", MaxClients: 9, MaxDials: 9, Accept: func(c *netio.Conn) netio.Handler {
-		return &server{conn: c, asks: g.asks}
+		return &server{conn: c, calls: g.calls}
 	}})
 	if err != nil {
 		g.t.Fatal(err)
@@ -167,7 +167,7 @@
 	g.t.Helper()
 	g.waitFor("a call", func() bool {
 		select {
-		case got = <-g.asks:
+		case got = <-g.calls:
 		default:
 		}
 		return got != nil
@@ -341,7 +341,7 @@
 	if g.Loop.RunPending(); g.failures != 1 || g.lastFailure.LastHeard != moved-moveGrace {
 		t.Errorf("failed %d times: %+v", g.failures, g.lastFailure)
 	}
-	if len(g.asks) > 0 {
+	if len(g.calls) > 0 {
 		t.Error("the service was called twice")
 	}
 }
