--- a/internal/experiment/scenario/commands_test.go
+++ b/internal/experiment/scenario/commands_test.go
@@ -9,55 +9,55 @@
 	"aspenshed/internal/protocol/mysqlwire"
 )
 
-// talk is a MySQL client that sends what it is told and hears every packet.
-type talk struct {
+// rawMySQLClient is a MySQL client that sends what it is told and hears every packet.
+type rawMySQLClient struct {
 	t       *testing.T
 	conn    *netio.Conn
 	packets chan []byte
 }
 
-func newTalk(p *player, login mysqlwire.Login, caps byte) *talk {
-	k := &talk{t: p.t, packets: make(chan []byte, 100)}
+func newRawMySQLClient(r *runner, login mysqlwire.Login, caps byte) *rawMySQLClient {
+	cl := &rawMySQLClient{t: r.t, packets: make(chan []byte, 100)}
 	in := mysqlwire.Reader{MaxSize: 1 << 20}
 	up := make(chan bool)
-	conn, err := p.net.Dial(p.address, patient, false, &peer{func() { close(up) }, func(b []byte) {
+	conn, err := r.peerNet.Dial(r.address, eventTimeout, false, &connHandler{func() { close(up) }, func(b []byte) {
 		_ = in.Feed(b, func(_ byte, body, _ []byte) error {
-			k.packets <- append([]byte{}, body...)
+			cl.packets <- append([]byte{}, body...)
 			return nil
 		})
-	}, func() { close(k.packets) }})
+	}, func() { close(cl.packets) }})
 	if err != nil {
-		p.t.Fatal(err)
+		r.t.Fatal(err)
 	}
 	<-up
-	k.conn = conn
-	challenge, _ := mysqlwire.ParseGreeting(k.next())
+	cl.conn = conn
+	challenge, _ := mysqlwire.ParseGreeting(cl.nextPacket())
 	login.AuthResponse = mysqlwire.Scramble(challenge, string(login.AuthResponse))
 	response := mysqlwire.HandshakeResponse(1, login)
 	response[5] |= caps
 	_ = conn.Write(response)
-	return k
+	return cl
 }
 
-func (k *talk) next() []byte {
-	k.t.Helper()
+func (cl *rawMySQLClient) nextPacket() []byte {
+	cl.t.Helper()
 	select {
-	case b := <-k.packets:
+	case b := <-cl.packets:
 		return b
-	case <-time.After(patient):
-		k.t.Fatal("no answer")
+	case <-time.After(eventTimeout):
+		cl.t.Fatal("no answer")
 		return nil
 	}
 }
 
-func (k *talk) ask(com byte, body string) []byte {
-	k.t.Helper()
-	_ = k.conn.Write(mysqlwire.Command(com, []byte(body)))
-	return k.next()
+func (cl *rawMySQLClient) command(com byte, body string) []byte {
+	cl.t.Helper()
+	_ = cl.conn.Write(mysqlwire.Command(com, []byte(body)))
+	return cl.nextPacket()
 }
 
-func TestLoginIsChecked(t *testing.T) {
-	p := newPlayer(t, mysqlKit{}, []string{"a=primary"})
+func TestLoginIsVerified(t *testing.T) {
+	r := newRunner(t, mysqlHarness{}, []string{"a=primary"})
 	for _, c := range []struct {
 		login mysqlwire.Login
 		caps  byte
@@ -70,8 +70,8 @@
 		{mysqlwire.Login{User: "web", AuthResponse: []byte("pass"), DB: "other"}, 0, 1835},
 		{mysqlwire.Login{User: "web", AuthResponse: []byte("pass")}, mysqlwire.CapSSL >> 8, 1835},
 	} {
-		k := newTalk(p, c.login, c.caps)
-		b := k.next()
+		cl := newRawMySQLClient(r, c.login, c.caps)
+		b := cl.nextPacket()
 		if c.code == 0 {
 			if b[0] != 0 {
 				t.Errorf("%+v: %q", c.login, b)
@@ -81,7 +81,7 @@
 		if e := mysqlwire.ParseError(b); e.Code != c.code {
 			t.Errorf("%+v: %+v, want %d", c.login, e, c.code)
 		}
-		if k.next() != nil {
+		if cl.nextPacket() != nil {
 			t.Errorf("%+v: the connection is still open", c.login)
 		}
 	}
@@ -89,9 +89,9 @@
 
 // Whatever a client says, it gets an answer with a code; nothing of this reaches a member.
 func TestEveryCommandIsAnswered(t *testing.T) {
-	p := newPlayer(t, mysqlKit{}, []string{"a=primary", "b=replica"})
-	k := newTalk(p, mysqlwire.Login{User: "web", AuthResponse: []byte("pass")}, 0)
-	k.next()
+	r := newRunner(t, mysqlHarness{}, []string{"a=primary", "b=replica"})
+	cl := newRawMySQLClient(r, mysqlwire.Login{User: "web", AuthResponse: []byte("pass")}, 0)
+	cl.nextPacket()
 	id := "\x01\x00\x00\x00"
 	for _, c := range []struct {
 		com  byte
@@ -124,9 +124,9 @@
 		{mysqlwire.ComStmtReset, id, 1243},
 		{0x0a, "", 1047},
 	} {
-		b := k.ask(c.com, c.body)
+		b := cl.command(c.com, c.body)
 		for c.com == mysqlwire.ComStmtPrepare && b[0] == 0 { // the definition and its end
-			b = k.next()
+			b = cl.nextPacket()
 			if mysqlwire.IsEOF(b) {
 				b = []byte{0}
 				break
@@ -138,64 +138,64 @@
 		}
 	}
 	select {
-	case got := <-p.members["a"].Got:
+	case got := <-r.members["a"].Statements:
 		t.Errorf("the primary got %q", got.Class)
-	case got := <-p.members["b"].Got:
+	case got := <-r.members["b"].Statements:
 		t.Errorf("the replica got %q", got.Class)
 	default:
 	}
-	if k.ask(mysqlwire.ComQuit, "") != nil {
+	if cl.command(mysqlwire.ComQuit, "") != nil {
 		t.Error("the connection outlives QUIT")
 	}
 }
 
 // A statement that says nothing of itself and is no plain read is a write for the primary, and never run twice.
 func TestUnknownStatementsAreWrites(t *testing.T) {
-	p := newPlayer(t, mysqlKit{}, []string{"a=primary", "b=replica"})
-	k := newTalk(p, mysqlwire.Login{User: "web", AuthResponse: []byte("pass")}, 0)
-	k.next()
+	r := newRunner(t, mysqlHarness{}, []string{"a=primary", "b=replica"})
+	cl := newRawMySQLClient(r, mysqlwire.Login{User: "web", AuthResponse: []byte("pass")}, 0)
+	cl.nextPacket()
 	for _, sql := range []string{"CALL book()", "UPDATE entries SET payload = 1 /* c=timetable */", "SELECT 1 FOR UPDATE /* c=timetable */"} {
-		_ = k.conn.Write(mysqlwire.Command(mysqlwire.ComQuery, []byte(sql)))
+		_ = cl.conn.Write(mysqlwire.Command(mysqlwire.ComQuery, []byte(sql)))
 		select {
-		case got := <-p.members["a"].Got:
+		case got := <-r.members["a"].Statements:
 			got.Close()
-		case <-time.After(patient):
+		case <-time.After(eventTimeout):
 			t.Fatalf("%s: nothing came", sql)
 		}
-		if e := mysqlwire.ParseError(k.next()); e.Code != 1105 || !strings.HasPrefix(e.Message, "failed") {
+		if e := mysqlwire.ParseError(cl.nextPacket()); e.Code != 1105 || !strings.HasPrefix(e.Message, "failed") {
 			t.Errorf("%s cut while it was out: %+v", sql, e)
 		}
 		for range 100 { // time for rounds: the primary is found again
-			p.clock.at.Add(int64(tick))
-			p.on(func() {})
-			p.settle()
+			r.clock.nanos.Add(int64(clockStep))
+			r.runOnLoop(func() {})
+			r.waitIdle()
 		}
 	}
-	if n := len(p.members["a"].Got) + len(p.members["b"].Got); n != 0 {
+	if n := len(r.members["a"].Statements) + len(r.members["b"].Statements); n != 0 {
 		t.Errorf("%d statements were run again", n)
 	}
 }
 
 // Long data reaches the member that the execution goes to, ahead of it.
-func TestLongDataTravelsWithItsExecution(t *testing.T) {
-	p := newPlayer(t, mysqlKit{}, []string{"a=primary"})
-	k := newTalk(p, mysqlwire.Login{User: "web", AuthResponse: []byte("pass")}, 0)
-	k.next()
-	k.ask(mysqlwire.ComStmtPrepare, "INSERT INTO entries VALUES (?) /* c=booking,cluster=1 */")
-	k.next()
-	k.next()
-	_ = k.conn.Write(mysqlwire.Command(mysqlwire.ComStmtSendLongData, []byte("\x01\x00\x00\x00\x00\x00long value")))
-	_ = k.conn.Write(mysqlwire.Execute{NullBitmap: []byte{0}, Types: []byte{0xfc, 0}}.Packet(1))
+func TestLongDataReachesMemberBeforeExecute(t *testing.T) {
+	r := newRunner(t, mysqlHarness{}, []string{"a=primary"})
+	cl := newRawMySQLClient(r, mysqlwire.Login{User: "web", AuthResponse: []byte("pass")}, 0)
+	cl.nextPacket()
+	cl.command(mysqlwire.ComStmtPrepare, "INSERT INTO entries VALUES (?) /* c=booking,cluster=1 */")
+	cl.nextPacket()
+	cl.nextPacket()
+	_ = cl.conn.Write(mysqlwire.Command(mysqlwire.ComStmtSendLongData, []byte("\x01\x00\x00\x00\x00\x00long value")))
+	_ = cl.conn.Write(mysqlwire.Execute{NullBitmap: []byte{0}, Types: []byte{0xfc, 0}}.Packet(1))
 	select {
-	case got := <-p.members["a"].Got:
-		if got.Long != "long value" {
-			t.Errorf("the member got %q ahead of the execution", got.Long)
+	case got := <-r.members["a"].Statements:
+		if got.LongData != "long value" {
+			t.Errorf("the member got %q ahead of the execution", got.LongData)
 		}
 		got.Reply("served")
-	case <-time.After(patient):
+	case <-time.After(eventTimeout):
 		t.Fatal("nothing came")
 	}
-	if b := k.next(); b[0] != 1 {
+	if b := cl.nextPacket(); b[0] != 1 {
 		t.Errorf("answered %q", b)
 	}
 }
--- a/internal/experiment/scenario/mysql_test.go
+++ b/internal/experiment/scenario/mysql_test.go
@@ -17,30 +17,30 @@
 	"aspenshed/internal/protocol/mysqlwire"
 )
 
-// mysqlKit is MySQL's wire, with statements as text or prepared.
-type mysqlKit struct{ prepared bool }
+// mysqlHarness is MySQL's wire, with statements as text or prepared.
+type mysqlHarness struct{ prepared bool }
 
-func (mysqlKit) Backend(n *netio.Net, l *eventloop.Loop) request.Backend {
+func (mysqlHarness) Backend(n *netio.Net, l *eventloop.Loop) request.Backend {
 	return &mysql.Backend{Net: n, Loop: l, User: "gate", Password: "secret", Database: "fares",
 		Probes: mysql.Probes{Role: "SELECT @@global.read_only", Position: "SELECT applied_ms FROM heartbeat"}}
 }
 
-func (mysqlKit) Front(l *eventloop.Loop, s *aspenshed.Settings, e *pipeline.Pipeline) (func(*netio.Conn) netio.Handler, *session.Manager) {
-	f := &mysql.Front{Manager: manager(l, s, e), Accounts: map[string]string{"web": "pass"}, Database: "fares",
+func (mysqlHarness) Front(l *eventloop.Loop, s *aspenshed.Settings, p *pipeline.Pipeline) (func(*netio.Conn) netio.Handler, *session.Manager) {
+	f := &mysql.Front{Manager: newSessionManager(l, s, p), Accounts: map[string]string{"web": "pass"}, Database: "fares",
 		Defaults: mysql.Defaults{ReadClass: "timetable", WriteClass: "booking", Group: 1, WaitMs: 900}}
 	return f.Accept, &f.Manager
 }
 
 var challenge = []byte("12345678abcdefghijkl")
 
-func (mysqlKit) Member(m *Member, c *netio.Conn) netio.Handler {
+func (mysqlHarness) Member(m *Member, c *netio.Conn) netio.Handler {
 	in := mysqlwire.Reader{MaxSize: 1 << 20}
 	loggedIn, stmts, next := false, map[uint32]string{}, uint32(len(m.Name))+uint32(m.Name[0]) // ids differ between members
 	text := func(v string) { _ = m.Write(c, mysqlwire.TextResult("payload", &v)) }
 	long := ""
 	var late, stale atomic.Bool
 	got := func(sql string) {
-		m.Got <- Got{class(sql), long, func(kind string) {
+		m.Statements <- Statement{statementClass(sql), long, func(kind string) {
 			late.Store(kind == "late")
 			stale.Store(kind == "stale")
 			switch kind {
@@ -59,7 +59,7 @@
 			}
 		}, c.Close}
 	}
-	return &peer{func() { _ = m.Write(c, mysqlwire.Greeting(1, challenge)) }, func(b []byte) {
+	return &connHandler{func() { _ = m.Write(c, mysqlwire.Greeting(1, challenge)) }, func(b []byte) {
 		_ = in.Feed(b, func(seq byte, body, _ []byte) error {
 			if !loggedIn {
 				l, err := mysqlwire.ParseHandshakeResponse(body)
@@ -70,9 +70,9 @@
 			}
 			switch sql := string(body[1:]); {
 			case body[0] == mysqlwire.ComStmtPrepare:
-				m.Prepares.Add(1)
-				if m.HoldNextPrepare.Swap(false) {
-					m.hold(true)
+				m.PrepareCount.Add(1)
+				if m.HoldFromNextPrepare.Swap(false) {
+					m.setHold(true)
 				}
 				next++
 				stmts[next] = sql
@@ -104,17 +104,17 @@
 	}, func() {}}
 }
 
-func (k mysqlKit) Client(n *netio.Net, address string) Client {
+func (h mysqlHarness) Client(n *netio.Net, address string) Client {
 	in := mysqlwire.Reader{MaxSize: 1 << 20}
-	return dial(n, address, nil, func(c *client, ready chan struct{}) func([]byte) {
+	return dialClient(n, address, nil, func(c *client, ready chan struct{}) func([]byte) {
 		phase, answer := 0, mysqlwire.ResponseReader{}
 		c.send = func(half bool, sql string) {
 			com := byte(mysqlwire.ComQuery)
-			if k.prepared {
+			if h.prepared {
 				com, sql = mysqlwire.ComStmtPrepare, strings.Replace(sql, "'r'", "?", 1)
 				phase = 2
 			}
-			c.write(half, mysqlwire.Command(com, []byte(sql)))
+			c.writeBytewise(half, mysqlwire.Command(com, []byte(sql)))
 		}
 		return func(b []byte) {
 			_ = in.Feed(b, func(seq byte, body, raw []byte) error {
@@ -139,14 +139,14 @@
 					return c.conn.Write(mysqlwire.Execute{NullBitmap: []byte{0}, Types: []byte{0xfd, 0}, Values: []byte("\x01r")}.Packet(p.ID))
 				}
 				phase = 3
-				c.answers <- verdict(&a)
+				c.results <- responseResult(&a)
 				return nil
 			})
 		}
 	})
 }
 
-func verdict(a *mysqlwire.ResponseReader) string {
+func responseResult(a *mysqlwire.ResponseReader) string {
 	switch {
 	case a.Err == nil && string(a.FirstRow) == "\x01v":
 		return "served"
--- a/internal/experiment/scenario/pg_test.go
+++ b/internal/experiment/scenario/pg_test.go
@@ -16,40 +16,40 @@
 	"aspenshed/internal/protocol/sqlcomment"
 )
 
-// pgKit is the platform's wire.
-type pgKit struct{}
+// pgHarness is the platform's wire.
+type pgHarness struct{}
 
-func manager(l *eventloop.Loop, s *aspenshed.Settings, e *pipeline.Pipeline) session.Manager {
+func newSessionManager(l *eventloop.Loop, s *aspenshed.Settings, p *pipeline.Pipeline) session.Manager {
 	return session.Manager{Loop: l, Settings: s, Limits: session.Limits{CommandTimeout: 2000 * ms, IdleTimeout: 2000 * ms, ReclaimAbove: 7, ReclaimMinIdle: 200 * ms},
-		Submit: e.Accept.Accept, Cancel: e.Abandon, CountRejected: e.Accounting.CountRejected}
+		Submit: p.Accept.Accept, Cancel: p.Abandon, CountRejected: p.Accounting.CountRejected}
 }
 
-func (pgKit) Backend(n *netio.Net, l *eventloop.Loop) request.Backend {
+func (pgHarness) Backend(n *netio.Net, l *eventloop.Loop) request.Backend {
 	return &postgres.Backend{Net: n, Loop: l}
 }
 
-func (pgKit) Front(l *eventloop.Loop, s *aspenshed.Settings, e *pipeline.Pipeline) (func(*netio.Conn) netio.Handler, *session.Manager) {
-	f := &postgres.Front{Manager: manager(l, s, e)}
+func (pgHarness) Front(l *eventloop.Loop, s *aspenshed.Settings, p *pipeline.Pipeline) (func(*netio.Conn) netio.Handler, *session.Manager) {
+	f := &postgres.Front{Manager: newSessionManager(l, s, p)}
 	return f.Accept, &f.Manager
 }
 
-// peer is one end of a stand-in's connection.
-type peer struct {
-	up   func()
-	data func([]byte)
-	gone func()
+// connHandler is one end of a stand-in's connection.
+type connHandler struct {
+	onUp     func()
+	onData   func([]byte)
+	onClosed func()
 }
 
-func (p *peer) Up()           { p.up() }
-func (p *peer) Data(b []byte) { p.data(b) }
-func (p *peer) Closed(error)  { p.gone() }
+func (h *connHandler) Up()           { h.onUp() }
+func (h *connHandler) Data(b []byte) { h.onData(b) }
+func (h *connHandler) Closed(error)  { h.onClosed() }
 
-func class(sql string) string {
+func statementClass(sql string) string {
 	t, _ := sqlcomment.Parse(sql)
 	return t.Fields["c"]
 }
 
-func (pgKit) Member(m *Member, c *netio.Conn) netio.Handler {
+func (pgHarness) Member(m *Member, c *netio.Conn) netio.Handler {
 	in := pgwire.Reader{Startup: true, MaxSize: 1 << 20}
 	row := func(v string) []byte {
 		b := pgwire.AppendMessage(nil, 'T', "\x00\x01payload\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
@@ -88,7 +88,7 @@
 			say(row(fmt.Sprintf("x0=%.3f,x1=%d,queue=0", float64(m.Clock.Now())/1e9, x1)))
 			return nil
 		}
-		m.Got <- Got{class(sql), "", func(kind string) {
+		m.Statements <- Statement{statementClass(sql), "", func(kind string) {
 			code := map[string]string{"miss": "25006", "full": "53300", "error": "XX000", "wrong": "42601"}[kind]
 			late.Store(kind == "late")
 			stale.Store(kind == "stale")
@@ -103,41 +103,41 @@
 		}, c.Close}
 		return nil
 	}
-	return &peer{func() {}, func(b []byte) { _ = in.Feed(b, got) }, func() {}}
+	return &connHandler{func() {}, func(b []byte) { _ = in.Feed(b, got) }, func() {}}
 }
 
 type client struct {
-	conn    *netio.Conn
-	answers chan string
-	send    func(half bool, sql string)
-	rest    []byte // of half a command
+	conn       *netio.Conn
+	results    chan string
+	send       func(half bool, sql string)
+	secondHalf []byte // of half a command
 }
 
 func (c *client) Send(half bool, sql string) { c.send(half, sql) }
-func (c *client) Answers() <-chan string     { return c.answers }
+func (c *client) Results() <-chan string     { return c.results }
 func (c *client) Close()                     { c.conn.Close() }
 
-// write sends a command, or a half of it, a byte at a time, as a network may deliver it.
-func (c *client) write(half bool, b []byte) {
-	if c.rest != nil {
-		b, c.rest = c.rest, nil
+// writeBytewise sends a command, or a half of it, a byte at a time, as a network may deliver it.
+func (c *client) writeBytewise(half bool, b []byte) {
+	if c.secondHalf != nil {
+		b, c.secondHalf = c.secondHalf, nil
 	}
 	if half {
-		b, c.rest = b[:len(b)/2], b[len(b)/2:]
+		b, c.secondHalf = b[:len(b)/2], b[len(b)/2:]
 	}
 	for i := range b {
 		_ = c.conn.Write(b[i : i+1])
 	}
 }
 
-// dial connects a stand-in client; ready is closed by data once it may send.
-func dial(n *netio.Net, address string, hello []byte, feed func(c *client, ready chan struct{}) func([]byte)) *client {
-	c := &client{answers: make(chan string, 100)}
+// dialClient connects a stand-in client; ready is closed by data once it may send.
+func dialClient(n *netio.Net, address string, hello []byte, feed func(c *client, ready chan struct{}) func([]byte)) *client {
+	c := &client{results: make(chan string, 100)}
 	up, ready := make(chan struct{}), make(chan struct{})
 	var data func([]byte)
 	start := make(chan struct{})
-	conn, err := n.Dial(address, patient, false, &peer{func() { close(up) }, func(b []byte) { <-start; data(b) },
-		func() { c.answers <- "closed" }})
+	conn, err := n.Dial(address, eventTimeout, false, &connHandler{func() { close(up) }, func(b []byte) { <-start; data(b) },
+		func() { c.results <- "closed" }})
 	if err != nil {
 		panic(err)
 	}
@@ -149,11 +149,11 @@
 	return c
 }
 
-func (pgKit) Client(n *netio.Net, address string) Client {
+func (pgHarness) Client(n *netio.Net, address string) Client {
 	in := pgwire.Reader{MaxSize: 1 << 20}
-	return dial(n, address, pgwire.StartupMessage("web", "orders"), func(c *client, ready chan struct{}) func([]byte) {
+	return dialClient(n, address, pgwire.StartupMessage("web", "orders"), func(c *client, ready chan struct{}) func([]byte) {
 		first, verdict := true, ""
-		c.send = func(half bool, sql string) { c.write(half, pgwire.QueryMessage(sql)) }
+		c.send = func(half bool, sql string) { c.writeBytewise(half, pgwire.QueryMessage(sql)) }
 		return func(b []byte) {
 			_ = in.Feed(b, func(m pgwire.Message) error {
 				switch m.Type {
@@ -168,7 +168,7 @@
 					}
 				case 'Z':
 					if !first {
-						c.answers <- verdict
+						c.results <- verdict
 						break
 					}
 					first = false
--- a/internal/experiment/scenario/platform_test.go
+++ b/internal/experiment/scenario/platform_test.go
@@ -15,11 +15,11 @@
 	"aspenshed/internal/protocol/pgwire"
 )
 
-// hear is a raw client of the platform's wire: it sends bytes and notes the types of the messages, and the codes of errors.
-func hear(t *testing.T, p *player) (*netio.Conn, func(until string) string) {
+// dialRaw is a raw client of the platform's wire: it sends bytes and notes the types of the messages, and the codes of errors.
+func dialRaw(t *testing.T, r *runner) (*netio.Conn, func(until string) string) {
 	got, up := make(chan string, 1000), make(chan bool)
 	in := pgwire.Reader{MaxSize: 1 << 20}
-	conn, err := p.net.Dial(p.address, patient, false, &peer{func() { close(up) }, func(b []byte) {
+	conn, err := r.peerNet.Dial(r.address, eventTimeout, false, &connHandler{func() { close(up) }, func(b []byte) {
 		_ = in.Feed(b, func(m pgwire.Message) error {
 			word := string(rune(m.Type))
 			switch m.Type {
@@ -46,7 +46,7 @@
 			select {
 			case w := <-got:
 				all += w
-			case <-time.After(patient):
+			case <-time.After(eventTimeout):
 				t.Fatalf("heard only %q", all)
 			}
 		}
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestPlatformBadInputIsAnswered(t *testing.T) {
+func TestPostgresBadInputIsAnswered(t *testing.T) {
 	hello := string(pgwire.StartupMessage("web", "orders"))
 	ask := func(sql string) string { return string(pgwire.QueryMessage(sql)) }
 	for name, c := range map[string]struct{ send, want string }{
@@ -73,8 +73,8 @@
 		"its leave":                      {hello + "X\x00\x00\x00\x04", "R Z closed"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPlayer(t, pgKit{}, []string{"a=primary"})
-			conn, heard := hear(t, p)
+			r := newRunner(t, pgHarness{}, []string{"a=primary"})
+			conn, heard := dialRaw(t, r)
 			_ = conn.Write([]byte(c.send))
 			last := c.want
 			if !strings.HasSuffix(last, "closed") {
@@ -83,7 +83,7 @@
 			if got := heard(last); got != c.want {
 				t.Errorf("heard %q, want %q", got, c.want)
 			}
-			if len(p.members["a"].Got) > 0 {
+			if len(r.members["a"].Statements) > 0 {
 				t.Error("it was sent on")
 			}
 		})
@@ -91,17 +91,17 @@
 }
 
 // Answers keep the order of their commands, whichever member is quicker.
-func TestPipelinedAnswersKeepOrder(t *testing.T) {
-	p := newPlayer(t, pgKit{}, []string{"a=primary", "b=replica"})
-	conn, heard := hear(t, p)
+func TestPipelinedResponsesKeepOrder(t *testing.T) {
+	r := newRunner(t, pgHarness{}, []string{"a=primary", "b=replica"})
+	conn, heard := dialRaw(t, r)
 	sql := func(class string) []byte {
 		return pgwire.QueryMessage("SELECT 1 /* id=" + class + ",c=" + class + ",d=900,cluster=1 */")
 	}
-	next := func(member string) (g Got) {
+	next := func(member string) (g Statement) {
 		t.Helper()
 		select {
-		case g = <-p.members[member].Got:
-		case <-time.After(patient):
+		case g = <-r.members[member].Statements:
+		case <-time.After(eventTimeout):
 			t.Fatalf("%s got nothing", member)
 		}
 		return g
@@ -112,7 +112,7 @@
 	_ = conn.Write(append(append(sql("booking"), sql("timetable")...), pgwire.QueryMessage("")...))
 	slow, quick := next("a"), next("b")
 	quick.Reply("served")
-	p.until("the second answer", func() bool { return p.pipeline.Accounting.Counts.Served == 2 })
+	r.waitUntil("the second answer", func() bool { return r.pipeline.Accounting.Counts.Served == 2 })
 	slow.Reply("error")
 	if got := heard("I Z "); got != "EERRORXX000 Z T Dv C Z I Z " {
 		t.Errorf("heard %q", got)
@@ -120,13 +120,13 @@
 }
 
 // The wait stands in field D where the settings allow advice, and nowhere else.
-func TestRefusalCarriesItsWait(t *testing.T) {
+func TestRefusalCarriesRetryAfter(t *testing.T) {
 	for allowed, want := range map[bool]string{true: "EERROR53300250 Z ", false: "EERROR53300 Z "} {
 		s := Settings()
 		s.SendRetryAfter = allowed
 		var f *postgres.Front
-		p := newPlayer(t, pgKit{}, []string{"a=primary"})
-		f = &postgres.Front{Manager: session.Manager{Loop: p.loop, Settings: &s, CountRejected: func(string) {}, Submit: func(q request.Query, _ aspenshed.Nanos) *request.Request {
+		r := newRunner(t, pgHarness{}, []string{"a=primary"})
+		f = &postgres.Front{Manager: session.Manager{Loop: r.loop, Settings: &s, CountRejected: func(string) {}, Submit: func(q request.Query, _ aspenshed.Nanos) *request.Request {
 			q.Client.Respond(request.Response{Status: request.Refused, RetryAfter: 250 * ms, Reason: "try again"})
 			return nil
 		}}}
@@ -135,8 +135,8 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(n.Stop)
-		p.address = n.Addr()
-		conn, heard := hear(t, p)
+		r.address = n.Addr()
+		conn, heard := dialRaw(t, r)
 		_ = conn.Write(append(pgwire.StartupMessage("web", "orders"), pgwire.QueryMessage("SELECT 1 /* id=1,c=booking,d=900,cluster=1 */")...))
 		if got := heard(want); got != "R Z "+want {
 			t.Errorf("advice allowed %t: heard %q", allowed, got)
@@ -145,23 +145,23 @@
 }
 
 // Guards "not sent on once its client has left" for one that sends much at once and goes: all of it has been read.
-func TestWhoSendsMuchAndGoesIsOwedNothing(t *testing.T) {
+func TestPipeliningClientDisconnectsWhileRequestsAreQueued(t *testing.T) {
 	const many = 90
-	p := newPlayer(t, pgKit{}, []string{"a=replica", "b=replica"})
-	conn, _ := hear(t, p)
+	r := newRunner(t, pgHarness{}, []string{"a=replica", "b=replica"})
+	conn, _ := dialRaw(t, r)
 	all := pgwire.StartupMessage("web", "orders")
 	for i := range many {
 		all = append(all, pgwire.QueryMessage(fmt.Sprintf("INSERT INTO entries VALUES (1) /* id=%d,c=booking,d=5000,cluster=1 */", i))...)
 	}
 	_ = conn.Write(all)
-	p.until("held requests", func() bool { return p.pipeline.Response.Pending() == many })
+	r.waitUntil("held requests", func() bool { return r.pipeline.Response.Pending() == many })
 	conn.Close()
-	p.until("its leave", func() bool { return p.pipeline.Response.Pending() == 0 })
-	p.members["a"].Primary.Store(true)
-	p.sent = many
-	p.say("wait 500ms", "y send booking", "a expect booking", "a send served", "y expect served")
-	if n := len(p.members["a"].Got) + len(p.members["b"].Got); n != 0 {
+	r.waitUntil("its leave", func() bool { return r.pipeline.Response.Pending() == 0 })
+	r.members["a"].Primary.Store(true)
+	r.submitted = many
+	r.runLines("wait 500ms", "y send booking", "a expect booking", "a send served", "y expect served")
+	if n := len(r.members["a"].Statements) + len(r.members["b"].Statements); n != 0 {
 		t.Errorf("members got %d more", n)
 	}
-	p.on(p.loop.Quit)
+	r.runOnLoop(r.loop.Quit)
 }
--- a/internal/experiment/scenario/scenario_test.go
+++ b/internal/experiment/scenario/scenario_test.go
@@ -318,13 +318,13 @@
 		x expect served`},
 }
 
-var kits = map[string]Kit{"platform": pgKit{}, "mysql text": mysqlKit{}, "mysql prepared": mysqlKit{prepared: true}}
+var harnesses = map[string]Harness{"platform": pgHarness{}, "mysql text": mysqlHarness{}, "mysql prepared": mysqlHarness{prepared: true}}
 
 func TestScenariosOverEveryWire(t *testing.T) {
-	for wire, kit := range kits {
+	for wire, harness := range harnesses {
 		for _, s := range scenarios {
 			t.Run(wire+"/"+s.name, func(t *testing.T) {
-				served, refused, failed := Play(t, kit, s.script)
+				served, refused, failed := Run(t, harness, s.script)
 				if served != s.served || refused != s.refused || failed != s.failed {
 					t.Errorf("served %d, refused %d, failed %d; want %d, %d, %d",
 						served, refused, failed, s.served, s.refused, s.failed)
@@ -334,118 +334,118 @@
 	}
 }
 
-// say plays lines of the language.
-func (p *player) say(lines ...string) {
-	p.t.Helper()
+// runLines plays lines of the language.
+func (r *runner) runLines(lines ...string) {
+	r.t.Helper()
 	for _, l := range lines {
-		if err := p.line(strings.Fields(l)); err != nil {
-			p.t.Fatalf("%q: %v", l, err)
+		if err := r.runLine(strings.Fields(l)); err != nil {
+			r.t.Fatalf("%q: %v", l, err)
 		}
 	}
 }
 
 // Guards refusals: a request that the gateway answers as it ends, or at its deadline, with its statement still under
 // way, must not run after that.
-func TestWhatWasRefusedDoesNotRun(t *testing.T) {
-	for wire, kit := range kits {
+func TestRefusedRequestIsNotExecuted(t *testing.T) {
+	for wire, harness := range harnesses {
 		t.Run(wire, func(t *testing.T) {
-			p := newPlayer(t, kit, []string{"a=primary", "b=replica"})
-			p.say("x send booking", "a expect booking", "a send served", "x expect served", "a send hold", "x send booking d=5000")
-			p.until("the attempt", func() bool { return p.pipeline.Response.Pending() == 1 && p.pipeline.Dispatch.PendingSends() > 0 })
-			p.on(func() { p.pipeline.FailAll("the gateway ends") })
-			p.say("x expect refused")
-			p.recount()
-			p.say("a send go", "wait 100ms", "y send booking", "a expect booking", "a send served", "y expect served")
-			p.on(p.loop.Quit)
+			r := newRunner(t, harness, []string{"a=primary", "b=replica"})
+			r.runLines("x send booking", "a expect booking", "a send served", "x expect served", "a send hold", "x send booking d=5000")
+			r.waitUntil("the attempt", func() bool { return r.pipeline.Response.Pending() == 1 && r.pipeline.Dispatch.PendingSends() > 0 })
+			r.runOnLoop(func() { r.pipeline.FailAll("the gateway ends") })
+			r.runLines("x expect refused")
+			r.resetSubmitted()
+			r.runLines("a send go", "wait 100ms", "y send booking", "a expect booking", "a send served", "y expect served")
+			r.runOnLoop(r.loop.Quit)
 		})
 	}
 }
 
 // Guards requests at every close that the gateway begins: one whose last byte has been read when its resting connection
 // is about to be closed is answered first, and the connection ends in order behind that.
-func TestARequestReadInTheInstantOfACloseIsAnswered(t *testing.T) {
-	for wire, kit := range kits {
-		if kit == (mysqlKit{prepared: true}) { // two commands, and the connection may end between them
+func TestRequestReadDuringIdleCloseIsAnswered(t *testing.T) {
+	for wire, harness := range harnesses {
+		if harness == (mysqlHarness{prepared: true}) { // two commands, and the connection may end between them
 			continue
 		}
 		t.Run(wire, func(t *testing.T) {
-			p := newPlayer(t, kit, []string{"a=primary", "b=replica"})
-			p.say("x send booking", "a expect booking", "a send served", "x expect served", "x send half")
+			r := newRunner(t, harness, []string{"a=primary", "b=replica"})
+			r.runLines("x send booking", "a expect booking", "a send served", "x expect served", "x send half")
 			stopped, goOn := make(chan bool), make(chan bool)
-			p.loop.Post(func() { close(stopped); <-goOn })
+			r.loop.Post(func() { close(stopped); <-goOn })
 			<-stopped
-			p.loop.Post(func() { p.manager.CloseIdle() }) // ahead of the request's turn
-			p.sent++
-			p.clients["x"].Send(false, "")
-			for end := time.Now().Add(patient); p.manager.PartialSessions() > 0; runtime.Gosched() { // the loop stands still
+			r.loop.Post(func() { r.manager.CloseIdle() }) // ahead of the request's turn
+			r.submitted++
+			r.clients["x"].Send(false, "")
+			for end := time.Now().Add(eventTimeout); r.manager.PartialSessions() > 0; runtime.Gosched() { // the loop stands still
 				if time.Now().After(end) {
 					t.Fatal("the request was never read")
 				}
 			}
 			close(goOn)
-			p.say("a expect booking", "a send served", "x expect served", "x expect closed")
-			p.until("the session's end", func() bool { return p.manager.SessionCount() == 0 })
-			p.on(p.loop.Quit)
+			r.runLines("a expect booking", "a send served", "x expect served", "x expect closed")
+			r.waitUntil("the session's end", func() bool { return r.manager.SessionCount() == 0 })
+			r.runOnLoop(r.loop.Quit)
 		})
 	}
 }
 
 // Guards "not sent on once its client has left" against many that go at once, in the very instant in which the primary that
 // their bookings wait for may be asked: nothing of them leaves, and all that they held is given back.
-func TestABurstOfClientsLeavesWhileTheirRequestsWait(t *testing.T) {
+func TestManyClientsDisconnectWhileRequestsAreQueued(t *testing.T) {
 	const many = 60
-	for wire, kit := range kits {
+	for wire, harness := range harnesses {
 		t.Run(wire, func(t *testing.T) {
-			p := newPlayer(t, kit, []string{"a=replica", "b=replica"})
+			r := newRunner(t, harness, []string{"a=replica", "b=replica"})
 			for i := range many {
-				p.say(fmt.Sprintf("x%d send booking d=5000", i))
+				r.runLines(fmt.Sprintf("x%d send booking d=5000", i))
 			}
-			p.until("held requests", func() bool { return p.pipeline.Response.Pending() == many })
+			r.waitUntil("held requests", func() bool { return r.pipeline.Response.Pending() == many })
 			stopped, goOn := make(chan bool), make(chan bool)
-			p.loop.Post(func() { close(stopped); <-goOn })
+			r.loop.Post(func() { close(stopped); <-goOn })
 			<-stopped
 			for i := range many {
-				p.clients[fmt.Sprint("x", i)].Close()
+				r.clients[fmt.Sprint("x", i)].Close()
 			}
-			for end := time.Now().Add(patient); p.in.ClientCount() > 0; runtime.Gosched() { // all are read, and none is heard of yet
+			for end := time.Now().Add(eventTimeout); r.frontNet.ClientCount() > 0; runtime.Gosched() { // all are read, and none is heard of yet
 				if time.Now().After(end) {
 					t.Fatal("a client's end was never read")
 				}
 			}
-			p.members["b"].Primary.Store(true)
-			p.clock.at.Add(int64(300 * ms)) // a round is due in the same batch
+			r.members["b"].Primary.Store(true)
+			r.clock.nanos.Add(int64(300 * ms)) // a round is due in the same batch
 			close(goOn)
-			p.until("their leave", func() bool { return p.pipeline.Response.Pending() == 0 && p.manager.SessionCount() == 0 })
-			p.recount()
-			p.say("wait 500ms", "y send booking d=5000", "b expect booking", "b send served", "y expect served")
-			p.on(func() {
-				c := p.pipeline.Accounting.Counts
-				if n := len(p.members["a"].Got) + len(p.members["b"].Got); n != 0 || c.ClientGone != many || c.Attempts-c.PrepareOnly != 1 || p.pipeline.Dispatch.PendingSends() != 0 {
+			r.waitUntil("their leave", func() bool { return r.pipeline.Response.Pending() == 0 && r.manager.SessionCount() == 0 })
+			r.resetSubmitted()
+			r.runLines("wait 500ms", "y send booking d=5000", "b expect booking", "b send served", "y expect served")
+			r.runOnLoop(func() {
+				c := r.pipeline.Accounting.Counts
+				if n := len(r.members["a"].Statements) + len(r.members["b"].Statements); n != 0 || c.ClientGone != many || c.Attempts-c.PrepareOnly != 1 || r.pipeline.Dispatch.PendingSends() != 0 {
 					t.Errorf("members got %d more; counts %+v", n, c)
 				}
-				p.loop.Quit()
+				r.loop.Quit()
 			})
 		})
 	}
 }
 
 // Guards "one attempt out per request" against links that come up long after they were given up: nothing goes out on them.
-func TestALinkThatComesUpLateCarriesNothing(t *testing.T) {
-	for wire, kit := range kits {
-		if kit == (mysqlKit{prepared: true}) { // what is prepared first may meet the held member, or not
+func TestLateConnectionCarriesNoAbandonedRequest(t *testing.T) {
+	for wire, harness := range harnesses {
+		if harness == (mysqlHarness{prepared: true}) { // what is prepared first may meet the held member, or not
 			continue
 		}
 		t.Run(wire, func(t *testing.T) {
-			p := newPlayer(t, kit, []string{"a=primary", "b=replica"})
-			p.say("x send booking", "a expect booking", "a send served", "x expect served",
+			r := newRunner(t, harness, []string{"a=primary", "b=replica"})
+			r.runLines("x send booking", "a expect booking", "a send served", "x expect served",
 				"w send booking d=5000", "a expect booking", // the only link is taken
 				"a send hold", "x send booking d=5000", "wait 1500ms", "a send go", "a send served", "w expect served",
 				"wait 2s", "a expect booking", "a send served", "x expect served")
-			p.on(func() {
-				if c := p.pipeline.Accounting.Counts; len(p.members["a"].Got) != 0 || c.Served != 3 {
-					t.Errorf("a got %d more, counts %+v", len(p.members["a"].Got), c)
+			r.runOnLoop(func() {
+				if c := r.pipeline.Accounting.Counts; len(r.members["a"].Statements) != 0 || c.Served != 3 {
+					t.Errorf("a got %d more, counts %+v", len(r.members["a"].Statements), c)
 				}
-				p.loop.Quit()
+				r.loop.Quit()
 			})
 		})
 	}
