--- a/internal/experiment/scenario/commands_test.go
+++ b/internal/experiment/scenario/commands_test.go
@@ -9,7 +9,7 @@
 	"aspenshed/internal/protocol/mysqlwire"
 )
 
-// rawMySQLClient is a MySQL client that sends what it is told and hears every packet.
+// rawMySQLClient is a MySQL client that sends given commands and records every packet that it receives.
 type rawMySQLClient struct {
 	t       *testing.T
 	conn    *netio.Conn
@@ -45,7 +45,7 @@
 	case b := <-cl.packets:
 		return b
 	case <-time.After(eventTimeout):
-		cl.t.Fatal("no answer")
+		cl.t.Fatal("no packet received")
 		return nil
 	}
 }
@@ -82,12 +82,12 @@
 			t.Errorf("%+v: %+v, want %d", c.login, e, c.code)
 		}
 		if cl.nextPacket() != nil {
-			t.Errorf("%+v: the connection is still open", c.login)
+			t.Errorf("%+v: connection is still open", c.login)
 		}
 	}
 }
 
-// Whatever a client says, it gets an answer with a code; nothing of this reaches a member.
+// Every command gets a response with its own error code or OK, and none of these commands reaches a member.
 func TestEveryCommandIsAnswered(t *testing.T) {
 	r := newRunner(t, mysqlHarness{}, []string{"a=primary", "b=replica"})
 	cl := newRawMySQLClient(r, mysqlwire.Login{User: "web", AuthResponse: []byte("pass")}, 0)
@@ -125,7 +125,7 @@
 		{0x0a, "", 1047},
 	} {
 		b := cl.command(c.com, c.body)
-		for c.com == mysqlwire.ComStmtPrepare && b[0] == 0 { // the definition and its end
+		for c.com == mysqlwire.ComStmtPrepare && b[0] == 0 { // skips the parameter definitions up to EOF
 			b = cl.nextPacket()
 			if mysqlwire.IsEOF(b) {
 				b = []byte{0}
@@ -139,44 +139,46 @@
 	}
 	select {
 	case got := <-r.members["a"].Statements:
-		t.Errorf("the primary got %q", got.Class)
+		t.Errorf("the primary received %q", got.Class)
 	case got := <-r.members["b"].Statements:
-		t.Errorf("the replica got %q", got.Class)
+		t.Errorf("the replica received %q", got.Class)
 	default:
 	}
 	if cl.command(mysqlwire.ComQuit, "") != nil {
-		t.Error("the connection outlives QUIT")
+		t.Error("connection is still open after COM_QUIT")
 	}
 }
 
-// A statement that says nothing of itself and is no plain read is a write for the primary, and never run twice.
+// A statement without a class that is not a plain read, or whose text contradicts its class, is sent to the primary as
+// a write and is not executed twice.
 func TestUnknownStatementsAreWrites(t *testing.T) {
 	r := newRunner(t, mysqlHarness{}, []string{"a=primary", "b=replica"})
 	cl := newRawMySQLClient(r, mysqlwire.Login{User: "web", AuthResponse: []byte("pass")}, 0)
 	cl.nextPacket()
-	for _, sql := range []string{"CALL book()", "UPDATE entries SET payload = 1 /* c=timetable */", "SELECT 1 FOR UPDATE /* c=timetable */"} {
+	for _, sql := range []string{"CALL book()", "UPDATE entries SET payload = 1 /* c=timetable */",
+		"SELECT 1 FOR UPDATE /* c=timetable */"} {
 		_ = cl.conn.Write(mysqlwire.Command(mysqlwire.ComQuery, []byte(sql)))
 		select {
 		case got := <-r.members["a"].Statements:
 			got.Close()
 		case <-time.After(eventTimeout):
-			t.Fatalf("%s: nothing came", sql)
+			t.Fatalf("%s: no statement received", sql)
 		}
 		if e := mysqlwire.ParseError(cl.nextPacket()); e.Code != 1105 || !strings.HasPrefix(e.Message, "failed") {
-			t.Errorf("%s cut while it was out: %+v", sql, e)
+			t.Errorf("%s: connection closed during execution: %+v", sql, e)
 		}
-		for range 100 { // time for rounds: the primary is found again
+		for range 100 { // advances past probe rounds, so that the primary is found again
 			r.clock.nanos.Add(int64(clockStep))
 			r.runOnLoop(func() {})
 			r.waitIdle()
 		}
 	}
 	if n := len(r.members["a"].Statements) + len(r.members["b"].Statements); n != 0 {
-		t.Errorf("%d statements were run again", n)
+		t.Errorf("%d statements were executed again", n)
 	}
 }
 
-// Long data reaches the member that the execution goes to, ahead of it.
+// Long parameter data reaches the member that executes the statement, before the execute command.
 func TestLongDataReachesMemberBeforeExecute(t *testing.T) {
 	r := newRunner(t, mysqlHarness{}, []string{"a=primary"})
 	cl := newRawMySQLClient(r, mysqlwire.Login{User: "web", AuthResponse: []byte("pass")}, 0)
@@ -189,13 +191,13 @@
 	select {
 	case got := <-r.members["a"].Statements:
 		if got.LongData != "long value" {
-			t.Errorf("the member got %q ahead of the execution", got.LongData)
+			t.Errorf("the member received long data %q before the execution", got.LongData)
 		}
 		got.Reply("served")
 	case <-time.After(eventTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("no statement received")
 	}
 	if b := cl.nextPacket(); b[0] != 1 {
-		t.Errorf("answered %q", b)
+		t.Errorf("response %q, want a result set of one column", b)
 	}
 }
--- a/internal/experiment/scenario/mysql_test.go
+++ b/internal/experiment/scenario/mysql_test.go
@@ -17,7 +17,7 @@
 	"aspenshed/internal/protocol/mysqlwire"
 )
 
-// mysqlHarness is MySQL's wire, with statements as text or prepared.
+// mysqlHarness provides the MySQL protocol, with text or prepared statements.
 type mysqlHarness struct{ prepared bool }
 
 func (mysqlHarness) Backend(n *netio.Net, l *eventloop.Loop) request.Backend {
@@ -25,7 +25,8 @@
 		Probes: mysql.Probes{Role: "SELECT @@global.read_only", Position: "SELECT applied_ms FROM heartbeat"}}
 }
 
-func (mysqlHarness) Front(l *eventloop.Loop, s *aspenshed.Settings, p *pipeline.Pipeline) (func(*netio.Conn) netio.Handler, *session.Manager) {
+func (mysqlHarness) Front(l *eventloop.Loop, s *aspenshed.Settings,
+	p *pipeline.Pipeline) (func(*netio.Conn) netio.Handler, *session.Manager) {
 	f := &mysql.Front{Manager: newSessionManager(l, s, p), Accounts: map[string]string{"web": "pass"}, Database: "fares",
 		Defaults: mysql.Defaults{ReadClass: "timetable", WriteClass: "booking", Group: 1, WaitMs: 900}}
 	return f.Accept, &f.Manager
@@ -35,17 +36,18 @@
 
 func (mysqlHarness) Member(m *Member, c *netio.Conn) netio.Handler {
 	in := mysqlwire.Reader{MaxSize: 1 << 20}
-	loggedIn, stmts, next := false, map[uint32]string{}, uint32(len(m.Name))+uint32(m.Name[0]) // ids differ between members
+	// Statement ids start at a number that differs between members.
+	loggedIn, statements, nextID := false, map[uint32]string{}, uint32(len(m.Name))+uint32(m.Name[0])
 	text := func(v string) { _ = m.Write(c, mysqlwire.TextResult("payload", &v)) }
-	long := ""
+	longData := ""
 	var late, stale atomic.Bool
-	got := func(sql string) {
-		m.Statements <- Statement{statementClass(sql), long, func(kind string) {
+	receive := func(sql string) {
+		m.Statements <- Statement{statementClass(sql), longData, func(kind string) {
 			late.Store(kind == "late")
 			stale.Store(kind == "stale")
 			switch kind {
 			case "spoilt":
-				_ = m.Write(c, mysqlwire.OK(9)) // no answer's first packet
+				_ = m.Write(c, mysqlwire.OK(9)) // OK with sequence number 9 can't begin a response
 			case "wrong":
 				_ = m.Write(c, mysqlwire.Error{Code: 1064, State: "42000", Message: "syntax"}.Packet(1))
 			case "miss":
@@ -74,14 +76,14 @@
 				if m.HoldFromNextPrepare.Swap(false) {
 					m.setHold(true)
 				}
-				next++
-				stmts[next] = sql
-				return m.Write(c, mysqlwire.PrepareOK(next, sql))
+				nextID++
+				statements[nextID] = sql
+				return m.Write(c, mysqlwire.PrepareOK(nextID, sql))
 			case body[0] == mysqlwire.ComStmtSendLongData:
-				long += string(body[7:])
+				longData += string(body[7:])
 			case body[0] == mysqlwire.ComStmtExecute:
-				if sql, known := stmts[binary.LittleEndian.Uint32(body[1:])]; known {
-					got(sql)
+				if sql, known := statements[binary.LittleEndian.Uint32(body[1:])]; known {
+					receive(sql)
 					return nil
 				}
 				return m.Write(c, mysqlwire.Error{Code: 1243, State: "HY000", Message: "unknown handler"}.Packet(1))
@@ -97,7 +99,7 @@
 			case strings.HasPrefix(sql, "SELECT applied_ms"):
 				text(fmt.Sprint(int64(m.Clock.Now()) / 1e6))
 			case body[0] == mysqlwire.ComQuery:
-				got(sql)
+				receive(sql)
 			}
 			return nil
 		})
@@ -107,7 +109,7 @@
 func (h mysqlHarness) Client(n *netio.Net, address string) Client {
 	in := mysqlwire.Reader{MaxSize: 1 << 20}
 	return dialClient(n, address, nil, func(c *client, ready chan struct{}) func([]byte) {
-		phase, answer := 0, mysqlwire.ResponseReader{}
+		phase, response := 0, mysqlwire.ResponseReader{}
 		c.send = func(half bool, sql string) {
 			com := byte(mysqlwire.ComQuery)
 			if h.prepared {
@@ -122,21 +124,23 @@
 				case 0:
 					ch, _ := mysqlwire.ParseGreeting(body)
 					phase = 1
-					return c.conn.Write(mysqlwire.HandshakeResponse(seq+1, mysqlwire.Login{User: "web", DB: "fares", AuthResponse: mysqlwire.Scramble(ch, "pass")}))
+					return c.conn.Write(mysqlwire.HandshakeResponse(seq+1,
+						mysqlwire.Login{User: "web", DB: "fares", AuthResponse: mysqlwire.Scramble(ch, "pass")}))
 				case 1:
 					phase = 3
 					close(ready)
 					return nil
 				}
-				answer.IsPrepare = phase == 2
-				if done, err := answer.Add(body, raw); err != nil || !done {
+				response.IsPrepare = phase == 2
+				if done, err := response.Add(body, raw); err != nil || !done {
 					return err
 				}
-				a := answer
-				answer = mysqlwire.ResponseReader{}
+				a := response
+				response = mysqlwire.ResponseReader{}
 				if p, ok := mysqlwire.ParsePrepareResponse(a.FirstPacket); phase == 2 && ok && a.Err == nil {
 					phase = 3
-					return c.conn.Write(mysqlwire.Execute{NullBitmap: []byte{0}, Types: []byte{0xfd, 0}, Values: []byte("\x01r")}.Packet(p.ID))
+					return c.conn.Write(mysqlwire.Execute{NullBitmap: []byte{0}, Types: []byte{0xfd, 0},
+						Values: []byte("\x01r")}.Packet(p.ID))
 				}
 				phase = 3
 				c.results <- responseResult(&a)
--- a/internal/experiment/scenario/pg_test.go
+++ b/internal/experiment/scenario/pg_test.go
@@ -16,11 +16,12 @@
 	"aspenshed/internal/protocol/sqlcomment"
 )
 
-// pgHarness is the platform's wire.
+// pgHarness provides the PostgreSQL protocol.
 type pgHarness struct{}
 
 func newSessionManager(l *eventloop.Loop, s *aspenshed.Settings, p *pipeline.Pipeline) session.Manager {
-	return session.Manager{Loop: l, Settings: s, Limits: session.Limits{CommandTimeout: 2000 * ms, IdleTimeout: 2000 * ms, ReclaimAbove: 7, ReclaimMinIdle: 200 * ms},
+	return session.Manager{Loop: l, Settings: s,
+		Limits: session.Limits{CommandTimeout: 2000 * ms, IdleTimeout: 2000 * ms, ReclaimAbove: 7, ReclaimMinIdle: 200 * ms},
 		Submit: p.Accept.Accept, Cancel: p.Abandon, CountRejected: p.Accounting.CountRejected}
 }
 
@@ -28,12 +29,13 @@
 	return &postgres.Backend{Net: n, Loop: l}
 }
 
-func (pgHarness) Front(l *eventloop.Loop, s *aspenshed.Settings, p *pipeline.Pipeline) (func(*netio.Conn) netio.Handler, *session.Manager) {
+func (pgHarness) Front(l *eventloop.Loop, s *aspenshed.Settings,
+	p *pipeline.Pipeline) (func(*netio.Conn) netio.Handler, *session.Manager) {
 	f := &postgres.Front{Manager: newSessionManager(l, s, p)}
 	return f.Accept, &f.Manager
 }
 
-// connHandler is one end of a stand-in's connection.
+// connHandler adapts callbacks to netio.Handler, for the connections of stand-in members and clients.
 type connHandler struct {
 	onUp     func()
 	onData   func([]byte)
@@ -56,15 +58,15 @@
 		b = pgwire.AppendMessage(b, 'D', "\x00\x01\x00\x00\x00", string(rune(len(v))), v)
 		return pgwire.AppendMessage(b, 'C', "SELECT 1\x00")
 	}
-	say := func(b []byte) {
+	writeResponse := func(b []byte) {
 		role := "on"
 		if m.Primary.Load() {
 			role = "off"
 		}
 		_ = m.Write(c, pgwire.AppendReadyForQuery(pgwire.AppendMessage(b, 'S', "recovery\x00", role, "\x00")))
 	}
-	var late, stale atomic.Bool // the script's goroutine sets them
-	got := func(msg pgwire.Message) error {
+	var late, stale atomic.Bool // set by the goroutine of the script
+	handle := func(msg pgwire.Message) error {
 		if in.Startup {
 			in.Startup = false
 			return m.Write(c, pgwire.StartupResponse())
@@ -76,7 +78,7 @@
 				c.Close()
 				return nil
 			case late.Swap(false):
-				say(row("old"))
+				writeResponse(row("old"))
 			}
 			return m.Write(c, pgwire.AppendReadyForQuery(pgwire.AppendMessage(nil, 'I')))
 		}
@@ -85,7 +87,7 @@
 			if m.Primary.Load() {
 				x1 = 1
 			}
-			say(row(fmt.Sprintf("x0=%.3f,x1=%d,queue=0", float64(m.Clock.Now())/1e9, x1)))
+			writeResponse(row(fmt.Sprintf("x0=%.3f,x1=%d,queue=0", float64(m.Clock.Now())/1e9, x1)))
 			return nil
 		}
 		m.Statements <- Statement{statementClass(sql), "", func(kind string) {
@@ -96,28 +98,28 @@
 			case kind == "spoilt":
 				_ = m.Write(c, []byte("no answer at all"))
 			case code == "":
-				say(row("v"))
+				writeResponse(row("v"))
 			default:
-				say(pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: code, Message: kind}))
+				writeResponse(pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: code, Message: kind}))
 			}
 		}, c.Close}
 		return nil
 	}
-	return &connHandler{func() {}, func(b []byte) { _ = in.Feed(b, got) }, func() {}}
+	return &connHandler{func() {}, func(b []byte) { _ = in.Feed(b, handle) }, func() {}}
 }
 
 type client struct {
 	conn       *netio.Conn
 	results    chan string
 	send       func(half bool, sql string)
-	secondHalf []byte // of half a command
+	secondHalf []byte // unsent half of a command
 }
 
 func (c *client) Send(half bool, sql string) { c.send(half, sql) }
 func (c *client) Results() <-chan string     { return c.results }
 func (c *client) Close()                     { c.conn.Close() }
 
-// writeBytewise sends a command, or a half of it, a byte at a time, as a network may deliver it.
+// writeBytewise sends
 func (c *client) writeBytewise(half bool, b []byte) {
 	if c.secondHalf != nil {
 		b, c.secondHalf = c.secondHalf, nil
@@ -130,8 +132,9 @@
 	}
 }
 
-// dialClient connects a stand-in client; ready is closed by data once it may send.
-func dialClient(n *netio.Net, address string, hello []byte, feed func(c *client, ready chan struct{}) func([]byte)) *client {
+// dialClient connects a stand-in client. The data handler closes ready once the client may send commands.
+func dialClient(n *netio.Net, address string, startup []byte,
+	newDataHandler func(c *client, ready chan struct{}) func([]byte)) *client {
 	c := &client{results: make(chan string, 100)}
 	up, ready := make(chan struct{}), make(chan struct{})
 	var data func([]byte)
@@ -141,10 +144,10 @@
 	if err != nil {
 		panic(err)
 	}
-	c.conn, data = conn, feed(c, ready)
+	c.conn, data = conn, newDataHandler(c, ready)
 	close(start)
 	<-up
-	_ = conn.Write(hello)
+	_ = conn.Write(startup)
 	<-ready
 	return c
 }
@@ -152,23 +155,23 @@
 func (pgHarness) Client(n *netio.Net, address string) Client {
 	in := pgwire.Reader{MaxSize: 1 << 20}
 	return dialClient(n, address, pgwire.StartupMessage("web", "orders"), func(c *client, ready chan struct{}) func([]byte) {
-		first, verdict := true, ""
+		first, result := true, ""
 		c.send = func(half bool, sql string) { c.writeBytewise(half, pgwire.QueryMessage(sql)) }
 		return func(b []byte) {
 			_ = in.Feed(b, func(m pgwire.Message) error {
 				switch m.Type {
 				case 'D':
 					if v, _ := pgwire.ParseSingleColumn(m.Body); v == "v" {
-						verdict = "served"
+						result = "served"
 					}
 				case 'E':
-					verdict = "failed"
+					result = "failed"
 					if e, _ := pgwire.ParseError(m.Body); e.Code == "53300" {
-						verdict = "refused"
+						result = "refused"
 					}
 				case 'Z':
 					if !first {
-						c.results <- verdict
+						c.results <- result
 						break
 					}
 					first = false
--- a/internal/experiment/scenario/scenario.go
+++ b/internal/experiment/scenario/scenario.go
@@ -1,19 +1,22 @@
-// Package scenario plays scripts over an pipeline on loopback sockets, with
-// stand-in clients and members. Its language has four verbs:
+// Package scenario runs scripts against a pipeline over loopback sockets, with stand-in clients and members. The script
+// language has four verbs:
 //
 //	x send booking d=2000    client x sends a request of that class
-//	x send half              half a command; nothing: it only connects; rest: the other half
-//	a expect booking         member a has received one (any: whichever member)
-//	a send served            it answers: served, miss, full, error or wrong (the statement is at fault);
-//	                         spoilt (what can't be read); late (served, and more comes behind it once the link is
-//	                         taken up again); stale (served, and the link is cut then). Or it turns primary or replica
-//	a send hold              what it says from now on stays under way, a new link's welcome too; go: all of it arrives
-//	a close                  it closes the connection that its last statement came on
-//	x expect served          client x has its answer: served, refused or failed
-//	x close                  client x goes away
-//	wait 300ms               time passes
+//	x send half              client x sends the first half of a command; rest sends the second half;
+//	                         nothing only connects
+//	a expect booking         member a receives a statement of that class (any: any member)
+//	a send served            the member responds: served, miss, full, error or wrong (an error in the statement);
+//	                         spoilt (bytes that can't be parsed); late (served, and an unsolicited response follows
+//	                         when the connection is used again); stale (served, and the connection is cut when it
+//	                         is used again). primary and replica change the role of the member
+//	a send hold              buffers everything that the member writes, greetings of new connections included;
+//	                         go delivers it
+//	a close                  the member closes the connection that its last statement arrived on
+//	x expect served          client x has a result: served, refused, failed or closed
+//	x close                  client x disconnects
+//	wait 300ms               advances the clock
 //
-// Time stands still but in wait. Members answer probes by themselves.
+// Only wait advances the clock. Members answer probes by themselves.
 package scenario
 
 import (
@@ -39,24 +42,24 @@
 const (
 	ms           = aspenshed.Nanos(1e6)
 	clockStep    = 5 * ms
-	eventTimeout = 10 * time.Second // for what must come
+	eventTimeout = 10 * time.Second // limit for each event that a script or test waits for
 )
 
-// ManualClock stands still until it is moved.
+// ManualClock is a clock that only the script advances.
 type ManualClock struct{ nanos atomic.Int64 }
 
-// Now is the time.
+// Now returns the current time of the script.
 func (c *ManualClock) Now() aspenshed.Nanos { return aspenshed.Nanos(c.nanos.Load()) }
 
-// Statement is a statement that a member has received.
+// Statement is a statement that a member has received, with callbacks to respond or to close its connection.
 type Statement struct {
 	Class    string
-	LongData string // what was sent ahead of it
+	LongData string // long parameter data that arrived before the execution
 	Reply    func(kind string)
 	Close    func()
 }
 
-// Member is a stand-in database.
+// Member is a stand-in for a member.
 type Member struct {
 	Name          string
 	Clock         *ManualClock
@@ -64,15 +67,15 @@
 	Statements    chan Statement
 	lastStatement Statement
 
-	PrepareCount        atomic.Int64 // statements that it was told to prepare
-	HoldFromNextPrepare atomic.Bool  // it holds from its next answer to that on
+	PrepareCount        atomic.Int64 // number of statements that it was asked to prepare
+	HoldFromNextPrepare atomic.Bool  // starts to hold writes with the response to the next prepare command
 
 	mu         sync.Mutex
 	holding    bool
-	heldWrites []func() // what it has said meanwhile
+	heldWrites []func() // writes that were held back, in order
 }
 
-// Write sends b to the gateway, now or once the member lets go.
+// Write sends b to the gateway, at once or when the hold is lifted.
 func (m *Member) Write(c *netio.Conn, b []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -83,7 +86,7 @@
 	return c.Write(b)
 }
 
-// Holding tells whether what it says stays under way.
+// Holding reports whether writes of the member are held back.
 func (m *Member) Holding() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -99,36 +102,41 @@
 	m.holding, m.heldWrites = on, nil
 }
 
-// Client is a stand-in client's connection. Answers yields served, refused, failed or closed.
+// Client is the connection of a stand-in client. Results yields served, refused, failed or closed.
 type Client interface {
-	Send(half bool, sql string) // after half a command comes the other half
+	Send(half bool, sql string) // after half a command, the next call sends the other half
 	Results() <-chan string
 	Close()
 }
 
-// Harness is one wire, with a gateway's front for it and stand-ins for both its ends.
+// Harness provides one wire protocol: the gateway's backend and front for it, and stand-in members and clients.
 type Harness interface {
-	// Backend is the wire towards members.
+	// Backend returns the side of the gateway that faces members.
 	Backend(*netio.Net, *eventloop.Loop) request.Backend
-	// Front is the wire towards clients.
+	// Front returns the side of the gateway that faces clients.
 	Front(*eventloop.Loop, *aspenshed.Settings, *pipeline.Pipeline) (func(*netio.Conn) netio.Handler, *session.Manager)
 	Member(*Member, *netio.Conn) netio.Handler
 	Client(net *netio.Net, address string) Client
 }
 
-// Settings are those of the scenarios: the classes of a booking service.
+// Settings returns the settings of the scenarios, with the classes of a booking service.
 func Settings() aspenshed.Settings {
-	class := func(name string, n aspenshed.Consistency, e aspenshed.RetrySafety, aim, giveUp aspenshed.Nanos, late float64) aspenshed.Class {
-		return aspenshed.Class{Name: name, Consistency: n, MaxStaleness: 300 * ms, LatencyTarget: aim * ms, ClientTimeout: giveUp * ms, Value: 1, LateValue: late, RetrySafety: e}
+	class := func(name string, consistency aspenshed.Consistency, safety aspenshed.RetrySafety,
+		latencyTarget, clientTimeout aspenshed.Nanos, lateValue float64) aspenshed.Class {
+		return aspenshed.Class{Name: name, Consistency: consistency, MaxStaleness: 300 * ms,
+			LatencyTarget: latencyTarget * ms, ClientTimeout: clientTimeout * ms, Value: 1, LateValue: lateValue,
+			RetrySafety: safety}
 	}
-	return aspenshed.Settings{Routers: 1, MinStepInterval: clockStep, ListHasRoles: true, MayProbe: true, MayCancel: true, MayHedge: true, MaxAttempts: 10,
-		ConnectTimeout: 250 * ms, IdleTimeout: 15000 * ms, ResponseSlack: 20 * ms, DrainGrace: 2000 * ms, InitialCapacity: 0.15,
-		WarmUpTime: 16000 * ms, OverloadFactor: 2.5, OverloadWindow: 1500 * ms, ProbeCost: 0.021, Classes: []aspenshed.Class{
-			class("seat-check", aspenshed.BoundedStaleness, aspenshed.Safe, 400, 1000, 0.2), class("timetable", aspenshed.Eventual, aspenshed.Safe, 750, 2000, 0),
+	return aspenshed.Settings{Routers: 1, MinStepInterval: clockStep, ListHasRoles: true, MayProbe: true, MayCancel: true,
+		MayHedge: true, MaxAttempts: 10, ConnectTimeout: 250 * ms, IdleTimeout: 15000 * ms, ResponseSlack: 20 * ms,
+		DrainGrace: 2000 * ms, InitialCapacity: 0.15, WarmUpTime: 16000 * ms, OverloadFactor: 2.5,
+		OverloadWindow: 1500 * ms, ProbeCost: 0.021, Classes: []aspenshed.Class{
+			class("seat-check", aspenshed.BoundedStaleness, aspenshed.Safe, 400, 1000, 0.2),
+			class("timetable", aspenshed.Eventual, aspenshed.Safe, 750, 2000, 0),
 			class("booking", aspenshed.Write, aspenshed.Unsafe, 750, 5000, 0.5)}}
 }
 
-// runner plays one script.
+// runner runs one script.
 type runner struct {
 	t              *testing.T
 	harness        Harness
@@ -136,18 +144,18 @@
 	loop           *eventloop.Loop
 	pipeline       *pipeline.Pipeline
 	manager        *session.Manager
-	peerNet        *netio.Net // of the stand-ins and towards members
-	frontNet       *netio.Net // towards clients
+	peerNet        *netio.Net // connections of stand-in clients, and of the gateway to members
+	frontNet       *netio.Net // listener of the front
 	address        string
 	members        map[string]*Member
 	clients        map[string]Client
 	submitted      uint64
-	preparedBefore uint64  // statements, before the last command was sent
-	anyMember      *Member // that any was bound to
+	preparedBefore uint64  // PrepareOnly count before the last command was sent
+	anyMember      *Member // member that the last any resolved to
 }
 
-// Run runs a script over a harness and returns what the pipeline has counted. The
-// first line names the members: members a=primary b=replica.
+// Run runs a script with a harness and returns the counts of the pipeline. The first line of the script names the
+// members: members a=primary b=replica.
 func Run(t *testing.T, harness Harness, script string) (served, refused, failed uint64) {
 	t.Helper()
 	lines := strings.Split(strings.TrimSpace(script), "\n")
@@ -184,7 +192,7 @@
 		r.t.Cleanup(n.Stop)
 		return n
 	}
-	known := aspenshed.MemberList{Complete: true}
+	list := aspenshed.MemberList{Complete: true}
 	addresses := map[string]string{}
 	for _, spec := range members {
 		name, role, _ := strings.Cut(spec, "=")
@@ -193,7 +201,7 @@
 		r.members[name] = m
 		n := must(netio.New(netio.Config{Name: name, Listen: "127.0.0.1:0", MaxClients: 100,
 			Accept: func(c *netio.Conn) netio.Handler { return r.harness.Member(m, c) }}))
-		known.Members = append(known.Members, aspenshed.Member{ID: name, Group: 1, Weight: 1, State: aspenshed.Up})
+		list.Members = append(list.Members, aspenshed.Member{ID: name, Group: 1, Weight: 1, State: aspenshed.Up})
 		addresses[name] = n.Addr()
 	}
 	log := logrus.New()
@@ -207,7 +215,7 @@
 	r.manager = manager
 	r.frontNet = must(netio.New(netio.Config{Name: "in", Listen: "127.0.0.1:0", MaxClients: 100, Accept: accept}))
 	r.address = r.frontNet.Addr()
-	if err := r.pipeline.Start(known, addresses); err != nil {
+	if err := r.pipeline.Start(list, addresses); err != nil {
 		r.t.Fatal(err)
 	}
 	go r.loop.Run()
@@ -220,34 +228,37 @@
 	<-done
 }
 
-// waitUntil waits for a state of the loop that must come.
+// waitUntil polls a condition on the event loop and fails the test if it does not hold within eventTimeout.
 func (r *runner) waitUntil(what string, ok func() bool) {
 	for end, yes := time.Now().Add(eventTimeout), false; !yes; runtime.Gosched() {
 		if r.runOnLoop(func() { yes = ok() }); time.Now().After(end) {
-			r.t.Fatalf("never came: %s", what)
+			r.t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// waitIdle waits until probes are answered and links are up, as they are at once on loopback.
+// waitIdle waits until probes are answered and connections are up, which takes no clock time on loopback.
 func (r *runner) waitIdle() {
-	held := false // what is under way to a member that holds will not settle, and nothing is executed before it is prepared
+	// Exchanges with a member that holds its writes don't complete, and nothing is executed before it is prepared.
+	held := false
 	for _, m := range r.members {
 		held = held || m.holding
 	}
-	r.waitUntil("taken requests", func() bool {
+	r.waitUntil("accepted requests", func() bool {
 		c := r.pipeline.Accounting.Counts
-		return c.Accepted+c.Rejected >= r.submitted || held && r.pipeline.Response.Pending() > 0 && c.PrepareOnly > r.preparedBefore
+		return c.Accepted+c.Rejected >= r.submitted || held && r.pipeline.Response.Pending() > 0 &&
+			c.PrepareOnly > r.preparedBefore
 	})
 	if held {
 		return
 	}
-	for range 2 { // what one answer sets off comes with the next batch
-		r.waitUntil("probes and links", func() bool { return r.pipeline.Dispatch.PendingSends() == 0 })
+	for range 2 { // what one response triggers runs in the loop's next batch
+		r.waitUntil("probes and connections", func() bool { return r.pipeline.Dispatch.PendingSends() == 0 })
 	}
 }
 
-// resetSubmitted forgets requests that will never be taken: their client went, or was refused, before it came to them.
+// resetSubmitted discounts requests that will never be accepted: their client disconnected, or was refused, before the
+// gateway processed them.
 func (r *runner) resetSubmitted() {
 	r.runOnLoop(func() { r.submitted = r.pipeline.Accounting.Counts.Accepted + r.pipeline.Accounting.Counts.Rejected })
 }
@@ -286,13 +297,13 @@
 				return fmt.Errorf("got %s", got)
 			}
 		case <-time.After(eventTimeout):
-			return fmt.Errorf("no answer")
+			return fmt.Errorf("no result")
 		}
 	case f[1] == "close":
 		var before int
 		r.runOnLoop(func() { before = r.pipeline.Response.Pending() })
 		r.clients[f[0]].Close()
-		r.waitUntil("the client's leave", func() bool { return r.pipeline.Response.Pending() < max(before, 1) })
+		r.waitUntil("the client's disconnect", func() bool { return r.pipeline.Response.Pending() < max(before, 1) })
 		r.resetSubmitted()
 	default:
 		return fmt.Errorf("unknown verb")
@@ -300,7 +311,8 @@
 	return nil
 }
 
-// endAttempt has a member end an attempt, and waits until that has come through: time must not pass before.
+// endAttempt makes a member end an attempt and waits until the pipeline has accounted for it, as the clock must not
+// advance before.
 func (r *runner) endAttempt(f func()) {
 	var before uint64
 	r.runOnLoop(func() { before = r.pipeline.Accounting.Counts.Attempts })
@@ -324,7 +336,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("nothing came")
+			return fmt.Errorf("no statement received")
 		}
 	}
 	if r.anyMember = m; m.lastStatement.Class != class {
@@ -333,7 +345,7 @@
 	return nil
 }
 
-func (r *runner) sendRequest(name, class string, with []string) {
+func (r *runner) sendRequest(name, class string, options []string) {
 	c := r.clients[name]
 	if c == nil {
 		c = r.harness.Client(r.peerNet, r.address)
@@ -350,22 +362,23 @@
 	if !half {
 		r.submitted++
 	}
-	tag := map[string]string{"id": fmt.Sprint(r.submitted), "d": "900", "cluster": "1"}
-	for _, w := range with {
-		k, v, _ := strings.Cut(w, "=")
-		tag[k] = v
+	fields := map[string]string{"id": fmt.Sprint(r.submitted), "d": "900", "cluster": "1"}
+	for _, option := range options {
+		key, value, _ := strings.Cut(option, "=")
+		fields[key] = value
 	}
 	sql := "SELECT payload FROM entries WHERE ref = 'r'"
 	if class == "booking" {
 		sql = `INSERT INTO entries (ref, payload) VALUES ('r', 'v') RETURNING payload`
 	}
-	var halves int
+	var partialBefore int
 	r.runOnLoop(func() {
-		halves, r.preparedBefore = r.manager.PartialSessions(), r.pipeline.Accounting.Counts.PrepareOnly
+		partialBefore, r.preparedBefore = r.manager.PartialSessions(), r.pipeline.Accounting.Counts.PrepareOnly
 	})
-	c.Send(half, fmt.Sprintf("%s /* id=%s,c=%s,d=%s,cluster=%s */", sql, tag["id"], class, tag["d"], tag["cluster"]))
+	c.Send(half, fmt.Sprintf("%s /* id=%s,c=%s,d=%s,cluster=%s */", sql,
+		fields["id"], class, fields["d"], fields["cluster"]))
 	if half {
-		r.waitUntil("half a command", func() bool { return r.manager.PartialSessions() > halves })
+		r.waitUntil("half a command", func() bool { return r.manager.PartialSessions() > partialBefore })
 	}
 	r.waitIdle()
 }
--- a/internal/experiment/scenario/scenario_test.go
+++ b/internal/experiment/scenario/scenario_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// scenarios are played over the platform's wire and over MySQL's, there as text
-// and prepared. The figures are answers, refusals and failures.
+// scenarios run over the PostgreSQL protocol, and over the MySQL protocol with text and with prepared statements. The
+// numbers are the expected counts of served, refused and failed requests.
 var scenarios = []struct {
 	name                    string
 	served, refused, failed uint64
@@ -29,7 +29,8 @@
 		any expect timetable
 		any send served
 		x expect served`},
-	// Guards "bookings never run twice": a cut after the statement has left fails at once.
+	// Guards against executing a booking twice: a connection lost after the statement was sent fails the request
+	// at once.
 	{"a booking cut while it is out fails and is not run again", 1, 0, 1, `
 		members a=primary b=replica
 		x send booking d=5000
@@ -38,7 +39,7 @@
 		x expect failed
 		wait 1s
 		x send booking d=5000
-		a expect booking   # the next thing that any member gets is the new one
+		a expect booking   # the next statement that any member receives is the new one
 		a send served
 		x expect served`},
 	{"a read cut while it is out moves to another member", 1, 0, 0, `
@@ -82,14 +83,14 @@
 		any expect timetable
 		any send served
 		x expect served`},
-	// It may have run.
+	// The statement may have been executed.
 	{"a spoilt answer to a booking fails it", 0, 0, 1, `
 		members a=primary b=replica
 		x send booking d=5000
 		a expect booking
 		a send spoilt
 		x expect failed`},
-	// Guards "never a value that was not made for the request".
+	// Guards against responding with a value that belongs to another request.
 	{"what comes behind an answer is not the next one", 2, 0, 0, `
 		members a=primary b=replica
 		x send booking
@@ -97,10 +98,10 @@
 		a send late
 		x expect served
 		x send booking
-		a expect booking   # on another link
+		a expect booking   # on another connection
 		a send served
 		x expect served`},
-	// Guards bookings: what has not left whole has not run.
+	// Guards availability of bookings: a statement that was not sent completely was not executed, so it is sent again.
 	{"a booking that finds its link cut goes by another", 2, 0, 0, `
 		members a=primary b=replica
 		x send booking
@@ -111,7 +112,8 @@
 		a expect booking
 		a send served
 		x expect served`},
-	// Guards "one attempt out per request": a member could not tell the second from a copy of the first.
+	// Guards against two attempts in flight for one id: a member could not tell the second request from a copy
+	// of the first.
 	{"the id of another client's open request is turned away", 2, 0, 0, `
 		members a=primary b=replica
 		x send booking id=one
@@ -137,7 +139,7 @@
 		a expect booking
 		a send served
 		y expect served`},
-	// Guards other members, and what is thought of them, against clients that can't write SQL.
+	// Guards against statement errors that cause retries at other members or count against the health of a member.
 	{"a statement that is wrong is not tried elsewhere", 1, 0, 1, `
 		members a=primary b=replica c=replica
 		x send timetable
@@ -154,7 +156,7 @@
 		a expect booking
 		wait 920ms
 		x expect failed`},
-	// Guards the price of holding back: nothing was sent, so it is a refusal, in time.
+	// Guards the outcome of queuing: nothing was sent, so the request is refused, in time.
 	{"a booking is held while there is no primary, then refused", 0, 1, 0, `
 		members a=replica b=replica
 		x send booking d=900
@@ -178,8 +180,9 @@
 		a expect booking
 		a send served
 		y expect served`},
-	// Guards "not sent on once its client has left", at each point before the last byte: no link yet, and a link that has
-	// yet to show that it is alive. The member gets the next client's booking first, and only that.
+	// Guards against sending a request whose client has disconnected, at each stage before its last byte is sent: while
+	// there is no connection to the member yet, and while the connection is being checked. The member receives the next
+	// client's booking first, and only that.
 	{"a client leaves before its link is up", 3, 0, 0, `
 		members a=primary b=replica
 		x send booking
@@ -187,7 +190,7 @@
 		a send served
 		x expect served
 		w send booking d=5000
-		a expect booking   # the only link is taken
+		a expect booking   # the only connection is in use
 		a send hold
 		x send booking d=5000
 		x close
@@ -214,12 +217,12 @@
 		a expect booking
 		a send served
 		y expect served`},
-	// Guards the descriptors that other clients need.
+	// Guards against idle clients that hold file descriptors which other clients need.
 	{"a client that asks once and stays is closed", 1, 0, 0, `
 		members a=primary
 		x send booking d=5000
 		a expect booking
-		wait 3s            # a client that waits for its answer is not idle
+		wait 3s            # a client that waits for its response is not idle
 		a send served
 		x expect served
 		wait 2200ms
@@ -237,7 +240,8 @@
 		x expect closed
 		y expect closed
 		z expect closed`},
-	// Guards clients against those that ask once and stay, before the idle limit is reached.
+	// Guards against clients that send one request and stay connected while connections are scarce: the one idle for
+	// longest is closed before the idle timeout.
 	{"where connections are scarce the one idle for longest makes room", 9, 0, 0, `
 		members a=primary b=replica
 		1 send booking
@@ -318,7 +322,8 @@
 		x expect served`},
 }
 
-var harnesses = map[string]Harness{"platform": pgHarness{}, "mysql text": mysqlHarness{}, "mysql prepared": mysqlHarness{prepared: true}}
+var harnesses = map[string]Harness{"platform": pgHarness{}, "mysql text": mysqlHarness{},
+	"mysql prepared": mysqlHarness{prepared: true}}
 
 func TestScenariosOverEveryWire(t *testing.T) {
 	for wire, harness := range harnesses {
@@ -334,7 +339,7 @@
 	}
 }
 
-// runLines plays lines of the language.
+// runLines runs lines of a script.
 func (r *runner) runLines(lines ...string) {
 	r.t.Helper()
 	for _, l := range lines {
@@ -344,15 +349,18 @@
 	}
 }
 
-// Guards refusals: a request that the gateway answers as it ends, or at its deadline, with its statement still under
-// way, must not run after that.
+// Guards against executing a refused request: one that the gateway refuses at shutdown, or at its deadline, while its
+// statement is still waiting to be sent must not be sent afterwards.
 func TestRefusedRequestIsNotExecuted(t *testing.T) {
 	for wire, harness := range harnesses {
 		t.Run(wire, func(t *testing.T) {
 			r := newRunner(t, harness, []string{"a=primary", "b=replica"})
-			r.runLines("x send booking", "a expect booking", "a send served", "x expect served", "a send hold", "x send booking d=5000")
-			r.waitUntil("the attempt", func() bool { return r.pipeline.Response.Pending() == 1 && r.pipeline.Dispatch.PendingSends() > 0 })
-			r.runOnLoop(func() { r.pipeline.FailAll("the gateway ends") })
+			r.runLines("x send booking", "a expect booking", "a send served", "x expect served",
+				"a send hold", "x send booking d=5000")
+			r.waitUntil("the attempt", func() bool {
+				return r.pipeline.Response.Pending() == 1 && r.pipeline.Dispatch.PendingSends() > 0
+			})
+			r.runOnLoop(func() { r.pipeline.FailAll("gateway is shutting down") })
 			r.runLines("x expect refused")
 			r.resetSubmitted()
 			r.runLines("a send go", "wait 100ms", "y send booking", "a expect booking", "a send served", "y expect served")
@@ -361,28 +369,29 @@
 	}
 }
 
-// Guards requests at every close that the gateway begins: one whose last byte has been read when its resting connection
-// is about to be closed is answered first, and the connection ends in order behind that.
+// Guards against losing a request when the gateway closes an idle connection: a request whose last byte is read just
+// before the close is answered first, and the connection is closed in order after the response.
 func TestRequestReadDuringIdleCloseIsAnswered(t *testing.T) {
 	for wire, harness := range harnesses {
-		if harness == (mysqlHarness{prepared: true}) { // two commands, and the connection may end between them
+		if harness == (mysqlHarness{prepared: true}) { // two commands; the connection may be closed between them
 			continue
 		}
 		t.Run(wire, func(t *testing.T) {
 			r := newRunner(t, harness, []string{"a=primary", "b=replica"})
 			r.runLines("x send booking", "a expect booking", "a send served", "x expect served", "x send half")
-			stopped, goOn := make(chan bool), make(chan bool)
-			r.loop.Post(func() { close(stopped); <-goOn })
+			stopped, resume := make(chan bool), make(chan bool)
+			r.loop.Post(func() { close(stopped); <-resume })
 			<-stopped
-			r.loop.Post(func() { r.manager.CloseIdle() }) // ahead of the request's turn
+			r.loop.Post(func() { r.manager.CloseIdle() }) // runs before the loop processes the request
 			r.submitted++
 			r.clients["x"].Send(false, "")
-			for end := time.Now().Add(eventTimeout); r.manager.PartialSessions() > 0; runtime.Gosched() { // the loop stands still
+			// Waits without the event loop, which is blocked.
+			for end := time.Now().Add(eventTimeout); r.manager.PartialSessions() > 0; runtime.Gosched() {
 				if time.Now().After(end) {
-					t.Fatal("the request was never read")
+					t.Fatal("request was not read in time")
 				}
 			}
-			close(goOn)
+			close(resume)
 			r.runLines("a expect booking", "a send served", "x expect served", "x expect closed")
 			r.waitUntil("the session's end", func() bool { return r.manager.SessionCount() == 0 })
 			r.runOnLoop(r.loop.Quit)
@@ -390,8 +399,9 @@
 	}
 }
 
-// Guards "not sent on once its client has left" against many that go at once, in the very instant in which the primary that
-// their bookings wait for may be asked: nothing of them leaves, and all that they held is given back.
+// Guards against sending requests whose clients have disconnected: many clients disconnect in the loop batch in which a
+// probe round finds the primary that their bookings wait for. None of the bookings is sent, and all of their resources
+// are released.
 func TestManyClientsDisconnectWhileRequestsAreQueued(t *testing.T) {
 	const many = 60
 	for wire, harness := range harnesses {
@@ -400,28 +410,32 @@
 			for i := range many {
 				r.runLines(fmt.Sprintf("x%d send booking d=5000", i))
 			}
-			r.waitUntil("held requests", func() bool { return r.pipeline.Response.Pending() == many })
-			stopped, goOn := make(chan bool), make(chan bool)
-			r.loop.Post(func() { close(stopped); <-goOn })
+			r.waitUntil("queued requests", func() bool { return r.pipeline.Response.Pending() == many })
+			stopped, resume := make(chan bool), make(chan bool)
+			r.loop.Post(func() { close(stopped); <-resume })
 			<-stopped
 			for i := range many {
 				r.clients[fmt.Sprint("x", i)].Close()
 			}
-			for end := time.Now().Add(eventTimeout); r.frontNet.ClientCount() > 0; runtime.Gosched() { // all are read, and none is heard of yet
+			// All disconnects are read, and the blocked loop has processed none of them.
+			for end := time.Now().Add(eventTimeout); r.frontNet.ClientCount() > 0; runtime.Gosched() {
 				if time.Now().After(end) {
-					t.Fatal("a client's end was never read")
+					t.Fatal("a disconnect was not read in time")
 				}
 			}
 			r.members["b"].Primary.Store(true)
-			r.clock.nanos.Add(int64(300 * ms)) // a round is due in the same batch
-			close(goOn)
-			r.waitUntil("their leave", func() bool { return r.pipeline.Response.Pending() == 0 && r.manager.SessionCount() == 0 })
+			r.clock.nanos.Add(int64(300 * ms)) // a probe round is due in the same batch
+			close(resume)
+			r.waitUntil("the disconnects", func() bool {
+				return r.pipeline.Response.Pending() == 0 && r.manager.SessionCount() == 0
+			})
 			r.resetSubmitted()
 			r.runLines("wait 500ms", "y send booking d=5000", "b expect booking", "b send served", "y expect served")
 			r.runOnLoop(func() {
 				c := r.pipeline.Accounting.Counts
-				if n := len(r.members["a"].Statements) + len(r.members["b"].Statements); n != 0 || c.ClientGone != many || c.Attempts-c.PrepareOnly != 1 || r.pipeline.Dispatch.PendingSends() != 0 {
-					t.Errorf("members got %d more; counts %+v", n, c)
+				if n := len(r.members["a"].Statements) + len(r.members["b"].Statements); n != 0 ||
+					c.ClientGone != many || c.Attempts-c.PrepareOnly != 1 || r.pipeline.Dispatch.PendingSends() != 0 {
+					t.Errorf("members received %d further statements; counts %+v", n, c)
 				}
 				r.loop.Quit()
 			})
@@ -429,21 +443,22 @@
 	}
 }
 
-// Guards "one attempt out per request" against links that come up long after they were given up: nothing goes out on them.
+// Guards against a second attempt in flight for one request: a connection that comes up long after the attempt
+// abandoned it carries no statement.
 func TestLateConnectionCarriesNoAbandonedRequest(t *testing.T) {
 	for wire, harness := range harnesses {
-		if harness == (mysqlHarness{prepared: true}) { // what is prepared first may meet the held member, or not
+		if harness == (mysqlHarness{prepared: true}) { // its prepare command may precede the hold or not
 			continue
 		}
 		t.Run(wire, func(t *testing.T) {
 			r := newRunner(t, harness, []string{"a=primary", "b=replica"})
 			r.runLines("x send booking", "a expect booking", "a send served", "x expect served",
-				"w send booking d=5000", "a expect booking", // the only link is taken
+				"w send booking d=5000", "a expect booking", // the only connection is in use
 				"a send hold", "x send booking d=5000", "wait 1500ms", "a send go", "a send served", "w expect served",
 				"wait 2s", "a expect booking", "a send served", "x expect served")
 			r.runOnLoop(func() {
 				if c := r.pipeline.Accounting.Counts; len(r.members["a"].Statements) != 0 || c.Served != 3 {
-					t.Errorf("a got %d more, counts %+v", len(r.members["a"].Statements), c)
+					t.Errorf("a received %d further statements, counts %+v", len(r.members["a"].Statements), c)
 				}
 				r.loop.Quit()
 			})
