--- a/internal/daemon/demo.go
+++ b/internal/daemon/demo.go
@@ -89,7 +89,7 @@
 }
 
 func (d *Demo) begin(o DemoOptions) (err error) {
-	for n, wire := range []standin.Wire{standin.Postgres, standin.MySQL} {
+	for n, wire := range []standin.Protocol{standin.Postgres, standin.MySQL} {
 		var ids []string
 		for _, x := range []string{"a", "b", "c"} {
 			ids = append(ids, string(wire[:2])+"-"+x)
--- a/internal/daemon/fronts_test.go
+++ b/internal/daemon/fronts_test.go
@@ -121,7 +121,7 @@
 		t.Fatalf("the fronts' classes are %+v and %+v", a, b)
 	}
 
-	x.demo.Databases[WireMySQL].HandOver("my-c")
+	x.demo.Databases[WireMySQL].Promote("my-c")
 	x.primary(x.mysql, "my-c")
 	x.unchanged(x.postgres, postgres, "mysql's hand-over")
 
@@ -133,7 +133,7 @@
 		t.Fatal(err)
 	}
 	x.instance.Reload()
-	x.demo.Databases[WirePostgres].HandOver("po-b")
+	x.demo.Databases[WirePostgres].Promote("po-b")
 	x.instance.Reload()
 	close(proceed)
 	x.primary(x.postgres, "po-b")
--- a/internal/daemon/mysql_test.go
+++ b/internal/daemon/mysql_test.go
@@ -38,14 +38,14 @@
 	group := d.Databases["mysql"]
 	n := 0
 	for _, to := range []string{"my-a", "my-b", "my-c"} {
-		group.HandOver(to)
+		group.Promote(to)
 		eventually(t, "an order at "+to, func() bool {
 			n++
 			row, err := ask([]any{n}, fmt.Sprintf("SELECT place(?) /* id=b%d,c=order */", n))
 			return err == nil && strings.HasPrefix(row, "b")
 		})
 	}
-	if n := group.Ran(); n != 1 {
+	if n := group.MaxExecutions(); n != 1 {
 		t.Errorf("an order ran %d times", n)
 	}
 }
--- a/internal/experiment/datapath/cold.go
+++ b/internal/experiment/datapath/cold.go
@@ -48,7 +48,7 @@
 			before := d.statements
 			w.run(worldStart + settle + watch)
 			x := float64(n)
-			c.add("database", "database.cold-share-by-gateways-"+kind.name, "largest share of what topples a cold database", "1", x, d.model.Highest)
+			c.add("database", "database.cold-share-by-gateways-"+kind.name, "largest share of what topples a cold database", "1", x, d.model.PeakOverload)
 			c.add("database", "database.cold-statements-by-gateways-"+kind.name, "statements at a cold database", "1/s", x,
 				float64(d.statements-before)/(float64(watch)/1e9))
 			r.progress("cold, %s: %d gateways", kind.name, n)
--- a/internal/experiment/datapath/firstwrite.go
+++ b/internal/experiment/datapath/firstwrite.go
@@ -79,7 +79,7 @@
 	lost := time.Now()
 	dbs := p.group.DBs()
 	dbs[0].Stop()
-	hand := time.AfterFunc(delay, func() { p.group.HandOver(dbs[1].ID) })
+	hand := time.AfterFunc(delay, func() { p.group.Promote(dbs[1].ID) })
 	defer hand.Stop()
 	for limit := time.After(firstWriteLimit); ; {
 		select {
--- a/internal/experiment/datapath/link.go
+++ b/internal/experiment/datapath/link.go
@@ -77,19 +77,19 @@
 		return
 	}
 	d.statements++
-	verdict, took := d.model.Take(int64(l.gateway.loop.Now()), isWrite)
+	verdict, took := d.model.Accept(int64(l.gateway.loop.Now()), isWrite)
 	l.gateway.at(nanos(took), func() {
 		if verdict == standin.Served {
-			verdict = d.model.Done(int64(l.gateway.loop.Now()))
+			verdict = d.model.Complete(int64(l.gateway.loop.Now()))
 		}
-		if d.state == running && verdict != standin.Down {
+		if d.state == running && verdict != standin.Unavailable {
 			l.answer(request.Result{Outcome: outcomes[verdict]})
 		}
 	})
 }
 
-var outcomes = map[standin.Verdict]aspenshed.Outcome{standin.Served: aspenshed.Served, standin.Full: aspenshed.Overloaded,
-	standin.Miss: aspenshed.Ineligible}
+var outcomes = map[standin.Result]aspenshed.Outcome{standin.Served: aspenshed.Served, standin.Overloaded: aspenshed.Overloaded,
+	standin.NotPrimary: aspenshed.Ineligible}
 
 // Probe asks for role, position and load.
 func (l *link) Probe() bool {
@@ -100,7 +100,7 @@
 			now := int64(l.gateway.loop.Now())
 			l.answer(request.Result{Outcome: aspenshed.Served, Report: aspenshed.Report{
 				HasPosition: true, Position: toMilliseconds(d.model.Position(now)), HasRole: true, Primary: d.model.Primary,
-				HasQueued: true, Queued: float64(d.model.Waiting(now))}})
+				HasQueued: true, Queued: float64(d.model.InFlight(now))}})
 		}
 	})
 	return !l.closed
--- a/internal/experiment/datapath/settings.go
+++ b/internal/experiment/datapath/settings.go
@@ -62,6 +62,6 @@
 // limits of every database here.
 func limits() standin.Limits {
 	l := standin.DefaultLimits()
-	l.Queue = 4000
+	l.MaxInFlight = 4000
 	return l
 }
--- a/internal/experiment/scale/load.go
+++ b/internal/experiment/scale/load.go
@@ -137,7 +137,7 @@
 	for i, g := range l.groups {
 		for _, d := range g.DBs() {
 			s.Databases = append(s.Databases, Database{ID: d.ID, Address: d.Address(), Group: int32(FirstLoadGroup + i)})
-			s.LateDrains += d.Report().LateDrain
+			s.LateDrains += d.Report().AfterDrainGrace
 		}
 	}
 	var err error
--- a/internal/experiment/standin/standin.go
+++ b/internal/experiment/standin/standin.go
@@ -12,38 +12,38 @@
 	"aspenshed/internal/protocol/sqlcomment"
 )
 
-// Wire names what a database speaks.
-type Wire string
+// Protocol names what a database speaks.
+type Protocol string
 
 // The wires.
 const (
-	Postgres Wire = "postgres"
-	MySQL    Wire = "mysql"
+	Postgres Protocol = "postgres"
+	MySQL    Protocol = "mysql"
 )
 
 // DB is one stand-in database on loopback.
 type DB struct {
-	ID   string
-	wire Wire
-	net  *netio.Net
-
-	mu    sync.Mutex
-	m     Model
-	group *Group
-	timer map[*time.Timer]bool
+	ID       string
+	protocol Protocol
+	net      *netio.Net
+
+	mu     sync.Mutex
+	model  Model
+	group  *Group
+	timers map[*time.Timer]bool
 }
 
 // Group is databases that hold the same data.
 type Group struct {
-	mu   sync.Mutex
-	rows map[string]string
-	ran  map[string]int // how often each write has run
-	dbs  []*DB
+	mu         sync.Mutex
+	rows       map[string]string
+	executions map[string]int // how often each write has run
+	dbs        []*DB
 }
 
 // NewGroup starts databases of one group; the first is its primary.
-func NewGroup(wire Wire, cfg Limits, ids ...string) (*Group, error) {
-	g := &Group{rows: map[string]string{}, ran: map[string]int{}}
+func NewGroup(wire Protocol, cfg Limits, ids ...string) (*Group, error) {
+	g := &Group{rows: map[string]string{}, executions: map[string]int{}}
 	for i, id := range ids {
 		if _, err := g.Add(wire, cfg, id, i == 0); err != nil {
 			g.Stop()
@@ -54,13 +54,13 @@
 }
 
 // Add starts one more.
-func (g *Group) Add(wire Wire, cfg Limits, id string, primary bool) (*DB, error) {
-	d := &DB{ID: id, wire: wire, group: g, m: NewModel(cfg, primary), timer: map[*time.Timer]bool{}}
+func (g *Group) Add(wire Protocol, cfg Limits, id string, primary bool) (*DB, error) {
+	d := &DB{ID: id, protocol: wire, group: g, model: NewModel(cfg, primary), timers: map[*time.Timer]bool{}}
 	n, err := netio.New(netio.Config{Name: id, Listen: "127.0.0.1:0", MaxClients: 1000, Accept: func(c *netio.Conn) netio.Handler {
 		if wire == MySQL {
-			return newMySQL(d, c)
+			return newMySQLConn(d, c)
 		}
-		return newPostgres(d, c)
+		return newPostgresConn(d, c)
 	}})
 	if err != nil {
 		return nil, err
@@ -79,21 +79,21 @@
 	return append([]*DB(nil), g.dbs...)
 }
 
-// Ran is how often the most repeated write has run.
-func (g *Group) Ran() (most int) {
+// MaxExecutions is how often the most repeated write has run.
+func (g *Group) MaxExecutions() (most int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, n := range g.ran {
+	for _, n := range g.executions {
 		most = max(most, n)
 	}
 	return most
 }
 
-// HandOver makes another database the primary.
-func (g *Group) HandOver(to string) {
+// Promote makes another database the primary.
+func (g *Group) Promote(to string) {
 	for _, d := range g.DBs() {
 		d.mu.Lock()
-		d.m.Primary = d.ID == to
+		d.model.Primary = d.ID == to
 		d.mu.Unlock()
 	}
 }
@@ -112,21 +112,21 @@
 func (d *DB) Restart() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.m.Start(time.Now().UnixNano())
+	d.model.Start(time.Now().UnixNano())
 }
 
 // Drain notes from when on nothing new may come; Seen counts what comes later than the grace.
 func (d *DB) Drain() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.m.Drain(time.Now().UnixNano())
+	d.model.Drain(time.Now().UnixNano())
 }
 
 // Report is what a database has seen.
 func (d *DB) Report() Report {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.m.Report
+	return d.model.Report
 }
 
 // Stop ends it at once.
@@ -134,18 +134,18 @@
 	d.net.Stop()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for t := range d.timer {
+	for t := range d.timers {
 		t.Stop()
 	}
 }
 
 // serve takes one statement; answer is called once, later, with what became of it.
-func (d *DB) serve(sql string, answer func(value string, v Verdict)) {
+func (d *DB) serve(sql string, answer func(value string, v Result)) {
 	tag, _ := sqlcomment.Parse(sql)
 	write := tag.Fields["c"] == "order"
 	now := time.Now().UnixNano()
 	d.mu.Lock()
-	v, took := d.m.Take(now, write)
+	v, took := d.model.Accept(now, write)
 	if v != Served {
 		d.mu.Unlock()
 		answer("", v)
@@ -154,22 +154,22 @@
 	var t *time.Timer
 	t = time.AfterFunc(took, func() {
 		d.mu.Lock()
-		delete(d.timer, t)
-		v := d.m.Done(time.Now().UnixNano())
+		delete(d.timers, t)
+		v := d.model.Complete(time.Now().UnixNano())
 		d.mu.Unlock()
-		value := d.group.run(tag, write)
+		value := d.group.execute(tag, write)
 		answer(value, v)
 	})
-	d.timer[t] = true
+	d.timers[t] = true
 	d.mu.Unlock()
 }
 
-func (g *Group) run(tag sqlcomment.Statement, write bool) string {
+func (g *Group) execute(tag sqlcomment.Statement, write bool) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	id := tag.Fields["id"]
-	if write && id != "" && len(g.ran) < 1<<20 {
-		g.ran[id]++
+	if write && id != "" && len(g.executions) < 1<<20 {
+		g.executions[id]++
 	}
 	return fmt.Sprintf("%s by its database", id)
 }
@@ -179,5 +179,5 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now().UnixNano()
-	return d.m.Primary, d.m.Position(now) / 1e6, d.m.Waiting(now)
+	return d.model.Primary, d.model.Position(now) / 1e6, d.model.InFlight(now)
 }
--- a/internal/experiment/standin/wires.go
+++ b/internal/experiment/standin/wires.go
@@ -10,72 +10,72 @@
 	"aspenshed/internal/protocol/pgwire"
 )
 
-// postgres is one connection that speaks the platform's protocol.
-type postgres struct {
-	d  *DB
-	c  *netio.Conn
-	in pgwire.Reader
+// postgresConn is one connection that speaks the platform's protocol.
+type postgresConn struct {
+	db     *DB
+	conn   *netio.Conn
+	reader pgwire.Reader
 }
 
-func newPostgres(d *DB, c *netio.Conn) *postgres {
-	return &postgres{d: d, c: c, in: pgwire.Reader{Startup: true, MaxSize: 1 << 20}}
+func newPostgresConn(d *DB, c *netio.Conn) *postgresConn {
+	return &postgresConn{db: d, conn: c, reader: pgwire.Reader{Startup: true, MaxSize: 1 << 20}}
 }
 
-func (p *postgres) Up()          {}
-func (p *postgres) Closed(error) {}
+func (p *postgresConn) Up()          {}
+func (p *postgresConn) Closed(error) {}
 
-func (p *postgres) Data(b []byte) {
-	if p.in.Feed(b, p.message) != nil {
-		p.c.Close()
+func (p *postgresConn) Data(b []byte) {
+	if p.reader.Feed(b, p.message) != nil {
+		p.conn.Close()
 	}
 }
 
-func (p *postgres) message(m pgwire.Message) error {
-	if p.in.Startup {
-		p.in.Startup = false
-		return p.c.Write(pgwire.StartupResponse())
+func (p *postgresConn) message(m pgwire.Message) error {
+	if p.reader.Startup {
+		p.reader.Startup = false
+		return p.conn.Write(pgwire.StartupResponse())
 	}
 	sql, _, ok := pgwire.ReadCString(m.Body)
 	switch {
 	case m.Type == 'X':
-		p.c.Close()
+		p.conn.Close()
 	case !ok || m.Type != 'Q':
 		return pgwire.ErrMalformed
 	case strings.TrimSpace(sql) == "":
-		return p.c.Write(pgwire.AppendReadyForQuery(pgwire.AppendMessage(nil, 'I')))
+		return p.conn.Write(pgwire.AppendReadyForQuery(pgwire.AppendMessage(nil, 'I')))
 	case sql == "SHOW health":
-		primary, position, waiting := p.d.state()
+		primary, position, waiting := p.db.state()
 		x1 := 0
 		if primary {
 			x1 = 1
 		}
-		p.say(pgRow(fmt.Sprintf("x0=%d.%03d,x1=%d,queue=%d", position/1000, position%1000, x1, waiting)))
+		p.write(pgRow(fmt.Sprintf("x0=%d.%03d,x1=%d,queue=%d", position/1000, position%1000, x1, waiting)))
 	default:
-		p.d.serve(sql, func(value string, v Verdict) {
+		p.db.serve(sql, func(value string, v Result) {
 			switch v {
 			case Served:
-				p.say(pgRow(value))
-			case Down:
-				p.c.Close()
-			case Miss:
-				p.say(pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: "25006", Message: "this is no primary"}))
-			case Full:
-				p.say(pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: "53300", Message: "the queue is full"}))
+				p.write(pgRow(value))
+			case Unavailable:
+				p.conn.Close()
+			case NotPrimary:
+				p.write(pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: "25006", Message: "this is no primary"}))
+			case Overloaded:
+				p.write(pgwire.AppendError(nil, pgwire.Error{Severity: "ERROR", Code: "53300", Message: "the queue is full"}))
 			}
 		})
 	}
 	return nil
 }
 
-func (p *postgres) say(b []byte) {
-	primary, position, _ := p.d.state()
+func (p *postgresConn) write(b []byte) {
+	primary, position, _ := p.db.state()
 	role := "on"
 	if primary {
 		role = "off"
 	}
 	b = pgwire.AppendMessage(b, 'S', "recovery\x00", role, "\x00")
 	b = pgwire.AppendMessage(b, 'S', "lsn_ms\x00", fmt.Sprint(position), "\x00")
-	_ = p.c.Write(pgwire.AppendReadyForQuery(b)) // whom a close has reached needs no answer
+	_ = p.conn.Write(pgwire.AppendReadyForQuery(b)) // whom a close has reached needs no answer
 }
 
 func pgRow(v string) []byte {
@@ -86,44 +86,44 @@
 
 // The account that the stand-ins know, and the queries that tell role and position.
 const (
-	User     = "gateway"
-	Password = "standin"
-	Role     = "SELECT @@global.read_only"
-	Applied  = "SELECT applied_ms FROM heartbeat"
+	User          = "gateway"
+	Password      = "standin"
+	RoleQuery     = "SELECT @@global.read_only"
+	PositionQuery = "SELECT applied_ms FROM heartbeat"
 )
 
 var challenge = []byte("12345678abcdefghijkl")
 
 // mysqlConn is one connection that speaks MySQL's protocol.
 type mysqlConn struct {
-	d     *DB
-	c     *netio.Conn
-	in    mysqlwire.Reader
-	known bool
-	next  uint32
-	stmts map[uint32]string
+	db              *DB
+	conn            *netio.Conn
+	reader          mysqlwire.Reader
+	authenticated   bool
+	lastStatementID uint32
+	statements      map[uint32]string
 }
 
-func newMySQL(d *DB, c *netio.Conn) *mysqlConn {
-	return &mysqlConn{d: d, c: c, in: mysqlwire.Reader{MaxSize: 1 << 20}, stmts: map[uint32]string{}}
+func newMySQLConn(d *DB, c *netio.Conn) *mysqlConn {
+	return &mysqlConn{db: d, conn: c, reader: mysqlwire.Reader{MaxSize: 1 << 20}, statements: map[uint32]string{}}
 }
 
-func (p *mysqlConn) Up()          { _ = p.c.Write(mysqlwire.Greeting(1, challenge)) }
+func (p *mysqlConn) Up()          { _ = p.conn.Write(mysqlwire.Greeting(1, challenge)) }
 func (p *mysqlConn) Closed(error) {}
 
 func (p *mysqlConn) Data(b []byte) {
-	if p.in.Feed(b, p.packet) != nil {
-		p.c.Close()
+	if p.reader.Feed(b, p.packet) != nil {
+		p.conn.Close()
 	}
 }
 
 func (p *mysqlConn) packet(seq byte, body, _ []byte) error {
-	if !p.known {
+	if !p.authenticated {
 		l, err := mysqlwire.ParseHandshakeResponse(body)
-		if p.known = err == nil && l.User == User && l.VerifyPassword(challenge, Password); !p.known {
-			return p.c.Write(mysqlwire.Error{Code: 1045, State: "28000", Message: "denied"}.Packet(seq + 1))
+		if p.authenticated = err == nil && l.User == User && l.VerifyPassword(challenge, Password); !p.authenticated {
+			return p.conn.Write(mysqlwire.Error{Code: 1045, State: "28000", Message: "denied"}.Packet(seq + 1))
 		}
-		return p.c.Write(mysqlwire.OK(seq + 1))
+		return p.conn.Write(mysqlwire.OK(seq + 1))
 	}
 	if len(body) == 0 {
 		return mysqlwire.ErrMalformed
@@ -131,46 +131,46 @@
 	sql := string(body[1:])
 	switch com := body[0]; {
 	case com == mysqlwire.ComPing:
-		return p.c.Write(mysqlwire.OK(1))
+		return p.conn.Write(mysqlwire.OK(1))
 	case com == mysqlwire.ComStmtPrepare:
-		p.next++
-		p.stmts[p.next] = sql
-		return p.c.Write(mysqlwire.PrepareOK(p.next, sql))
+		p.lastStatementID++
+		p.statements[p.lastStatementID] = sql
+		return p.conn.Write(mysqlwire.PrepareOK(p.lastStatementID, sql))
 	case com == mysqlwire.ComStmtExecute && len(body) >= 5:
-		sql = p.stmts[binary.LittleEndian.Uint32(body[1:])]
+		sql = p.statements[binary.LittleEndian.Uint32(body[1:])]
 		if sql == "" {
-			return p.c.Write(mysqlwire.Error{Code: 1243, State: "HY000", Message: "unknown statement"}.Packet(1))
+			return p.conn.Write(mysqlwire.Error{Code: 1243, State: "HY000", Message: "unknown statement"}.Packet(1))
 		}
-		p.run(sql, true)
-	case com == mysqlwire.ComQuery && sql == Role:
-		primary, _, _ := p.d.state()
-		p.row(map[bool]string{true: "0", false: "1"}[primary])
-	case com == mysqlwire.ComQuery && sql == Applied:
-		_, position, _ := p.d.state()
-		p.row(fmt.Sprint(position))
+		p.execute(sql, true)
+	case com == mysqlwire.ComQuery && sql == RoleQuery:
+		primary, _, _ := p.db.state()
+		p.writeRow(map[bool]string{true: "0", false: "1"}[primary])
+	case com == mysqlwire.ComQuery && sql == PositionQuery:
+		_, position, _ := p.db.state()
+		p.writeRow(fmt.Sprint(position))
 	case com == mysqlwire.ComQuery:
-		p.run(sql, false)
+		p.execute(sql, false)
 	}
 	return nil
 }
 
-func (p *mysqlConn) row(v string) { _ = p.c.Write(mysqlwire.TextResult("payload", &v)) }
+func (p *mysqlConn) writeRow(v string) { _ = p.conn.Write(mysqlwire.TextResult("payload", &v)) }
 
-func (p *mysqlConn) run(sql string, binary bool) {
-	p.d.serve(sql, func(value string, v Verdict) {
+func (p *mysqlConn) execute(sql string, binary bool) {
+	p.db.serve(sql, func(value string, v Result) {
 		switch v {
 		case Served:
 			if binary {
-				_ = p.c.Write(mysqlwire.BinaryResult("payload", value))
+				_ = p.conn.Write(mysqlwire.BinaryResult("payload", value))
 				return
 			}
-			p.row(value)
-		case Down:
-			p.c.Close()
-		case Miss:
-			_ = p.c.Write(mysqlwire.Error{Code: 1290, State: "HY000", Message: "running with --read-only"}.Packet(1))
-		case Full:
-			_ = p.c.Write(mysqlwire.Error{Code: 1040, State: "08004", Message: "Too many connections"}.Packet(1))
+			p.writeRow(value)
+		case Unavailable:
+			p.conn.Close()
+		case NotPrimary:
+			_ = p.conn.Write(mysqlwire.Error{Code: 1290, State: "HY000", Message: "running with --read-only"}.Packet(1))
+		case Overloaded:
+			_ = p.conn.Write(mysqlwire.Error{Code: 1040, State: "08004", Message: "Too many connections"}.Packet(1))
 		}
 	})
 }
--- a/internal/experiment/trial/trial.go
+++ b/internal/experiment/trial/trial.go
@@ -219,8 +219,8 @@
 		r.Equal = a == b && b == c
 		return r.Equal
 	}))
-	r.LateDrains, r.HighestCold, r.Fell = dbs[drained].Report().LateDrain, dbs[cold].Report().Highest, dbs[cold].Report().Fell
-	r.MostRun = group.Ran()
+	r.LateDrains, r.HighestCold, r.Fell = dbs[drained].Report().AfterDrainGrace, dbs[cold].Report().PeakOverload, dbs[cold].Report().Crashed
+	r.MostRun = group.MaxExecutions()
 	return r, err
 }
 
--- a/internal/experiment/trial/trial_test.go
+++ b/internal/experiment/trial/trial_test.go
@@ -16,7 +16,7 @@
 func TestCutOffUnderLoad(t *testing.T) {
 	logrus.SetOutput(io.Discard)
 	limits := standin.DefaultLimits()
-	limits.ColdFor = 10 * time.Second // colder for less long: the daemon takes it to be cold for 16 s
+	limits.WarmUpTime = 10 * time.Second // colder for less long: the daemon takes it to be cold for 16 s
 	r, err := Run(Options{Clients: 4, Pause: 30 * time.Millisecond, Cut: 6 * time.Second, Leases: true, Limits: limits, Kill: true})
 	if err != nil {
 		t.Fatal(err)
