--- a/internal/experiment/standin/model.go
+++ b/internal/experiment/standin/model.go
@@ -4,69 +4,70 @@
 	"time"
 )
 
-// Limits are what a database can do. Times are in ns, capacity in requests a second.
+// Limits are the performance limits of a database. Capacity is in requests per second.
 type Limits struct {
 	Capacity        float64
-	ServiceTime     time.Duration // that one request takes when nothing else is there
-	ReplicationLag  time.Duration // of a replica
-	InitialCapacity float64       // of its capacity at the start
-	WarmUpTime      time.Duration
-	OverloadFactor  float64 // work over this multiple of the present capacity, ...
-	OverloadWindow  time.Duration
-	MaxInFlight     int           // requests beyond what it works on; more are turned away
-	DrainGrace      time.Duration // after the word of a drain
+	ServiceTime     time.Duration // time that one request takes on an idle database
+	ReplicationLag  time.Duration // how far a replica is behind the primary
+	InitialCapacity float64       // share of Capacity right after a start
+	WarmUpTime      time.Duration // time from a start until full capacity
+	OverloadFactor  float64       // a cold database crashes if arrivals exceed this multiple of its present capacity
+	OverloadWindow  time.Duration // period over which arrivals are counted for OverloadFactor
+	MaxInFlight     int           // requests accepted and not yet completed; more are rejected
+	DrainGrace      time.Duration // time after a drain notice in which requests may still arrive
 }
 
-// DefaultLimits are those of a small database.
+// DefaultLimits returns the limits of a small database.
 func DefaultLimits() Limits {
-	return Limits{Capacity: 400, ServiceTime: 2 * time.Millisecond, ReplicationLag: 5 * time.Millisecond, InitialCapacity: 0.15, WarmUpTime: 16 * time.Second,
-		OverloadFactor: 2.5, OverloadWindow: 1500 * time.Millisecond, MaxInFlight: 400, DrainGrace: 2 * time.Second}
+	return Limits{Capacity: 400, ServiceTime: 2 * time.Millisecond, ReplicationLag: 5 * time.Millisecond,
+		InitialCapacity: 0.15, WarmUpTime: 16 * time.Second, OverloadFactor: 2.5, OverloadWindow: 1500 * time.Millisecond,
+		MaxInFlight: 400, DrainGrace: 2 * time.Second}
 }
 
-// Result is what becomes of a request.
+// Result is the result of a request.
 type Result int
 
-// The verdicts.
+// Results of a request.
 const (
 	Served Result = iota
 	Overloaded
-	NotPrimary // a write, and this is no primary
+	NotPrimary // a write at a replica
 	Unavailable
 )
 
-// Report is what a database has seen since its start.
+// Report counts what a database has observed. A restart resets PeakOverload and Crashed.
 type Report struct {
 	Served, Overloaded int
-	AfterDrainGrace    int     // requests that came later than the grace after a drain
-	PeakOverload       float64 // share of what topples it that was asked of it while it was cold, 1: it fell
+	AfterDrainGrace    int     // requests that arrived after DrainGrace had passed since a drain
+	PeakOverload       float64 // largest ratio of arrivals to the overload limit while cold; above 1 the database crashes
 	Crashed            bool
 }
 
-// Model decides what a database does with a request. It reads no clock: times are Unix ns.
+// Model decides how a database handles requests. It reads no clock: callers pass the time in Unix ns.
 type Model struct {
 	Limits
 	Report
 	Primary bool
 
-	startedAt int64 // 0: warm
+	startedAt int64 // 0: warmed up
 	drainedAt int64
-	idleAt    int64 // when it has worked off all that it took
+	idleAt    int64 // when all accepted requests will be completed
 	inFlight  int
-	arrivals  []int64 // arrivals within FallFor, while it is cold
+	arrivals  []int64 // times of the arrivals within OverloadWindow, recorded while it is cold
 }
 
-// NewModel makes a warm one.
+// NewModel returns the model of a database that is warmed up.
 func NewModel(l Limits, primary bool) Model { return Model{Limits: l, Primary: primary} }
 
-// Start makes it cold.
+// Start models a restart: the database is cold again.
 func (m *Model) Start(now int64) {
 	m.startedAt, m.drainedAt, m.idleAt, m.arrivals, m.Crashed, m.PeakOverload = now, 0, now, nil, false, 0
 }
 
-// Drain notes that it is to get nothing new.
+// Drain records the time of a drain notice.
 func (m *Model) Drain(now int64) { m.drainedAt = now }
 
-// CapacityShare is the part of its capacity that it has now; it rises evenly.
+// CapacityShare returns the share of Capacity that is available now. It rises linearly during the warm-up.
 func (m *Model) CapacityShare(now int64) float64 {
 	if m.startedAt == 0 || now >= m.startedAt+int64(m.WarmUpTime) {
 		return 1
@@ -74,7 +75,7 @@
 	return m.InitialCapacity + (1-m.InitialCapacity)*float64(now-m.startedAt)/float64(m.WarmUpTime)
 }
 
-// Accept takes a request or turns it away, and tells how long it will take.
+// Accept accepts or rejects a request, and returns how long an accepted one takes.
 func (m *Model) Accept(now int64, write bool) (Result, time.Duration) {
 	if m.Crashed {
 		return Unavailable, 0
@@ -82,9 +83,9 @@
 	if m.drainedAt != 0 && now > m.drainedAt+int64(m.DrainGrace) {
 		m.AfterDrainGrace++
 	}
-	warmth := m.CapacityShare(now)
-	if warmth < 1 {
-		m.recordArrival(now, warmth)
+	share := m.CapacityShare(now)
+	if share < 1 {
+		m.recordArrival(now, share)
 	}
 	switch {
 	case m.Crashed:
@@ -96,23 +97,24 @@
 		return Overloaded, 0
 	}
 	m.inFlight++
-	each := int64(1e9 / (m.Capacity * warmth))
-	m.idleAt = max(m.idleAt, now) + each
+	perRequest := int64(1e9 / (m.Capacity * share))
+	m.idleAt = max(m.idleAt, now) + perRequest
 	return Served, time.Duration(max(m.idleAt-now, int64(m.ServiceTime)))
 }
 
-// recordArrival falls over once more has come within the window than the multiple of what it can do.
-func (m *Model) recordArrival(now int64, warmth float64) {
+// recordArrival records an arrival at a cold database. The database crashes once the arrivals within OverloadWindow
+// exceed OverloadFactor times what it can serve in that time.
+func (m *Model) recordArrival(now int64, share float64) {
 	m.arrivals = append(m.arrivals, now)
 	for len(m.arrivals) > 0 && m.arrivals[0] <= now-int64(m.OverloadWindow) {
 		m.arrivals = m.arrivals[1:]
 	}
-	most := m.OverloadFactor * warmth * m.Capacity * m.OverloadWindow.Seconds()
-	m.PeakOverload = max(m.PeakOverload, float64(len(m.arrivals))/most)
-	m.Crashed = float64(len(m.arrivals)) > most
+	limit := m.OverloadFactor * share * m.Capacity * m.OverloadWindow.Seconds()
+	m.PeakOverload = max(m.PeakOverload, float64(len(m.arrivals))/limit)
+	m.Crashed = float64(len(m.arrivals)) > limit
 }
 
-// Complete ends a request that was taken.
+// Complete ends an accepted request.
 func (m *Model) Complete(int64) Result {
 	m.inFlight--
 	if m.Crashed {
@@ -122,7 +124,7 @@
 	return Served
 }
 
-// Position is the instant up to which it has applied all.
+// Position returns the time up to which the database has applied all writes.
 func (m *Model) Position(now int64) int64 {
 	if m.Primary {
 		return now
@@ -130,5 +132,5 @@
 	return now - int64(m.ReplicationLag)
 }
 
-// InFlight is how many it holds.
+// InFlight returns the number of requests that were accepted and have not completed.
 func (m *Model) InFlight(int64) int { return m.inFlight }
--- a/internal/experiment/standin/standin.go
+++ b/internal/experiment/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin is small databases that behave like the real ones where it matters to a gateway: a primary and
-// replicas with a capacity, a cold start that warms, falling over when pushed, replication lag, hand-over of the role.
-// They speak the platform's protocol and MySQL's. What they decide lies in model.go, without sockets.
+// Package standin provides small databases that model the behavior that matters to a gateway: a primary and replicas
+// with limited capacity, a warm-up after a start, a crash under overload, replication lag and a change of the primary. They
+// speak the PostgreSQL and MySQL protocols. Their behavior is decided in model.go, which uses no sockets.
 package standin
 
 import (
@@ -12,16 +12,16 @@
 	"aspenshed/internal/protocol/sqlcomment"
 )
 
-// Protocol names what a database speaks.
+// Protocol is the wire protocol of a database.
 type Protocol string
 
-// The wires.
+// Supported protocols.
 const (
 	Postgres Protocol = "postgres"
 	MySQL    Protocol = "mysql"
 )
 
-// DB is one stand-in database on loopback.
+// DB is one stand-in database that listens on loopback.
 type DB struct {
 	ID       string
 	protocol Protocol
@@ -33,19 +33,19 @@
 	timers map[*time.Timer]bool
 }
 
-// Group is databases that hold the same data.
+// Group is a set of databases that hold the same data.
 type Group struct {
 	mu         sync.Mutex
 	rows       map[string]string
-	executions map[string]int // how often each write has run
+	executions map[string]int // number of executions of each write, by request id
 	dbs        []*DB
 }
 
-// NewGroup starts databases of one group; the first is its primary.
-func NewGroup(wire Protocol, cfg Limits, ids ...string) (*Group, error) {
+// NewGroup starts the databases of one group. The first is the primary.
+func NewGroup(protocol Protocol, limits Limits, ids ...string) (*Group, error) {
 	g := &Group{rows: map[string]string{}, executions: map[string]int{}}
 	for i, id := range ids {
-		if _, err := g.Add(wire, cfg, id, i == 0); err != nil {
+		if _, err := g.Add(protocol, limits, id, i == 0); err != nil {
 			g.Stop()
 			return nil, err
 		}
@@ -53,11 +53,11 @@
 	return g, nil
 }
 
-// Add starts one more.
-func (g *Group) Add(wire Protocol, cfg Limits, id string, primary bool) (*DB, error) {
-	d := &DB{ID: id, protocol: wire, group: g, model: NewModel(cfg, primary), timers: map[*time.Timer]bool{}}
+// Add starts another database of the group.
+func (g *Group) Add(protocol Protocol, limits Limits, id string, primary bool) (*DB, error) {
+	d := &DB{ID: id, protocol: protocol, group: g, model: NewModel(limits, primary), timers: map[*time.Timer]bool{}}
 	n, err := netio.New(netio.Config{Name: id, Listen: "127.0.0.1:0", MaxClients: 1000, Accept: func(c *netio.Conn) netio.Handler {
-		if wire == MySQL {
+		if protocol == MySQL {
 			return newMySQLConn(d, c)
 		}
 		return newPostgresConn(d, c)
@@ -72,64 +72,64 @@
 	return d, nil
 }
 
-// DBs are all of them.
+// DBs returns the databases of the group.
 func (g *Group) DBs() []*DB {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]*DB(nil), g.dbs...)
 }
 
-// MaxExecutions is how often the most repeated write has run.
-func (g *Group) MaxExecutions() (most int) {
+// MaxExecutions returns the largest number of executions of one write.
+func (g *Group) MaxExecutions() (highest int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, n := range g.executions {
-		most = max(most, n)
+		highest = max(highest, n)
 	}
-	return most
+	return highest
 }
 
-// Promote makes another database the primary.
-func (g *Group) Promote(to string) {
+// Promote makes the database with the given ID the only primary.
+func (g *Group) Promote(id string) {
 	for _, d := range g.DBs() {
 		d.mu.Lock()
-		d.model.Primary = d.ID == to
+		d.model.Primary = d.ID == id
 		d.mu.Unlock()
 	}
 }
 
-// Stop ends all.
+// Stop stops all databases of the group.
 func (g *Group) Stop() {
 	for _, d := range g.DBs() {
 		d.Stop()
 	}
 }
 
-// Address is where it listens.
+// Address returns the address that the database listens on.
 func (d *DB) Address() string { return d.net.Addr() }
 
-// Restart makes it cold, as after a start.
+// Restart resets the model to a cold start. Connections stay open.
 func (d *DB) Restart() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.model.Start(time.Now().UnixNano())
 }
 
-// Drain notes from when on nothing new may come; Seen counts what comes later than the grace.
+// Drain records a drain notice. Requests that arrive after the grace period count in Report.AfterDrainGrace.
 func (d *DB) Drain() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.model.Drain(time.Now().UnixNano())
 }
 
-// Report is what a database has seen.
+// Report returns what the database has observed.
 func (d *DB) Report() Report {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.model.Report
 }
 
-// Stop ends it at once.
+// Stop stops the database at once.
 func (d *DB) Stop() {
 	d.net.Stop()
 	d.mu.Lock()
@@ -139,43 +139,43 @@
 	}
 }
 
-// serve takes one statement; answer is called once, later, with what became of it.
-func (d *DB) serve(sql string, answer func(value string, v Result)) {
-	tag, _ := sqlcomment.Parse(sql)
-	write := tag.Fields["c"] == "order"
+// serve handles one statement. It calls respond once, at once or later, with the result.
+func (d *DB) serve(sql string, respond func(value string, result Result)) {
+	statement, _ := sqlcomment.Parse(sql)
+	write := statement.Fields["c"] == "order"
 	now := time.Now().UnixNano()
 	d.mu.Lock()
-	v, took := d.model.Accept(now, write)
-	if v != Served {
+	result, duration := d.model.Accept(now, write)
+	if result != Served {
 		d.mu.Unlock()
-		answer("", v)
+		respond("", result)
 		return
 	}
 	var t *time.Timer
-	t = time.AfterFunc(took, func() {
+	t = time.AfterFunc(duration, func() {
 		d.mu.Lock()
 		delete(d.timers, t)
-		v := d.model.Complete(time.Now().UnixNano())
+		result := d.model.Complete(time.Now().UnixNano())
 		d.mu.Unlock()
-		value := d.group.execute(tag, write)
-		answer(value, v)
+		value := d.group.execute(statement, write)
+		respond(value, result)
 	})
 	d.timers[t] = true
 	d.mu.Unlock()
 }
 
-func (g *Group) execute(tag sqlcomment.Statement, write bool) string {
+func (g *Group) execute(statement sqlcomment.Statement, write bool) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	id := tag.Fields["id"]
+	id := statement.Fields["id"]
 	if write && id != "" && len(g.executions) < 1<<20 {
 		g.executions[id]++
 	}
 	return fmt.Sprintf("%s by its database", id)
 }
 
-// state is role, position in Unix ms, and how many wait.
-func (d *DB) state() (primary bool, position int64, waiting int) {
+// state returns the role, the position in Unix ms, and the number of requests in flight.
+func (d *DB) state() (primary bool, position int64, inFlight int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now().UnixNano()
--- a/internal/experiment/standin/wires.go
+++ b/internal/experiment/standin/wires.go
@@ -10,7 +10,7 @@
 	"aspenshed/internal/protocol/pgwire"
 )
 
-// postgresConn is one connection that speaks the platform's protocol.
+// postgresConn is one connection that speaks the PostgreSQL protocol.
 type postgresConn struct {
 	db     *DB
 	conn   *netio.Conn
@@ -44,17 +44,17 @@
 	case strings.TrimSpace(sql) == "":
 		return p.conn.Write(pgwire.AppendReadyForQuery(pgwire.AppendMessage(nil, 'I')))
 	case sql == "SHOW health":
-		primary, position, waiting := p.db.state()
+		primary, position, inFlight := p.db.state()
 		x1 := 0
 		if primary {
 			x1 = 1
 		}
-		p.write(pgRow(fmt.Sprintf("x0=%d.%03d,x1=%d,queue=%d", position/1000, position%1000, x1, waiting)))
+		p.write(postgresRow(fmt.Sprintf("x0=%d.%03d,x1=%d,queue=%d", position/1000, position%1000, x1, inFlight)))
 	default:
-		p.db.serve(sql, func(value string, v Result) {
-			switch v {
+		p.db.serve(sql, func(value string, result Result) {
+			switch result {
 			case Served:
-				p.write(pgRow(value))
+				p.write(postgresRow(value))
 			case Unavailable:
 				p.conn.Close()
 			case NotPrimary:
@@ -75,16 +75,16 @@
 	}
 	b = pgwire.AppendMessage(b, 'S', "recovery\x00", role, "\x00")
 	b = pgwire.AppendMessage(b, 'S', "lsn_ms\x00", fmt.Sprint(position), "\x00")
-	_ = p.conn.Write(pgwire.AppendReadyForQuery(b)) // whom a close has reached needs no answer
+	_ = p.conn.Write(pgwire.AppendReadyForQuery(b)) // fails if the connection is closed; then no response is needed
 }
 
-func pgRow(v string) []byte {
+func postgresRow(v string) []byte {
 	b := pgwire.AppendMessage(nil, 'T', "\x00\x01payload\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x11\xff\xff\xff\xff\xff\xff\x00\x01")
 	b = pgwire.AppendMessage(b, 'D', "\x00\x01", string(binary.BigEndian.AppendUint32(nil, uint32(len(v)))), v)
 	return pgwire.AppendMessage(b, 'C', "SELECT 1\x00")
 }
 
-// The account that the stand-ins know, and the queries that tell role and position.
+// The account that MySQL stand-ins accept, and the queries that they answer with role and position.
 const (
 	User          = "gateway"
 	Password      = "standin"
@@ -94,7 +94,7 @@
 
 var challenge = []byte("12345678abcdefghijkl")
 
-// mysqlConn is one connection that speaks MySQL's protocol.
+// mysqlConn is one connection that speaks the MySQL protocol.
 type mysqlConn struct {
 	db              *DB
 	conn            *netio.Conn
@@ -129,26 +129,26 @@
 		return mysqlwire.ErrMalformed
 	}
 	sql := string(body[1:])
-	switch com := body[0]; {
-	case com == mysqlwire.ComPing:
+	switch command := body[0]; {
+	case command == mysqlwire.ComPing:
 		return p.conn.Write(mysqlwire.OK(1))
-	case com == mysqlwire.ComStmtPrepare:
+	case command == mysqlwire.ComStmtPrepare:
 		p.lastStatementID++
 		p.statements[p.lastStatementID] = sql
 		return p.conn.Write(mysqlwire.PrepareOK(p.lastStatementID, sql))
-	case com == mysqlwire.ComStmtExecute && len(body) >= 5:
+	case command == mysqlwire.ComStmtExecute && len(body) >= 5:
 		sql = p.statements[binary.LittleEndian.Uint32(body[1:])]
 		if sql == "" {
 			return p.conn.Write(mysqlwire.Error{Code: 1243, State: "HY000", Message: "unknown statement"}.Packet(1))
 		}
 		p.execute(sql, true)
-	case com == mysqlwire.ComQuery && sql == RoleQuery:
+	case command == mysqlwire.ComQuery && sql == RoleQuery:
 		primary, _, _ := p.db.state()
 		p.writeRow(map[bool]string{true: "0", false: "1"}[primary])
-	case com == mysqlwire.ComQuery && sql == PositionQuery:
+	case command == mysqlwire.ComQuery && sql == PositionQuery:
 		_, position, _ := p.db.state()
 		p.writeRow(fmt.Sprint(position))
-	case com == mysqlwire.ComQuery:
+	case command == mysqlwire.ComQuery:
 		p.execute(sql, false)
 	}
 	return nil
@@ -157,8 +157,8 @@
 func (p *mysqlConn) writeRow(v string) { _ = p.conn.Write(mysqlwire.TextResult("payload", &v)) }
 
 func (p *mysqlConn) execute(sql string, binary bool) {
-	p.db.serve(sql, func(value string, v Result) {
-		switch v {
+	p.db.serve(sql, func(value string, result Result) {
+		switch result {
 		case Served:
 			if binary {
 				_ = p.conn.Write(mysqlwire.BinaryResult("payload", value))
