--- a/cmd/aspenshed/experiment.go
+++ b/cmd/aspenshed/experiment.go
@@ -40,9 +40,9 @@
 	f := c.Flags()
 	f.IntVar(&t.Clients, "clients", 4, "clients of each instance, 1 to 200")
 	f.DurationVar(&t.Pause, "pause", 30*time.Millisecond, "of a client between two requests")
-	f.DurationVar(&t.Cut, "cut", time.Minute, "how long one instance is cut off")
+	f.DurationVar(&t.PartitionTime, "cut", time.Minute, "how long one instance is cut off")
 	f.BoolVar(&t.Leases, "leases", true, "share a cold database's capacity by leases")
-	f.BoolVar(&t.Clocks, "clocks", false, "instances' clocks run 5% slow, right and 5% fast")
+	f.BoolVar(&t.SkewClocks, "clocks", false, "instances' clocks run 5% slow, right and 5% fast")
 	f.BoolVar(&t.Kill, "kill", true, "kill an instance, too, and start it again")
 	return c
 }
@@ -53,12 +53,12 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			logrus.SetLevel(logrus.ErrorLevel)
 			rows, err := trial.MeasureStore(b)
-			return errors.Join(printRows(c, o, rows, table{"figure", "value", "unit"}, func(r trial.Figure) []any { return []any{r.Name, fmt.Sprintf("%.3g", r.Value), r.Unit} }), err)
+			return errors.Join(printRows(c, o, rows, table{"figure", "value", "unit"}, func(r trial.Measurement) []any { return []any{r.Name, fmt.Sprintf("%.3g", r.Value), r.Unit} }), err)
 		}}
 	f := c.Flags()
 	f.IntVar(&b.Writes, "writes", 2000, "whose latency is measured")
 	f.IntVar(&b.Failovers, "failovers", 5, "leaders that are killed")
-	f.IntVar(&b.Replaced, "replaced", 100000, "members that come and go")
-	f.IntVar(&b.Members, "members", 10000, "of the catalog that an instance restarts with")
+	f.IntVar(&b.ReplacedMembers, "replaced", 100000, "members that come and go")
+	f.IntVar(&b.RestartMembers, "members", 10000, "of the catalog that an instance restarts with")
 	return c
 }
--- a/internal/experiment/trial/trial.go
+++ b/internal/experiment/trial/trial.go
@@ -27,23 +27,23 @@
 
 // Options of a trial.
 type Options struct {
-	Clients int           // of each instance
-	Pause   time.Duration // of a client between two requests
-	Cut     time.Duration // how long one instance is cut off
-	Leases  bool
-	Limits  standin.Limits
-	Kill    bool // kill an instance, too, and start it again
-	Clocks  bool // that run 5% slow, 5% fast and right
+	Clients       int           // of each instance
+	Pause         time.Duration // of a client between two requests
+	PartitionTime time.Duration // how long one instance is cut off
+	Leases        bool
+	Limits        standin.Limits
+	Kill          bool // kill an instance, too, and start it again
+	SkewClocks    bool // that run 5% slow, 5% fast and right
 }
 
-// skewed is a clock that runs at a rate of its own.
-type skewed struct {
-	zero time.Time
-	rate float64
+// skewedClock is a clock that runs at a rate of its own.
+type skewedClock struct {
+	start time.Time
+	rate  float64
 }
 
-func (c skewed) Now() aspenshed.Nanos {
-	return aspenshed.Nanos(c.zero.UnixNano() + int64(c.rate*float64(time.Since(c.zero))))
+func (c skewedClock) Now() aspenshed.Nanos {
+	return aspenshed.Nanos(c.start.UnixNano() + int64(c.rate*float64(time.Since(c.start))))
 }
 
 // Report is what came of it.
@@ -61,33 +61,33 @@
 	Modes                   []string      // at the end of the cut
 }
 
-// cuts is the network between the instances.
-type cuts struct {
-	mu    sync.Mutex
-	off   map[int]bool
-	trans []*raft.InmemTransport
+// partitionedNetwork is the network between the instances.
+type partitionedNetwork struct {
+	mu         sync.Mutex
+	isolated   map[int]bool
+	transports []*raft.InmemTransport
 }
 
-func (c *cuts) between(a, b int) bool {
+func (c *partitionedNetwork) separated(a, b int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.off[a] != c.off[b]
+	return c.isolated[a] != c.isolated[b]
 }
 
-func (c *cuts) set(i int, off bool) {
+func (c *partitionedNetwork) setIsolated(i int, off bool) {
 	c.mu.Lock()
-	c.off[i] = off
+	c.isolated[i] = off
 	c.mu.Unlock()
-	c.wire()
+	c.applyPartition()
 }
 
-func (c *cuts) wire() {
-	for i, x := range c.trans {
-		for j, y := range c.trans {
+func (c *partitionedNetwork) applyPartition() {
+	for i, x := range c.transports {
+		for j, y := range c.transports {
 			if i == j || x == nil || y == nil {
 				continue
 			}
-			if c.between(i, j) {
+			if c.separated(i, j) {
 				x.Disconnect(y.LocalAddr())
 			} else {
 				x.Connect(y.LocalAddr(), y)
@@ -96,31 +96,31 @@
 	}
 }
 
-// seam puts an instance on the network that is cut.
-func (c *cuts) seam(i int, cfg *store.Config) {
+// attach puts an instance on the network that is cut.
+func (c *partitionedNetwork) attach(i int, cfg *store.Config) {
 	_, t := raft.NewInmemTransport(raft.ServerAddress(cfg.Address))
-	for len(c.trans) <= i {
-		c.trans = append(c.trans, nil)
+	for len(c.transports) <= i {
+		c.transports = append(c.transports, nil)
 	}
-	c.trans[i] = t
+	c.transports[i] = t
 	cfg.Transport = t
 	peers := cfg.Peers
 	cfg.WrapCaller = func(next store.Caller) store.Caller {
-		return caller(func(service string, x *pb.Call, limit time.Duration) (*pb.Reply, error) {
+		return callerFunc(func(service string, x *pb.Call, limit time.Duration) (*pb.Reply, error) {
 			for j, p := range peers {
-				if p.Service == service && c.between(i, j) {
+				if p.Service == service && c.separated(i, j) {
 					return nil, store.ErrUnavailable
 				}
 			}
 			return next.Call(service, x, limit)
 		})
 	}
-	c.wire()
+	c.applyPartition()
 }
 
-type caller func(string, *pb.Call, time.Duration) (*pb.Reply, error)
+type callerFunc func(string, *pb.Call, time.Duration) (*pb.Reply, error)
 
-func (f caller) Call(service string, c *pb.Call, limit time.Duration) (*pb.Reply, error) {
+func (f callerFunc) Call(service string, c *pb.Call, limit time.Duration) (*pb.Reply, error) {
 	return f(service, c, limit)
 }
 
@@ -131,22 +131,24 @@
 		return r, err
 	}
 	defer os.RemoveAll(dir)
-	net := &cuts{off: map[int]bool{}}
-	opts := daemon.DemoOptions{Instances: 3, Limits: o.Limits, StoreHook: net.seam}
+	net := &partitionedNetwork{isolated: map[int]bool{}}
+	opts := daemon.DemoOptions{Instances: 3, Limits: o.Limits, StoreHook: net.attach}
 	if !o.Leases {
 		opts.EditConfig = func(text string) string {
 			return strings.Replace(text, "  cluster:", "  no_leases: true\n  cluster:", 1)
 		}
 	}
-	if o.Clocks {
-		opts.Clock = func(i int) eventloop.Clock { return skewed{time.Now(), 0.95 + 0.05*float64(i)} }
+	if o.SkewClocks {
+		opts.Clock = func(i int) eventloop.Clock { return skewedClock{time.Now(), 0.95 + 0.05*float64(i)} }
 	}
 	d, err := daemon.NewDemo(dir, opts)
 	if err != nil {
 		return r, err
 	}
 	defer func() { err = errors.Join(err, d.Stop()) }()
-	if err := until("members at all instances", func() bool { return len(members(d, 0)) == 6 && len(members(d, 1)) == 6 && len(members(d, 2)) == 6 }); err != nil {
+	if err := waitUntil("members at all instances", func() bool {
+		return len(instanceMembers(d, 0)) == 6 && len(instanceMembers(d, 1)) == 6 && len(instanceMembers(d, 2)) == 6
+	}); err != nil {
 		return r, err
 	}
 	group := d.Databases["postgres"]
@@ -155,7 +157,7 @@
 	time.Sleep(2 * time.Second) // what warm members answer has to be learned first
 	const drained, cold = 1, 2
 	cut := -1 // the old leader, on the small side
-	if err := until("a leader", func() bool {
+	if err := waitUntil("a leader", func() bool {
 		for i, x := range d.Instances {
 			if x.Store.Mode() == mode.Leading {
 				cut = i
@@ -168,7 +170,7 @@
 	stays, killed := (cut+1)%3, (cut+2)%3
 	admin := d.Deploys[stays].Admin.Socket
 	began := time.Now()
-	net.set(cut, true)
+	net.setIsolated(cut, true)
 	// The drain is agreed on while the old leader is cut off; that one hears it from its own list only, and the others'
 	// lists still say in_service. It counts as told once it is agreed on: the leader has just been lost.
 	if _, err := daemon.CallAdmin(admin, daemon.AdminRequest{Command: "drain", Key: dbs[drained].ID}); err != nil {
@@ -187,24 +189,24 @@
 	}
 	d.Instances[cut].RunOnLoop(func() { d.Instances[cut].Front(daemon.WirePostgres).NotifyStarted(dbs[cold].ID, start) })
 	if o.Kill {
-		time.Sleep(o.Cut / 3)
+		time.Sleep(o.PartitionTime / 3)
 		if err := d.Instances[killed].Kill(); err != nil {
 			return r, err
 		}
 		if err := d.Start(killed); err != nil {
 			return r, err
 		}
-		l.moved(killed, d)
+		l.updateAddress(killed, d)
 	}
-	time.Sleep(time.Until(began.Add(o.Cut)))
+	time.Sleep(time.Until(began.Add(o.PartitionTime)))
 	r.Cut = cut
 	for _, x := range d.Instances {
 		r.Modes = append(r.Modes, x.Store.Mode().String())
 	}
-	net.set(cut, false)
-	err = until("the agreed warmth", func() bool {
+	net.setIsolated(cut, false)
+	err = waitUntil("the agreed warmth", func() bool {
 		for i := range d.Instances {
-			for _, m := range members(d, i) {
+			for _, m := range instanceMembers(d, i) {
 				if m.ID == dbs[cold].ID && m.Warmth != "warm" {
 					return false
 				}
@@ -214,7 +216,7 @@
 	})
 	r.WarmAfter = time.Since(start)
 	l.stop(&r)
-	err = errors.Join(err, until("equal catalogs", func() bool {
+	err = errors.Join(err, waitUntil("equal catalogs", func() bool {
 		a, b, c := d.Instances[0].Store.Status().Digest, d.Instances[1].Store.Status().Digest, d.Instances[2].Store.Status().Digest
 		r.Equal = a == b && b == c
 		return r.Equal
@@ -224,9 +226,9 @@
 	return r, err
 }
 
-func members(d *daemon.Demo, i int) []daemon.Member { return d.Instances[i].Members() }
+func instanceMembers(d *daemon.Demo, i int) []daemon.Member { return d.Instances[i].Members() }
 
-func until(what string, ok func() bool) error {
+func waitUntil(what string, ok func() bool) error {
 	for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			return fmt.Errorf("never came: %s", what)
@@ -235,58 +237,58 @@
 	return nil
 }
 
-// load is clients that ask one request after another.
-type load struct {
-	net     *netio.Net
-	quit    atomic.Bool
-	wg      sync.WaitGroup
-	began   time.Time
-	ids     atomic.Int64
-	address [3]atomic.Pointer[string]
+// loadGenerator is clients that ask one request after another.
+type loadGenerator struct {
+	net       *netio.Net
+	stopped   atomic.Bool
+	wg        sync.WaitGroup
+	startedAt time.Time
+	lastID    atomic.Int64
+	addresses [3]atomic.Pointer[string]
 
-	counts pgclient.Counts
-	mu     sync.Mutex
-	last   [3]time.Time
-	gap    [3]time.Duration
+	counts     pgclient.Counts
+	mu         sync.Mutex
+	lastServed [3]time.Time
+	longestGap [3]time.Duration
 }
 
-func startLoad(d *daemon.Demo, o Options) *load {
+func startLoad(d *daemon.Demo, o Options) *loadGenerator {
 	n, _ := netio.New(netio.Config{Name: "load", MaxDials: 4096})
-	l := &load{net: n, began: time.Now()}
+	l := &loadGenerator{net: n, startedAt: time.Now()}
 	for i := range d.Instances {
-		l.moved(i, d)
-		l.last[i] = time.Now()
+		l.updateAddress(i, d)
+		l.lastServed[i] = time.Now()
 		for k := range o.Clients {
 			l.wg.Add(1)
-			go l.client(i, k, o.Pause)
+			go l.runClient(i, k, o.Pause)
 		}
 	}
 	return l
 }
 
-// moved has an instance's clients use its present address.
-func (l *load) moved(i int, d *daemon.Demo) {
+// updateAddress has an instance's clients use its present address.
+func (l *loadGenerator) updateAddress(i int, d *daemon.Demo) {
 	a := d.Instances[i].Front(daemon.WirePostgres).Net.Addr()
-	l.address[i].Store(&a)
+	l.addresses[i].Store(&a)
 }
 
-func (l *load) stop(r *Report) {
-	l.quit.Store(true)
+func (l *loadGenerator) stop(r *Report) {
+	l.stopped.Store(true)
 	l.wg.Wait()
 	l.net.Stop()
 	r.Served, r.Refused, r.Failed = l.counts.Served.Load(), l.counts.Refused.Load(), l.counts.Failed.Load()
-	r.PerSecond = float64(r.Served) / time.Since(l.began).Seconds()
-	r.LongestGap = append(r.LongestGap, l.gap[:]...)
+	r.PerSecond = float64(r.Served) / time.Since(l.startedAt).Seconds()
+	r.LongestGap = append(r.LongestGap, l.longestGap[:]...)
 }
 
-func (l *load) client(i, k int, pause time.Duration) {
+func (l *loadGenerator) runClient(i, k int, pause time.Duration) {
 	defer l.wg.Done()
 	var c *pgclient.Client
-	for n := 0; !l.quit.Load(); n++ {
+	for n := 0; !l.stopped.Load(); n++ {
 		time.Sleep(pause) // a pace, not an order
 		if c == nil {
 			var err error
-			if c, err = pgclient.Dial(l.net, *l.address[i].Load()); err != nil {
+			if c, err = pgclient.Dial(l.net, *l.addresses[i].Load()); err != nil {
 				c = nil
 				continue
 			}
@@ -298,10 +300,10 @@
 		case 2, 3, 4, 5:
 			class = "report"
 		}
-		id := l.ids.Add(1)
+		id := l.lastID.Add(1)
 		code, err := c.Query(fmt.Sprintf(verb, id%100, id, class))
 		if l.counts.Add(code, err) {
-			l.mark(i)
+			l.recordServed(i)
 		}
 		if err != nil { // the connection ended
 			c = nil
@@ -309,10 +311,10 @@
 	}
 }
 
-func (l *load) mark(i int) {
+func (l *loadGenerator) recordServed(i int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	l.gap[i] = max(l.gap[i], now.Sub(l.last[i]))
-	l.last[i] = now
+	l.longestGap[i] = max(l.longestGap[i], now.Sub(l.lastServed[i]))
+	l.lastServed[i] = now
 }
--- a/internal/experiment/trial/trial_test.go
+++ b/internal/experiment/trial/trial_test.go
@@ -13,11 +13,11 @@
 // Three instances under load; the leader is cut off while a drain is agreed on that its own older list does not name at the
 // others, and while a database starts cold; another is killed and comes back. All are served all along, the drain
 // holds, nobody pushes the cold one over, and the catalogs end equal.
-func TestCutOffUnderLoad(t *testing.T) {
+func TestLeaderPartitionUnderLoad(t *testing.T) {
 	logrus.SetOutput(io.Discard)
 	limits := standin.DefaultLimits()
 	limits.WarmUpTime = 10 * time.Second // colder for less long: the daemon takes it to be cold for 16 s
-	r, err := Run(Options{Clients: 4, Pause: 30 * time.Millisecond, Cut: 6 * time.Second, Leases: true, Limits: limits, Kill: true})
+	r, err := Run(Options{Clients: 4, Pause: 30 * time.Millisecond, PartitionTime: 6 * time.Second, Leases: true, Limits: limits, Kill: true})
 	if err != nil {
 		t.Fatal(err)
 	}
