--- a/internal/experiment/trial/store.go
+++ b/internal/experiment/trial/store.go
@@ -17,40 +17,40 @@
 	"aspenshed/internal/daemon"
 )
 
-// StoreOptions say how much is measured.
+// StoreOptions are the numbers of operations and members that MeasureStore measures with.
 type StoreOptions struct{ Writes, Failovers, ReplacedMembers, RestartMembers int }
 
-// Measurement is one result.
+// Measurement is one measured value.
 type Measurement struct {
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
 }
 
-// storeCluster is three instances of the store with real disks, in one process.
+// storeCluster is three instances of the store in one process, with their data on disk.
 type storeCluster struct {
 	configs    []store.Config
 	instances  []*store.Store
 	transports []*raft.InmemTransport
 }
 
-func (x *storeCluster) open(i int) (err error) {
-	_, t := raft.NewInmemTransport(raft.ServerAddress(x.configs[i].Address))
-	x.transports[i], x.configs[i].Transport = t, t
-	for j, o := range x.transports {
+func (cluster *storeCluster) open(i int) (err error) {
+	_, t := raft.NewInmemTransport(raft.ServerAddress(cluster.configs[i].Address))
+	cluster.transports[i], cluster.configs[i].Transport = t, t
+	for j, o := range cluster.transports {
 		if o != nil && j != i {
 			o.Connect(t.LocalAddr(), t)
 			t.Connect(o.LocalAddr(), o)
 		}
 	}
-	x.instances[i], err = store.Open(x.configs[i])
+	cluster.instances[i], err = store.Open(cluster.configs[i])
 	return err
 }
 
-func (x *storeCluster) leader() (at int, err error) {
+func (cluster *storeCluster) leader() (at int, err error) {
 	at = -1
 	err = waitUntil("a leader", func() bool {
-		for i, s := range x.instances {
+		for i, s := range cluster.instances {
 			if s != nil && s.Mode() == mode.Leading {
 				at = i
 			}
@@ -60,8 +60,8 @@
 	return at, err
 }
 
-func (x *storeCluster) stop() (err error) {
-	for _, s := range x.instances {
+func (cluster *storeCluster) stop() (err error) {
+	for _, s := range cluster.instances {
 		if s != nil {
 			err = errors.Join(err, s.Close())
 		}
@@ -69,14 +69,14 @@
 	return err
 }
 
-// MeasureStore measures the store by itself: with the default time-outs, on this machine's disk.
-func MeasureStore(o StoreOptions) (out []Measurement, err error) {
+// MeasureStore measures the store without gateways, with the default timeouts, on this machine's disk.
+func MeasureStore(o StoreOptions) (results []Measurement, err error) {
 	dir, err := os.MkdirTemp("", "store-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	x := &storeCluster{instances: make([]*store.Store, 3), transports: make([]*raft.InmemTransport, 3)}
+	cluster := &storeCluster{instances: make([]*store.Store, 3), transports: make([]*raft.InmemTransport, 3)}
 	var peers []store.Peer
 	for i := range 3 {
 		service, err := daemon.FreeAddress()
@@ -86,91 +86,95 @@
 		peers = append(peers, store.Peer{ID: fmt.Sprint(i), Address: fmt.Sprint("r", i), Service: service})
 	}
 	for i, p := range peers {
-		x.configs = append(x.configs, store.Config{Cluster: "measured", ID: p.ID, Address: p.Address, Service: p.Service, Peers: peers,
+		cluster.configs = append(cluster.configs, store.Config{Cluster: "measured", ID: p.ID, Address: p.Address, Service: p.Service, Peers: peers,
 			DataDir: filepath.Join(dir, p.ID)})
-		if err := x.open(i); err != nil {
+		if err := cluster.open(i); err != nil {
 			return nil, err
 		}
 	}
-	defer func() { err = errors.Join(err, x.stop()) }()
-	add := func(name string, v float64, unit string) { out = append(out, Measurement{name, v, unit}) }
-	lead, err := x.leader()
+	defer func() { err = errors.Join(err, cluster.stop()) }()
+	add := func(name string, v float64, unit string) { results = append(results, Measurement{name, v, unit}) }
+	lead, err := cluster.leader()
 	if err != nil {
-		return out, err
+		return results, err
 	}
 	for what, i := range map[string]int{"leader": lead, "follower": (lead + 1) % 3} {
 		h := hdrhistogram.New(1, 60e6, 3)
 		for n := range o.Writes {
-			begin := time.Now()
-			if _, err := x.instances[i].Submit(setCommand(fmt.Sprint(n%100)), 10*time.Second); err != nil {
-				return out, err
+			start := time.Now()
+			if _, err := cluster.instances[i].Submit(setCommand(fmt.Sprint(n%100)), 10*time.Second); err != nil {
+				return results, err
 			}
-			_ = h.RecordValue(time.Since(begin).Microseconds())
+			_ = h.RecordValue(time.Since(start).Microseconds())
 		}
 		add("write at the "+what+", p50", float64(h.ValueAtQuantile(50))/1e3, "ms")
 		add("write at the "+what+", p99", float64(h.ValueAtQuantile(99))/1e3, "ms")
 	}
 	h := hdrhistogram.New(1, 60e6, 3)
 	for range o.Failovers {
-		if lead, err = x.leader(); err != nil {
-			return out, err
+		if lead, err = cluster.leader(); err != nil {
+			return results, err
 		}
-		other := x.instances[(lead+1)%3]
-		for j, t := range x.transports {
+		other := cluster.instances[(lead+1)%3]
+		for j, t := range cluster.transports {
 			if j != lead {
-				t.Disconnect(x.transports[lead].LocalAddr())
+				t.Disconnect(cluster.transports[lead].LocalAddr())
 			}
 		}
-		begin := time.Now()
-		if err := x.instances[lead].Close(); err != nil {
-			return out, err
+		start := time.Now()
+		if err := cluster.instances[lead].Close(); err != nil {
+			return results, err
 		}
-		x.instances[lead] = nil
+		cluster.instances[lead] = nil
 		for done := false; !done; {
 			_, err := other.Submit(setCommand("after"), 20*time.Second)
 			done = err == nil
 		}
-		_ = h.RecordValue(time.Since(begin).Microseconds())
-		if err := x.open(lead); err != nil {
-			return out, err
+		_ = h.RecordValue(time.Since(start).Microseconds())
+		if err := cluster.open(lead); err != nil {
+			return results, err
 		}
-		if err := waitUntil("its coming back", func() bool { return x.instances[lead].Mode() == mode.Following }); err != nil {
-			return out, err
+		if err := waitUntil("the restarted instance to follow", func() bool {
+			return cluster.instances[lead].Mode() == mode.Following
+		}); err != nil {
+			return results, err
 		}
 	}
 	add("from a leader's end to the next write, median", float64(h.ValueAtQuantile(50))/1e6, "s")
 	add("from a leader's end to the next write, longest", float64(h.Max())/1e6, "s")
 	add("catalog after 1,000 replaced members", float64(catalogSizeAfter(1000)), "bytes")
 	add(fmt.Sprintf("catalog after %d replaced members", o.ReplacedMembers), float64(catalogSizeAfter(o.ReplacedMembers)), "bytes")
-	big := &pb.PutInventory{}
-	if lead, err = x.leader(); err != nil {
-		return out, err
+	inventory := &pb.PutInventory{}
+	if lead, err = cluster.leader(); err != nil {
+		return results, err
 	}
-	x.instances[lead].Read(func(c *catalog.Catalog) { big.Base = c.InventoryVersion() })
+	cluster.instances[lead].Read(func(c *catalog.Catalog) { inventory.Base = c.InventoryVersion() })
 	for i := range o.RestartMembers {
-		big.Members = append(big.Members, inventoryEntry(i))
+		inventory.Members = append(inventory.Members, inventoryEntry(i))
 	}
-	r, err := x.instances[lead].Submit(&pb.Command{Body: &pb.Command_PutInventory{PutInventory: big}}, 30*time.Second)
+	r, err := cluster.instances[lead].Submit(&pb.Command{Body: &pb.Command_PutInventory{PutInventory: inventory}}, 30*time.Second)
 	if err != nil || r.Refused != "" {
-		return out, fmt.Errorf("inventory: %v %v", r, err)
+		return results, fmt.Errorf("inventory: %v %v", r, err)
 	}
 	i := (lead + 1) % 3
-	if err := waitUntil("the inventory everywhere", func() bool { return x.instances[i].Status().Inventory == big.Base+1 }); err != nil {
-		return out, err
+	if err := waitUntil("the inventory at the instance to be restarted", func() bool {
+		return cluster.instances[i].Status().Inventory == inventory.Base+1
+	}); err != nil {
+		return results, err
 	}
-	if err := x.instances[i].Close(); err != nil {
-		return out, err
+	if err := cluster.instances[i].Close(); err != nil {
+		return results, err
 	}
-	x.instances[i] = nil
-	begin := time.Now()
-	if err := x.open(i); err != nil {
-		return out, err
+	cluster.instances[i] = nil
+	start := time.Now()
+	if err := cluster.open(i); err != nil {
+		return results, err
 	}
-	opened := time.Since(begin)
-	err = waitUntil("the members", func() bool { return x.instances[i].Status().Counts["members"] == o.RestartMembers })
+	opened := time.Since(start)
+	err = waitUntil("the members", func() bool { return cluster.instances[i].Status().Counts["members"] == o.RestartMembers })
 	add(fmt.Sprintf("restart from disk with %d members: open", o.RestartMembers), opened.Seconds(), "s")
-	add(fmt.Sprintf("restart from disk with %d members: all there", o.RestartMembers), time.Since(begin).Seconds(), "s")
-	return out, err
+	add(fmt.Sprintf("restart from disk with %d members: all there", o.RestartMembers), time.Since(start).Seconds(), "s")
+	return results, err
 }
 
 func setCommand(key string) *pb.Command {
@@ -181,7 +185,8 @@
 	return &pb.Entry{Id: fmt.Sprintf("db-%07d", i), Address: "10.1.2.3:6432", Site: "site-1", Group: int32(i / 6), Kind: "std-4core", State: "in_service"}
 }
 
-// catalogSizeAfter is the size of a catalog of 20 members after so many have come and gone, one in each inventory.
+// catalogSizeAfter returns the encoded size of a catalog of 20 members after the given number of members was replaced,
+// one in each inventory.
 func catalogSizeAfter(replaced int) int {
 	c := catalog.New("measured")
 	p := &pb.PutInventory{}
@@ -192,7 +197,7 @@
 		p.Base = c.InventoryVersion()
 		p.Members = append(p.Members[1:], inventoryEntry(20+n))
 		c.Apply(uint64(n+1), &pb.Batch{Commands: []*pb.Command{{Origin: "w", Seq: uint64(n + 1), At: int64(1e18 + n*1e6), Body: &pb.Command_PutInventory{PutInventory: p}}}})
-		c.TakeChanges() // as the store does after each entry
+		c.TakeChanges() // as the store does after each log entry
 	}
 	b, _ := c.Encode()
 	return len(b)
--- a/internal/experiment/trial/trial.go
+++ b/internal/experiment/trial/trial.go
@@ -1,5 +1,6 @@
-// Package trial runs an installation of three instances under load, cuts its leader off, kills another, drains a database and
-// starts another cold, and counts what clients and databases saw.
+// Package trial runs an installation of three instances under load, partitions the leader from the others, kills
+// another instance, drains a database and restarts another cold, and reports what clients and databases observed. It
+// also measures the store alone.
 package trial
 
 import (
@@ -25,18 +26,18 @@
 	"aspenshed/internal/netio"
 )
 
-// Options of a trial.
+// Options are the options of a trial.
 type Options struct {
-	Clients       int           // of each instance
-	Pause         time.Duration // of a client between two requests
-	PartitionTime time.Duration // how long one instance is cut off
-	Leases        bool
+	Clients       int           // clients of each instance
+	Pause         time.Duration // pause of a client between two requests
+	PartitionTime time.Duration // how long the leader is partitioned from the other instances
+	Leases        bool          // share the capacity of a cold database by leases
 	Limits        standin.Limits
-	Kill          bool // kill an instance, too, and start it again
-	SkewClocks    bool // that run 5% slow, 5% fast and right
+	Kill          bool // kill another instance during the partition and start it again
+	SkewClocks    bool // run the clocks of the instances 5% slow, right and 5% fast
 }
 
-// skewedClock is a clock that runs at a rate of its own.
+// skewedClock is a clock that runs at a multiple of real time.
 type skewedClock struct {
 	start time.Time
 	rate  float64
@@ -46,48 +47,48 @@
 	return aspenshed.Nanos(c.start.UnixNano() + int64(c.rate*float64(time.Since(c.start))))
 }
 
-// Report is what came of it.
+// Report is the result of a trial. Its field names are part of the JSON output of the experiment command.
 type Report struct {
 	Served, Refused, Failed int64
 	PerSecond               float64
-	LongestGap              []time.Duration // of each instance, between two served requests
-	LateDrains              int             // requests that a draining database got later than the grace
-	HighestCold             float64         // of what topples a cold database
-	Fell                    bool
-	WarmAfter               time.Duration // from its start until all instances took the cold one for warm
-	MostRun                 int           // how often the most repeated order ran
-	Equal                   bool          // catalogs, at the end
-	Cut                     int           // the instance that was cut off: the leader
-	Modes                   []string      // at the end of the cut
+	LongestGap              []time.Duration // longest time between two served requests, by instance
+	LateDrains              int             // requests that the drained database received after its grace period
+	HighestCold             float64         // largest share of the overload limit that the cold database reached
+	Fell                    bool            // the cold database crashed
+	WarmAfter               time.Duration   // time from the restart of the cold database until all instances report it warm
+	MostRun                 int             // largest number of executions of one order
+	Equal                   bool            // the catalogs are equal at the end
+	Cut                     int             // index of the instance that was partitioned: the former leader
+	Modes                   []string        // store modes of the instances at the end of the partition
 }
 
-// partitionedNetwork is the network between the instances.
+// partitionedNetwork connects the stores of the instances and isolates some of them from the others.
 type partitionedNetwork struct {
 	mu         sync.Mutex
 	isolated   map[int]bool
 	transports []*raft.InmemTransport
 }
 
-func (c *partitionedNetwork) separated(a, b int) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.isolated[a] != c.isolated[b]
+func (n *partitionedNetwork) separated(a, b int) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.isolated[a] != n.isolated[b]
 }
 
-func (c *partitionedNetwork) setIsolated(i int, off bool) {
-	c.mu.Lock()
-	c.isolated[i] = off
-	c.mu.Unlock()
-	c.applyPartition()
+func (n *partitionedNetwork) setIsolated(i int, isolated bool) {
+	n.mu.Lock()
+	n.isolated[i] = isolated
+	n.mu.Unlock()
+	n.applyPartition()
 }
 
-func (c *partitionedNetwork) applyPartition() {
-	for i, x := range c.transports {
-		for j, y := range c.transports {
+func (n *partitionedNetwork) applyPartition() {
+	for i, x := range n.transports {
+		for j, y := range n.transports {
 			if i == j || x == nil || y == nil {
 				continue
 			}
-			if c.separated(i, j) {
+			if n.separated(i, j) {
 				x.Disconnect(y.LocalAddr())
 			} else {
 				x.Connect(y.LocalAddr(), y)
@@ -96,43 +97,43 @@
 	}
 }
 
-// attach puts an instance on the network that is cut.
-func (c *partitionedNetwork) attach(i int, cfg *store.Config) {
-	_, t := raft.NewInmemTransport(raft.ServerAddress(cfg.Address))
-	for len(c.transports) <= i {
-		c.transports = append(c.transports, nil)
+// attach connects an instance to the network: its Raft transport and its calls to other instances.
+func (n *partitionedNetwork) attach(i int, config *store.Config) {
+	_, t := raft.NewInmemTransport(raft.ServerAddress(config.Address))
+	for len(n.transports) <= i {
+		n.transports = append(n.transports, nil)
 	}
-	c.transports[i] = t
-	cfg.Transport = t
-	peers := cfg.Peers
-	cfg.WrapCaller = func(next store.Caller) store.Caller {
-		return callerFunc(func(service string, x *pb.Call, limit time.Duration) (*pb.Reply, error) {
+	n.transports[i] = t
+	config.Transport = t
+	peers := config.Peers
+	config.WrapCaller = func(next store.Caller) store.Caller {
+		return callerFunc(func(service string, call *pb.Call, timeout time.Duration) (*pb.Reply, error) {
 			for j, p := range peers {
-				if p.Service == service && c.separated(i, j) {
+				if p.Service == service && n.separated(i, j) {
 					return nil, store.ErrUnavailable
 				}
 			}
-			return next.Call(service, x, limit)
+			return next.Call(service, call, timeout)
 		})
 	}
-	c.applyPartition()
+	n.applyPartition()
 }
 
 type callerFunc func(string, *pb.Call, time.Duration) (*pb.Reply, error)
 
-func (f callerFunc) Call(service string, c *pb.Call, limit time.Duration) (*pb.Reply, error) {
-	return f(service, c, limit)
+func (f callerFunc) Call(service string, call *pb.Call, timeout time.Duration) (*pb.Reply, error) {
+	return f(service, call, timeout)
 }
 
-// Run runs a trial in a folder of its own.
+// Run runs a trial in a temporary directory.
 func Run(o Options) (r Report, err error) {
 	dir, err := os.MkdirTemp("", "trial-")
 	if err != nil {
 		return r, err
 	}
 	defer os.RemoveAll(dir)
-	net := &partitionedNetwork{isolated: map[int]bool{}}
-	opts := daemon.DemoOptions{Instances: 3, Limits: o.Limits, StoreHook: net.attach}
+	network := &partitionedNetwork{isolated: map[int]bool{}}
+	opts := daemon.DemoOptions{Instances: 3, Limits: o.Limits, StoreHook: network.attach}
 	if !o.Leases {
 		opts.EditConfig = func(text string) string {
 			return strings.Replace(text, "  cluster:", "  no_leases: true\n  cluster:", 1)
@@ -154,25 +155,26 @@
 	group := d.Databases["postgres"]
 	dbs := group.DBs()
 	l := startLoad(d, o)
-	time.Sleep(2 * time.Second) // what warm members answer has to be learned first
+	time.Sleep(2 * time.Second) // the gateways must first learn how warm databases respond
 	const drained, cold = 1, 2
-	cut := -1 // the old leader, on the small side
+	isolated := -1 // the former leader, in the minority
 	if err := waitUntil("a leader", func() bool {
 		for i, x := range d.Instances {
 			if x.Store.Mode() == mode.Leading {
-				cut = i
+				isolated = i
 			}
 		}
-		return cut >= 0
+		return isolated >= 0
 	}); err != nil {
 		return r, err
 	}
-	stays, killed := (cut+1)%3, (cut+2)%3
-	admin := d.Deploys[stays].Admin.Socket
-	began := time.Now()
-	net.setIsolated(cut, true)
-	// The drain is agreed on while the old leader is cut off; that one hears it from its own list only, and the others'
-	// lists still say in_service. It counts as told once it is agreed on: the leader has just been lost.
+	remaining, killed := (isolated+1)%3, (isolated+2)%3
+	admin := d.Deploys[remaining].Admin.Socket
+	partitionStart := time.Now()
+	network.setIsolated(isolated, true)
+	// The drain is committed while the former leader is partitioned. That instance learns of it only from the inventory
+	// that it reloads; the inventories that the others have loaded still say in_service. The grace period of the database
+	// starts once the drain is committed, as the commit may take an election: the leader has just been lost.
 	if _, err := daemon.CallAdmin(admin, daemon.AdminRequest{Command: "drain", Key: dbs[drained].ID}); err != nil {
 		return r, fmt.Errorf("drain: %w", err)
 	}
@@ -180,14 +182,16 @@
 	if err := d.WriteInventory("postgres", 1, dbs[drained].ID); err != nil {
 		return r, err
 	}
-	d.Instances[cut].Reload()
-	// A database starts cold just then. Both sides hear of it; only one side can agree on anything.
+	d.Instances[isolated].Reload()
+	// A database restarts cold at this time. Both sides are notified; only the majority can commit anything.
 	dbs[cold].Restart()
-	start := time.Now()
+	restartedAt := time.Now()
 	if _, err := daemon.CallAdmin(admin, daemon.AdminRequest{Command: "restart", Key: dbs[cold].ID}); err != nil {
 		return r, fmt.Errorf("restart: %w", err)
 	}
-	d.Instances[cut].RunOnLoop(func() { d.Instances[cut].Front(daemon.WirePostgres).NotifyStarted(dbs[cold].ID, start) })
+	d.Instances[isolated].RunOnLoop(func() {
+		d.Instances[isolated].Front(daemon.WirePostgres).NotifyStarted(dbs[cold].ID, restartedAt)
+	})
 	if o.Kill {
 		time.Sleep(o.PartitionTime / 3)
 		if err := d.Instances[killed].Kill(); err != nil {
@@ -198,13 +202,13 @@
 		}
 		l.updateAddress(killed, d)
 	}
-	time.Sleep(time.Until(began.Add(o.PartitionTime)))
-	r.Cut = cut
+	time.Sleep(time.Until(partitionStart.Add(o.PartitionTime)))
+	r.Cut = isolated
 	for _, x := range d.Instances {
 		r.Modes = append(r.Modes, x.Store.Mode().String())
 	}
-	net.setIsolated(cut, false)
-	err = waitUntil("the agreed warmth", func() bool {
+	network.setIsolated(isolated, false)
+	err = waitUntil("all instances to report the cold database as warm", func() bool {
 		for i := range d.Instances {
 			for _, m := range instanceMembers(d, i) {
 				if m.ID == dbs[cold].ID && m.Warmth != "warm" {
@@ -214,7 +218,7 @@
 		}
 		return true
 	})
-	r.WarmAfter = time.Since(start)
+	r.WarmAfter = time.Since(restartedAt)
 	l.stop(&r)
 	err = errors.Join(err, waitUntil("equal catalogs", func() bool {
 		a, b, c := d.Instances[0].Store.Status().Digest, d.Instances[1].Store.Status().Digest, d.Instances[2].Store.Status().Digest
@@ -228,16 +232,17 @@
 
 func instanceMembers(d *daemon.Demo, i int) []daemon.Member { return d.Instances[i].Members() }
 
+// waitUntil polls a condition for up to 60 s.
 func waitUntil(what string, ok func() bool) error {
 	for end := time.Now().Add(60 * time.Second); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			return fmt.Errorf("never came: %s", what)
+			return fmt.Errorf("timed out waiting for %s", what)
 		}
 	}
 	return nil
 }
 
-// loadGenerator is clients that ask one request after another.
+// loadGenerator runs clients that each send one request at a time.
 type loadGenerator struct {
 	net       *netio.Net
 	stopped   atomic.Bool
@@ -266,7 +271,7 @@
 	return l
 }
 
-// updateAddress has an instance's clients use its present address.
+// updateAddress makes the clients of an instance connect to its present address.
 func (l *loadGenerator) updateAddress(i int, d *daemon.Demo) {
 	a := d.Instances[i].Front(daemon.WirePostgres).Net.Addr()
 	l.addresses[i].Store(&a)
@@ -285,7 +290,7 @@
 	defer l.wg.Done()
 	var c *pgclient.Client
 	for n := 0; !l.stopped.Load(); n++ {
-		time.Sleep(pause) // a pace, not an order
+		time.Sleep(pause) // paces the load; nothing is synchronized by it
 		if c == nil {
 			var err error
 			if c, err = pgclient.Dial(l.net, *l.addresses[i].Load()); err != nil {
@@ -293,15 +298,15 @@
 				continue
 			}
 		}
-		class, verb := "point-read", "SELECT payload FROM entries WHERE ref = 'k%d' /* id=%d,c=%s,d=900,cluster=1 */"
+		class, format := "point-read", "SELECT payload FROM entries WHERE ref = 'k%d' /* id=%d,c=%s,d=900,cluster=1 */"
 		switch (n + k) % 10 {
 		case 0, 1:
-			class, verb = "order", "INSERT INTO entries (ref, payload) VALUES ('k%d', '\\x00') RETURNING payload /* id=%d,c=%s,d=900,cluster=1 */"
+			class, format = "order", "INSERT INTO entries (ref, payload) VALUES ('k%d', '\\x00') RETURNING payload /* id=%d,c=%s,d=900,cluster=1 */"
 		case 2, 3, 4, 5:
 			class = "report"
 		}
 		id := l.lastID.Add(1)
-		code, err := c.Query(fmt.Sprintf(verb, id%100, id, class))
+		code, err := c.Query(fmt.Sprintf(format, id%100, id, class))
 		if l.counts.Add(code, err) {
 			l.recordServed(i)
 		}
--- a/internal/experiment/trial/trial_test.go
+++ b/internal/experiment/trial/trial_test.go
@@ -10,14 +10,16 @@
 	"aspenshed/internal/experiment/standin"
 )
 
-// Three instances under load; the leader is cut off while a drain is agreed on that its own older list does not name at the
-// others, and while a database starts cold; another is killed and comes back. All are served all along, the drain
-// holds, nobody pushes the cold one over, and the catalogs end equal.
+// Three instances serve load while the leader is partitioned. Meanwhile the others commit a drain that their own loaded
+// inventories do not contain, a database restarts cold, and another instance is killed and started again. Guards
+// against an instance that stops serving, requests at the drained database after its grace period, an overload of the
+// cold database, a write that is executed twice, and catalogs that differ at the end.
 func TestLeaderPartitionUnderLoad(t *testing.T) {
 	logrus.SetOutput(io.Discard)
 	limits := standin.DefaultLimits()
-	limits.WarmUpTime = 10 * time.Second // colder for less long: the daemon takes it to be cold for 16 s
-	r, err := Run(Options{Clients: 4, Pause: 30 * time.Millisecond, PartitionTime: 6 * time.Second, Leases: true, Limits: limits, Kill: true})
+	limits.WarmUpTime = 10 * time.Second // shorter than the 16 s that the daemon assumes
+	r, err := Run(Options{Clients: 4, Pause: 30 * time.Millisecond, PartitionTime: 6 * time.Second, Leases: true,
+		Limits: limits, Kill: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,7 +28,7 @@
 		t.Errorf("%+v", r)
 	}
 	if r.Modes[r.Cut] != "cut_off" {
-		t.Errorf("modes at the end of the cut: %v", r.Modes)
+		t.Errorf("modes at the end of the partition: %v", r.Modes)
 	}
 	for i, g := range r.LongestGap {
 		if g > 5*time.Second {
