--- a/internal/experiment/scale/baseline.go
+++ b/internal/experiment/scale/baseline.go
@@ -23,36 +23,36 @@
 
 // BaselineOptions say what of the design in which every instance votes is measured.
 type BaselineOptions struct {
-	Instances []int         // in one process, one after the other
-	Idle      time.Duration // how long each number of them is watched without any command
-	Settle    time.Duration // before that: what a start leaves behind (configuration, snapshots) is not measured
-	Writes    int           // whose latency at a follower is measured
-	Members   []int         // of the inventories of which one member is changed
-	Groups    []int         // that one instance tells what it has learned of
-	Quick     bool          // short time-outs of elections, for tests
-	Progress  func(format string, a ...any)
+	Instances      []int         // in one process, one after the other
+	IdleDuration   time.Duration // how long each number of them is watched without any command
+	SettleDuration time.Duration // before that: what a start leaves behind (configuration, snapshots) is not measured
+	Writes         int           // whose latency at a follower is measured
+	Members        []int         // of the inventories of which one member is changed
+	Groups         []int         // that one instance tells what it has learned of
+	ShortTimeouts  bool          // short time-outs of elections, for tests
+	Progress       func(format string, a ...any)
 }
 
 // DefaultBaseline is what is committed.
 func DefaultBaseline() BaselineOptions {
-	return BaselineOptions{Instances: []int{3, 9, 27, 54}, Idle: 20 * time.Second, Settle: 5 * time.Second, Writes: 200,
+	return BaselineOptions{Instances: []int{3, 9, 27, 54}, IdleDuration: 20 * time.Second, SettleDuration: 5 * time.Second, Writes: 200,
 		Members: []int{2100, 10500, 20000}, Groups: []int{35, 350, 3500}, Progress: func(string, ...any) {}}
 }
 
 const (
-	readyLimit  = 4 * time.Minute // for a number of instances to agree on a leader
-	submitLimit = 30 * time.Second
+	leaderTimeout = 4 * time.Minute // for a number of instances to agree on a leader
+	submitTimeout = 30 * time.Second
 )
 
 // Baseline measures the design in which every instance is a raft voter and an inventory is replicated whole.
 func Baseline(ctx context.Context, o BaselineOptions) (run measure.Run, err error) {
-	run = measure.Run{Experiment: "scale-baseline", Commit: commit(), Started: time.Now(), Machine: machine()}
+	run = measure.Run{Experiment: "scale-baseline", Commit: commitName(), Started: time.Now(), Machine: machineDescription()}
 	idle, failures := idleSeries(ctx, o)
 	changed, err := changedMemberSeries(ctx, o)
 	if err != nil {
 		return run, err
 	}
-	run.Series = append(append(idle, changed), learnedSeries(o.Groups)...)
+	run.Series = append(append(idle, changed), learnedStateSeries(o.Groups)...)
 	run.Seconds = time.Since(run.Started).Seconds()
 	run.Notes = append(failures,
 		"All instances run in one process over loopback TCP, each with a log of its own on one disk; cores and memory are of all of them together.",
@@ -61,17 +61,17 @@
 	return run, nil
 }
 
-// logMeter counts what one instance appends to its log.
-type logMeter struct {
+// countingLogStore counts what one instance appends to its log.
+type countingLogStore struct {
 	raft.LogStore
 	entries, bytes *atomic.Int64
 }
 
 // StoreLog counts one entry.
-func (m logMeter) StoreLog(l *raft.Log) error { return m.StoreLogs([]*raft.Log{l}) }
+func (m countingLogStore) StoreLog(l *raft.Log) error { return m.StoreLogs([]*raft.Log{l}) }
 
 // StoreLogs counts entries and passes them on.
-func (m logMeter) StoreLogs(logs []*raft.Log) error {
+func (m countingLogStore) StoreLogs(logs []*raft.Log) error {
 	for _, l := range logs {
 		m.entries.Add(1)
 		m.bytes.Add(int64(len(l.Data)))
@@ -98,7 +98,7 @@
 	for i, p := range peers {
 		c := store.Config{Cluster: "baseline", ID: p.ID, Address: p.Address, Service: p.Service, Peers: peers, DataDir: filepath.Join(dir, p.ID), ShortTimeouts: quick}
 		if i == 0 {
-			c.WrapLogStore = func(next raft.LogStore) raft.LogStore { return logMeter{next, &v.entries, &v.bytes} }
+			c.WrapLogStore = func(next raft.LogStore) raft.LogStore { return countingLogStore{next, &v.entries, &v.bytes} }
 		}
 		s, err := store.Open(c)
 		if err != nil {
@@ -116,9 +116,9 @@
 	return err
 }
 
-// leader waits until one instance leads and all others follow it.
-func (v *votingInstances) leader(ctx context.Context) (lead int, err error) {
-	err = waitUntil(ctx, "a leader that all follow", readyLimit, func() bool {
+// waitForLeader waits until one instance leads and all others follow it.
+func (v *votingInstances) waitForLeader(ctx context.Context) (lead int, err error) {
+	err = waitUntil(ctx, "a leader that all follow", leaderTimeout, func() bool {
 		leads, follows := 0, 0
 		for i, s := range v.stores {
 			switch s.Mode() {
@@ -136,7 +136,7 @@
 
 // follower is an instance that does not lead.
 func (v *votingInstances) follower(ctx context.Context) (*store.Store, error) {
-	lead, err := v.leader(ctx)
+	lead, err := v.waitForLeader(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -145,9 +145,9 @@
 
 // idlePoint is what was measured of one number of instances.
 type idlePoint struct {
-	instances                       int
-	entries, logBytes, cores, heap  float64
-	writeMedian, write99, diskBytes float64
+	instances                        int
+	entries, logBytes, cores, heap   float64
+	writeMedian, writeP99, diskBytes float64
 }
 
 // idleSeries measures each number of instances. One that fails is told of and left out.
@@ -168,7 +168,7 @@
 		for _, p := range points {
 			at = append(at, measure.Point{X: float64(p.instances), Y: value(p)})
 		}
-		return seriesOf(measure.Series{Name: name, Role: RoleVoter, X: "instances, all of them voters", XUnit: "1", Y: y, YUnit: unit,
+		return newSeries(measure.Series{Name: name, Role: RoleVoter, X: "instances, all of them voters", XUnit: "1", Y: y, YUnit: unit,
 			Held: "no members, no commands, all instances in one process"}, at)
 	}
 	return []measure.Series{
@@ -178,7 +178,7 @@
 		series("voter.disk-bytes-by-instances", "bytes to disk of all instances together, idle", "B/s", func(p idlePoint) float64 { return p.diskBytes }),
 		series("voter.memory-by-instances", "heap in use of all instances together", "B", func(p idlePoint) float64 { return p.heap }),
 		series("voter.write-latency-by-instances", "write at a follower, median", "s", func(p idlePoint) float64 { return p.writeMedian }),
-		series("voter.write-latency-p99-by-instances", "write at a follower, 99th percentile", "s", func(p idlePoint) float64 { return p.write99 }),
+		series("voter.write-latency-p99-by-instances", "write at a follower, 99th percentile", "s", func(p idlePoint) float64 { return p.writeP99 }),
 	}, failures
 }
 
@@ -189,15 +189,15 @@
 	}
 	defer os.RemoveAll(dir)
 	heapBefore := heapInUse()
-	v, err := startVoting(dir, n, o.Quick)
+	v, err := startVoting(dir, n, o.ShortTimeouts)
 	defer func() { err = errors.Join(err, v.stop()) }()
 	if err != nil {
 		return p, err
 	}
-	if _, err := v.leader(ctx); err != nil {
+	if _, err := v.waitForLeader(ctx); err != nil {
 		return p, err
 	}
-	if err := pause(ctx, o.Settle); err != nil {
+	if err := sleepContext(ctx, o.SettleDuration); err != nil {
 		return p, err
 	}
 	before, err := ReadUsage(os.Getpid())
@@ -205,7 +205,7 @@
 		return p, err
 	}
 	entries, bytes := v.entries.Load(), v.bytes.Load()
-	if err := pause(ctx, o.Idle); err != nil {
+	if err := sleepContext(ctx, o.IdleDuration); err != nil {
 		return p, err
 	}
 	after, err := ReadUsage(os.Getpid())
@@ -216,7 +216,7 @@
 	seconds := used.Elapsed.Seconds()
 	p = idlePoint{instances: n, cores: used.Cores, diskBytes: used.ToDisk, heap: heapInUse() - heapBefore,
 		entries: float64(v.entries.Load()-entries) / seconds, logBytes: float64(v.bytes.Load()-bytes) / seconds}
-	p.writeMedian, p.write99, err = v.writeLatency(ctx, o.Writes)
+	p.writeMedian, p.writeP99, err = v.writeLatency(ctx, o.Writes)
 	return p, err
 }
 
@@ -226,11 +226,11 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	h := hdrhistogram.New(1, submitLimit.Microseconds(), 3)
+	h := hdrhistogram.New(1, submitTimeout.Microseconds(), 3)
 	for i := range writes {
 		begin := time.Now()
 		set := &pb.Set{Key: fmt.Sprint("key-", i%100), Value: []byte("a value of some length, as an operator writes")}
-		if err := submitOne(s, &pb.Command{Body: &pb.Command_Set{Set: set}}); err != nil {
+		if err := submitCommand(s, &pb.Command{Body: &pb.Command_Set{Set: set}}); err != nil {
 			return 0, 0, err
 		}
 		if err := h.RecordValue(time.Since(begin).Microseconds()); err != nil {
@@ -246,8 +246,8 @@
 
 func (e refusedError) Error() string { return "scale: command refused: " + e.reason }
 
-func submitOne(s *store.Store, c *pb.Command) error {
-	result, err := s.Submit(c, submitLimit)
+func submitCommand(s *store.Store, c *pb.Command) error {
+	result, err := s.Submit(c, submitTimeout)
 	if err != nil {
 		return err
 	}
@@ -264,7 +264,7 @@
 		return s, err
 	}
 	defer os.RemoveAll(dir)
-	v, err := startVoting(dir, 3, o.Quick)
+	v, err := startVoting(dir, 3, o.ShortTimeouts)
 	defer func() { err = errors.Join(err, v.stop()) }()
 	if err != nil {
 		return s, err
@@ -278,29 +278,29 @@
 		o.Progress("%d members: one of them changed, %.0f bytes of log", n, grown)
 		points = append(points, measure.Point{X: float64(n), Y: grown})
 	}
-	return seriesOf(measure.Series{Name: "voter.log-bytes-by-members", Role: RoleVoter, X: "members of the inventory", XUnit: "1",
+	return newSeries(measure.Series{Name: "voter.log-bytes-by-members", Role: RoleVoter, X: "members of the inventory", XUnit: "1",
 		Y: "bytes of the log for one changed member", YUnit: "B", Held: "3 instances"}, points), nil
 }
 
 func (v *votingInstances) changeOneMember(ctx context.Context, members int) (float64, error) {
-	if _, err := v.leader(ctx); err != nil {
+	if _, err := v.waitForLeader(ctx); err != nil {
 		return 0, err
 	}
 	inventory := &pb.PutInventory{Author: "scale"}
 	for i := range members {
-		inventory.Members = append(inventory.Members, Member(i, 0))
+		inventory.Members = append(inventory.Members, MemberEntry(i, 0))
 	}
 	if err := v.putInventory(inventory); err != nil {
 		return 0, err
 	}
-	inventory.Members[members/2] = Member(members/2, 1)
+	inventory.Members[members/2] = MemberEntry(members/2, 1)
 	entries := v.entries.Load()
 	bytes := v.bytes.Load()
 	if err := v.putInventory(inventory); err != nil {
 		return 0, err
 	}
 	// Heartbeats that were appended meanwhile are a hundred bytes or so each: they are left in.
-	err := waitUntil(ctx, "the entry in the first instance's log", submitLimit, func() bool {
+	err := waitUntil(ctx, "the entry in the first instance's log", submitTimeout, func() bool {
 		return v.entries.Load() > entries && v.bytes.Load()-bytes >= int64(proto.Size(inventory))
 	})
 	return float64(v.bytes.Load() - bytes), err
@@ -308,21 +308,21 @@
 
 // putInventory publishes an inventory on top of whatever there is, and waits until the first instance has it.
 func (v *votingInstances) putInventory(p *pb.PutInventory) error {
-	err := v.stores[0].ReadLatest(submitLimit, func(c *catalog.Catalog) { p.Base = c.InventoryVersion() })
+	err := v.stores[0].ReadLatest(submitTimeout, func(c *catalog.Catalog) { p.Base = c.InventoryVersion() })
 	if err != nil {
 		return err
 	}
-	return submitOne(v.stores[0], &pb.Command{Body: &pb.Command_PutInventory{PutInventory: p}})
+	return submitCommand(v.stores[0], &pb.Command{Body: &pb.Command_PutInventory{PutInventory: p}})
 }
 
-// learnedSeries is what one instance's learned state costs, by groups.
-func learnedSeries(groups []int) []measure.Series {
+// learnedStateSeries is what one instance's learned state costs, by groups.
+func learnedStateSeries(groups []int) []measure.Series {
 	var told, kept []measure.Point
 	for _, n := range groups {
 		learn := &pb.Learn{Instance: "i0", Wire: memberWire}
 		inventory := &pb.PutInventory{Author: "scale"}
 		for i := range n { // a group's primary stands for all of its members
-			primary := Member(i*membersOfGroup, 0)
+			primary := MemberEntry(i*membersPerGroup, 0)
 			inventory.Members = append(inventory.Members, primary)
 			learn.Groups = append(learn.Groups, &pb.GroupWord{Group: primary.Group, Primary: primary.Id, PrimaryAt: time.Now().UnixNano(), WarmRate: 812.5})
 		}
@@ -335,7 +335,7 @@
 		kept = append(kept, measure.Point{X: float64(n), Y: float64(encodedSize(c) - before)})
 	}
 	series := func(name, y string, points []measure.Point) measure.Series {
-		return seriesOf(measure.Series{Name: name, Role: RoleVoter, X: "groups", XUnit: "1", Y: y, YUnit: "B", Held: "1 instance"}, points)
+		return newSeries(measure.Series{Name: name, Role: RoleVoter, X: "groups", XUnit: "1", Y: y, YUnit: "B", Held: "1 instance"}, points)
 	}
 	return []measure.Series{
 		series("voter.learned-bytes-by-groups", "bytes of the log each time that one instance tells what it has learned", told),
--- a/internal/experiment/scale/baseline_test.go
+++ b/internal/experiment/scale/baseline_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestBaselineOfAFewInstances(t *testing.T) {
-	o := BaselineOptions{Instances: []int{1, 3}, Idle: 2500 * time.Millisecond, Writes: 5, Members: []int{20, 200}, Groups: []int{1, 10}, Quick: true, Progress: t.Logf}
+	o := BaselineOptions{Instances: []int{1, 3}, IdleDuration: 2500 * time.Millisecond, Writes: 5, Members: []int{20, 200}, Groups: []int{1, 10}, ShortTimeouts: true, Progress: t.Logf}
 	run, err := Baseline(t.Context(), o)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/experiment/scale/child.go
+++ b/internal/experiment/scale/child.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	orderLimit = 3 * time.Minute // for one order, the longest restart of a fleet included
-	stopLimit  = 15 * time.Second
+	requestTimeout = 3 * time.Minute // for one order, the longest restart of a fleet included
+	stopTimeout    = 15 * time.Second
 )
 
-// Doer carries orders out: a Worker in this process, or one in a child.
-type Doer interface {
-	Do(ctx context.Context, o Order) (Answer, error)
+// Executor carries orders out: a Worker in this process, or one in a child.
+type Executor interface {
+	Do(ctx context.Context, o Request) (Response, error)
 	Close()
 }
 
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	c.in, c.lines = in, bufio.NewScanner(out)
-	c.lines.Buffer(nil, maxLine)
+	c.lines.Buffer(nil, maxLineBytes)
 	return c, c.cmd.Start()
 }
 
@@ -71,14 +71,14 @@
 func (c *Child) PID() int { return c.cmd.Process.Pid }
 
 // Do hands an order to the child and waits for its answer. A child that does not answer in time is ended.
-func (c *Child) Do(ctx context.Context, o Order) (a Answer, err error) {
+func (c *Child) Do(ctx context.Context, o Request) (a Response, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	encoded, err := json.Marshal(o)
 	if err != nil {
 		return a, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderLimit)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	defer context.AfterFunc(ctx, func() { _ = c.cmd.Process.Kill() })()
 	if _, err := c.in.Write(append(encoded, '\n')); err != nil {
@@ -105,7 +105,7 @@
 // Close ends the child in order, and at once if it does not follow.
 func (c *Child) Close() {
 	_ = c.in.Close()
-	timer := time.AfterFunc(stopLimit, func() { _ = c.cmd.Process.Kill() })
+	timer := time.AfterFunc(stopTimeout, func() { _ = c.cmd.Process.Kill() })
 	defer timer.Stop()
 	_ = c.cmd.Wait()
 }
--- a/internal/experiment/scale/events.go
+++ b/internal/experiment/scale/events.go
@@ -11,61 +11,61 @@
 
 // Rates of the target, and what fails at once there.
 const (
-	OrdinaryRate   = 0.73 // changes a second: 63,000 a day
-	BurstChanges   = 1105 // databases of a zone
-	RestartsPerDay = 5000 // machines that are restarted or replaced
+	TypicalChangeRate = 0.73 // changes a second: 63,000 a day
+	BurstChanges      = 1105 // databases of a zone
+	RestartsPerDay    = 5000 // machines that are restarted or replaced
 )
 
-// eventTimes say how long each event is watched.
-type eventTimes struct {
-	steady      time.Duration
-	leaderGone  time.Duration // until the killed leader is started again
-	rackGone    time.Duration
-	cut         time.Duration
-	restarts    time.Duration // that a part of a day's restarts is compressed to
-	converge    time.Duration // after a restart of everything
-	compressed  int           // restarts within it
-	stalledSubs int
-	burst       int
+// eventSettings say how long each event is watched.
+type eventSettings struct {
+	steady             time.Duration
+	leaderDowntime     time.Duration // until the killed leader is started again
+	rackDowntime       time.Duration
+	partition          time.Duration
+	restartPeriod      time.Duration // that a part of a day's restarts is compressed to
+	convergeTimeout    time.Duration // after a restart of everything
+	restartCount       int           // restarts within it
+	stalledSubscribers int
+	burstSize          int
 }
 
 // events are what is done to a running installation, in order. Subscribers that never read are there
 // until the rack is lost.
-func (x *installation) events(t eventTimes) []windowPlan {
+func (x *installation) events(t eventSettings) []windowPlan {
 	return []windowPlan{
-		{name: "slow-subscribers", lasts: t.steady, rate: OrdinaryRate, disturb: x.stallAndDrain(t.stalledSubs)},
-		{name: "burst", lasts: t.steady, rate: OrdinaryRate, disturb: x.burst(t.burst)},
-		{name: "region-cut", lasts: t.cut, rate: OrdinaryRate, disturb: x.cutRegion(cutRegion, t.cut)},
-		{name: "region-healed", lasts: t.steady, rate: OrdinaryRate, disturb: x.healRegion(cutRegion), check: x.checkSubmissions},
-		{name: "zone-restarted", lasts: t.steady, rate: OrdinaryRate, disturb: x.restartZone(restartedZone), check: x.checkSnapshots(InForceBound)},
-		{name: "leader-killed", lasts: t.steady + t.leaderGone, rate: OrdinaryRate, disturb: x.killLeader(t.leaderGone)},
-		{name: "rack-lost", lasts: t.steady + t.rackGone, rate: OrdinaryRate, disturb: x.loseRack(t.rackGone), check: x.checkStalled},
-		{name: "restarts", lasts: t.restarts, rate: OrdinaryRate, disturb: x.restartSome(t.compressed, t.restarts)},
-		{name: "everything-restarted", lasts: t.steady, rate: OrdinaryRate, disturb: x.restartAll, converge: t.converge, check: x.checkSnapshots(t.converge)},
+		{name: "slow-subscribers", duration: t.steady, rate: TypicalChangeRate, action: x.stallAndDrain(t.stalledSubscribers)},
+		{name: "burst", duration: t.steady, rate: TypicalChangeRate, action: x.burst(t.burstSize)},
+		{name: "region-cut", duration: t.partition, rate: TypicalChangeRate, action: x.partitionRegion(partitionedRegion, t.partition)},
+		{name: "region-healed", duration: t.steady, rate: TypicalChangeRate, action: x.healRegion(partitionedRegion), check: x.checkSubmissions},
+		{name: "zone-restarted", duration: t.steady, rate: TypicalChangeRate, action: x.restartZone(restartedZone), check: x.checkSnapshots(MaxApplyDelay)},
+		{name: "leader-killed", duration: t.steady + t.leaderDowntime, rate: TypicalChangeRate, action: x.killLeader(t.leaderDowntime)},
+		{name: "rack-lost", duration: t.steady + t.rackDowntime, rate: TypicalChangeRate, action: x.loseRack(t.rackDowntime), check: x.checkStalled},
+		{name: "restarts", duration: t.restartPeriod, rate: TypicalChangeRate, action: x.restartSome(t.restartCount, t.restartPeriod)},
+		{name: "everything-restarted", duration: t.steady, rate: TypicalChangeRate, action: x.restartAll, convergeTimeout: t.convergeTimeout, check: x.checkSnapshots(t.convergeTimeout)},
 	}
 }
 
 // restartedZone is one whose gateways are restarted all at once.
 const restartedZone = 3
 
-// cutRegion holds no voter while there are five voters at most.
-const cutRegion = 6
+// partitionedRegion holds no voter while there are five voters at most.
+const partitionedRegion = 6
 
 // burst changes many members in one rollout.
 func (x *installation) burst(count int) func(context.Context) error {
 	return func(ctx context.Context) error {
 		var changes []change
 		x.mu.Lock()
-		for i := range min(count, x.changes.count) {
-			changes = append(changes, x.changes.rewrite(i))
+		for i := range min(count, x.changes.memberCount) {
+			changes = append(changes, x.changes.changeAddress(i))
 		}
 		x.mu.Unlock()
-		return x.submitTogether(ctx, changes)
+		return x.submitBatched(ctx, changes)
 	}
 }
 
-// submitTogether has many changes agreed on in as few batches as the store takes.
-func (x *installation) submitTogether(ctx context.Context, changes []change) error {
+// submitBatched has many changes agreed on in as few batches as the store takes.
+func (x *installation) submitBatched(ctx context.Context, changes []change) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	commands := commandsOf(changes)
@@ -73,7 +73,7 @@
 		return err
 	}
 	for _, c := range changes {
-		c.agreed()
+		c.onCommitted()
 	}
 	return nil
 }
@@ -89,7 +89,7 @@
 		if err := leader.Instance.Kill(); err != nil {
 			return err
 		}
-		if err := pause(ctx, gone); err != nil {
+		if err := sleepContext(ctx, gone); err != nil {
 			return err
 		}
 		x.options.Progress("starting %s again", leader.ID)
@@ -103,18 +103,18 @@
 		last := len(x.workers) - 1
 		lost := x.workers[last]
 		x.workers = x.workers[:last]
-		x.options.Kill(lost)
-		if err := pause(ctx, gone); err != nil {
+		x.options.KillWorker(lost)
+		if err := sleepContext(ctx, gone); err != nil {
 			return err
 		}
 		return x.replaceWorker(ctx, last)
 	}
 }
 
-// stall opens subscribers that never read.
-func (x *installation) stall(count int) func(context.Context) error {
+// openStalledSubscribers opens subscribers that never read.
+func (x *installation) openStalledSubscribers(count int) func(context.Context) error {
 	return func(ctx context.Context) error {
-		_, err := x.workers[0].Do(ctx, Order{Stall: &Stall{Count: count}})
+		_, err := x.workers[0].Do(ctx, Request{Stall: &Stall{Count: count}})
 		return err
 	}
 }
@@ -122,7 +122,7 @@
 // stallAndDrain does so, and drains a database that real gateways use.
 func (x *installation) stallAndDrain(count int) func(context.Context) error {
 	return func(ctx context.Context) error {
-		if err := x.stall(count)(ctx); err != nil {
+		if err := x.openStalledSubscribers(count)(ctx); err != nil {
 			return err
 		}
 		return x.drainDatabase(ctx)
@@ -143,16 +143,16 @@
 	if err := x.submit(ctx, drain); err != nil {
 		return err
 	}
-	if _, err := x.settle(ctx); err != nil {
+	if _, err := x.commitMarker(ctx); err != nil {
 		return err
 	}
-	_, err = x.load.Do(ctx, Order{Drain: &Drain{Database: replica}})
+	_, err = x.load.Do(ctx, Request{Drain: &Drain{Database: replica}})
 	return err
 }
 
 // checkStalled looks whether the servers have closed the subscribers that never read.
 func (x *installation) checkStalled(ctx context.Context, r *windowResult) {
-	_, err := x.workers[0].Do(ctx, Order{Stall: &Stall{Settle: true}})
+	_, err := x.workers[0].Do(ctx, Request{Stall: &Stall{CheckClosed: true}})
 	total, err2 := x.report(ctx, Report{})
 	detail := fmt.Sprintf("of %d", total.Stalled)
 	if err := errors.Join(err, err2); err != nil {
@@ -168,22 +168,22 @@
 // restartZone restarts all gateways of a zone at once.
 func (x *installation) restartZone(zone int) func(context.Context) error {
 	return func(ctx context.Context) error {
-		_, err := x.tellAll(ctx, Order{Restart: &Restart{Zone: &zone}})
+		_, err := x.broadcast(ctx, Request{Restart: &Restart{Zone: &zone}})
 		return err
 	}
 }
 
-// cutRegion cuts a region off, and drains and names a primary on either side: inside, a gateway hands them up once it can.
-func (x *installation) cutRegion(region int, lasts time.Duration) func(context.Context) error {
+// partitionRegion cuts a region off, and drains and names a primary on either side: inside, a gateway hands them up once it can.
+func (x *installation) partitionRegion(region int, lasts time.Duration) func(context.Context) error {
 	return func(ctx context.Context) error {
-		if _, err := x.tellAll(ctx, Order{Cut: &Cut{Region: region}}); err != nil {
+		if _, err := x.broadcast(ctx, Request{Partition: &Partition{Region: region}}); err != nil {
 			return err
 		}
 		if err := x.submitInside(ctx, region, lasts); err != nil {
 			return err
 		}
 		x.mu.Lock()
-		outside := []change{x.changes.drain(MemberID(outsideDrain)), x.changes.primary(outsideDrain/membersOfGroup+1, MemberID(outsideDrain+membersOfGroup+1), time.Now().UnixNano())}
+		outside := []change{x.changes.drain(MemberID(outsideDrain)), x.changes.primary(outsideDrain/membersPerGroup+1, MemberID(outsideDrain+membersPerGroup+1), time.Now().UnixNano())}
 		x.mu.Unlock()
 		return x.submit(ctx, outside...)
 	}
@@ -191,32 +191,32 @@
 
 // Members that are drained on either side of a cut. The groups behind theirs get another primary.
 const (
-	outsideDrain = 0
-	insideDrain  = 2 * membersOfGroup
-	submitBeyond = 60 * time.Second // after the cut, for the batch from inside to be answered
+	outsideDrain                = 0
+	insideDrain                 = 2 * membersPerGroup
+	submitTimeoutAfterPartition = 60 * time.Second // after the cut, for the batch from inside to be answered
 )
 
 // submitInside has a gateway of the region hand a drain and a primary up, which succeeds once the cut is healed.
 func (x *installation) submitInside(ctx context.Context, region int, cut time.Duration) error {
 	number := firstGatewayOf(region)
 	x.mu.Lock()
-	inside := []change{x.changes.drain(MemberID(insideDrain)), x.changes.primary(insideDrain/membersOfGroup+1, MemberID(insideDrain+membersOfGroup+1), time.Now().UnixNano())}
+	inside := []change{x.changes.drain(MemberID(insideDrain)), x.changes.primary(insideDrain/membersPerGroup+1, MemberID(insideDrain+membersPerGroup+1), time.Now().UnixNano())}
 	x.mu.Unlock()
 	s := NewSubmitter(clusterName, GatewayID(number)+"/inside", nil)
-	batch, err := proto.Marshal(s.number(commandsOf(inside)))
+	batch, err := proto.Marshal(s.assignSequence(commandsOf(inside)))
 	if err != nil {
 		return err
 	}
-	x.insideAgreed = inside
-	order := Submit{Gateway: number, Batch: batch, Limit: cut + submitBeyond}
-	_, err = x.workers[number/x.options.PerWorker].Do(ctx, Order{Submit: &order})
+	x.partitionChanges = inside
+	order := Submit{Gateway: number, Batch: batch, Limit: cut + submitTimeoutAfterPartition}
+	_, err = x.workers[number/x.options.PerWorker].Do(ctx, Request{Submit: &order})
 	return err
 }
 
 // firstGatewayOf is the lowest number of a gateway in a region.
 func firstGatewayOf(region int) int {
 	for number := 0; ; number++ {
-		if zones[ZoneOf(number)].Region == region {
+		if zones[GatewayZone(number)].Region == region {
 			return number
 		}
 	}
@@ -225,7 +225,7 @@
 // healRegion heals a cut.
 func (x *installation) healRegion(region int) func(context.Context) error {
 	return func(ctx context.Context) error {
-		_, err := x.tellAll(ctx, Order{Cut: &Cut{Region: region, Healed: true}})
+		_, err := x.broadcast(ctx, Request{Partition: &Partition{Region: region, Healed: true}})
 		return err
 	}
 }
@@ -233,9 +233,9 @@
 // checkSubmissions looks whether what was handed up inside the region has been agreed on since.
 func (x *installation) checkSubmissions(ctx context.Context, r *windowResult) {
 	s := r.total.Submissions
-	for _, c := range x.insideAgreed {
+	for _, c := range x.partitionChanges {
 		if s.Done > 0 {
-			c.agreed()
+			c.onCommitted()
 		}
 	}
 	open := s.Pending + len(s.Failed)
@@ -248,7 +248,7 @@
 // checkSnapshots holds a bound on the time from a gateway's start to its having the whole state in force.
 func (x *installation) checkSnapshots(bound time.Duration) func(context.Context, *windowResult) {
 	return func(_ context.Context, r *windowResult) {
-		q := quantilesOf(r.total.snapshots)
+		q := quantilesOf(r.total.snapshotLatency)
 		r.checks = append(r.checks, atMost(r.event.Name+": slowest from a start to the whole state in force", q.Max, bound.Seconds(), "s",
 			fmt.Sprintf("%d snapshots, p50 %.2f s, p99 %.2f s", q.Count, q.P50, q.P99)))
 	}
@@ -258,12 +258,12 @@
 func (x *installation) restartSome(count int, over time.Duration) func(context.Context) error {
 	return func(ctx context.Context) error {
 		each := (count + len(x.workers) - 1) / len(x.workers)
-		_, err := x.tellAll(ctx, Order{Restart: &Restart{Count: each, Spread: over}})
+		_, err := x.broadcast(ctx, Request{Restart: &Restart{Count: each, Spread: over}})
 		return err
 	}
 }
 
 func (x *installation) restartAll(ctx context.Context) error {
-	_, err := x.tellAll(ctx, Order{Restart: &Restart{}})
+	_, err := x.broadcast(ctx, Request{Restart: &Restart{}})
 	return err
 }
--- a/internal/experiment/scale/figures.go
+++ b/internal/experiment/scale/figures.go
@@ -10,20 +10,20 @@
 
 // The operators' bounds for the control side of one gateway.
 const (
-	BoundBytes  = 7000        // a second, both directions
-	BoundCores  = 0.021       // of a core
-	BoundMemory = 128_000_000 // bytes
+	MaxControlByteRate = 7000        // a second, both directions
+	MaxControlCores    = 0.021       // of a core
+	MaxGatewayMemory   = 128_000_000 // bytes
 )
 
-// figures are what one steady window tells, by the name of the series that it goes into.
-type figures map[string]float64
+// metrics are what one steady window tells, by the name of the series that it goes into.
+type metrics map[string]float64
 
-// quantity describes a series of a role.
-type quantity struct {
+// metricDefinition describes a series of a role.
+type metricDefinition struct {
 	name, role, y, unit string
 }
 
-var quantities = []quantity{
+var metricDefinitions = []metricDefinition{
 	{"gateway.bytes", RoleGateway, "control bytes of one gateway, both directions", "B/s"},
 	{"gateway.messages", RoleGateway, "control messages of one gateway, both directions", "1/s"},
 	{"gateway.cpu", RoleGateway, "processor time of one hollow gateway, less the empty process", "core"},
@@ -44,10 +44,10 @@
 	{"voter.log-entries", RoleVoter, "entries of the replicated log", "1/s"},
 }
 
-// figures of a window.
-func (r *runner) figures(w *windowResult) figures {
-	f := figures{"gateway.bytes": w.event.GatewayBytes, "gateway.messages": w.messages, "gateway.in-force-p50": w.event.InForce.P50,
-		"gateway.in-force-p99": w.event.InForce.P99, "gateway.in-force-max": w.event.InForce.Max, "voter.log-entries": w.logEntries}
+// windowMetrics of a window.
+func (r *runner) windowMetrics(w *windowResult) metrics {
+	f := metrics{"gateway.bytes": w.event.GatewayBytes, "gateway.messages": w.messageRate, "gateway.in-force-p50": w.event.InForce.P50,
+		"gateway.in-force-p99": w.event.InForce.P99, "gateway.in-force-max": w.event.InForce.Max, "voter.log-entries": w.logEntryRate}
 	f["gateway.cpu"], f["gateway.memory"] = r.hollowGateway(w)
 	for _, used := range w.gateways {
 		f["gateway.real-cpu"] += used.Cores / float64(len(w.gateways))
@@ -79,24 +79,24 @@
 	if gateways == 0 {
 		return 0, 0
 	}
-	memory -= float64(workers) * float64(r.empty.Memory)
+	memory -= float64(workers) * float64(r.emptyWorker.Memory)
 	return cores / float64(gateways), memory / float64(gateways)
 }
 
 // seriesPoints collects the figures of windows that differ in one thing.
 type seriesPoints struct {
 	xs   []float64
-	rows []figures
+	rows []metrics
 }
 
-func (p *seriesPoints) add(x float64, f figures) {
+func (p *seriesPoints) add(x float64, f metrics) {
 	p.xs = append(p.xs, x)
 	p.rows = append(p.rows, f)
 }
 
 // series are named QUANTITY-by-AXIS. One point makes none.
 func (p *seriesPoints) series(axis, x, unit, held string) (out []measure.Series) {
-	for _, q := range quantities {
+	for _, q := range metricDefinitions {
 		var points []measure.Point
 		for i, row := range p.rows {
 			if y, there := row[q.name]; there {
@@ -104,39 +104,39 @@
 			}
 		}
 		if len(points) > 1 {
-			out = append(out, seriesOf(measure.Series{Name: q.name + "-by-" + axis, Role: q.role, X: x, XUnit: unit, Y: q.y, YUnit: q.unit, Held: held}, points))
+			out = append(out, newSeries(measure.Series{Name: q.name + "-by-" + axis, Role: q.role, X: x, XUnit: unit, Y: q.y, YUnit: q.unit, Held: held}, points))
 		}
 	}
 	return out
 }
 
-// holdSteadyBounds holds the operators' bounds against a steady window.
-func (r *runner) holdSteadyBounds(w *windowResult) {
-	f := r.figures(w)
-	r.steadyBytes = w.event.GatewayBytes
+// checkSteadyBounds holds the operators' bounds against a steady window.
+func (r *runner) checkSteadyBounds(w *windowResult) {
+	f := r.windowMetrics(w)
+	r.steadyByteRate = w.event.GatewayBytes
 	r.run.Checks = append(r.run.Checks,
-		atMost("bound: control bytes of a gateway, mean", f["gateway.bytes"], BoundBytes, "B/s", ""),
-		atMost("bound: processor time of a hollow gateway's control side", f["gateway.cpu"], BoundCores, "core", ""),
-		atMost("bound: memory of a hollow gateway's control side", f["gateway.memory"], BoundMemory, "B", ""),
-		atMost("bound: memory of a real gateway, data path included", f["gateway.real-memory"], BoundMemory, "B", "at light load"))
+		atMost("bound: control bytes of a gateway, mean", f["gateway.bytes"], MaxControlByteRate, "B/s", ""),
+		atMost("bound: processor time of a hollow gateway's control side", f["gateway.cpu"], MaxControlCores, "core", ""),
+		atMost("bound: memory of a hollow gateway's control side", f["gateway.memory"], MaxGatewayMemory, "B", ""),
+		atMost("bound: memory of a real gateway, data path included", f["gateway.real-memory"], MaxGatewayMemory, "B", "at light load"))
 }
 
-// holdMinuteBound holds the operators' bound against the minute of an event. A window shorter than that is filled up with the
+// checkMinuteBound holds the operators' bound against the minute of an event. A window shorter than that is filled up with the
 // steady rate.
-func (r *runner) holdMinuteBound(w *windowResult) {
+func (r *runner) checkMinuteBound(w *windowResult) {
 	seconds := w.total.Window.Seconds()
-	inMinute := float64(w.total.MaxBytes)
+	inMinute := float64(w.total.MaxGatewayBytes)
 	if rest := time.Minute.Seconds() - seconds; rest > 0 {
-		inMinute += r.steadyBytes * rest
+		inMinute += r.steadyByteRate * rest
 	} else {
 		inMinute *= time.Minute.Seconds() / seconds
 	}
 	r.run.Checks = append(r.run.Checks, atMost("bound: "+w.event.Name+": control bytes in its minute, of the gateway with most",
-		inMinute/time.Minute.Seconds(), BoundBytes, "B/s", fmt.Sprintf("watched for %.0f s", seconds)))
+		inMinute/time.Minute.Seconds(), MaxControlByteRate, "B/s", fmt.Sprintf("watched for %.0f s", seconds)))
 }
 
-// growthCheck holds that a quantity grows less than linearly: the slope of its logarithm over that of x.
-func growthCheck(name string, all []measure.Series) measure.Check {
+// sublinearGrowthCheck holds that a quantity grows less than linearly: the slope of its logarithm over that of x.
+func sublinearGrowthCheck(name string, all []measure.Series) measure.Check {
 	for _, s := range all {
 		if s.Name != name {
 			continue
--- a/internal/experiment/scale/fleet.go
+++ b/internal/experiment/scale/fleet.go
@@ -22,40 +22,40 @@
 )
 
 const (
-	// maxFleet bounds the gateways of one process: each holds a socket and a copy of the state.
-	maxFleet = 600
-	// histogramLimit is the longest time that is told apart, us: a region's cut and more.
-	histogramLimit  = 5 * 60 * 1000 * 1000
-	histogramDigits = 3
+	// maxGatewaysPerProcess bounds the gateways of one process: each holds a socket and a copy of the state.
+	maxGatewaysPerProcess = 600
+	// histogramMaxMicros is the longest time that is told apart, us: a region's cut and more.
+	histogramMaxMicros = 5 * 60 * 1000 * 1000
+	histogramDigits    = 3
 )
 
-// ErrConfigure says that an order came before its configuration.
-var ErrConfigure = errors.New("scale: not configured")
+// ErrNotConfigured says that an order came before its configuration.
+var ErrNotConfigured = errors.New("scale: not configured")
 
 // Fleet is the hollow gateways of one process.
 type Fleet struct {
-	config Configure
-	net    *netio.Net
-	links  *Links
-	log    *logrus.Entry
-	clock  eventloop.Clock
-	rng    *rand.Rand
+	config  Configure
+	net     *netio.Net
+	network *EmulatedNetwork
+	log     *logrus.Entry
+	clock   eventloop.Clock
+	rng     *rand.Rand
 
-	gateways map[int]*hollowGateway // only the goroutine that takes orders looks at it
-	slow     []*stalledSubscriber
-	stalled  int // slow subscribers that were opened
-	closed   int // of them, those that a server has closed
+	gateways           map[int]*hollowGateway // only the goroutine that takes orders looks at it
+	stalledSubscribers []*stalledSubscriber
+	stalledOpened      int // slow subscribers that were opened
+	stalledClosed      int // of them, those that a server has closed
 
-	mu          sync.Mutex // guards the rest: gateways record from goroutines of their own
-	inForce     *hdrhistogram.Histogram
-	snapshots   *hdrhistogram.Histogram
-	window      time.Time
-	submissions Submissions
+	mu              sync.Mutex // guards the rest: gateways record from goroutines of their own
+	applyLatency    *hdrhistogram.Histogram
+	snapshotLatency *hdrhistogram.Histogram
+	windowStart     time.Time
+	submissions     Submissions
 }
 
 // NewFleet has no gateways yet.
 func NewFleet(c Configure) (*Fleet, error) {
-	n, err := netio.New(netio.Config{Name: "hollow", MaxDials: 2 * maxFleet})
+	n, err := netio.New(netio.Config{Name: "hollow", MaxDials: 2 * maxGatewaysPerProcess})
 	if err != nil {
 		return nil, err
 	}
@@ -65,7 +65,7 @@
 	}
 	silent := logrus.New()
 	silent.SetOutput(io.Discard)
-	f := &Fleet{config: c, net: n, links: NewLinks(stream.NewNetwork(n), servers, c.Delays), log: logrus.NewEntry(silent),
+	f := &Fleet{config: c, net: n, network: NewEmulatedNetwork(stream.NewNetwork(n), servers, c.Delays), log: logrus.NewEntry(silent),
 		clock: eventloop.NewClock(), rng: rand.New(rand.NewPCG(c.Seed, 0)), gateways: map[int]*hollowGateway{}}
 	f.newWindow()
 	return f, nil
@@ -73,42 +73,44 @@
 
 // Close ends all of it.
 func (f *Fleet) Close() {
-	for _, s := range f.slow {
+	for _, s := range f.stalledSubscribers {
 		s.close()
 	}
-	eachAtOnce(f.all(), func(g *hollowGateway) { g.stop() })
+	forEachConcurrently(f.allGateways(), func(g *hollowGateway) { g.stop() })
 	f.net.Stop()
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, histogramLimit, histogramDigits)
+	return hdrhistogram.New(1, histogramMaxMicros, histogramDigits)
 }
 
 func (f *Fleet) newWindow() {
 	f.mu.Lock()
-	f.inForce, f.snapshots, f.window = newHistogram(), newHistogram(), time.Now()
+	f.applyLatency, f.snapshotLatency, f.windowStart = newHistogram(), newHistogram(), time.Now()
 	f.mu.Unlock()
 	for _, g := range f.gateways {
 		g.mu.Lock()
-		g.mark = g.traffic()
+		g.windowStartTraffic = g.traffic()
 		g.mu.Unlock()
 	}
 }
 
-func (f *Fleet) recordInForce(took time.Duration) { f.record(&f.inForce, took) }
+func (f *Fleet) recordApplyLatency(took time.Duration) { f.record(&f.applyLatency, took) }
 
-func (f *Fleet) recordSnapshot(took time.Duration) { f.record(&f.snapshots, took) }
+func (f *Fleet) recordSnapshotLatency(took time.Duration) { f.record(&f.snapshotLatency, took) }
 
 func (f *Fleet) record(h **hdrhistogram.Histogram, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_ = (*h).RecordValue(min(max(took.Microseconds(), 1), histogramLimit)) // it lies within the bounds
+	_ = (*h).RecordValue(min(max(took.Microseconds(), 1), histogramMaxMicros)) // it lies within the bounds
 }
 
-// all are the gateways in order of their numbers.
-func (f *Fleet) all() []*hollowGateway { return f.chosen(func(*hollowGateway) bool { return true }) }
+// allGateways are the gateways in order of their numbers.
+func (f *Fleet) allGateways() []*hollowGateway {
+	return f.selectGateways(func(*hollowGateway) bool { return true })
+}
 
-func (f *Fleet) chosen(want func(*hollowGateway) bool) (out []*hollowGateway) {
+func (f *Fleet) selectGateways(want func(*hollowGateway) bool) (out []*hollowGateway) {
 	last := -1
 	for number := range f.gateways {
 		last = max(last, number)
@@ -121,8 +123,8 @@
 	return out
 }
 
-// eachAtOnce does something with all gateways side by side.
-func eachAtOnce(gateways []*hollowGateway, do func(*hollowGateway)) {
+// forEachConcurrently does something with all gateways side by side.
+func forEachConcurrently(gateways []*hollowGateway, do func(*hollowGateway)) {
 	var wait sync.WaitGroup
 	for _, g := range gateways {
 		wait.Add(1)
@@ -136,15 +138,15 @@
 
 // Start starts gateways.
 func (f *Fleet) Start(o Start) error {
-	if o.From < 0 || o.Until-o.From+len(f.gateways) > maxFleet {
-		return fmt.Errorf("scale: %d gateways in one process, %d at most", o.Until-o.From+len(f.gateways), maxFleet)
+	if o.From < 0 || o.Until-o.From+len(f.gateways) > maxGatewaysPerProcess {
+		return fmt.Errorf("scale: %d gateways in one process, %d at most", o.Until-o.From+len(f.gateways), maxGatewaysPerProcess)
 	}
-	gap := spreadGap(o.Spread, o.Until-o.From)
+	gap := spreadInterval(o.Spread, o.Until-o.From)
 	for number := o.From; number < o.Until; number++ {
 		if f.gateways[number] != nil {
 			return fmt.Errorf("scale: gateway %d is there already", number)
 		}
-		g := &hollowGateway{fleet: f, number: number, zone: ZoneOf(number)}
+		g := &hollowGateway{fleet: f, number: number, zone: GatewayZone(number)}
 		f.gateways[number] = g
 		g.start()
 		time.Sleep(gap)
@@ -152,22 +154,22 @@
 	return nil
 }
 
-func spreadGap(spread time.Duration, count int) time.Duration {
+func spreadInterval(spread time.Duration, count int) time.Duration {
 	return spread / time.Duration(max(count, 1))
 }
 
 // Restart restarts gateways, all at once where the order has no spread.
 func (f *Fleet) Restart(o Restart) {
-	chosen := f.chosen(func(g *hollowGateway) bool { return o.Zone == nil || g.zone == *o.Zone })
+	chosen := f.selectGateways(func(g *hollowGateway) bool { return o.Zone == nil || g.zone == *o.Zone })
 	if o.Count > 0 && o.Count < len(chosen) {
 		f.rng.Shuffle(len(chosen), func(i, j int) { chosen[i], chosen[j] = chosen[j], chosen[i] })
 		chosen = chosen[:o.Count]
 	}
 	if o.Spread == 0 {
-		eachAtOnce(chosen, restartGateway)
+		forEachConcurrently(chosen, restartGateway)
 		return
 	}
-	gap := spreadGap(o.Spread, len(chosen))
+	gap := spreadInterval(o.Spread, len(chosen))
 	for _, g := range chosen {
 		restartGateway(g)
 		time.Sleep(gap)
@@ -181,22 +183,22 @@
 
 // Stop ends gateways for good.
 func (f *Fleet) Stop(o Stop) {
-	eachAtOnce(f.chosen(func(g *hollowGateway) bool { return g.number >= o.From && g.number < o.Until }), func(g *hollowGateway) { g.stop() })
+	forEachConcurrently(f.selectGateways(func(g *hollowGateway) bool { return g.number >= o.From && g.number < o.Until }), func(g *hollowGateway) { g.stop() })
 	for number := o.From; number < o.Until; number++ {
 		delete(f.gateways, number)
 	}
 }
 
-// Cut cuts a region off, or heals that.
-func (f *Fleet) Cut(o Cut) {
-	f.links.SetCut(o.Region, !o.Healed)
+// Partition cuts a region off, or heals that.
+func (f *Fleet) Partition(o Partition) {
+	f.network.SetPartitioned(o.Region, !o.Healed)
 	if !o.Healed {
 		return
 	}
 	now := time.Now()
 	for _, g := range f.gateways {
 		if zones[g.zone].Region == o.Region {
-			g.heal(now)
+			g.markReachable(now)
 		}
 	}
 }
@@ -231,7 +233,7 @@
 
 // Report tells how the gateways stand.
 func (f *Fleet) Report(o Report) (*FleetState, error) {
-	state := &FleetState{Gateways: len(f.gateways), Digests: map[string]int{}, Stalled: f.stalled, StalledClosed: f.closed}
+	state := &FleetState{Gateways: len(f.gateways), Digests: map[string]int{}, Stalled: f.stalledOpened, StalledClosed: f.stalledClosed}
 	for _, g := range f.gateways {
 		f.addGateway(state, g, o.Expected)
 	}
@@ -241,16 +243,16 @@
 	}
 	state.Usage = usage
 	f.mu.Lock()
-	state.Window = time.Since(f.window)
+	state.Window = time.Since(f.windowStart)
 	state.Submissions = f.submissions
 	state.Submissions.Failed = slices.Clone(f.submissions.Failed)
-	inForce, err1 := f.inForce.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
-	snapshots, err2 := f.snapshots.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
+	inForce, err1 := f.applyLatency.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
+	snapshots, err2 := f.snapshotLatency.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	f.mu.Unlock()
 	if err := errors.Join(err1, err2); err != nil {
 		return nil, err
 	}
-	state.InForceTimes, state.SnapshotTimes = bytes.Clone(inForce), bytes.Clone(snapshots)
+	state.ApplyLatencies, state.SnapshotLatencies = bytes.Clone(inForce), bytes.Clone(snapshots)
 	if o.NewWindow {
 		f.newWindow()
 	}
@@ -260,16 +262,16 @@
 func (f *Fleet) addGateway(state *FleetState, g *hollowGateway, expected uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	used := g.traffic().minus(g.mark)
+	used := g.traffic().minus(g.windowStartTraffic)
 	state.Bytes += used.bytes
 	state.Messages += used.messages
 	state.Snapshots += used.snapshots
 	state.Reconnects += used.reconnects
-	state.MaxBytes = max(state.MaxBytes, used.bytes)
-	state.Undone += g.undone
-	state.Backward += g.backward
-	if f.links.IsCut(zones[g.zone].Region) {
-		state.Cut++
+	state.MaxGatewayBytes = max(state.MaxGatewayBytes, used.bytes)
+	state.UndoneDrains += g.undoneDrains
+	state.RevisionRegressions += g.revisionRegressions
+	if f.network.IsPartitioned(zones[g.zone].Region) {
+		state.Partitioned++
 		return
 	}
 	if g.client == nil {
@@ -280,7 +282,7 @@
 		state.Connected++
 	}
 	if stats.InForce >= expected {
-		state.InForce++
+		state.Applied++
 	}
 	if state.MinRevision == 0 || stats.Revision < state.MinRevision {
 		state.MinRevision = stats.Revision
--- a/internal/experiment/scale/fleet_test.go
+++ b/internal/experiment/scale/fleet_test.go
@@ -14,10 +14,10 @@
 	"aspenshed/internal/controlplane/stream"
 )
 
-// memberChange is a commit that sets one member, drained or not.
-func memberChange(t *testing.T, rev uint64, number int, drainedAt, start int64) revision.Change {
+// newMemberChange is a commit that sets one member, drained or not.
+func newMemberChange(t *testing.T, rev uint64, number int, drainedAt, start int64) revision.Change {
 	t.Helper()
-	m := &pb.Member{Entry: Member(number, int(rev)), DrainedAt: drainedAt, Start: start}
+	m := &pb.Member{Entry: MemberEntry(number, int(rev)), DrainedAt: drainedAt, Start: start}
 	value, err := proto.Marshal(m)
 	if err != nil {
 		t.Fatal(err)
@@ -35,15 +35,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(server.Stop)
-	server.Reset(1, []revision.Record{memberChange(t, 1, 0, 0, 0).Record})
+	server.Reset(1, []revision.Record{newMemberChange(t, 1, 0, 0, 0).Record})
 	w := &Worker{}
 	t.Cleanup(w.Close)
-	do(t, w, Order{Configure: &Configure{Cluster: clusterName, Servers: []string{server.Addr()}, Delays: true, Seed: 1}})
-	do(t, w, Order{Start: &Start{Until: gateways}})
+	do(t, w, Request{Configure: &Configure{Cluster: clusterName, Servers: []string{server.Addr()}, Delays: true, Seed: 1}})
+	do(t, w, Request{Start: &Start{Until: gateways}})
 	return server, w
 }
 
-func do(t *testing.T, w Doer, o Order) Answer {
+func do(t *testing.T, w Executor, o Request) Response {
 	t.Helper()
 	a, err := w.Do(t.Context(), o)
 	if err != nil {
@@ -53,11 +53,11 @@
 }
 
 // waitInForce waits until all gateways have a revision in force.
-func waitInForce(t *testing.T, w Doer, rev uint64) (state *FleetState) {
+func waitInForce(t *testing.T, w Executor, rev uint64) (state *FleetState) {
 	t.Helper()
-	err := waitUntil(t.Context(), "a revision in force everywhere", testLimit, func() bool {
-		state = do(t, w, Order{Report: &Report{Expected: rev}}).Fleet
-		return state.InForce == state.Gateways-state.Cut
+	err := waitUntil(t.Context(), "a revision in force everywhere", testTimeout, func() bool {
+		state = do(t, w, Request{Report: &Report{Expected: rev}}).Fleet
+		return state.Applied == state.Gateways-state.Partitioned
 	})
 	if err != nil {
 		t.Fatalf("%v: %+v", err, state)
@@ -68,21 +68,21 @@
 func TestFleetTakesChangesAndSnapshots(t *testing.T) {
 	server, w := startFleet(t, 20)
 	waitInForce(t, w, 1)
-	server.Publish(2, []revision.Change{memberChange(t, 2, 1, 0, 0)})
+	server.Publish(2, []revision.Change{newMemberChange(t, 2, 1, 0, 0)})
 	state := waitInForce(t, w, 2)
 	if len(state.Digests) != 1 || state.Connected != 20 || state.Snapshots != 20 || state.Bytes == 0 {
 		t.Errorf("%+v", state)
 	}
 	total := newFleetTotal()
-	if err := total.add(state, 1); err != nil || total.inForce.TotalCount() != 20 || total.snapshots.TotalCount() != 20 {
-		t.Errorf("%v, %d changes, %d snapshots", err, total.inForce.TotalCount(), total.snapshots.TotalCount())
+	if err := total.add(state, 1); err != nil || total.applyLatency.TotalCount() != 20 || total.snapshotLatency.TotalCount() != 20 {
+		t.Errorf("%v, %d changes, %d snapshots", err, total.applyLatency.TotalCount(), total.snapshotLatency.TotalCount())
 	}
 	zone := 1
-	do(t, w, Order{Restart: &Restart{Zone: &zone}})
+	do(t, w, Request{Restart: &Restart{Zone: &zone}})
 	if state := waitInForce(t, w, 2); state.Snapshots != 21 {
 		t.Errorf("gateway 1 alone is of zone 1: %+v", state)
 	}
-	do(t, w, Order{Stop: &Stop{From: 5, Until: 20}})
+	do(t, w, Request{Stop: &Stop{From: 5, Until: 20}})
 	if state := waitInForce(t, w, 2); state.Gateways != 5 {
 		t.Errorf("%+v", state)
 	}
@@ -91,19 +91,19 @@
 func TestFleetSeesADrainUndone(t *testing.T) {
 	server, w := startFleet(t, 2)
 	waitInForce(t, w, 1)
-	server.Publish(2, []revision.Change{memberChange(t, 2, 0, 77, 0)})
-	server.Publish(3, []revision.Change{memberChange(t, 3, 0, 77, 0)})
-	if state := waitInForce(t, w, 3); state.Undone != 0 {
+	server.Publish(2, []revision.Change{newMemberChange(t, 2, 0, 77, 0)})
+	server.Publish(3, []revision.Change{newMemberChange(t, 3, 0, 77, 0)})
+	if state := waitInForce(t, w, 3); state.UndoneDrains != 0 {
 		t.Errorf("the drain holds: %+v", state)
 	}
-	server.Publish(4, []revision.Change{memberChange(t, 4, 0, 0, 100)})
-	if state := waitInForce(t, w, 4); state.Undone != 0 {
+	server.Publish(4, []revision.Change{newMemberChange(t, 4, 0, 0, 100)})
+	if state := waitInForce(t, w, 4); state.UndoneDrains != 0 {
 		t.Errorf("a newer start ends a drain: %+v", state)
 	}
-	server.Publish(5, []revision.Change{memberChange(t, 5, 0, 77, 100)})
+	server.Publish(5, []revision.Change{newMemberChange(t, 5, 0, 77, 100)})
 	waitInForce(t, w, 5)
-	server.Publish(6, []revision.Change{memberChange(t, 6, 0, 0, 100)})
-	if state := waitInForce(t, w, 6); state.Undone != 2 {
+	server.Publish(6, []revision.Change{newMemberChange(t, 6, 0, 0, 100)})
+	if state := waitInForce(t, w, 6); state.UndoneDrains != 2 {
 		t.Errorf("both gateways have lost a drain: %+v", state)
 	}
 }
@@ -111,14 +111,14 @@
 func TestCutRegionHearsNothingUntilItIsHealed(t *testing.T) {
 	server, w := startFleet(t, 19)
 	waitInForce(t, w, 1)
-	do(t, w, Order{Cut: &Cut{Region: cutRegion}})
-	server.Publish(2, []revision.Change{memberChange(t, 2, 1, 0, 0)})
+	do(t, w, Request{Partition: &Partition{Region: partitionedRegion}})
+	server.Publish(2, []revision.Change{newMemberChange(t, 2, 1, 0, 0)})
 	state := waitInForce(t, w, 2)
-	if state.Cut != 2 || state.InForce != 17 {
+	if state.Partitioned != 2 || state.Applied != 17 {
 		t.Errorf("two zones of 19 are of the region: %+v", state)
 	}
-	do(t, w, Order{Cut: &Cut{Region: cutRegion, Healed: true}})
-	if state := waitInForce(t, w, 2); state.Cut != 0 || state.InForce != 19 {
+	do(t, w, Request{Partition: &Partition{Region: partitionedRegion, Healed: true}})
+	if state := waitInForce(t, w, 2); state.Partitioned != 0 || state.Applied != 19 {
 		t.Errorf("%+v", state)
 	}
 }
@@ -129,7 +129,7 @@
 	done := make(chan error, 1)
 	go func() { done <- new(Worker).Serve(t.Context(), orders, answers) }()
 	lines := bufio.NewScanner(out)
-	ask := func(line string) (a Answer) {
+	ask := func(line string) (a Response) {
 		if _, err := io.WriteString(in, line+"\n"); err != nil {
 			t.Fatal(err)
 		}
@@ -139,7 +139,7 @@
 		return a
 	}
 	for line, want := range map[string]string{
-		`{"start":{"until":1}}`: ErrConfigure.Error(), `{`: "unexpected end of JSON input", `{"start":{"until":"x"}}`: "json: cannot unmarshal string into Go struct field Start.start.until of type int",
+		`{"start":{"until":1}}`: ErrNotConfigured.Error(), `{`: "unexpected end of JSON input", `{"start":{"until":"x"}}`: "json: cannot unmarshal string into Go struct field Start.start.until of type int",
 	} {
 		if a := ask(line); a.Error != want {
 			t.Errorf("%s: %q", line, a.Error)
--- a/internal/experiment/scale/gateway.go
+++ b/internal/experiment/scale/gateway.go
@@ -21,18 +21,18 @@
 	number int
 	zone   int
 
-	mu        sync.Mutex
-	client    *stream.Client
-	boot      int
-	startedAt time.Time
-	reachable time.Time // since when it could have heard: its start, or the end of a cut
-	whole     bool      // it has had the whole state in force since its start
-	revision  uint64
-	drained   map[string]int64 // drains in force, by key, with the start of the member that they hold for
-	undone    int
-	backward  int
-	ended     traffic // of earlier boots
-	mark      traffic // when the window began
+	mu                  sync.Mutex
+	client              *stream.Client
+	boot                int
+	startedAt           time.Time
+	reachableSince      time.Time // since when it could have heard: its start, or the end of a cut
+	snapshotApplied     bool      // it has had the whole state in force since its start
+	revision            uint64
+	drainedStarts       map[string]int64 // drains in force, by key, with the start of the member that they hold for
+	undoneDrains        int
+	revisionRegressions int
+	previousTraffic     traffic // of earlier boots
+	windowStartTraffic  traffic // when the window began
 }
 
 // traffic is what went over the sockets of a gateway's control stream.
@@ -52,15 +52,15 @@
 	defer g.mu.Unlock()
 	now := time.Now()
 	g.boot++
-	g.startedAt, g.reachable, g.whole, g.revision = now, now, false, 0
-	g.drained = map[string]int64{}
+	g.startedAt, g.reachableSince, g.snapshotApplied, g.revision = now, now, false, 0
+	g.drainedStarts = map[string]int64{}
 	zone := zones[g.zone]
 	c := g.fleet.config
 	g.client = stream.NewClient(stream.ClientConfig{
 		Machine: subscription.ClientConfig{Cluster: c.Cluster, Subscriber: GatewayID(g.number), Boot: fmt.Sprint(g.boot),
 			Region: RegionName(zone.Region), Zone: zone.Name, Release: "scale", Servers: c.Servers,
 			Seed: c.Seed + uint64(g.number)<<16 + uint64(g.boot)},
-		Network: g.fleet.links.From(g.zone), Log: g.fleet.log, Clock: g.fleet.clock, OnUpdate: g.applied,
+		Network: g.fleet.network.ForZone(g.zone), Log: g.fleet.log, Clock: g.fleet.clock, OnUpdate: g.onUpdate,
 	})
 }
 
@@ -78,7 +78,7 @@
 	}
 	client.Stop()
 	g.mu.Lock()
-	g.ended = g.ended.plus(trafficOf(client.Stats()))
+	g.previousTraffic = g.previousTraffic.plus(trafficOf(client.Stats()))
 	g.mu.Unlock()
 }
 
@@ -90,20 +90,20 @@
 // traffic is all of it since the gateway's first start. The caller holds mu.
 func (g *hollowGateway) traffic() traffic {
 	if g.client == nil {
-		return g.ended
+		return g.previousTraffic
 	}
-	return g.ended.plus(trafficOf(g.client.Stats()))
+	return g.previousTraffic.plus(trafficOf(g.client.Stats()))
 }
 
-// heal notes that it can hear again.
-func (g *hollowGateway) heal(now time.Time) {
+// markReachable notes that it can hear again.
+func (g *hollowGateway) markReachable(now time.Time) {
 	g.mu.Lock()
-	g.reachable = now
+	g.reachableSince = now
 	g.mu.Unlock()
 }
 
-// applied takes what the control side has received, on the client's goroutine.
-func (g *hollowGateway) applied(u stream.Update) {
+// onUpdate takes what the control side has received, on the client's goroutine.
+func (g *hollowGateway) onUpdate(u stream.Update) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.client == nil {
@@ -111,56 +111,56 @@
 	}
 	now := time.Now()
 	if u.Revision < g.revision && !u.Full {
-		g.backward++
+		g.revisionRegressions++
 	}
 	g.revision = u.Revision
 	if u.Full {
-		g.tookWhole(u, now)
+		g.applySnapshot(u, now)
 	}
 	for _, c := range u.Changes {
-		g.tookChange(c, now)
+		g.applyChange(c, now)
 	}
 	g.client.InForce(u.Revision, nil)
 }
 
-// tookWhole looks whether a new state holds every drain that was in force.
-func (g *hollowGateway) tookWhole(u stream.Update, now time.Time) {
-	if !g.whole {
-		g.whole = true
-		g.fleet.recordSnapshot(now.Sub(g.startedAt))
+// applySnapshot looks whether a new state holds every drain that was in force.
+func (g *hollowGateway) applySnapshot(u stream.Update, now time.Time) {
+	if !g.snapshotApplied {
+		g.snapshotApplied = true
+		g.fleet.recordSnapshotLatency(now.Sub(g.startedAt))
 	}
-	for key, start := range g.drained {
+	for key, start := range g.drainedStarts {
 		record, there := u.State.Get(key)
-		if !there || !isDrained(record.Value, start) {
-			g.undone++
-			delete(g.drained, key)
+		if !there || !drainHolds(record.Value, start) {
+			g.undoneDrains++
+			delete(g.drainedStarts, key)
 		}
 	}
 }
 
-// tookChange counts how long a change took, and watches the drains.
-func (g *hollowGateway) tookChange(c revision.Change, now time.Time) {
+// applyChange counts how long a change took, and watches the drains.
+func (g *hollowGateway) applyChange(c revision.Change, now time.Time) {
 	if c.CommittedAt > 0 {
 		since := time.Unix(0, c.CommittedAt)
-		if since.Before(g.reachable) {
-			since = g.reachable
+		if since.Before(g.reachableSince) {
+			since = g.reachableSince
 		}
-		g.fleet.recordInForce(now.Sub(since))
+		g.fleet.recordApplyLatency(now.Sub(since))
 	}
-	start, wasDrained := g.drained[c.Key]
+	start, wasDrained := g.drainedStarts[c.Key]
 	if !revision.IsMember(c.Key) || !c.Binding && !wasDrained {
 		return
 	}
 	if c.Removed {
-		delete(g.drained, c.Key)
+		delete(g.drainedStarts, c.Key)
 		return
 	}
-	if wasDrained && !isDrained(c.Value, start) {
-		g.undone++
-		delete(g.drained, c.Key)
+	if wasDrained && !drainHolds(c.Value, start) {
+		g.undoneDrains++
+		delete(g.drainedStarts, c.Key)
 	}
 	if drainedStart, drained := drainOf(c.Value); drained {
-		g.drained[c.Key] = drainedStart
+		g.drainedStarts[c.Key] = drainedStart
 	}
 }
 
@@ -173,20 +173,20 @@
 	return m.Start, m.DrainedAt != 0
 }
 
-// isDrained reports whether the drain of a start still holds, or a newer start has ended it.
-func isDrained(value []byte, start int64) bool {
+// drainHolds reports whether the drain of a start still holds, or a newer start has ended it.
+func drainHolds(value []byte, start int64) bool {
 	now, drained := drainOf(value)
 	return drained || now > start
 }
 
 const (
-	submitRetry   = 500 * time.Millisecond // between two attempts to hand a batch up
-	submitAttempt = 2 * time.Second
+	submitRetryDelay     = 500 * time.Millisecond // between two attempts to hand a batch up
+	submitAttemptTimeout = 2 * time.Second
 )
 
 // submit hands a batch up until it is answered. It carries its own origin and numbers: what was carried out is not again.
 func (g *hollowGateway) submit(batch *pb.Batch, limit time.Duration) error {
-	for end := time.Now().Add(limit); ; time.Sleep(submitRetry) {
+	for end := time.Now().Add(limit); ; time.Sleep(submitRetryDelay) {
 		err := g.submitOnce(batch)
 		var refused refusedError
 		if err == nil || errors.As(err, &refused) {
@@ -205,7 +205,7 @@
 	if client == nil {
 		return netio.ErrClosed
 	}
-	reply, err := client.Submit(batch, submitAttempt)
+	reply, err := client.Submit(batch, submitAttemptTimeout)
 	switch {
 	case err != nil:
 		return err
--- a/internal/experiment/scale/installation.go
+++ b/internal/experiment/scale/installation.go
@@ -13,24 +13,24 @@
 
 // Options of a run.
 type Options struct {
-	Dir          string // for configuration and data; it is there
-	Voters       int
-	RealGateways int
-	Clients      int // of each real gateway
-	PerWorker    int // hollow gateways of one worker
-	Members      int // at the start
-	Delays       bool
-	Join         time.Duration // over which the gateways of one worker start
-	Seed         uint64
-	MaxMemory    int64 // bytes of all processes together
-	GrowthMemory int64 // the soft limit of workers' heaps while members come in; 0: as they were started
+	Dir               string // for configuration and data; it is there
+	Voters            int
+	RealGateways      int
+	ClientsPerGateway int // of each real gateway
+	PerWorker         int // hollow gateways of one worker
+	InitialMembers    int // at the start
+	Delays            bool
+	JoinSpread        time.Duration // over which the gateways of one worker start
+	Seed              uint64
+	MaxMemory         int64 // bytes of all processes together
+	GrowthMemoryLimit int64 // the soft limit of workers' heaps while members come in; 0: as they were started
 
-	NewInstance func() Instance       // of a daemon
-	NewWorker   func() (Doer, error)  // of hollow gateways, or of the load
-	Progress    func(string, ...any)  // may be called from any goroutine
-	Empty       func() (Usage, error) // what a worker without gateways uses; nil: not measured
-	WorkerPID   func(Doer) (pid int)  // the process that a worker runs in
-	Kill        func(Doer)            // ends a worker at once, as its machine's loss would
+	NewInstance      func() Instance          // of a daemon
+	NewWorker        func() (Executor, error) // of hollow gateways, or of the load
+	Progress         func(string, ...any)     // may be called from any goroutine
+	EmptyWorkerUsage func() (Usage, error)    // what a worker without gateways uses; nil: not measured
+	WorkerPID        func(Executor) (pid int) // the process that a worker runs in
+	KillWorker       func(Executor)           // ends a worker at once, as its machine's loss would
 }
 
 const (
@@ -43,22 +43,22 @@
 	options  Options
 	voters   []*Node
 	gateways []*Node
-	load     Doer
-	workers  []Doer // the i-th runs the hollow gateways from i*PerWorker on
+	load     Executor
+	workers  []Executor // the i-th runs the hollow gateways from i*PerWorker on
 	observer *Observer
 
-	mu           sync.Mutex // one batch at a time
-	submitter    *Submitter
-	ledger       *Ledger
-	changes      *Changes
-	insideAgreed []change // handed up by a gateway that was cut off
+	mu               sync.Mutex // one batch at a time
+	submitter        *Submitter
+	expected         *ExpectedState
+	changes          *ChangeGenerator
+	partitionChanges []change // handed up by a gateway that was cut off
 }
 
 // newInstallation starts voters, real gateways and their load.
 func newInstallation(ctx context.Context, o Options, next func(int) int) (x *installation, err error) {
-	x = &installation{options: o, ledger: NewLedger()}
-	x.changes = &Changes{ledger: x.ledger, next: next}
-	for _, step := range []func(context.Context) error{x.startLoad, x.startVoters, x.observe, x.addMembers, x.startGateways} {
+	x = &installation{options: o, expected: NewExpectedState()}
+	x.changes = &ChangeGenerator{expected: x.expected, randomIndex: next}
+	for _, step := range []func(context.Context) error{x.startLoad, x.startVoters, x.startObserver, x.addInitialMembers, x.startGateways} {
 		if err := step(ctx); err != nil {
 			return x, err
 		}
@@ -74,7 +74,7 @@
 	if x.load, err = x.options.NewWorker(); err != nil {
 		return err
 	}
-	_, err = x.load.Do(ctx, Order{Load: &Load{Databases: loadDatabases}})
+	_, err = x.load.Do(ctx, Request{Load: &Load{Databases: loadDatabases}})
 	return err
 }
 
@@ -82,7 +82,7 @@
 	if x.load == nil {
 		return nil, nil
 	}
-	answer, err := x.load.Do(ctx, Order{Report: &Report{}})
+	answer, err := x.load.Do(ctx, Request{Report: &Report{}})
 	if err != nil {
 		return nil, err
 	}
@@ -98,14 +98,14 @@
 		x.voters = append(x.voters, n)
 	}
 	for _, v := range x.voters {
-		if err := v.writeVoter(x.voters); err != nil {
+		if err := v.writeVoterConfig(x.voters); err != nil {
 			return err
 		}
 		if err := v.Start(); err != nil {
 			return err
 		}
 	}
-	return waitUntil(ctx, "a leader of the voters", startLimit, func() bool { return leaderOf(x.voters) != nil })
+	return waitUntil(ctx, "a leader of the voters", voterStartTimeout, func() bool { return leaderOf(x.voters) != nil })
 }
 
 func (x *installation) startGateways(ctx context.Context) error {
@@ -120,7 +120,7 @@
 			return err
 		}
 		x.gateways = append(x.gateways, n)
-		if err := n.writeGateway(x.servers(), zones[ZoneOf(i)], databases); err != nil {
+		if err := n.writeGatewayConfig(x.servers(), zones[GatewayZone(i)], databases); err != nil {
 			return err
 		}
 		if err := n.Start(); err != nil {
@@ -131,7 +131,7 @@
 	if len(fronts) == 0 {
 		return nil
 	}
-	_, err = x.load.Do(ctx, Order{Load: &Load{Gateways: fronts, Clients: x.options.Clients, Pause: loadPause}})
+	_, err = x.load.Do(ctx, Request{Load: &Load{Gateways: fronts, Clients: x.options.ClientsPerGateway, Pause: loadPause}})
 	return err
 }
 
@@ -147,7 +147,7 @@
 	return Configure{Cluster: clusterName, Servers: x.servers(), Delays: x.options.Delays, Seed: x.options.Seed}
 }
 
-func (x *installation) observe(ctx context.Context) (err error) {
+func (x *installation) startObserver(ctx context.Context) (err error) {
 	var services []string
 	for _, v := range x.voters {
 		services = append(services, v.Service)
@@ -158,34 +158,34 @@
 }
 
 const (
-	entriesOfCommand = 500                    // members that one command brings in
-	growthPause      = 500 * time.Millisecond // between two of them: members come in by the rack, not all at once
+	entriesPerCommand = 500                    // members that one command brings in
+	growthPause       = 500 * time.Millisecond // between two of them: members come in by the rack, not all at once
 )
 
-// addMembers brings in the stand-in databases, and members until there are so many as the options name.
-func (x *installation) addMembers(ctx context.Context) error {
+// addInitialMembers brings in the stand-in databases, and members until there are so many as the options name.
+func (x *installation) addInitialMembers(ctx context.Context) error {
 	databases, err := x.databases(ctx)
 	if err != nil {
 		return err
 	}
 	var entries []*pb.Entry
 	for _, d := range databases {
-		entries = append(entries, entryOf(d))
+		entries = append(entries, standinEntry(d))
 	}
 	if len(entries) > 0 {
 		if err := x.submit(ctx, change{upsert(entries...), func() {}}); err != nil {
 			return err
 		}
 	}
-	return x.growMembers(ctx, x.options.Members)
+	return x.addMembersUpTo(ctx, x.options.InitialMembers)
 }
 
-func (x *installation) growMembers(ctx context.Context, members int) error {
-	for from := x.changes.count; from < members; from += entriesOfCommand {
-		if err := x.submit(ctx, x.changes.add(from, min(from+entriesOfCommand, members))); err != nil {
+func (x *installation) addMembersUpTo(ctx context.Context, members int) error {
+	for from := x.changes.memberCount; from < members; from += entriesPerCommand {
+		if err := x.submit(ctx, x.changes.addMembers(from, min(from+entriesPerCommand, members))); err != nil {
 			return err
 		}
-		if err := pause(ctx, growthPause); err != nil {
+		if err := sleepContext(ctx, growthPause); err != nil {
 			return err
 		}
 	}
@@ -200,27 +200,27 @@
 		if err := x.submitter.Submit(ctx, c.command); err != nil {
 			return err
 		}
-		c.agreed()
+		c.onCommitted()
 	}
 	return nil
 }
 
-// settle marks the state and returns the revision at which the control plane distributes the mark: whoever has it in force
+// commitMarker marks the state and returns the revision at which the control plane distributes the mark: whoever has it in force
 // has all that was agreed on before.
-func (x *installation) settle(ctx context.Context) (uint64, error) {
+func (x *installation) commitMarker(ctx context.Context) (uint64, error) {
 	x.mu.Lock()
-	mark := x.changes.mark()
-	value := fmt.Sprint(x.changes.marker)
+	mark := x.changes.setMarker()
+	value := fmt.Sprint(x.changes.markerValue)
 	x.mu.Unlock()
 	if err := x.submit(ctx, mark); err != nil {
 		return 0, err
 	}
-	err := waitUntil(ctx, "a mark at the observer", writeLimit, func() bool { return x.observer.Pair(markerKey) == value })
+	err := waitUntil(ctx, "a mark at the observer", writeTimeout, func() bool { return x.observer.Pair(markerKey) == value })
 	return x.observer.Revision(), err
 }
 
-// grow starts workers until there are so many hollow gateways. Those of all new workers start at the same time.
-func (x *installation) grow(ctx context.Context, gateways int) error {
+// addGateways starts workers until there are so many hollow gateways. Those of all new workers start at the same time.
+func (x *installation) addGateways(ctx context.Context, gateways int) error {
 	var added sync.WaitGroup
 	failures := make(chan error, gateways) // of the starts
 	for first := len(x.workers) * x.options.PerWorker; first < gateways; first += x.options.PerWorker {
@@ -230,11 +230,11 @@
 			break
 		}
 		x.workers = append(x.workers, w)
-		start := Start{From: first, Until: min(first+x.options.PerWorker, gateways), Spread: x.options.Join}
+		start := Start{From: first, Until: min(first+x.options.PerWorker, gateways), Spread: x.options.JoinSpread}
 		added.Add(1)
 		go func() {
 			defer added.Done()
-			if _, err := w.Do(ctx, Order{Start: &start}); err != nil {
+			if _, err := w.Do(ctx, Request{Start: &start}); err != nil {
 				failures <- err
 			}
 		}()
@@ -244,13 +244,13 @@
 	return <-failures
 }
 
-func (x *installation) startWorker(ctx context.Context) (Doer, error) {
+func (x *installation) startWorker(ctx context.Context) (Executor, error) {
 	w, err := x.options.NewWorker()
 	if err != nil {
 		return nil, err
 	}
 	configuration := x.configuration()
-	if _, err := w.Do(ctx, Order{Configure: &configuration}); err != nil {
+	if _, err := w.Do(ctx, Request{Configure: &configuration}); err != nil {
 		w.Close()
 		return nil, err
 	}
@@ -263,8 +263,8 @@
 	if err != nil {
 		return err
 	}
-	start := Start{From: i * x.options.PerWorker, Until: (i + 1) * x.options.PerWorker, Spread: x.options.Join}
-	if _, err = w.Do(ctx, Order{Start: &start}); err != nil {
+	start := Start{From: i * x.options.PerWorker, Until: (i + 1) * x.options.PerWorker, Spread: x.options.JoinSpread}
+	if _, err = w.Do(ctx, Request{Start: &start}); err != nil {
 		w.Close()
 		return err
 	}
@@ -272,18 +272,18 @@
 	return nil
 }
 
-// limitMemory sets the soft limit of all workers' heaps; 0: it stays.
-func (x *installation) limitMemory(ctx context.Context, limit int64) error {
+// setMemoryLimit sets the soft limit of all workers' heaps; 0: it stays.
+func (x *installation) setMemoryLimit(ctx context.Context, limit int64) error {
 	if limit == 0 {
 		return nil
 	}
-	_, err := x.tellAll(ctx, Order{Memory: &Memory{Limit: limit}})
+	_, err := x.broadcast(ctx, Request{Memory: &Memory{Limit: limit}})
 	return err
 }
 
-// tellAll hands an order to all workers side by side.
-func (x *installation) tellAll(ctx context.Context, o Order) ([]Answer, error) {
-	answers, errs := make([]Answer, len(x.workers)), make([]error, len(x.workers))
+// broadcast hands an order to all workers side by side.
+func (x *installation) broadcast(ctx context.Context, o Request) ([]Response, error) {
+	answers, errs := make([]Response, len(x.workers)), make([]error, len(x.workers))
 	var wait sync.WaitGroup
 	for i, w := range x.workers {
 		wait.Add(1)
@@ -298,7 +298,7 @@
 
 // report is how all hollow gateways stand, added up.
 func (x *installation) report(ctx context.Context, o Report) (fleetTotal, error) {
-	answers, err := x.tellAll(ctx, Order{Report: &o})
+	answers, err := x.broadcast(ctx, Request{Report: &o})
 	if err != nil {
 		return fleetTotal{}, err
 	}
--- a/internal/experiment/scale/judge.go
+++ b/internal/experiment/scale/judge.go
@@ -10,26 +10,26 @@
 	"aspenshed/internal/experiment/measure"
 )
 
-// judge compares all states and looks for what was agreed on.
-func (r *runner) judge(ctx context.Context) error {
-	expected, err := r.settle(ctx)
+// verifyFinalState compares all states and looks for what was agreed on.
+func (r *runner) verifyFinalState(ctx context.Context) error {
+	expected, err := r.commitMarker(ctx)
 	if err != nil {
 		return err
 	}
-	for _, look := range []func(context.Context, uint64) error{r.judgeStates, r.judgeRollout} {
+	for _, look := range []func(context.Context, uint64) error{r.verifyStates, r.verifyRollout} {
 		if err := look(ctx, expected); err != nil {
 			return err
 		}
 	}
-	lost := r.ledger.Lost(r.observer.Records())
+	lost := r.expected.Lost(r.observer.Records())
 	r.run.Checks = append(r.run.Checks,
 		atMost("end: agreed changes that were lost", float64(len(lost)), 0, "1", strings.Join(lost[:min(len(lost), 5)], "; ")))
-	return r.judgeNodes(ctx)
+	return r.verifyNodes(ctx)
 }
 
-// waitFor waits for something that a check looks at afterwards: a time-out is no error.
-func waitFor(ctx context.Context, what string, ok func() bool) error {
-	err := waitUntil(ctx, what, InForceBound, ok)
+// waitUntilOrTimeout waits for something that a check looks at afterwards: a time-out is no error.
+func waitUntilOrTimeout(ctx context.Context, what string, ok func() bool) error {
+	err := waitUntil(ctx, what, MaxApplyDelay, ok)
 	var late *TimeoutError
 	if errors.As(err, &late) {
 		return nil
@@ -37,27 +37,27 @@
 	return err
 }
 
-// judgeStates compares the states of all hollow gateways with the observer's.
-func (r *runner) judgeStates(ctx context.Context, expected uint64) error {
+// verifyStates compares the states of all hollow gateways with the observer's.
+func (r *runner) verifyStates(ctx context.Context, expected uint64) error {
 	var total fleetTotal
 	var failure error
-	err := waitFor(ctx, "equal states", func() bool {
+	err := waitUntilOrTimeout(ctx, "equal states", func() bool {
 		total, failure = r.report(ctx, Report{Expected: expected})
-		return failure == nil && len(total.Digests) == 1 && total.states()[0] == r.observer.Digest()
+		return failure == nil && len(total.Digests) == 1 && total.statesByFrequency()[0] == r.observer.Digest()
 	})
 	if err := errors.Join(err, failure); err != nil {
 		return err
 	}
-	states := total.states()
+	states := total.statesByFrequency()
 	equal := total.Digests[r.observer.Digest()]
 	r.run.Checks = append(r.run.Checks,
 		atMost("end: gateways whose state differs", float64(total.Gateways-equal), 0, "1", fmt.Sprintf("%d states, %v", len(states), states[:min(len(states), 3)])),
-		atMost("end: drains undone", float64(total.Undone), 0, "1", ""))
+		atMost("end: drains undone", float64(total.UndoneDrains), 0, "1", ""))
 	return nil
 }
 
-// judgeRollout compares what the voters know to be in force with what is: at all hollow and real gateways and the observer.
-func (r *runner) judgeRollout(ctx context.Context, expected uint64) error {
+// verifyRollout compares what the voters know to be in force with what is: at all hollow and real gateways and the observer.
+func (r *runner) verifyRollout(ctx context.Context, expected uint64) error {
 	total, err := r.report(ctx, Report{Expected: expected})
 	if err != nil {
 		return err
@@ -65,7 +65,7 @@
 	subscribers := total.Gateways + len(r.gateways) + 1
 	var report store.RolloutReport
 	var failure error
-	err = waitFor(ctx, "the rollout", func() bool {
+	err = waitUntilOrTimeout(ctx, "the rollout", func() bool {
 		report, failure = r.voters[0].Rollout(expected)
 		return failure == nil && int(report.Applied) == subscribers && report.Subscribers == report.Applied
 	})
@@ -81,10 +81,10 @@
 	return nil
 }
 
-// judgeNodes compares the catalogs of voters, and what the real gateways hold.
-func (r *runner) judgeNodes(ctx context.Context) error {
+// verifyNodes compares the catalogs of voters, and what the real gateways hold.
+func (r *runner) verifyNodes(ctx context.Context) error {
 	var digests map[string]int // of the last look: heartbeats change the catalogs all the time
-	err := waitFor(ctx, "equal catalogs", func() bool {
+	err := waitUntilOrTimeout(ctx, "equal catalogs", func() bool {
 		digests = r.catalogDigests()
 		return len(digests) == 1
 	})
@@ -95,7 +95,7 @@
 	if r.load == nil {
 		return nil
 	}
-	answer, err := r.load.Do(ctx, Order{Report: &Report{}})
+	answer, err := r.load.Do(ctx, Request{Report: &Report{}})
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/scale/ledger_test.go
+++ b/internal/experiment/scale/ledger_test.go
@@ -12,7 +12,7 @@
 )
 
 // recordsOf is the state that a ledger asks for.
-func recordsOf(t *testing.T, l *Ledger) map[string][]byte {
+func recordsOf(t *testing.T, l *ExpectedState) map[string][]byte {
 	t.Helper()
 	records := map[string][]byte{}
 	put := func(key string, m proto.Message) {
@@ -22,9 +22,9 @@
 		}
 		records[key] = value
 	}
-	for id, version := range l.members {
-		m := &pb.Member{Entry: Member(l.numbers[id], version)}
-		if l.drained[id] {
+	for id, version := range l.memberVersions {
+		m := &pb.Member{Entry: MemberEntry(l.memberIndexes[id], version)}
+		if l.drainedMembers[id] {
 			m.DrainedAt = 1
 		}
 		put(revision.MemberPrefix+id, m)
@@ -39,18 +39,18 @@
 }
 
 func TestLedgerNamesWhatWasLost(t *testing.T) {
-	l := NewLedger()
-	c := &Changes{ledger: l, next: func(n int) int { return n / 2 }}
-	for _, x := range []change{c.add(0, 12), c.rewrite(3), c.drain(MemberID(5)), c.primary(1, MemberID(7), time.Now().UnixNano()), c.mark()} {
-		x.agreed()
+	l := NewExpectedState()
+	c := &ChangeGenerator{expected: l, randomIndex: func(n int) int { return n / 2 }}
+	for _, x := range []change{c.addMembers(0, 12), c.changeAddress(3), c.drain(MemberID(5)), c.primary(1, MemberID(7), time.Now().UnixNano()), c.setMarker()} {
+		x.onCommitted()
 	}
 	if lost := l.Lost(recordsOf(t, l)); len(lost) != 0 {
 		t.Errorf("nothing is lost: %v", lost)
 	}
 	for key, damaged := range map[string]proto.Message{
 		revision.MemberPrefix + MemberID(1): nil,
-		revision.MemberPrefix + MemberID(3): &pb.Member{Entry: Member(3, 0)},
-		revision.MemberPrefix + MemberID(5): &pb.Member{Entry: Member(5, 0)},
+		revision.MemberPrefix + MemberID(3): &pb.Member{Entry: MemberEntry(3, 0)},
+		revision.MemberPrefix + MemberID(5): &pb.Member{Entry: MemberEntry(5, 0)},
 		revision.PrimaryPrefix + "mysql/1":  &pb.Primary{Member: MemberID(6)},
 		revision.PairPrefix + markerKey:     nil,
 	} {
@@ -66,11 +66,11 @@
 }
 
 func TestOrdinaryChangesAreOfAllKinds(t *testing.T) {
-	c := &Changes{ledger: NewLedger(), next: func(n int) int { return n - 1 }}
-	c.add(0, 12).agreed()
+	c := &ChangeGenerator{expected: NewExpectedState(), randomIndex: func(n int) int { return n - 1 }}
+	c.addMembers(0, 12).onCommitted()
 	kinds := map[string]int{}
 	for n := range 40 {
-		switch c.ordinary(n, int64(n)).command.Body.(type) {
+		switch c.typicalChange(n, int64(n)).command.Body.(type) {
 		case *pb.Command_UpsertMembers:
 			kinds["rewrite"]++
 		case *pb.Command_Drain:
--- a/internal/experiment/scale/load.go
+++ b/internal/experiment/scale/load.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	databasesOfGroup = 3
-	maxDatabases     = 12
-	maxLoadClients   = 200
+	databasesPerGroup = 3
+	maxDatabases      = 12
+	maxLoadClients    = 200
 	// FirstLoadGroup is the first group of stand-in databases.
 	FirstLoadGroup = 1
 )
@@ -27,12 +27,12 @@
 	quit   chan struct{}
 	wait   sync.WaitGroup
 
-	ids    atomic.Int64
-	counts pgclient.Counts
+	requestIDs atomic.Int64
+	counts     pgclient.Counts
 }
 
-// newLoad starts stand-in databases of both roles, in groups of three.
-func newLoad(databases int) (*loadGenerator, error) {
+// newLoadGenerator starts stand-in databases of both roles, in groups of three.
+func newLoadGenerator(databases int) (*loadGenerator, error) {
 	if databases > maxDatabases {
 		return nil, fmt.Errorf("scale: %d databases, %d at most", databases, maxDatabases)
 	}
@@ -41,9 +41,9 @@
 		return nil, err
 	}
 	l := &loadGenerator{net: n, quit: make(chan struct{})}
-	for first := 0; first < databases; first += databasesOfGroup {
+	for first := 0; first < databases; first += databasesPerGroup {
 		var ids []string
-		for i := first; i < min(first+databasesOfGroup, databases); i++ {
+		for i := first; i < min(first+databasesPerGroup, databases); i++ {
 			ids = append(ids, fmt.Sprintf("standin-%02d", i))
 		}
 		group, err := standin.NewGroup(standin.Postgres, standin.DefaultLimits(), ids...)
@@ -65,8 +65,8 @@
 	l.net.Stop()
 }
 
-// ask starts clients of the gateways' fronts.
-func (l *loadGenerator) ask(o Load) error {
+// startClients starts clients of the gateways' fronts.
+func (l *loadGenerator) startClients(o Load) error {
 	if n := o.Clients * len(o.Gateways); n > maxLoadClients {
 		return fmt.Errorf("scale: %d clients, %d at most", n, maxLoadClients)
 	}
@@ -75,15 +75,15 @@
 			l.wait.Add(1)
 			go func() {
 				defer l.wait.Done()
-				l.client(address, i, o.Pause)
+				l.runClient(address, i, o.Pause)
 			}()
 		}
 	}
 	return nil
 }
 
-// client asks one request after another until the end, with pauses that bound the load.
-func (l *loadGenerator) client(address string, number int, rest time.Duration) {
+// runClient asks one request after another until the end, with pauses that bound the load.
+func (l *loadGenerator) runClient(address string, number int, rest time.Duration) {
 	var c *pgclient.Client
 	for n := number; ; n++ {
 		select {
@@ -111,7 +111,7 @@
 
 // statement is the n-th of a client: one in five writes.
 func (l *loadGenerator) statement(n int) string {
-	id := l.ids.Add(1)
+	id := l.requestIDs.Add(1)
 	group := FirstLoadGroup + n%len(l.groups)
 	if n%5 == 0 {
 		return fmt.Sprintf(`INSERT INTO entries (ref, payload) VALUES ('k%d', '\x00') RETURNING payload /* id=%d,c=order,d=900,cluster=%d */`, id%100, id, group)
--- a/internal/experiment/scale/messages.go
+++ b/internal/experiment/scale/messages.go
@@ -5,13 +5,13 @@
 // The runner and its children talk in lines of JSON over the child's standard input and output: one Order, one Answer. A
 // child ends when its input does, so that none outlives its runner.
 
-// Order is what the runner wants of a child: exactly one of the bodies is set.
-type Order struct {
+// Request is what the runner wants of a child: exactly one of the bodies is set.
+type Request struct {
 	Configure *Configure `json:"configure,omitempty"`
 	Start     *Start     `json:"start,omitempty"`
 	Restart   *Restart   `json:"restart,omitempty"`
 	Stop      *Stop      `json:"stop,omitempty"`
-	Cut       *Cut       `json:"cut,omitempty"`
+	Partition *Partition `json:"cut,omitempty"`
 	Stall     *Stall     `json:"stall,omitempty"`
 	Submit    *Submit    `json:"submit,omitempty"`
 	Report    *Report    `json:"report,omitempty"`
@@ -48,16 +48,16 @@
 	Until int `json:"until"`
 }
 
-// Cut cuts the gateways of a region off from all servers that stand elsewhere, or heals that.
-type Cut struct {
+// Partition cuts the gateways of a region off from all servers that stand elsewhere, or heals that.
+type Partition struct {
 	Region int  `json:"region"`
 	Healed bool `json:"healed"`
 }
 
 // Stall opens connections that subscribe and never read; Settle then reads them to see which the servers have closed.
 type Stall struct {
-	Count  int  `json:"count,omitempty"`
-	Settle bool `json:"settle,omitempty"`
+	Count       int  `json:"count,omitempty"`
+	CheckClosed bool `json:"settle,omitempty"`
 }
 
 // Submit has a gateway hand a batch (catalog.Batch, encoded) up, again and again until it is answered or the limit is over.
@@ -91,8 +91,8 @@
 	Limit int64 `json:"limit_bytes"`
 }
 
-// Answer is what a child answers to an Order.
-type Answer struct {
+// Response is what a child answers to an Order.
+type Response struct {
 	Error string      `json:"error,omitempty"`
 	Fleet *FleetState `json:"fleet,omitempty"`
 	Load  *LoadState  `json:"load,omitempty"`
@@ -107,24 +107,24 @@
 
 // FleetState is how the hollow gateways of one child stand.
 type FleetState struct {
-	Gateways    int            `json:"gateways"`
-	Cut         int            `json:"cut"`          // of them, those in a region that is cut off
-	Connected   int            `json:"connected"`    // of them, those that a server serves
-	InForce     int            `json:"in_force"`     // of those that are not cut off: the expected revision is in force
-	MinRevision uint64         `json:"min_revision"` // of those that are not cut off
-	Digests     map[string]int `json:"digests"`      // gateways by revision and digest, as FormatDigest tells
-	Undone      int            `json:"undone"`       // drains that a gateway had in force and has lost without a newer start
-	Backward    int            `json:"backward"`     // updates that led to an older revision
+	Gateways            int            `json:"gateways"`
+	Partitioned         int            `json:"cut"`          // of them, those in a region that is cut off
+	Connected           int            `json:"connected"`    // of them, those that a server serves
+	Applied             int            `json:"in_force"`     // of those that are not cut off: the expected revision is in force
+	MinRevision         uint64         `json:"min_revision"` // of those that are not cut off
+	Digests             map[string]int `json:"digests"`      // gateways by revision and digest, as FormatDigest tells
+	UndoneDrains        int            `json:"undone"`       // drains that a gateway had in force and has lost without a newer start
+	RevisionRegressions int            `json:"backward"`     // updates that led to an older revision
 
 	// Since the window's begin.
-	Window        time.Duration `json:"window_ns"`
-	InForceTimes  []byte        `json:"in_force_times"` // HDR histogram, us, from commit to in force
-	SnapshotTimes []byte        `json:"snapshot_times"` // HDR histogram, us, from a start to the whole state in force
-	Bytes         int64         `json:"bytes"`          // at the sockets, both directions, all gateways
-	Messages      int64         `json:"messages"`       // both directions, all gateways
-	MaxBytes      int64         `json:"max_bytes"`      // of the gateway with most
-	Snapshots     int64         `json:"snapshots"`      // that were taken whole
-	Reconnects    int64         `json:"reconnects"`     // connections after a gateway's first
+	Window            time.Duration `json:"window_ns"`
+	ApplyLatencies    []byte        `json:"in_force_times"` // HDR histogram, us, from commit to in force
+	SnapshotLatencies []byte        `json:"snapshot_times"` // HDR histogram, us, from a start to the whole state in force
+	Bytes             int64         `json:"bytes"`          // at the sockets, both directions, all gateways
+	Messages          int64         `json:"messages"`       // both directions, all gateways
+	MaxGatewayBytes   int64         `json:"max_bytes"`      // of the gateway with most
+	Snapshots         int64         `json:"snapshots"`      // that were taken whole
+	Reconnects        int64         `json:"reconnects"`     // connections after a gateway's first
 
 	Submissions   Submissions `json:"submissions"`
 	Stalled       int         `json:"stalled"`        // connections that never read
--- a/internal/experiment/scale/network_test.go
+++ b/internal/experiment/scale/network_test.go
@@ -11,7 +11,7 @@
 	"aspenshed/internal/netio"
 )
 
-const testLimit = 10 * time.Second
+const testTimeout = 10 * time.Second
 
 // fakeNetwork hands out connections whose far end is the test.
 type fakeNetwork struct{ dialled chan *fakeConn }
@@ -36,31 +36,31 @@
 
 func (c *fakeConn) Close() { c.once.Do(func() { close(c.closed) }) }
 
-// heard is what a client's handler has been told, in order.
-type heard chan string
+// recordingHandler is what a client's handler has been told, in order.
+type recordingHandler chan string
 
-func (h heard) Up()              { h <- "up" }
-func (h heard) Data(b []byte)    { h <- string(b) }
-func (h heard) Closed(err error) { h <- fmt.Sprint("closed ", err) }
+func (h recordingHandler) Up()              { h <- "up" }
+func (h recordingHandler) Data(b []byte)    { h <- string(b) }
+func (h recordingHandler) Closed(err error) { h <- fmt.Sprint("closed ", err) }
 
-func (h heard) next(t *testing.T) string {
+func (h recordingHandler) next(t *testing.T) string {
 	t.Helper()
 	select {
 	case x := <-h:
 		return x
-	case <-time.After(testLimit):
+	case <-time.After(testTimeout):
 		t.Fatal("nothing came")
 		return ""
 	}
 }
 
-// dialled is a connection from zone 0 to a server in the farthest region.
-func dialled(t *testing.T) (*Links, heard, stream.Conn, *fakeConn) {
+// dialFarServer is a connection from zone 0 to a server in the farthest region.
+func dialFarServer(t *testing.T) (*EmulatedNetwork, recordingHandler, stream.Conn, *fakeConn) {
 	t.Helper()
 	below := &fakeNetwork{dialled: make(chan *fakeConn, 1)}
-	links := NewLinks(below, map[string]int{"far": 3}, true)
-	told := make(heard, 100)
-	conn, err := links.From(0).Dial("far", told)
+	links := NewEmulatedNetwork(below, map[string]int{"far": 3}, true)
+	told := make(recordingHandler, 100)
+	conn, err := links.ForZone(0).Dial("far", told)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 }
 
 func TestDelayKeepsOrder(t *testing.T) {
-	_, told, conn, far := dialled(t)
+	_, told, conn, far := dialFarServer(t)
 	begin := time.Now()
 	for i := range 10 {
 		far.handler.Data([]byte(fmt.Sprint(i)))
@@ -99,20 +99,20 @@
 }
 
 func TestCutHoldsBackUntilItIsHealed(t *testing.T) {
-	links, told, conn, far := dialled(t)
-	links.SetCut(zones[3].Region, true)
+	links, told, conn, far := dialFarServer(t)
+	links.SetPartitioned(zones[3].Region, true)
 	far.handler.Data([]byte("during the cut"))
 	if err := conn.Write([]byte("during the cut")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := links.From(0).Dial("far", told); !errors.Is(err, netio.ErrRefused) {
+	if _, err := links.ForZone(0).Dial("far", told); !errors.Is(err, netio.ErrRefused) {
 		t.Errorf("a dial during a cut: %v", err)
 	}
 	time.Sleep(2 * Delay(0, 3)) // nothing may come in this time
 	if len(told) > 0 || len(far.written) > 0 {
 		t.Error("the cut lets data through")
 	}
-	links.SetCut(zones[3].Region, false)
+	links.SetPartitioned(zones[3].Region, false)
 	if got := told.next(t); got != "during the cut" {
 		t.Error(got)
 	}
@@ -122,12 +122,12 @@
 }
 
 func TestClosedConnectionHearsNothing(t *testing.T) {
-	_, told, conn, far := dialled(t)
+	_, told, conn, far := dialFarServer(t)
 	far.handler.Data([]byte("late"))
 	conn.Close()
 	select {
 	case <-far.closed:
-	case <-time.After(testLimit):
+	case <-time.After(testTimeout):
 		t.Fatal("the server never sees the end")
 	}
 	if err := conn.Write(nil); !errors.Is(err, netio.ErrClosed) {
@@ -139,15 +139,15 @@
 }
 
 func TestTooMuchHeldBackEndsTheConnection(t *testing.T) {
-	links, told, conn, far := dialled(t)
-	links.SetCut(zones[3].Region, true)
-	if err := conn.Write(make([]byte, heldBytes+1)); !errors.Is(err, ErrHeldBack) {
+	links, told, conn, far := dialFarServer(t)
+	links.SetPartitioned(zones[3].Region, true)
+	if err := conn.Write(make([]byte, maxQueuedBytes+1)); !errors.Is(err, ErrQueueFull) {
 		t.Error(err)
 	}
-	far.handler.Data(make([]byte, heldBytes+1))
+	far.handler.Data(make([]byte, maxQueuedBytes+1))
 	<-far.closed
-	links.SetCut(zones[3].Region, false)
-	if got := told.next(t); got != "closed "+ErrHeldBack.Error() {
+	links.SetPartitioned(zones[3].Region, false)
+	if got := told.next(t); got != "closed "+ErrQueueFull.Error() {
 		t.Error(got)
 	}
 }
--- a/internal/experiment/scale/process.go
+++ b/internal/experiment/scale/process.go
@@ -8,50 +8,50 @@
 )
 
 const (
-	// memoryShare is the part of the machine's memory that a run may take at most, all of its processes together.
-	memoryShare = 2
-	// workerMemory is the Go runtime's soft limit for a worker, bytes: 150 gateways hold some 2.6 MB each at 21,000 members,
+	// memoryDivisor is the part of the machine's memory that a run may take at most, all of its processes together.
+	memoryDivisor = 2
+	// workerMemoryLimit is the Go runtime's soft limit for a worker, bytes: 150 gateways hold some 2.6 MB each at 21,000 members,
 	// and 16 workers stay below memoryShare of 24 GB.
-	workerMemory = 600 << 20
-	// growthMemory is the same while members come in: states that grew by changes take up to twice as much as those of a
+	workerMemoryLimit = 600 << 20
+	// growthMemoryLimit is the same while members come in: states that grew by changes take up to twice as much as those of a
 	// snapshot, and a heap at its limit would measure the collector.
-	growthMemory = 1800 << 20
-	perWorker    = 150
-	emptySettle  = 2 * time.Second // for an empty worker's start
-	loadClients  = 8
+	growthMemoryLimit     = 1800 << 20
+	gatewaysPerWorker     = 150
+	emptyWorkerSettleTime = 2 * time.Second // for an empty worker's start
+	loadClients           = 8
 )
 
 // ProcessOptions run daemons and workers as processes of a program, which has the commands serve and experiment hollow.
 func ProcessOptions(program Command, dir string) Options {
 	return Options{
-		Dir: dir, Voters: 5, RealGateways: 2, Clients: loadClients, PerWorker: perWorker, Delays: true, MaxMemory: machineMemory() / memoryShare,
-		GrowthMemory: growthMemory,
-		NewInstance:  func() Instance { return &ProcessInstance{Command: program} },
-		NewWorker:    func() (Doer, error) { return startWorkerProcess(program) },
-		Progress:     func(string, ...any) {},
-		Empty:        func() (Usage, error) { return emptyWorker(program) },
-		WorkerPID:    func(d Doer) int { return d.(*Child).PID() },
-		Kill:         func(d Doer) { d.(*Child).Kill() },
+		Dir: dir, Voters: 5, RealGateways: 2, ClientsPerGateway: loadClients, PerWorker: gatewaysPerWorker, Delays: true, MaxMemory: machineMemory() / memoryDivisor,
+		GrowthMemoryLimit: growthMemoryLimit,
+		NewInstance:       func() Instance { return &ProcessInstance{Command: program} },
+		NewWorker:         func() (Executor, error) { return startWorkerProcess(program) },
+		Progress:          func(string, ...any) {},
+		EmptyWorkerUsage:  func() (Usage, error) { return measureEmptyWorkerUsage(program) },
+		WorkerPID:         func(d Executor) int { return d.(*Child).PID() },
+		KillWorker:        func(d Executor) { d.(*Child).Kill() },
 	}
 }
 
-func startWorkerProcess(program Command) (Doer, error) {
+func startWorkerProcess(program Command) (Executor, error) {
 	program.Args = append(append([]string(nil), program.Args...), "experiment", "hollow")
-	program.Env = append(append([]string(nil), program.Env...), fmt.Sprint("GOMEMLIMIT=", workerMemory))
+	program.Env = append(append([]string(nil), program.Env...), fmt.Sprint("GOMEMLIMIT=", workerMemoryLimit))
 	return StartChild(program)
 }
 
-// emptyWorker is what a worker uses that has its engine and no gateway.
-func emptyWorker(program Command) (Usage, error) {
+// measureEmptyWorkerUsage is what a worker uses that has its engine and no gateway.
+func measureEmptyWorkerUsage(program Command) (Usage, error) {
 	w, err := startWorkerProcess(program)
 	if err != nil {
 		return Usage{}, err
 	}
 	defer w.Close()
-	if _, err := w.Do(context.Background(), Order{Configure: &Configure{Cluster: clusterName}}); err != nil {
+	if _, err := w.Do(context.Background(), Request{Configure: &Configure{Cluster: clusterName}}); err != nil {
 		return Usage{}, err
 	}
-	time.Sleep(emptySettle)
+	time.Sleep(emptyWorkerSettleTime)
 	return ReadUsage(w.(*Child).PID())
 }
 
--- a/internal/experiment/scale/result.go
+++ b/internal/experiment/scale/result.go
@@ -17,8 +17,8 @@
 	RoleVoter   = "voter"
 )
 
-// seriesOf makes a series with its fit. A series of fewer than two points has the zero fit.
-func seriesOf(s measure.Series, points []measure.Point) measure.Series {
+// newSeries makes a series with its fit. A series of fewer than two points has the zero fit.
+func newSeries(s measure.Series, points []measure.Point) measure.Series {
 	s.Points = points
 	if fit, err := measure.LeastSquares(points); err == nil {
 		s.Fit = fit
@@ -36,8 +36,8 @@
 	return names
 }
 
-// machine describes where a run takes place, with the load that others put on it at the start.
-func machine() string {
+// machineDescription describes where a run takes place, with the load that others put on it at the start.
+func machineDescription() string {
 	description := fmt.Sprintf("%d cores", runtime.NumCPU())
 	if memory := firstField("/proc/meminfo", "MemTotal:"); memory != "" {
 		description += ", " + memory + " kB of memory"
@@ -63,9 +63,9 @@
 	return ""
 }
 
-// commit names the commit that is checked out in the working folder, with "-dirty" where the program's sources differ from
+// commitName names the commitName that is checked out in the working folder, with "-dirty" where the program's sources differ from
 // it; those of the experiments do not count, as they are what measures.
-func commit() string {
+func commitName() string {
 	head, err := exec.Command("git", "rev-parse", "--short", "HEAD").Output()
 	if err != nil {
 		return "unknown"
--- a/internal/experiment/scale/scale_test.go
+++ b/internal/experiment/scale/scale_test.go
@@ -44,12 +44,12 @@
 // testOptions run everything in the test's process.
 func testOptions(t *testing.T) Options {
 	p := ShortPlan()
-	return Options{Dir: t.TempDir(), Voters: 3, RealGateways: 1, Clients: 2, PerWorker: p.Gateways[0], Delays: true, Seed: 1, MaxMemory: machineMemory() / memoryShare,
+	return Options{Dir: t.TempDir(), Voters: 3, RealGateways: 1, ClientsPerGateway: 2, PerWorker: p.Gateways[0], Delays: true, Seed: 1, MaxMemory: machineMemory() / memoryDivisor,
 		NewInstance: func() Instance { return &testInstance{} },
-		NewWorker:   func() (Doer, error) { return &Worker{}, nil },
+		NewWorker:   func() (Executor, error) { return &Worker{}, nil },
 		Progress:    t.Logf,
-		WorkerPID:   func(Doer) int { return os.Getpid() },
-		Kill:        func(d Doer) { d.Close() }}
+		WorkerPID:   func(Executor) int { return os.Getpid() },
+		KillWorker:  func(d Executor) { d.Close() }}
 }
 
 // The short form of a scale run: all events on a small installation, in this process. Its checks don't depend on speed.
--- a/internal/experiment/scale/stalled.go
+++ b/internal/experiment/scale/stalled.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	stalledReadBuffer = 4 << 10 // bytes that the system takes for a subscriber that never reads
-	settleLimit       = 3 * time.Second
+	stalledReadBuffer     = 4 << 10 // bytes that the system takes for a subscriber that never reads
+	closeDetectionTimeout = 3 * time.Second
 )
 
 // stalledSubscriber subscribes and never reads.
 type stalledSubscriber struct{ conn net.Conn }
 
-func stall(c Configure, number int) (*stalledSubscriber, error) {
+func openStalledSubscriber(c Configure, number int) (*stalledSubscriber, error) {
 	conn, err := net.DialTimeout("tcp", c.Servers[number%len(c.Servers)], time.Second)
 	if err != nil {
 		return nil, err
@@ -41,13 +41,13 @@
 	return s, nil
 }
 
-// ended tells whether the server has closed the connection. What the server had not sent by then may still keep its system
+// isClosed tells whether the server has closed the connection. What the server had not sent by then may still keep its system
 // from telling the end, as nothing was ever read here; but a byte that comes for a closed socket is answered by a reset.
-func (s *stalledSubscriber) ended() bool {
+func (s *stalledSubscriber) isClosed() bool {
 	if _, err := s.conn.Write([]byte{0}); err != nil {
 		return true
 	}
-	if err := s.conn.SetReadDeadline(time.Now().Add(settleLimit)); err != nil {
+	if err := s.conn.SetReadDeadline(time.Now().Add(closeDetectionTimeout)); err != nil {
 		return true
 	}
 	_, err := io.Copy(io.Discard, s.conn)
@@ -58,33 +58,33 @@
 
 // Stall opens slow subscribers, or looks which of them the servers have closed.
 func (f *Fleet) Stall(o Stall) error {
-	if o.Settle {
-		f.settleStalled()
+	if o.CheckClosed {
+		f.checkStalledClosed()
 		return nil
 	}
-	for i := range min(o.Count, maxFleet) {
-		s, err := stall(f.config, i)
+	for i := range min(o.Count, maxGatewaysPerProcess) {
+		s, err := openStalledSubscriber(f.config, i)
 		if err != nil {
 			return err
 		}
-		f.slow = append(f.slow, s)
-		f.stalled++
+		f.stalledSubscribers = append(f.stalledSubscribers, s)
+		f.stalledOpened++
 	}
 	return nil
 }
 
-func (f *Fleet) settleStalled() {
+func (f *Fleet) checkStalledClosed() {
 	results := make(chan bool)
-	for _, s := range f.slow {
+	for _, s := range f.stalledSubscribers {
 		go func() {
-			results <- s.ended()
+			results <- s.isClosed()
 			s.close()
 		}()
 	}
-	for range f.slow {
+	for range f.stalledSubscribers {
 		if <-results {
-			f.closed++
+			f.stalledClosed++
 		}
 	}
-	f.slow = nil
+	f.stalledSubscribers = nil
 }
--- a/internal/experiment/scale/stalled_test.go
+++ b/internal/experiment/scale/stalled_test.go
@@ -20,19 +20,19 @@
 	t.Cleanup(server.Stop)
 	var records []revision.Record
 	for i := range 1000 {
-		records = append(records, memberChange(t, 1, i, 0, 0).Record)
+		records = append(records, newMemberChange(t, 1, i, 0, 0).Record)
 	}
 	server.Reset(1, records)
 	w := &Worker{}
 	t.Cleanup(w.Close)
-	do(t, w, Order{Configure: &Configure{Cluster: clusterName, Servers: []string{server.Addr()}}})
-	do(t, w, Order{Stall: &Stall{Count: 3}})
-	err = waitUntil(t.Context(), "their end", testLimit, func() bool { return server.Stats().Closed == 3 })
+	do(t, w, Request{Configure: &Configure{Cluster: clusterName, Servers: []string{server.Addr()}}})
+	do(t, w, Request{Stall: &Stall{Count: 3}})
+	err = waitUntil(t.Context(), "their end", testTimeout, func() bool { return server.Stats().Closed == 3 })
 	if err != nil {
 		t.Errorf("%v: %+v", err, server.Stats())
 	}
-	do(t, w, Order{Stall: &Stall{Settle: true}})
-	if state := do(t, w, Order{Report: &Report{}}).Fleet; state.Stalled != 3 || state.StalledClosed != 3 {
+	do(t, w, Request{Stall: &Stall{CheckClosed: true}})
+	if state := do(t, w, Request{Report: &Report{}}).Fleet; state.Stalled != 3 || state.StalledClosed != 3 {
 		t.Errorf("%+v", state)
 	}
 }
--- a/internal/experiment/scale/submitter.go
+++ b/internal/experiment/scale/submitter.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	callLimit    = 4 * time.Second // for one voter to answer
-	callRetry    = 50 * time.Millisecond
-	writeLimit   = 30 * time.Second // for a batch to be agreed on, a leader's loss included
-	maxBatchSize = 64               // commands of one batch, as the store takes them
+	callTimeout      = 4 * time.Second // for one voter to answer
+	callRetryDelay   = 50 * time.Millisecond
+	writeTimeout     = 30 * time.Second // for a batch to be agreed on, a leader's loss included
+	maxBatchCommands = 64               // commands of one batch, as the store takes them
 )
 
 // Submitter brings commands to the voters as another instance of the store would: to the leader's service, again and again
@@ -31,7 +31,7 @@
 	origin   string
 	services []string
 	sequence uint64
-	at       int // the service that is asked next
+	current  int // the service that is asked next
 	conn     net.Conn
 	reader   *bufio.Reader
 }
@@ -52,8 +52,8 @@
 // Submit has commands carried out, in batches. It fails on the first that the catalog refuses.
 func (s *Submitter) Submit(ctx context.Context, commands ...*pb.Command) error {
 	for len(commands) > 0 {
-		n := min(len(commands), maxBatchSize)
-		if err := s.submitBatch(ctx, s.number(commands[:n])); err != nil {
+		n := min(len(commands), maxBatchCommands)
+		if err := s.submitBatch(ctx, s.assignSequence(commands[:n])); err != nil {
 			return err
 		}
 		commands = commands[n:]
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// number gives commands their origin and sequence.
-func (s *Submitter) number(commands []*pb.Command) *pb.Batch {
+// assignSequence gives commands their origin and sequence.
+func (s *Submitter) assignSequence(commands []*pb.Command) *pb.Batch {
 	for _, c := range commands {
 		s.sequence++
 		c.Origin, c.Seq, c.Kind = s.origin, s.sequence, catalog.CommandKind(c)
@@ -72,7 +72,7 @@
 
 func (s *Submitter) submitBatch(ctx context.Context, b *pb.Batch) error {
 	call := &pb.Call{Cluster: s.cluster, Body: &pb.Call_Submit{Submit: b}}
-	for end := time.Now().Add(writeLimit); ; {
+	for end := time.Now().Add(writeTimeout); ; {
 		reply, err := s.call(call)
 		if err == nil && reply.Refused == "" {
 			return firstRefusal(reply.Results)
@@ -81,30 +81,30 @@
 			err = refusedError{reply.Refused}
 		}
 		if time.Now().After(end) {
-			return errors.Join(err, &TimeoutError{"agreement on a batch", writeLimit})
+			return errors.Join(err, &TimeoutError{"agreement on a batch", writeTimeout})
 		}
-		s.next(reply)
-		if err := pause(ctx, callRetry); err != nil {
+		s.selectNextService(reply)
+		if err := sleepContext(ctx, callRetryDelay); err != nil {
 			return err
 		}
 	}
 }
 
-// next turns to the leader that a reply names, else to another voter.
-func (s *Submitter) next(reply *pb.Reply) {
+// selectNextService turns to the leader that a reply names, else to another voter.
+func (s *Submitter) selectNextService(reply *pb.Reply) {
 	s.Close()
 	for i, service := range s.services {
 		if reply != nil && service == reply.LeaderService {
-			s.at = i
+			s.current = i
 			return
 		}
 	}
-	s.at = (s.at + 1) % len(s.services)
+	s.current = (s.current + 1) % len(s.services)
 }
 
 func (s *Submitter) call(call *pb.Call) (*pb.Reply, error) {
 	if s.conn == nil {
-		conn, err := net.DialTimeout("tcp", s.services[s.at], time.Second)
+		conn, err := net.DialTimeout("tcp", s.services[s.current], time.Second)
 		if err != nil {
 			return nil, err
 		}
@@ -113,7 +113,7 @@
 	call.Id++
 	message, err := frame.Append(nil, call)
 	if err == nil {
-		err = s.conn.SetDeadline(time.Now().Add(callLimit))
+		err = s.conn.SetDeadline(time.Now().Add(callTimeout))
 	}
 	if err == nil {
 		_, err = s.conn.Write(message)
--- a/internal/experiment/scale/topology.go
+++ b/internal/experiment/scale/topology.go
@@ -13,11 +13,11 @@
 
 // One-way delays between a gateway and a server, set at the seam of the control stream's network. Regions stand on a ring.
 const (
-	DelayWithinZone    = 500 * time.Microsecond
-	DelayWithinRegion  = 1 * time.Millisecond
-	DelayNextRegion    = 15 * time.Millisecond // to a neighbour on the ring
-	DelayEachRegion    = 12500 * time.Microsecond
-	furthestRegionSpan = RegionCount / 2 // 40 ms one way, 80 ms there and back
+	DelayWithinZone     = 500 * time.Microsecond
+	DelayWithinRegion   = 1 * time.Millisecond
+	DelayNextRegion     = 15 * time.Millisecond // to a neighbour on the ring
+	DelayPerExtraRegion = 12500 * time.Microsecond
+	maxRegionSpan       = RegionCount / 2 // 40 ms one way, 80 ms there and back
 )
 
 // Zone is a place that fails as one.
@@ -42,8 +42,8 @@
 // RegionName names a region.
 func RegionName(region int) string { return fmt.Sprintf("region-%d", region) }
 
-// ZoneOf is the zone of gateway number i: gateways are dealt out to zones in turn.
-func ZoneOf(i int) int { return i % ZoneCount }
+// GatewayZone is the zone of gateway number i: gateways are dealt out to zones in turn.
+func GatewayZone(i int) int { return i % ZoneCount }
 
 // ServerZone is the zone of voter number i: each voter stands in a region of its own.
 func ServerZone(i int) int { return i % RegionCount }
@@ -58,6 +58,6 @@
 		return DelayWithinRegion
 	}
 	span := (a - b + RegionCount) % RegionCount
-	span = min(span, RegionCount-span, furthestRegionSpan)
-	return DelayNextRegion + time.Duration(span-1)*DelayEachRegion
+	span = min(span, RegionCount-span, maxRegionSpan)
+	return DelayNextRegion + time.Duration(span-1)*DelayPerExtraRegion
 }
--- a/internal/experiment/scale/total.go
+++ b/internal/experiment/scale/total.go
@@ -13,30 +13,30 @@
 // fleetTotal is how the hollow gateways of all workers stand.
 type fleetTotal struct {
 	FleetState
-	inForce, snapshots *hdrhistogram.Histogram
-	usage              map[int]Usage // of workers, by process
-	hosts              map[int]int   // gateways, by process
+	applyLatency, snapshotLatency *hdrhistogram.Histogram
+	usageByProcess                map[int]Usage // of workers, by process
+	gatewaysByProcess             map[int]int   // gateways, by process
 }
 
 func newFleetTotal() fleetTotal {
-	return fleetTotal{FleetState: FleetState{Digests: map[string]int{}}, inForce: newHistogram(), snapshots: newHistogram(),
-		usage: map[int]Usage{}, hosts: map[int]int{}}
+	return fleetTotal{FleetState: FleetState{Digests: map[string]int{}}, applyLatency: newHistogram(), snapshotLatency: newHistogram(),
+		usageByProcess: map[int]Usage{}, gatewaysByProcess: map[int]int{}}
 }
 
 func (t *fleetTotal) add(s *FleetState, pid int) error {
 	t.Gateways += s.Gateways
-	t.Cut += s.Cut
+	t.Partitioned += s.Partitioned
 	t.Connected += s.Connected
-	t.InForce += s.InForce
-	t.Undone += s.Undone
-	t.Backward += s.Backward
+	t.Applied += s.Applied
+	t.UndoneDrains += s.UndoneDrains
+	t.RevisionRegressions += s.RevisionRegressions
 	t.Bytes += s.Bytes
 	t.Messages += s.Messages
 	t.Snapshots += s.Snapshots
 	t.Reconnects += s.Reconnects
 	t.Stalled += s.Stalled
 	t.StalledClosed += s.StalledClosed
-	t.MaxBytes = max(t.MaxBytes, s.MaxBytes)
+	t.MaxGatewayBytes = max(t.MaxGatewayBytes, s.MaxGatewayBytes)
 	t.Window = max(t.Window, s.Window)
 	if t.MinRevision == 0 || s.MinRevision != 0 && s.MinRevision < t.MinRevision {
 		t.MinRevision = s.MinRevision
@@ -47,8 +47,8 @@
 	for state, n := range s.Digests {
 		t.Digests[state] += n
 	}
-	t.usage[pid] = s.Usage
-	t.hosts[pid] += s.Gateways
+	t.usageByProcess[pid] = s.Usage
+	t.gatewaysByProcess[pid] += s.Gateways
 	return t.merge(s)
 }
 
@@ -56,7 +56,7 @@
 	for _, part := range []struct {
 		into    *hdrhistogram.Histogram
 		encoded []byte
-	}{{t.inForce, s.InForceTimes}, {t.snapshots, s.SnapshotTimes}} {
+	}{{t.applyLatency, s.ApplyLatencies}, {t.snapshotLatency, s.SnapshotLatencies}} {
 		h, err := hdrhistogram.Decode(part.encoded)
 		if err != nil {
 			return err
@@ -75,7 +75,7 @@
 	return measure.Quantiles{Count: h.TotalCount(), P50: seconds(h.ValueAtQuantile(50)), P99: seconds(h.ValueAtQuantile(99)), Max: seconds(h.Max())}
 }
 
-// states are the states that gateways are in, the most frequent first.
-func (t *fleetTotal) states() []string {
+// statesByFrequency are the statesByFrequency that gateways are in, the most frequent first.
+func (t *fleetTotal) statesByFrequency() []string {
 	return slices.SortedFunc(maps.Keys(t.Digests), func(a, b string) int { return t.Digests[b] - t.Digests[a] })
 }
--- a/internal/experiment/scale/usage.go
+++ b/internal/experiment/scale/usage.go
@@ -24,8 +24,8 @@
 	Recorded time.Time     `json:"recorded"`
 }
 
-// ErrProcess says that the system's account of a process could not be understood.
-var ErrProcess = errors.New("scale: unreadable process account")
+// ErrProcessUsage says that the system's account of a process could not be understood.
+var ErrProcessUsage = errors.New("scale: unreadable process account")
 
 // ReadUsage asks the system for one process's account.
 func ReadUsage(pid int) (Usage, error) {
@@ -52,12 +52,12 @@
 	_, rest, ok := strings.Cut(text[max(strings.LastIndexByte(text, ')'), 0):], " ")
 	fields := strings.Fields(rest)
 	if !ok || len(fields) <= system {
-		return ErrProcess
+		return ErrProcessUsage
 	}
 	for _, i := range []int{user, system} {
 		ticks, err := strconv.ParseInt(fields[i], 10, 64)
 		if err != nil {
-			return errors.Join(ErrProcess, err)
+			return errors.Join(ErrProcessUsage, err)
 		}
 		u.CPU += time.Duration(ticks) * clockTick
 	}
@@ -68,11 +68,11 @@
 func parseStatm(u *Usage, text string) error {
 	fields := strings.Fields(text)
 	if len(fields) < 2 {
-		return ErrProcess
+		return ErrProcessUsage
 	}
 	pages, err := strconv.ParseInt(fields[1], 10, 64)
 	if err != nil {
-		return errors.Join(ErrProcess, err)
+		return errors.Join(ErrProcessUsage, err)
 	}
 	u.Memory = pages * int64(os.Getpagesize())
 	return nil
@@ -88,13 +88,13 @@
 		}
 		n, err := strconv.ParseInt(value, 10, 64)
 		if err != nil {
-			return errors.Join(ErrProcess, err)
+			return errors.Join(ErrProcessUsage, err)
 		}
 		*field = n
 		delete(into, name)
 	}
 	if len(into) > 0 {
-		return ErrProcess
+		return ErrProcessUsage
 	}
 	return nil
 }
--- a/internal/experiment/scale/usage_test.go
+++ b/internal/experiment/scale/usage_test.go
@@ -14,7 +14,7 @@
 		t.Errorf("%v %v", u.CPU, err)
 	}
 	for _, bad := range []string{"", "12 (a", "12 (a) S 1 2", "12 (a) S 1 1 1 0 -1 0 0 0 0 0 x 5 0"} {
-		if err := parseStat(&u, bad); !errors.Is(err, ErrProcess) {
+		if err := parseStat(&u, bad); !errors.Is(err, ErrProcessUsage) {
 			t.Errorf("%q: %v", bad, err)
 		}
 	}
@@ -26,7 +26,7 @@
 	if err := parseIO(&u, text); err != nil || u.Read != 10 || u.Written != 20 || u.Reads != 3 || u.Writes != 4 || u.ToDisk != 5 {
 		t.Errorf("%+v %v", u, err)
 	}
-	if err := parseIO(&u, "rchar: 10\n"); !errors.Is(err, ErrProcess) {
+	if err := parseIO(&u, "rchar: 10\n"); !errors.Is(err, ErrProcessUsage) {
 		t.Errorf("fields are missing: %v", err)
 	}
 }
--- a/internal/experiment/scale/voter.go
+++ b/internal/experiment/scale/voter.go
@@ -113,7 +113,7 @@
 // Usage is the account of its process.
 func (n *Node) Usage() (Usage, error) { return ReadUsage(n.Instance.PID()) }
 
-const deployFront = `postgres:
+const deployFrontTemplate = `postgres:
   listen: %s
   inventory: inventory.csv
   clients: 200
@@ -127,7 +127,7 @@
   client_idle: 10m
 `
 
-const deployVoter = `admin: {socket: s}
+const deployVoterTemplate = `admin: {socket: s}
 store:
   cluster: %s
   id: %s
@@ -138,7 +138,7 @@
   peers:
 %s`
 
-const deployGateway = `admin: {socket: s}
+const deployGatewayTemplate = `admin: {socket: s}
 store:
   cluster: %s
   id: %s
@@ -147,23 +147,23 @@
   zone: %s
 `
 
-// writeVoter writes a voter's folder. It has no front.
-func (n *Node) writeVoter(voters []*Node) error {
+// writeVoterConfig writes a voter's folder. It has no front.
+func (n *Node) writeVoterConfig(voters []*Node) error {
 	peers := ""
 	for _, v := range voters {
 		peers += fmt.Sprintf("    - {id: %s, address: %s, service: %s}\n", v.ID, v.Address, v.Service)
 	}
-	return n.writeDeploy(fmt.Sprintf(deployVoter, clusterName, n.ID, n.Address, n.Service, n.Subscribers, peers))
+	return n.writeDeploy(fmt.Sprintf(deployVoterTemplate, clusterName, n.ID, n.Address, n.Service, n.Subscribers, peers))
 }
 
 func (n *Node) writeDeploy(text string) error {
 	return os.WriteFile(n.deployPath(), []byte(text), 0o600)
 }
 
-// writeGateway writes a real gateway's folder. Its own list names the databases that its clients' requests go to.
-func (n *Node) writeGateway(servers []string, zone Zone, databases []Database) error {
-	store := fmt.Sprintf(deployGateway, clusterName, n.ID, strings.Join(servers, ", "), RegionName(zone.Region), zone.Name)
-	if err := n.writeDeploy(fmt.Sprintf(deployFront, n.Front) + store); err != nil {
+// writeGatewayConfig writes a real gateway's folder. Its own list names the databases that its clients' requests go to.
+func (n *Node) writeGatewayConfig(servers []string, zone Zone, databases []Database) error {
+	store := fmt.Sprintf(deployGatewayTemplate, clusterName, n.ID, strings.Join(servers, ", "), RegionName(zone.Region), zone.Name)
+	if err := n.writeDeploy(fmt.Sprintf(deployFrontTemplate, n.Front) + store); err != nil {
 		return err
 	}
 	list := []byte("id,address,site,group,kind,state\n")
@@ -186,4 +186,4 @@
 	return nil
 }
 
-const startLimit = 60 * time.Second // for voters to agree on a leader
+const voterStartTimeout = 60 * time.Second // for voters to agree on a leader
--- a/internal/experiment/scale/wait.go
+++ b/internal/experiment/scale/wait.go
@@ -25,15 +25,15 @@
 		if time.Now().After(end) {
 			return &TimeoutError{what, limit}
 		}
-		if err := pause(ctx, pollInterval); err != nil {
+		if err := sleepContext(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// pause lets a measurement run on for some time.
-func pause(ctx context.Context, d time.Duration) error {
+// sleepContext lets a measurement run on for some time.
+func sleepContext(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/experiment/scale/window.go
+++ b/internal/experiment/scale/window.go
@@ -10,45 +10,45 @@
 )
 
 const (
-	// InForceBound is the operators' limit from a commit to its being in force at every gateway that can be reached.
-	InForceBound = 11 * time.Second
-	// convergeLimit is how long a window waits for gateways at its end, beyond the bound, so that a late one is seen as late
+	// MaxApplyDelay is the operators' limit from a commit to its being in force at every gateway that can be reached.
+	MaxApplyDelay = 11 * time.Second
+	// convergeGrace is how long a window waits for gateways at its end, beyond the bound, so that a late one is seen as late
 	// rather than as lost.
-	convergeLimit = 60 * time.Second
+	convergeGrace = 60 * time.Second
 )
 
 // windowPlan is one stretch of time that is measured by itself.
 type windowPlan struct {
-	name     string
-	lasts    time.Duration
-	rate     float64                              // ordinary changes a second meanwhile
-	disturb  func(context.Context) error          // what is done at its start; nil: nothing
-	converge time.Duration                        // how long all may take to have everything in force at the end; 0: InForceBound
-	check    func(context.Context, *windowResult) // more that has to hold at its end
+	name            string
+	duration        time.Duration
+	rate            float64                              // ordinary changes a second meanwhile
+	action          func(context.Context) error          // what is done at its start; nil: nothing
+	convergeTimeout time.Duration                        // how long all may take to have everything in force at the end; 0: InForceBound
+	check           func(context.Context, *windowResult) // more that has to hold at its end
 }
 
 // windowResult is what came of it.
 type windowResult struct {
-	event      measure.Event
-	total      fleetTotal
-	voters     map[string]Rates // by node
-	gateways   map[string]Rates
-	late       int           // gateways that did not have everything in force in time
-	converged  time.Duration // from the last commit until all had it
-	logEntries float64       // a second
-	messages   float64       // a second and gateway
-	checks     []measure.Check
+	event        measure.Event
+	total        fleetTotal
+	voters       map[string]Rates // by node
+	gateways     map[string]Rates
+	lateGateways int           // gateways that did not have everything in force in time
+	convergeTime time.Duration // from the last commit until all had it
+	logEntryRate float64       // a second
+	messageRate  float64       // a second and gateway
+	checks       []measure.Check
 }
 
-// accounts are those of all daemons at one time.
-type accounts struct {
-	usage  map[string]Usage
-	commit uint64
-	at     time.Time
+// usageSnapshot are those of all daemons at one time.
+type usageSnapshot struct {
+	usage       map[string]Usage
+	commitIndex uint64
+	at          time.Time
 }
 
-func (x *installation) accounts() (a accounts, err error) {
-	a = accounts{usage: map[string]Usage{}, at: time.Now()}
+func (x *installation) collectUsage() (a usageSnapshot, err error) {
+	a = usageSnapshot{usage: map[string]Usage{}, at: time.Now()}
 	for _, n := range append(append([]*Node(nil), x.voters...), x.gateways...) {
 		if n.Instance.PID() == 0 {
 			continue
@@ -62,13 +62,13 @@
 		if err != nil {
 			return a, err
 		}
-		a.commit = s.Commit
+		a.commitIndex = s.Commit
 	}
 	return a, nil
 }
 
 // rates are what nodes used between two accounts. One that was started again meanwhile counts from its start.
-func rates(nodes []*Node, before, after accounts) map[string]Rates {
+func rates(nodes []*Node, before, after usageSnapshot) map[string]Rates {
 	out := map[string]Rates{}
 	for _, n := range nodes {
 		now, there := after.usage[n.ID]
@@ -90,18 +90,18 @@
 	if err != nil {
 		return nil, err
 	}
-	before, err := x.accounts()
+	before, err := x.collectUsage()
 	if err != nil {
 		return nil, err
 	}
-	if err := x.passTime(ctx, p); err != nil {
+	if err := x.runWindow(ctx, p); err != nil {
 		return nil, fmt.Errorf("%s: %w", p.name, err)
 	}
 	r := &windowResult{}
-	if err := x.converge(ctx, p, r); err != nil {
+	if err := x.waitConverged(ctx, p, r); err != nil {
 		return nil, fmt.Errorf("%s: %w", p.name, err)
 	}
-	after, err := x.accounts()
+	after, err := x.collectUsage()
 	if err != nil {
 		return nil, err
 	}
@@ -112,55 +112,55 @@
 	return r, x.checkMemory()
 }
 
-// passTime has ordinary changes agreed on at their rate until the window is over, and the disturbance beside them.
-func (x *installation) passTime(ctx context.Context, p windowPlan) error {
+// runWindow has ordinary changes agreed on at their rate until the window is over, and the disturbance beside them.
+func (x *installation) runWindow(ctx context.Context, p windowPlan) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var wait sync.WaitGroup
 	wait.Add(1)
 	go func() {
 		defer wait.Done()
-		if p.disturb == nil {
+		if p.action == nil {
 			return
 		}
-		if err := p.disturb(ctx); err != nil {
+		if err := p.action(ctx); err != nil {
 			cancel(err)
 		}
 	}()
-	end := time.Now().Add(p.lasts)
+	end := time.Now().Add(p.duration)
 	for n := 0; p.rate > 0; n++ {
-		due := end.Add(-p.lasts + time.Duration(float64(n)/p.rate*float64(time.Second)))
+		due := end.Add(-p.duration + time.Duration(float64(n)/p.rate*float64(time.Second)))
 		if !due.Before(end) {
 			break
 		}
-		if err := pause(ctx, time.Until(due)); err != nil {
+		if err := sleepContext(ctx, time.Until(due)); err != nil {
 			break
 		}
-		if err := x.submitOrdinary(ctx, n); err != nil {
+		if err := x.submitTypicalChange(ctx, n); err != nil {
 			cancel(err)
 		}
 	}
-	_ = pause(ctx, time.Until(end)) // the cause of an early end is looked at below
+	_ = sleepContext(ctx, time.Until(end)) // the cause of an early end is looked at below
 	wait.Wait()
 	return context.Cause(ctx)
 }
 
-func (x *installation) submitOrdinary(ctx context.Context, n int) error {
+func (x *installation) submitTypicalChange(ctx context.Context, n int) error {
 	x.mu.Lock()
-	c := x.changes.ordinary(n, time.Now().UnixNano())
+	c := x.changes.typicalChange(n, time.Now().UnixNano())
 	x.mu.Unlock()
 	return x.submit(ctx, c)
 }
 
-// converge waits until every gateway that can be reached has in force all that was agreed on.
-func (x *installation) converge(ctx context.Context, p windowPlan, r *windowResult) error {
-	expected, err := x.settle(ctx)
+// waitConverged waits until every gateway that can be reached has in force all that was agreed on.
+func (x *installation) waitConverged(ctx context.Context, p windowPlan, r *windowResult) error {
+	expected, err := x.commitMarker(ctx)
 	if err != nil {
 		return err
 	}
-	bound := p.converge
+	bound := p.convergeTimeout
 	if bound == 0 {
-		bound = InForceBound
+		bound = MaxApplyDelay
 	}
 	begin := time.Now()
 	for {
@@ -168,32 +168,32 @@
 		if r.total, err = x.report(ctx, Report{Expected: expected}); err != nil {
 			return err
 		}
-		missing := r.total.Gateways - r.total.Cut - r.total.InForce
-		r.converged = time.Since(begin)
+		missing := r.total.Gateways - r.total.Partitioned - r.total.Applied
+		r.convergeTime = time.Since(begin)
 		if askedInTime {
-			r.late = missing
+			r.lateGateways = missing
 		}
-		if missing == 0 || r.converged > bound+convergeLimit {
+		if missing == 0 || r.convergeTime > bound+convergeGrace {
 			return nil
 		}
-		if err := pause(ctx, 5*pollInterval); err != nil {
+		if err := sleepContext(ctx, 5*pollInterval); err != nil {
 			return err
 		}
 	}
 }
 
 // evaluate makes the event and its checks.
-func (x *installation) evaluate(p windowPlan, r *windowResult, workersBefore fleetTotal, before, after accounts) {
+func (x *installation) evaluate(p windowPlan, r *windowResult, workersBefore fleetTotal, before, after usageSnapshot) {
 	t := &r.total
 	seconds := t.Window.Seconds()
 	gateways := float64(max(t.Gateways, 1))
 	r.voters, r.gateways = rates(x.voters, before, after), rates(x.gateways, before, after)
-	if after.commit >= before.commit && before.commit > 0 {
-		r.logEntries = float64(after.commit-before.commit) / after.at.Sub(before.at).Seconds()
+	if after.commitIndex >= before.commitIndex && before.commitIndex > 0 {
+		r.logEntryRate = float64(after.commitIndex-before.commitIndex) / after.at.Sub(before.at).Seconds()
 	}
-	r.messages = float64(t.Messages) / gateways / seconds
-	r.event = measure.Event{Name: p.name, Gateways: t.Gateways, Members: x.changes.count, Seconds: seconds, InForce: quantilesOf(t.inForce),
-		GatewayBytes: float64(t.Bytes) / gateways / seconds, WorstMinuteBytes: float64(t.MaxBytes) / max(seconds, 1)}
+	r.messageRate = float64(t.Messages) / gateways / seconds
+	r.event = measure.Event{Name: p.name, Gateways: t.Gateways, Members: x.changes.memberCount, Seconds: seconds, InForce: quantilesOf(t.applyLatency),
+		GatewayBytes: float64(t.Bytes) / gateways / seconds, WorstMinuteBytes: float64(t.MaxGatewayBytes) / max(seconds, 1)}
 	for _, n := range x.voters {
 		r.event.Roles = append(r.event.Roles, daemonUsage(RoleVoter, n.ID, 0, r.voters[n.ID]))
 	}
@@ -201,24 +201,24 @@
 		r.event.Roles = append(r.event.Roles, daemonUsage(RoleGateway, n.ID, 1, r.gateways[n.ID]))
 	}
 	for pid, used := range r.workerRates(workersBefore) {
-		r.event.Roles = append(r.event.Roles, daemonUsage(RoleHollow, fmt.Sprint("worker of ", t.hosts[pid]), t.hosts[pid], used))
+		r.event.Roles = append(r.event.Roles, daemonUsage(RoleHollow, fmt.Sprint("worker of ", t.gatewaysByProcess[pid]), t.gatewaysByProcess[pid], used))
 	}
 	r.checks = append(r.checks,
-		atMost(p.name+": gateways without all changes in force in time", float64(r.late), 0, "1", fmt.Sprintf("of %d, after %.1f s", t.Gateways, r.converged.Seconds())),
-		atMost(p.name+": slowest from commit to in force", r.event.InForce.Max, InForceBound.Seconds(), "s", fmt.Sprintf("%d changes taken", r.event.InForce.Count)),
-		atMost(p.name+": drains undone", float64(t.Undone), 0, "1", ""),
-		atMost(p.name+": updates that led backward", float64(t.Backward), 0, "1", ""))
+		atMost(p.name+": gateways without all changes in force in time", float64(r.lateGateways), 0, "1", fmt.Sprintf("of %d, after %.1f s", t.Gateways, r.convergeTime.Seconds())),
+		atMost(p.name+": slowest from commit to in force", r.event.InForce.Max, MaxApplyDelay.Seconds(), "s", fmt.Sprintf("%d changes taken", r.event.InForce.Count)),
+		atMost(p.name+": drains undone", float64(t.UndoneDrains), 0, "1", ""),
+		atMost(p.name+": updates that led backward", float64(t.RevisionRegressions), 0, "1", ""))
 	x.options.Progress("%s: %d gateways, in force p50 %.3f s, p99 %.3f s, slowest %.3f s; %.0f B/s a gateway, most %.0f; "+
 		"%d snapshots (slowest %.1f s), %d reconnects; all %.1f s after the last commit; %d late",
-		p.name, t.Gateways, r.event.InForce.P50, r.event.InForce.P99, r.event.InForce.Max, r.event.GatewayBytes, r.event.WorstMinuteBytes, t.Snapshots, quantilesOf(t.snapshots).Max,
-		t.Reconnects, r.converged.Seconds(), r.late)
+		p.name, t.Gateways, r.event.InForce.P50, r.event.InForce.P99, r.event.InForce.Max, r.event.GatewayBytes, r.event.WorstMinuteBytes, t.Snapshots, quantilesOf(t.snapshotLatency).Max,
+		t.Reconnects, r.convergeTime.Seconds(), r.lateGateways)
 }
 
 // workerRates are what the workers used, by process. One that began meanwhile is left out.
 func (r *windowResult) workerRates(before fleetTotal) map[int]Rates {
 	out := map[int]Rates{}
-	for pid, now := range r.total.usage {
-		if earlier, there := before.usage[pid]; there {
+	for pid, now := range r.total.usageByProcess {
+		if earlier, there := before.usageByProcess[pid]; there {
 			out[pid] = now.Since(earlier)
 		}
 	}
--- a/internal/experiment/scale/worker.go
+++ b/internal/experiment/scale/worker.go
@@ -10,8 +10,8 @@
 	"runtime/debug"
 )
 
-// maxLine bounds one order or answer. The longest answer holds two histograms of some 10 kB.
-const maxLine = 8 << 20
+// maxLineBytes bounds one order or answer. The longest answer holds two histograms of some 10 kB.
+const maxLineBytes = 8 << 20
 
 // Worker carries orders out: hollow gateways, stand-in databases and their clients, of one process.
 type Worker struct {
@@ -32,23 +32,23 @@
 }
 
 // Do carries one order out.
-func (w *Worker) Do(_ context.Context, o Order) (Answer, error) {
+func (w *Worker) Do(_ context.Context, o Request) (Response, error) {
 	switch {
 	case o.Configure != nil:
-		return Answer{}, w.configure(*o.Configure)
+		return Response{}, w.configure(*o.Configure)
 	case o.Load != nil:
-		return w.doLoad(*o.Load)
+		return w.handleLoad(*o.Load)
 	case o.Memory != nil:
 		debug.SetMemoryLimit(o.Memory.Limit)
-		return Answer{}, nil
+		return Response{}, nil
 	case o.Drain != nil && w.load != nil:
-		return Answer{}, w.load.drain(o.Drain.Database)
+		return Response{}, w.load.drain(o.Drain.Database)
 	case o.Report != nil:
 		return w.report(*o.Report)
 	case w.fleet == nil:
-		return Answer{}, ErrConfigure
+		return Response{}, ErrNotConfigured
 	}
-	return Answer{}, w.doFleet(o)
+	return Response{}, w.handleFleet(o)
 }
 
 func (w *Worker) configure(c Configure) (err error) {
@@ -59,7 +59,7 @@
 	return err
 }
 
-func (w *Worker) doFleet(o Order) error {
+func (w *Worker) handleFleet(o Request) error {
 	switch {
 	case o.Start != nil:
 		return w.fleet.Start(*o.Start)
@@ -67,8 +67,8 @@
 		w.fleet.Restart(*o.Restart)
 	case o.Stop != nil:
 		w.fleet.Stop(*o.Stop)
-	case o.Cut != nil:
-		w.fleet.Cut(*o.Cut)
+	case o.Partition != nil:
+		w.fleet.Partition(*o.Partition)
 	case o.Stall != nil:
 		return w.fleet.Stall(*o.Stall)
 	case o.Submit != nil:
@@ -79,20 +79,20 @@
 	return nil
 }
 
-func (w *Worker) doLoad(o Load) (a Answer, err error) {
+func (w *Worker) handleLoad(o Load) (a Response, err error) {
 	if w.load == nil {
-		if w.load, err = newLoad(o.Databases); err != nil {
+		if w.load, err = newLoadGenerator(o.Databases); err != nil {
 			return a, err
 		}
 	}
-	if err := w.load.ask(o); err != nil {
+	if err := w.load.startClients(o); err != nil {
 		return a, err
 	}
 	a.Load, err = w.load.state()
 	return a, err
 }
 
-func (w *Worker) report(o Report) (a Answer, err error) {
+func (w *Worker) report(o Report) (a Response, err error) {
 	if w.fleet != nil {
 		if a.Fleet, err = w.fleet.Report(o); err != nil {
 			return a, err
@@ -108,9 +108,9 @@
 func (w *Worker) Serve(ctx context.Context, in io.Reader, out io.Writer) error {
 	defer w.Close()
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, maxLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		answer := w.answer(ctx, lines.Bytes())
+		answer := w.handleLine(ctx, lines.Bytes())
 		encoded, err := json.Marshal(answer)
 		if err != nil {
 			return err
@@ -122,15 +122,15 @@
 	return lines.Err()
 }
 
-func (w *Worker) answer(ctx context.Context, line []byte) Answer {
-	var o Order
+func (w *Worker) handleLine(ctx context.Context, line []byte) Response {
+	var o Request
 	err := json.Unmarshal(line, &o)
-	var a Answer
+	var a Response
 	if err == nil {
 		a, err = w.Do(ctx, o)
 	}
 	if err != nil {
-		return Answer{Error: err.Error()}
+		return Response{Error: err.Error()}
 	}
 	return a
 }
--- a/internal/experiment/scale/workload.go
+++ b/internal/experiment/scale/workload.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	membersOfGroup = 6 // a primary and five replicas: 3,500 groups at 21,000 members
-	memberWire     = "mysql"
-	databaseKind   = "std-4core"
+	membersPerGroup = 6 // a primary and five replicas: 3,500 groups at 21,000 members
+	memberWire      = "mysql"
+	databaseKind    = "std-4core"
 )
 
-// Member is database number i as its revision-th inventory entry describes it: the address changes with each.
-func Member(i, revision int) *pb.Entry {
+// MemberEntry is database number i as its revision-th inventory entry describes it: the address changes with each.
+func MemberEntry(i, revision int) *pb.Entry {
 	address := fmt.Sprintf("10.%d.%d.%d:%d", i>>16&0xff, i>>8&0xff, i&0xff, 6000+revision%1000)
-	return &pb.Entry{Id: MemberID(i), Address: address, Site: siteOf(i), Group: int32(i / membersOfGroup), Kind: databaseKind,
+	return &pb.Entry{Id: MemberID(i), Address: address, Site: memberSite(i), Group: int32(i / membersPerGroup), Kind: databaseKind,
 		State: "in_service", Wire: memberWire}
 }
 
 // MemberID names database number i.
 func MemberID(i int) string { return fmt.Sprintf("db-%07d", i) }
 
-// siteOf is the zone that database i stands in: the members of a group stand in different ones.
-func siteOf(i int) string { return Zones()[i%len(Zones())].Name }
+// memberSite is the zone that database i stands in: the members of a group stand in different ones.
+func memberSite(i int) string { return Zones()[i%len(Zones())].Name }
 
-// entryOf is the inventory entry of a stand-in database.
-func entryOf(d Database) *pb.Entry {
+// standinEntry is the inventory entry of a stand-in database.
+func standinEntry(d Database) *pb.Entry {
 	return &pb.Entry{Id: d.ID, Address: d.Address, Site: zones[0].Name, Group: d.Group, Kind: databaseKind, State: "in_service", Wire: "postgres"}
 }
