--- a/internal/experiment/scale/address.go
+++ b/internal/experiment/scale/address.go
@@ -5,7 +5,8 @@
 	"net"
 )
 
-// freeAddresses are ephemeral ports of loopback, all different, given back for the daemons that will listen there.
+// freeAddresses reserves distinct ephemeral loopback ports and releases them for the daemons that will listen
+// there.
 func freeAddresses(count int) (addresses []string, err error) {
 	var listeners []net.Listener
 	for range count {
--- a/internal/experiment/scale/baseline.go
+++ b/internal/experiment/scale/baseline.go
@@ -21,30 +21,30 @@
 	"aspenshed/internal/experiment/measure"
 )
 
-// BaselineOptions say what of the design in which every instance votes is measured.
+// BaselineOptions configures the measurement of the design in which every instance votes.
 type BaselineOptions struct {
-	Instances      []int         // in one process, one after the other
-	IdleDuration   time.Duration // how long each number of them is watched without any command
-	SettleDuration time.Duration // before that: what a start leaves behind (configuration, snapshots) is not measured
-	Writes         int           // whose latency at a follower is measured
-	Members        []int         // of the inventories of which one member is changed
-	Groups         []int         // that one instance tells what it has learned of
-	ShortTimeouts  bool          // short time-outs of elections, for tests
+	Instances      []int         // instance counts, measured one after the other in one process
+	IdleDuration   time.Duration // measured time without commands, for each instance count
+	SettleDuration time.Duration // wait before measuring, which excludes startup work (configuration, snapshots)
+	Writes         int           // number of writes at a follower whose latency is measured
+	Members        []int         // inventory sizes at which one member is changed
+	Groups         []int         // group counts in one instance's learned state
+	ShortTimeouts  bool          // short election timeouts, for tests
 	Progress       func(format string, a ...any)
 }
 
-// DefaultBaseline is what is committed.
+// DefaultBaseline returns the options of the committed baseline run.
 func DefaultBaseline() BaselineOptions {
 	return BaselineOptions{Instances: []int{3, 9, 27, 54}, IdleDuration: 20 * time.Second, SettleDuration: 5 * time.Second, Writes: 200,
 		Members: []int{2100, 10500, 20000}, Groups: []int{35, 350, 3500}, Progress: func(string, ...any) {}}
 }
 
 const (
-	leaderTimeout = 4 * time.Minute // for a number of instances to agree on a leader
+	leaderTimeout = 4 * time.Minute // for all instances to follow one leader
 	submitTimeout = 30 * time.Second
 )
 
-// Baseline measures the design in which every instance is a raft voter and an inventory is replicated whole.
+// Baseline measures the design in which every instance is a Raft voter and an inventory is replicated whole.
 func Baseline(ctx context.Context, o BaselineOptions) (run measure.Run, err error) {
 	run = measure.Run{Experiment: "scale-baseline", Commit: commitName(), Started: time.Now(), Machine: machineDescription()}
 	idle, failures := idleSeries(ctx, o)
@@ -61,16 +61,16 @@
 	return run, nil
 }
 
-// countingLogStore counts what one instance appends to its log.
+// countingLogStore counts the entries and bytes that one instance appends to its log.
 type countingLogStore struct {
 	raft.LogStore
 	entries, bytes *atomic.Int64
 }
 
-// StoreLog counts one entry.
+// StoreLog counts one entry and appends it.
 func (m countingLogStore) StoreLog(l *raft.Log) error { return m.StoreLogs([]*raft.Log{l}) }
 
-// StoreLogs counts entries and passes them on.
+// StoreLogs counts entries and appends them.
 func (m countingLogStore) StoreLogs(logs []*raft.Log) error {
 	for _, l := range logs {
 		m.entries.Add(1)
@@ -79,7 +79,7 @@
 	return m.LogStore.StoreLogs(logs)
 }
 
-// votingInstances are instances of the store that all vote, in this process.
+// votingInstances are store instances in this process, all of them voters.
 type votingInstances struct {
 	stores         []*store.Store
 	entries, bytes atomic.Int64 // appended to the first instance's log
@@ -116,9 +116,9 @@
 	return err
 }
 
-// waitForLeader waits until one instance leads and all others follow it.
+// waitForLeader waits until one instance leads and all others follow it, and returns the leader's index.
 func (v *votingInstances) waitForLeader(ctx context.Context) (lead int, err error) {
-	err = waitUntil(ctx, "a leader that all follow", leaderTimeout, func() bool {
+	err = waitUntil(ctx, "a leader followed by all instances", leaderTimeout, func() bool {
 		leads, follows := 0, 0
 		for i, s := range v.stores {
 			switch s.Mode() {
@@ -134,7 +134,7 @@
 	return lead, err
 }
 
-// follower is an instance that does not lead.
+// follower returns an instance that is not the leader.
 func (v *votingInstances) follower(ctx context.Context) (*store.Store, error) {
 	lead, err := v.waitForLeader(ctx)
 	if err != nil {
@@ -143,14 +143,14 @@
 	return v.stores[(lead+1)%len(v.stores)], nil
 }
 
-// idlePoint is what was measured of one number of instances.
+// idlePoint holds the measurements for one instance count.
 type idlePoint struct {
 	instances                        int
 	entries, logBytes, cores, heap   float64
 	writeMedian, writeP99, diskBytes float64
 }
 
-// idleSeries measures each number of instances. One that fails is told of and left out.
+// idleSeries measures each instance count. A count that fails is reported in failures and left out of the series.
 func idleSeries(ctx context.Context, o BaselineOptions) (all []measure.Series, failures []string) {
 	var points []idlePoint
 	for _, n := range o.Instances {
@@ -220,7 +220,7 @@
 	return p, err
 }
 
-// writeLatency is the median and the 99th percentile of writes at a follower, in seconds.
+// writeLatency returns the median and 99th percentile latency of writes at a follower, in seconds.
 func (v *votingInstances) writeLatency(ctx context.Context, writes int) (median, p99 float64, err error) {
 	s, err := v.follower(ctx)
 	if err != nil {
@@ -241,7 +241,7 @@
 	return float64(h.ValueAtQuantile(50)) * microsecond, float64(h.ValueAtQuantile(99)) * microsecond, nil
 }
 
-// refusedError is a command that the catalog did not carry out.
+// refusedError reports a command that the catalog refused.
 type refusedError struct{ reason string }
 
 func (e refusedError) Error() string { return "scale: command refused: " + e.reason }
@@ -257,7 +257,7 @@
 	return nil
 }
 
-// changedMemberSeries is what the log grows by when one member of an inventory changes.
+// changedMemberSeries measures how much the log grows when one member of an inventory changes.
 func changedMemberSeries(ctx context.Context, o BaselineOptions) (s measure.Series, err error) {
 	dir, err := os.MkdirTemp("", "scale-baseline-")
 	if err != nil {
@@ -275,7 +275,7 @@
 		if err != nil {
 			return s, fmt.Errorf("%d members: %w", n, err)
 		}
-		o.Progress("%d members: one of them changed, %.0f bytes of log", n, grown)
+		o.Progress("%d members: %.0f log bytes for one changed member", n, grown)
 		points = append(points, measure.Point{X: float64(n), Y: grown})
 	}
 	return newSeries(measure.Series{Name: "voter.log-bytes-by-members", Role: RoleVoter, X: "members of the inventory", XUnit: "1",
@@ -299,14 +299,14 @@
 	if err := v.putInventory(inventory); err != nil {
 		return 0, err
 	}
-	// Heartbeats that were appended meanwhile are a hundred bytes or so each: they are left in.
+	// Heartbeats appended meanwhile are included: about a hundred bytes each.
 	err := waitUntil(ctx, "the entry in the first instance's log", submitTimeout, func() bool {
 		return v.entries.Load() > entries && v.bytes.Load()-bytes >= int64(proto.Size(inventory))
 	})
 	return float64(v.bytes.Load() - bytes), err
 }
 
-// putInventory publishes an inventory on top of whatever there is, and waits until the first instance has it.
+// putInventory publishes an inventory based on the latest version and waits until the first instance has it.
 func (v *votingInstances) putInventory(p *pb.PutInventory) error {
 	err := v.stores[0].ReadLatest(submitTimeout, func(c *catalog.Catalog) { p.Base = c.InventoryVersion() })
 	if err != nil {
@@ -315,13 +315,13 @@
 	return submitCommand(v.stores[0], &pb.Command{Body: &pb.Command_PutInventory{PutInventory: p}})
 }
 
-// learnedStateSeries is what one instance's learned state costs, by groups.
+// learnedStateSeries measures the size of one instance's learned state by number of groups.
 func learnedStateSeries(groups []int) []measure.Series {
-	var told, kept []measure.Point
+	var learnSizes, catalogSizes []measure.Point
 	for _, n := range groups {
 		learn := &pb.Learn{Instance: "i0", Wire: memberWire}
 		inventory := &pb.PutInventory{Author: "scale"}
-		for i := range n { // a group's primary stands for all of its members
+		for i := range n { // the primary stands in for all members of its group
 			primary := MemberEntry(i*membersPerGroup, 0)
 			inventory.Members = append(inventory.Members, primary)
 			learn.Groups = append(learn.Groups, &pb.GroupWord{Group: primary.Group, Primary: primary.Id, PrimaryAt: time.Now().UnixNano(), WarmRate: 812.5})
@@ -331,19 +331,19 @@
 		apply(c, 2, &pb.Command{Body: &pb.Command_Beat{Beat: &pb.Beat{Instance: "i0", Boot: "b"}}})
 		before := encodedSize(c)
 		apply(c, 3, &pb.Command{Body: &pb.Command_Learn{Learn: learn}})
-		told = append(told, measure.Point{X: float64(n), Y: float64(proto.Size(learn))})
-		kept = append(kept, measure.Point{X: float64(n), Y: float64(encodedSize(c) - before)})
+		learnSizes = append(learnSizes, measure.Point{X: float64(n), Y: float64(proto.Size(learn))})
+		catalogSizes = append(catalogSizes, measure.Point{X: float64(n), Y: float64(encodedSize(c) - before)})
 	}
 	series := func(name, y string, points []measure.Point) measure.Series {
 		return newSeries(measure.Series{Name: name, Role: RoleVoter, X: "groups", XUnit: "1", Y: y, YUnit: "B", Held: "1 instance"}, points)
 	}
 	return []measure.Series{
-		series("voter.learned-bytes-by-groups", "bytes of the log each time that one instance tells what it has learned", told),
-		series("voter.catalog-bytes-by-groups", "bytes that the catalog keeps of one instance's learned state", kept),
+		series("voter.learned-bytes-by-groups", "bytes of the log each time that one instance tells what it has learned", learnSizes),
+		series("voter.catalog-bytes-by-groups", "bytes that the catalog keeps of one instance's learned state", catalogSizes),
 	}
 }
 
-// apply has a catalog carry out one command.
+// apply applies one command to a catalog.
 func apply(c *catalog.Catalog, index uint64, command *pb.Command) {
 	command.Origin, command.Seq, command.At = "i0/b", index, time.Now().UnixNano()
 	c.Apply(index, &pb.Batch{Commands: []*pb.Command{command}})
@@ -352,7 +352,7 @@
 func encodedSize(c *catalog.Catalog) int {
 	encoded, err := c.Encode()
 	if err != nil {
-		panic(err) // a catalog of our own making
+		panic(err) // cannot fail for a catalog built here
 	}
 	return len(encoded)
 }
--- a/internal/experiment/scale/baseline_test.go
+++ b/internal/experiment/scale/baseline_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestBaselineOfAFewInstances(t *testing.T) {
+func TestBaselineMeasuresAllSeries(t *testing.T) {
 	o := BaselineOptions{Instances: []int{1, 3}, IdleDuration: 2500 * time.Millisecond, Writes: 5, Members: []int{20, 200}, Groups: []int{1, 10}, ShortTimeouts: true, Progress: t.Logf}
 	run, err := Baseline(t.Context(), o)
 	if err != nil {
--- a/internal/experiment/scale/child.go
+++ b/internal/experiment/scale/child.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	requestTimeout = 3 * time.Minute // for one order, the longest restart of a fleet included
+	requestTimeout = 3 * time.Minute // for one request; covers the longest restart of a fleet
 	stopTimeout    = 15 * time.Second
 )
 
-// Executor carries orders out: a Worker in this process, or one in a child.
+// Executor executes requests: a Worker in this process, or one in a child process.
 type Executor interface {
-	Do(ctx context.Context, o Request) (Response, error)
+	Do(ctx context.Context, request Request) (Response, error)
 	Close()
 }
 
-// ChildError is what a child answered that it could not do.
+// ChildError is an error that a child process returned in its response.
 type ChildError struct{ Reason string }
 
 func (e *ChildError) Error() string { return "child: " + e.Reason }
 
-// Child is a Worker in a process of its own, which ends with its standard input.
+// Child is a Worker in a process of its own, which exits when its standard input closes.
 type Child struct {
 	cmd   *exec.Cmd
 	in    io.WriteCloser
 	lines *bufio.Scanner
-	mu    sync.Mutex // one order at a time
+	mu    sync.Mutex // one request at a time
 }
 
-// StartChild starts one. The command is that of this program which serves a Worker.
+// StartChild starts a child process. The command must run Worker.Serve.
 func StartChild(command Command) (*Child, error) {
 	c := &Child{cmd: command.exec()}
 	c.cmd.Stderr = os.Stderr
@@ -54,7 +54,7 @@
 	return c, c.cmd.Start()
 }
 
-// Command is a program with its arguments and what it gets beside this process's environment.
+// Command is a program with its arguments and additional environment variables.
 type Command struct {
 	Path string
 	Args []string
@@ -67,42 +67,42 @@
 	return cmd
 }
 
-// PID is the child's process.
+// PID returns the child's process ID.
 func (c *Child) PID() int { return c.cmd.Process.Pid }
 
-// Do hands an order to the child and waits for its answer. A child that does not answer in time is ended.
-func (c *Child) Do(ctx context.Context, o Request) (a Response, err error) {
+// Do sends a request to the child and waits for its response. A child that does not respond in time is killed.
+func (c *Child) Do(ctx context.Context, request Request) (response Response, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	encoded, err := json.Marshal(o)
+	encoded, err := json.Marshal(request)
 	if err != nil {
-		return a, err
+		return response, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	defer context.AfterFunc(ctx, func() { _ = c.cmd.Process.Kill() })()
 	if _, err := c.in.Write(append(encoded, '\n')); err != nil {
-		return a, fmt.Errorf("child %d: %w", c.PID(), err)
+		return response, fmt.Errorf("write to child %d: %w", c.PID(), err)
 	}
 	if !c.lines.Scan() {
-		return a, fmt.Errorf("child %d has ended: %w", c.PID(), errors.Join(io.ErrUnexpectedEOF, c.lines.Err(), ctx.Err()))
+		return response, fmt.Errorf("child %d exited: %w", c.PID(), errors.Join(io.ErrUnexpectedEOF, c.lines.Err(), ctx.Err()))
 	}
-	if err := json.Unmarshal(c.lines.Bytes(), &a); err != nil {
-		return a, err
+	if err := json.Unmarshal(c.lines.Bytes(), &response); err != nil {
+		return response, err
 	}
-	if a.Error != "" {
-		return a, &ChildError{a.Error}
+	if response.Error != "" {
+		return response, &ChildError{response.Error}
 	}
-	return a, nil
+	return response, nil
 }
 
-// Kill ends the child at once, as the loss of its machine would.
+// Kill kills the child immediately, simulating the loss of its machine.
 func (c *Child) Kill() {
 	_ = c.cmd.Process.Kill()
 	_ = c.cmd.Wait()
 }
 
-// Close ends the child in order, and at once if it does not follow.
+// Close stops the child by closing its input, and kills it if it does not exit in time.
 func (c *Child) Close() {
 	_ = c.in.Close()
 	timer := time.AfterFunc(stopTimeout, func() { _ = c.cmd.Process.Kill() })
--- a/internal/experiment/scale/events.go
+++ b/internal/experiment/scale/events.go
@@ -9,28 +9,28 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Rates of the target, and what fails at once there.
+// Change rates and simultaneous failures of the target installation.
 const (
-	TypicalChangeRate = 0.73 // changes a second: 63,000 a day
-	BurstChanges      = 1105 // databases of a zone
-	RestartsPerDay    = 5000 // machines that are restarted or replaced
+	TypicalChangeRate = 0.73 // changes per second: 63,000 per day
+	BurstChanges      = 1105 // databases of one zone
+	RestartsPerDay    = 5000 // machines restarted or replaced
 )
 
-// eventSettings say how long each event is watched.
+// eventSettings holds the durations and sizes of the events.
 type eventSettings struct {
 	steady             time.Duration
-	leaderDowntime     time.Duration // until the killed leader is started again
+	leaderDowntime     time.Duration // until the killed leader is restarted
 	rackDowntime       time.Duration
 	partition          time.Duration
-	restartPeriod      time.Duration // that a part of a day's restarts is compressed to
-	convergeTimeout    time.Duration // after a restart of everything
-	restartCount       int           // restarts within it
+	restartPeriod      time.Duration // period into which part of a day's restarts is compressed
+	convergeTimeout    time.Duration // allowed after all gateways restart
+	restartCount       int           // restarts within restartPeriod
 	stalledSubscribers int
 	burstSize          int
 }
 
-// events are what is done to a running installation, in order. Subscribers that never read are there
-// until the rack is lost.
+// events lists the events applied to a running installation, in order. Subscribers that never read stay open
+// until rack-lost checks that the servers have closed them.
 func (x *installation) events(t eventSettings) []windowPlan {
 	return []windowPlan{
 		{name: "slow-subscribers", duration: t.steady, rate: TypicalChangeRate, action: x.stallAndDrain(t.stalledSubscribers)},
@@ -45,10 +45,10 @@
 	}
 }
 
-// restartedZone is one whose gateways are restarted all at once.
+// restartedZone is the zone whose gateways all restart at once.
 const restartedZone = 3
 
-// partitionedRegion holds no voter while there are five voters at most.
+// partitionedRegion holds no voter as long as there are at most five voters.
 const partitionedRegion = 6
 
 // burst changes many members in one rollout.
@@ -64,7 +64,7 @@
 	}
 }
 
-// submitBatched has many changes agreed on in as few batches as the store takes.
+// submitBatched submits changes in as few batches as the store accepts.
 func (x *installation) submitBatched(ctx context.Context, changes []change) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -78,33 +78,33 @@
 	return nil
 }
 
-// killLeader kills the voter that leads, and starts it again later.
-func (x *installation) killLeader(gone time.Duration) func(context.Context) error {
+// killLeader kills the leading voter and restarts it after the downtime.
+func (x *installation) killLeader(downtime time.Duration) func(context.Context) error {
 	return func(ctx context.Context) error {
 		leader := leaderOf(x.voters)
 		if leader == nil {
-			return errors.New("scale: no voter leads")
+			return errors.New("scale: no voter is the leader")
 		}
 		x.options.Progress("killing the leader %s", leader.ID)
 		if err := leader.Instance.Kill(); err != nil {
 			return err
 		}
-		if err := sleepContext(ctx, gone); err != nil {
+		if err := sleepContext(ctx, downtime); err != nil {
 			return err
 		}
-		x.options.Progress("starting %s again", leader.ID)
+		x.options.Progress("restarting %s", leader.ID)
 		return leader.Start()
 	}
 }
 
-// loseRack kills the last worker with all of its gateways; others take their places later.
-func (x *installation) loseRack(gone time.Duration) func(context.Context) error {
+// loseRack kills the last worker with all of its gateways, and starts replacements after the downtime.
+func (x *installation) loseRack(downtime time.Duration) func(context.Context) error {
 	return func(ctx context.Context) error {
 		last := len(x.workers) - 1
 		lost := x.workers[last]
 		x.workers = x.workers[:last]
 		x.options.KillWorker(lost)
-		if err := sleepContext(ctx, gone); err != nil {
+		if err := sleepContext(ctx, downtime); err != nil {
 			return err
 		}
 		return x.replaceWorker(ctx, last)
@@ -119,7 +119,7 @@
 	}
 }
 
-// stallAndDrain does so, and drains a database that real gateways use.
+// stallAndDrain opens subscribers that never read, and drains a database that real gateways use.
 func (x *installation) stallAndDrain(count int) func(context.Context) error {
 	return func(ctx context.Context) error {
 		if err := x.openStalledSubscribers(count)(ctx); err != nil {
@@ -129,8 +129,8 @@
 	}
 }
 
-// drainDatabase drains a stand-in, which counts requests that come later than the grace. The grace begins when subscribers
-// hear of the drain.
+// drainDatabase drains a stand-in database, which counts requests that arrive after the grace period. The grace
+// period begins when subscribers are notified of the drain.
 func (x *installation) drainDatabase(ctx context.Context) error {
 	databases, err := x.databases(ctx)
 	if err != nil || len(databases) == 0 {
@@ -150,7 +150,7 @@
 	return err
 }
 
-// checkStalled looks whether the servers have closed the subscribers that never read.
+// checkStalled checks that the servers have closed the subscribers that never read.
 func (x *installation) checkStalled(ctx context.Context, r *windowResult) {
 	_, err := x.workers[0].Do(ctx, Request{Stall: &Stall{CheckClosed: true}})
 	total, err2 := x.report(ctx, Report{})
@@ -160,7 +160,7 @@
 	}
 	open := total.Stalled - total.StalledClosed
 	if total.Stalled == 0 {
-		open = 1 // nothing was tried
+		open = 1 // no stalled subscriber was opened: the check must fail
 	}
 	r.checks = append(r.checks, atMost("rack-lost: subscribers that never read and were not closed until then", float64(open), 0, "1", detail))
 }
@@ -173,13 +173,14 @@
 	}
 }
 
-// partitionRegion cuts a region off, and drains and names a primary on either side: inside, a gateway hands them up once it can.
-func (x *installation) partitionRegion(region int, lasts time.Duration) func(context.Context) error {
+// partitionRegion cuts a region off from the others, and submits a drain and a new primary on each side. The
+// batch submitted inside the region is committed only after the partition heals.
+func (x *installation) partitionRegion(region int, duration time.Duration) func(context.Context) error {
 	return func(ctx context.Context) error {
 		if _, err := x.broadcast(ctx, Request{Partition: &Partition{Region: region}}); err != nil {
 			return err
 		}
-		if err := x.submitInside(ctx, region, lasts); err != nil {
+		if err := x.submitInside(ctx, region, duration); err != nil {
 			return err
 		}
 		x.mu.Lock()
@@ -189,15 +190,16 @@
 	}
 }
 
-// Members that are drained on either side of a cut. The groups behind theirs get another primary.
+// Members drained on each side of a partition. The group after each member's group gets a new primary.
 const (
 	outsideDrain                = 0
 	insideDrain                 = 2 * membersPerGroup
-	submitTimeoutAfterPartition = 60 * time.Second // after the cut, for the batch from inside to be answered
+	submitTimeoutAfterPartition = 60 * time.Second // after the partition, for the batch from inside it
 )
 
-// submitInside has a gateway of the region hand a drain and a primary up, which succeeds once the cut is healed.
-func (x *installation) submitInside(ctx context.Context, region int, cut time.Duration) error {
+// submitInside has a gateway of the region submit a drain and a new primary, which succeeds once the partition is
+// healed.
+func (x *installation) submitInside(ctx context.Context, region int, partition time.Duration) error {
 	number := firstGatewayOf(region)
 	x.mu.Lock()
 	inside := []change{x.changes.drain(MemberID(insideDrain)), x.changes.primary(insideDrain/membersPerGroup+1, MemberID(insideDrain+membersPerGroup+1), time.Now().UnixNano())}
@@ -208,12 +210,12 @@
 		return err
 	}
 	x.partitionChanges = inside
-	order := Submit{Gateway: number, Batch: batch, Limit: cut + submitTimeoutAfterPartition}
-	_, err = x.workers[number/x.options.PerWorker].Do(ctx, Request{Submit: &order})
+	submit := Submit{Gateway: number, Batch: batch, Limit: partition + submitTimeoutAfterPartition}
+	_, err = x.workers[number/x.options.PerWorker].Do(ctx, Request{Submit: &submit})
 	return err
 }
 
-// firstGatewayOf is the lowest number of a gateway in a region.
+// firstGatewayOf returns the lowest gateway number in a region.
 func firstGatewayOf(region int) int {
 	for number := 0; ; number++ {
 		if zones[GatewayZone(number)].Region == region {
@@ -222,7 +224,7 @@
 	}
 }
 
-// healRegion heals a cut.
+// healRegion ends the partition of a region.
 func (x *installation) healRegion(region int) func(context.Context) error {
 	return func(ctx context.Context) error {
 		_, err := x.broadcast(ctx, Request{Partition: &Partition{Region: region, Healed: true}})
@@ -230,7 +232,7 @@
 	}
 }
 
-// checkSubmissions looks whether what was handed up inside the region has been agreed on since.
+// checkSubmissions checks that the batch submitted inside the partition has been committed since.
 func (x *installation) checkSubmissions(ctx context.Context, r *windowResult) {
 	s := r.total.Submissions
 	for _, c := range x.partitionChanges {
@@ -245,7 +247,7 @@
 	r.checks = append(r.checks, atMost("region-healed: batches of the region that were not agreed on", float64(open), 0, "1", fmt.Sprint(s.Failed)))
 }
 
-// checkSnapshots holds a bound on the time from a gateway's start to its having the whole state in force.
+// checkSnapshots bounds the time from a gateway's start until it has applied the full state.
 func (x *installation) checkSnapshots(bound time.Duration) func(context.Context, *windowResult) {
 	return func(_ context.Context, r *windowResult) {
 		q := quantilesOf(r.total.snapshotLatency)
@@ -254,11 +256,11 @@
 	}
 }
 
-// restartSome restarts single gateways, spread over some time.
-func (x *installation) restartSome(count int, over time.Duration) func(context.Context) error {
+// restartSome restarts randomly selected gateways, spread over a period.
+func (x *installation) restartSome(count int, period time.Duration) func(context.Context) error {
 	return func(ctx context.Context) error {
 		each := (count + len(x.workers) - 1) / len(x.workers)
-		_, err := x.broadcast(ctx, Request{Restart: &Restart{Count: each, Spread: over}})
+		_, err := x.broadcast(ctx, Request{Restart: &Restart{Count: each, Spread: period}})
 		return err
 	}
 }
--- a/internal/experiment/scale/figures.go
+++ b/internal/experiment/scale/figures.go
@@ -8,17 +8,17 @@
 	"aspenshed/internal/experiment/measure"
 )
 
-// The operators' bounds for the control side of one gateway.
+// Operators' limits for the control side of one gateway.
 const (
-	MaxControlByteRate = 7000        // a second, both directions
-	MaxControlCores    = 0.021       // of a core
+	MaxControlByteRate = 7000        // bytes per second, both directions
+	MaxControlCores    = 0.021       // share of a core
 	MaxGatewayMemory   = 128_000_000 // bytes
 )
 
-// metrics are what one steady window tells, by the name of the series that it goes into.
+// metrics holds the measurements of one steady window by metric name.
 type metrics map[string]float64
 
-// metricDefinition describes a series of a role.
+// metricDefinition describes a metric, which becomes one series of a role.
 type metricDefinition struct {
 	name, role, y, unit string
 }
@@ -44,7 +44,7 @@
 	{"voter.log-entries", RoleVoter, "entries of the replicated log", "1/s"},
 }
 
-// windowMetrics of a window.
+// windowMetrics computes the metrics of a window.
 func (r *runner) windowMetrics(w *windowResult) metrics {
 	f := metrics{"gateway.bytes": w.event.GatewayBytes, "gateway.messages": w.messageRate, "gateway.in-force-p50": w.event.InForce.P50,
 		"gateway.in-force-p99": w.event.InForce.P99, "gateway.in-force-max": w.event.InForce.Max, "voter.log-entries": w.logEntryRate}
@@ -64,7 +64,8 @@
 	return f
 }
 
-// hollowGateway is the processor time and memory of one hollow gateway: its worker's, less an empty worker's, by its count.
+// hollowGateway returns the processor time and memory of one hollow gateway: the usage of all workers divided by
+// the number of their gateways. The memory of empty workers is subtracted first.
 func (r *runner) hollowGateway(w *windowResult) (cores, memory float64) {
 	gateways, workers := 0, 0
 	for _, u := range w.event.Roles {
@@ -83,7 +84,7 @@
 	return cores / float64(gateways), memory / float64(gateways)
 }
 
-// seriesPoints collects the figures of windows that differ in one thing.
+// seriesPoints collects the metrics of windows that differ in one parameter.
 type seriesPoints struct {
 	xs   []float64
 	rows []metrics
@@ -94,12 +95,12 @@
 	p.rows = append(p.rows, f)
 }
 
-// series are named QUANTITY-by-AXIS. One point makes none.
+// series returns one series per metric, named METRIC-by-AXIS. A metric with fewer than two points is left out.
 func (p *seriesPoints) series(axis, x, unit, held string) (out []measure.Series) {
 	for _, q := range metricDefinitions {
 		var points []measure.Point
 		for i, row := range p.rows {
-			if y, there := row[q.name]; there {
+			if y, ok := row[q.name]; ok {
 				points = append(points, measure.Point{X: p.xs[i], Y: y})
 			}
 		}
@@ -110,7 +111,7 @@
 	return out
 }
 
-// checkSteadyBounds holds the operators' bounds against a steady window.
+// checkSteadyBounds checks a steady window against the operators' limits.
 func (r *runner) checkSteadyBounds(w *windowResult) {
 	f := r.windowMetrics(w)
 	r.steadyByteRate = w.event.GatewayBytes
@@ -121,8 +122,8 @@
 		atMost("bound: memory of a real gateway, data path included", f["gateway.real-memory"], MaxGatewayMemory, "B", "at light load"))
 }
 
-// checkMinuteBound holds the operators' bound against the minute of an event. A window shorter than that is filled up with the
-// steady rate.
+// checkMinuteBound checks the control bytes of an event against the operators' limit, averaged over a minute. A
+// window shorter than a minute is extended at the steady rate.
 func (r *runner) checkMinuteBound(w *windowResult) {
 	seconds := w.total.Window.Seconds()
 	inMinute := float64(w.total.MaxGatewayBytes)
@@ -135,7 +136,8 @@
 		inMinute/time.Minute.Seconds(), MaxControlByteRate, "B/s", fmt.Sprintf("watched for %.0f s", seconds)))
 }
 
-// sublinearGrowthCheck holds that a quantity grows less than linearly: the slope of its logarithm over that of x.
+// sublinearGrowthCheck checks that a metric grows less than linearly: that the slope of its logarithm over the
+// logarithm of x is below 1.
 func sublinearGrowthCheck(name string, all []measure.Series) measure.Check {
 	for _, s := range all {
 		if s.Name != name {
@@ -155,7 +157,7 @@
 	return measure.Check{Name: "growth of " + name, Unit: "1", Detail: "not measured"}
 }
 
-// atMost is a check that passes where value is within bound.
+// atMost returns a check that passes if value does not exceed bound.
 func atMost(name string, value, bound float64, unit, detail string) measure.Check {
 	return measure.Check{Name: name, Bound: bound, Value: value, Unit: unit, Passed: value <= bound, Detail: detail}
 }
--- a/internal/experiment/scale/figures_test.go
+++ b/internal/experiment/scale/figures_test.go
@@ -8,7 +8,7 @@
 	"aspenshed/internal/experiment/measure"
 )
 
-func TestGrowthCheckTellsLinearFromLess(t *testing.T) {
+func TestSublinearGrowthCheck(t *testing.T) {
 	series := func(y func(x float64) float64) []measure.Series {
 		s := measure.Series{Name: "s"}
 		for _, x := range []float64{150, 600, 2400} {
@@ -23,7 +23,7 @@
 		t.Errorf("%+v", c)
 	}
 	if c := sublinearGrowthCheck("another", nil); c.Passed {
-		t.Errorf("what was not measured does not pass: %+v", c)
+		t.Errorf("a series that was not measured must not pass: %+v", c)
 	}
 }
 
@@ -37,8 +37,9 @@
 	}
 }
 
-// A hollow gateway is its worker's process less an empty one, by the gateways in it.
-func TestHollowGatewayIsLessTheEmptyWorker(t *testing.T) {
+// A hollow gateway's memory is that of the workers less an empty worker's for each, divided by the number of
+// gateways.
+func TestHollowGatewayMemoryExcludesEmptyWorkers(t *testing.T) {
 	r := &runner{emptyWorker: Usage{Memory: 100}}
 	w := &windowResult{event: measure.Event{Roles: []measure.Usage{
 		{Role: RoleVoter, Cores: 9, Memory: 9e9},
@@ -50,7 +51,7 @@
 	}
 }
 
-func TestMinuteBoundFillsUpWithTheSteadyRate(t *testing.T) {
+func TestMinuteBoundExtendsShortWindowsAtTheSteadyRate(t *testing.T) {
 	r := &runner{run: &measure.Run{}, steadyByteRate: 100}
 	short, long := &windowResult{}, &windowResult{}
 	short.total.Window, short.total.MaxGatewayBytes = 15*time.Second, 60_000
@@ -65,8 +66,8 @@
 	}
 }
 
-// A node that was started again counts from its start, not from what its former process had used.
-func TestRatesAfterANewStart(t *testing.T) {
+// A restarted node is measured from its restart, as the counters of its new process begin at zero.
+func TestRatesAfterARestart(t *testing.T) {
 	begin := time.Now()
 	before := usageSnapshot{at: begin, usage: map[string]Usage{"v": {CPU: 50 * time.Second, Read: 1000, Recorded: begin}}}
 	after := usageSnapshot{usage: map[string]Usage{"v": {CPU: time.Second, Read: 10, Recorded: begin.Add(10 * time.Second)}}}
--- a/internal/experiment/scale/fleet.go
+++ b/internal/experiment/scale/fleet.go
@@ -24,15 +24,15 @@
 const (
 	// maxGatewaysPerProcess bounds the gateways of one process: each holds a socket and a copy of the state.
 	maxGatewaysPerProcess = 600
-	// histogramMaxMicros is the longest time that is told apart, us: a region's cut and more.
+	// histogramMaxMicros is the longest time that is recorded, in microseconds: longer than a partition lasts.
 	histogramMaxMicros = 5 * 60 * 1000 * 1000
 	histogramDigits    = 3
 )
 
-// ErrNotConfigured says that an order came before its configuration.
+// ErrNotConfigured reports a request received before Configure.
 var ErrNotConfigured = errors.New("scale: not configured")
 
-// Fleet is the hollow gateways of one process.
+// Fleet runs the hollow gateways of one process.
 type Fleet struct {
 	config  Configure
 	net     *netio.Net
@@ -41,19 +41,19 @@
 	clock   eventloop.Clock
 	rng     *rand.Rand
 
-	gateways           map[int]*hollowGateway // only the goroutine that takes orders looks at it
+	gateways           map[int]*hollowGateway // by number; used only by the goroutine that handles requests
 	stalledSubscribers []*stalledSubscriber
-	stalledOpened      int // slow subscribers that were opened
-	stalledClosed      int // of them, those that a server has closed
+	stalledOpened      int // stalled subscribers opened
+	stalledClosed      int // stalled subscribers that a server has closed
 
-	mu              sync.Mutex // guards the rest: gateways record from goroutines of their own
+	mu              sync.Mutex // guards the fields below: gateways record from their own goroutines
 	applyLatency    *hdrhistogram.Histogram
 	snapshotLatency *hdrhistogram.Histogram
 	windowStart     time.Time
 	submissions     Submissions
 }
 
-// NewFleet has no gateways yet.
+// NewFleet creates a fleet without gateways.
 func NewFleet(c Configure) (*Fleet, error) {
 	n, err := netio.New(netio.Config{Name: "hollow", MaxDials: 2 * maxGatewaysPerProcess})
 	if err != nil {
@@ -63,15 +63,15 @@
 	for i, address := range c.Servers {
 		servers[address] = ServerZone(i)
 	}
-	silent := logrus.New()
-	silent.SetOutput(io.Discard)
-	f := &Fleet{config: c, net: n, network: NewEmulatedNetwork(stream.NewNetwork(n), servers, c.Delays), log: logrus.NewEntry(silent),
+	discard := logrus.New()
+	discard.SetOutput(io.Discard)
+	f := &Fleet{config: c, net: n, network: NewEmulatedNetwork(stream.NewNetwork(n), servers, c.Delays), log: logrus.NewEntry(discard),
 		clock: eventloop.NewClock(), rng: rand.New(rand.NewPCG(c.Seed, 0)), gateways: map[int]*hollowGateway{}}
 	f.newWindow()
 	return f, nil
 }
 
-// Close ends all of it.
+// Close stops all gateways and the network.
 func (f *Fleet) Close() {
 	for _, s := range f.stalledSubscribers {
 		s.close()
@@ -102,10 +102,10 @@
 func (f *Fleet) record(h **hdrhistogram.Histogram, took time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	_ = (*h).RecordValue(min(max(took.Microseconds(), 1), histogramMaxMicros)) // it lies within the bounds
+	_ = (*h).RecordValue(min(max(took.Microseconds(), 1), histogramMaxMicros)) // no error: clamped to the range
 }
 
-// allGateways are the gateways in order of their numbers.
+// allGateways returns the gateways ordered by number.
 func (f *Fleet) allGateways() []*hollowGateway {
 	return f.selectGateways(func(*hollowGateway) bool { return true })
 }
@@ -123,33 +123,33 @@
 	return out
 }
 
-// forEachConcurrently does something with all gateways side by side.
+// forEachConcurrently calls do for all gateways concurrently and waits for all calls to return.
 func forEachConcurrently(gateways []*hollowGateway, do func(*hollowGateway)) {
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, g := range gateways {
-		wait.Add(1)
+		wg.Add(1)
 		go func() {
-			defer wait.Done()
+			defer wg.Done()
 			do(g)
 		}()
 	}
-	wait.Wait()
+	wg.Wait()
 }
 
-// Start starts gateways.
-func (f *Fleet) Start(o Start) error {
-	if o.From < 0 || o.Until-o.From+len(f.gateways) > maxGatewaysPerProcess {
-		return fmt.Errorf("scale: %d gateways in one process, %d at most", o.Until-o.From+len(f.gateways), maxGatewaysPerProcess)
+// Start starts gateways, spread evenly over the requested period.
+func (f *Fleet) Start(r Start) error {
+	if r.From < 0 || r.Until-r.From+len(f.gateways) > maxGatewaysPerProcess {
+		return fmt.Errorf("scale: %d gateways in one process exceed the limit of %d", r.Until-r.From+len(f.gateways), maxGatewaysPerProcess)
 	}
-	gap := spreadInterval(o.Spread, o.Until-o.From)
-	for number := o.From; number < o.Until; number++ {
+	interval := spreadInterval(r.Spread, r.Until-r.From)
+	for number := r.From; number < r.Until; number++ {
 		if f.gateways[number] != nil {
-			return fmt.Errorf("scale: gateway %d is there already", number)
+			return fmt.Errorf("scale: gateway %d already exists", number)
 		}
 		g := &hollowGateway{fleet: f, number: number, zone: GatewayZone(number)}
 		f.gateways[number] = g
 		g.start()
-		time.Sleep(gap)
+		time.Sleep(interval)
 	}
 	return nil
 }
@@ -158,21 +158,21 @@
 	return spread / time.Duration(max(count, 1))
 }
 
-// Restart restarts gateways, all at once where the order has no spread.
-func (f *Fleet) Restart(o Restart) {
-	chosen := f.selectGateways(func(g *hollowGateway) bool { return o.Zone == nil || g.zone == *o.Zone })
-	if o.Count > 0 && o.Count < len(chosen) {
-		f.rng.Shuffle(len(chosen), func(i, j int) { chosen[i], chosen[j] = chosen[j], chosen[i] })
-		chosen = chosen[:o.Count]
+// Restart restarts the selected gateways, all at once if the request has no spread.
+func (f *Fleet) Restart(r Restart) {
+	selected := f.selectGateways(func(g *hollowGateway) bool { return r.Zone == nil || g.zone == *r.Zone })
+	if r.Count > 0 && r.Count < len(selected) {
+		f.rng.Shuffle(len(selected), func(i, j int) { selected[i], selected[j] = selected[j], selected[i] })
+		selected = selected[:r.Count]
 	}
-	if o.Spread == 0 {
-		forEachConcurrently(chosen, restartGateway)
+	if r.Spread == 0 {
+		forEachConcurrently(selected, restartGateway)
 		return
 	}
-	gap := spreadInterval(o.Spread, len(chosen))
-	for _, g := range chosen {
+	interval := spreadInterval(r.Spread, len(selected))
+	for _, g := range selected {
 		restartGateway(g)
-		time.Sleep(gap)
+		time.Sleep(interval)
 	}
 }
 
@@ -181,38 +181,38 @@
 	g.start()
 }
 
-// Stop ends gateways for good.
-func (f *Fleet) Stop(o Stop) {
-	forEachConcurrently(f.selectGateways(func(g *hollowGateway) bool { return g.number >= o.From && g.number < o.Until }), func(g *hollowGateway) { g.stop() })
-	for number := o.From; number < o.Until; number++ {
+// Stop stops gateways permanently.
+func (f *Fleet) Stop(r Stop) {
+	forEachConcurrently(f.selectGateways(func(g *hollowGateway) bool { return g.number >= r.From && g.number < r.Until }), func(g *hollowGateway) { g.stop() })
+	for number := r.From; number < r.Until; number++ {
 		delete(f.gateways, number)
 	}
 }
 
-// Partition cuts a region off, or heals that.
-func (f *Fleet) Partition(o Partition) {
-	f.network.SetPartitioned(o.Region, !o.Healed)
-	if !o.Healed {
+// Partition cuts a region off from the others, or heals the partition.
+func (f *Fleet) Partition(r Partition) {
+	f.network.SetPartitioned(r.Region, !r.Healed)
+	if !r.Healed {
 		return
 	}
 	now := time.Now()
 	for _, g := range f.gateways {
-		if zones[g.zone].Region == o.Region {
+		if zones[g.zone].Region == r.Region {
 			g.markReachable(now)
 		}
 	}
 }
 
-// Submit begins to hand a batch up through a gateway, until it is answered.
-func (f *Fleet) Submit(o Submit) error {
-	g := f.gateways[o.Gateway]
+// Submit submits a batch through a gateway in the background, with retries until it is answered.
+func (f *Fleet) Submit(r Submit) error {
+	g := f.gateways[r.Gateway]
 	batch := &pb.Batch{}
-	if err := proto.Unmarshal(o.Batch, batch); err != nil || g == nil {
-		return errors.Join(err, fmt.Errorf("scale: no gateway %d, or no batch", o.Gateway))
+	if err := proto.Unmarshal(r.Batch, batch); err != nil || g == nil {
+		return errors.Join(err, fmt.Errorf("scale: gateway %d does not exist or the batch is invalid", r.Gateway))
 	}
 	f.countSubmission(func(s *Submissions) { s.Pending++ })
 	go func() {
-		err := g.submit(batch, o.Limit)
+		err := g.submit(batch, r.Limit)
 		f.countSubmission(func(s *Submissions) {
 			s.Pending--
 			if err != nil {
@@ -231,11 +231,11 @@
 	change(&f.submissions)
 }
 
-// Report tells how the gateways stand.
-func (f *Fleet) Report(o Report) (*FleetState, error) {
+// Report returns the state of the gateways and the measurements of the current window.
+func (f *Fleet) Report(r Report) (*FleetState, error) {
 	state := &FleetState{Gateways: len(f.gateways), Digests: map[string]int{}, Stalled: f.stalledOpened, StalledClosed: f.stalledClosed}
 	for _, g := range f.gateways {
-		f.addGateway(state, g, o.Expected)
+		f.addGateway(state, g, r.Expected)
 	}
 	usage, err := ReadUsage(os.Getpid())
 	if err != nil {
@@ -246,14 +246,14 @@
 	state.Window = time.Since(f.windowStart)
 	state.Submissions = f.submissions
 	state.Submissions.Failed = slices.Clone(f.submissions.Failed)
-	inForce, err1 := f.applyLatency.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
-	snapshots, err2 := f.snapshotLatency.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
+	applyLatency, err1 := f.applyLatency.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
+	snapshotLatency, err2 := f.snapshotLatency.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	f.mu.Unlock()
 	if err := errors.Join(err1, err2); err != nil {
 		return nil, err
 	}
-	state.ApplyLatencies, state.SnapshotLatencies = bytes.Clone(inForce), bytes.Clone(snapshots)
-	if o.NewWindow {
+	state.ApplyLatencies, state.SnapshotLatencies = bytes.Clone(applyLatency), bytes.Clone(snapshotLatency)
+	if r.NewWindow {
 		f.newWindow()
 	}
 	return state, nil
@@ -290,5 +290,5 @@
 	state.Digests[FormatDigest(stats.Revision, uint64(stats.Digest))]++
 }
 
-// FormatDigest names a state: its revision and the digest of all its records.
+// FormatDigest formats the revision of a state and the digest of all its records.
 func FormatDigest(rev, digest uint64) string { return fmt.Sprintf("%d/%016x", rev, digest) }
--- a/internal/experiment/scale/fleet_test.go
+++ b/internal/experiment/scale/fleet_test.go
@@ -14,7 +14,7 @@
 	"aspenshed/internal/controlplane/stream"
 )
 
-// newMemberChange is a commit that sets one member, drained or not.
+// newMemberChange returns a commit that sets one member, drained if drainedAt is not 0.
 func newMemberChange(t *testing.T, rev uint64, number int, drainedAt, start int64) revision.Change {
 	t.Helper()
 	m := &pb.Member{Entry: MemberEntry(number, int(rev)), DrainedAt: drainedAt, Start: start}
@@ -27,7 +27,7 @@
 		Record: revision.Record{Key: revision.MemberPrefix + m.Entry.Id, Value: value, Placement: placement}}
 }
 
-// startFleet is a server with one record, and gateways that have it.
+// startFleet starts a server with one record, and a worker with gateways that subscribe to it.
 func startFleet(t *testing.T, gateways int) (*stream.Server, *Worker) {
 	t.Helper()
 	server, err := stream.NewServer(stream.ServerConfig{Listen: "127.0.0.1:0", Cluster: clusterName})
@@ -43,19 +43,19 @@
 	return server, w
 }
 
-func do(t *testing.T, w Executor, o Request) Response {
+func do(t *testing.T, w Executor, r Request) Response {
 	t.Helper()
-	a, err := w.Do(t.Context(), o)
+	a, err := w.Do(t.Context(), r)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return a
 }
 
-// waitInForce waits until all gateways have a revision in force.
-func waitInForce(t *testing.T, w Executor, rev uint64) (state *FleetState) {
+// waitApplied waits until all reachable gateways have applied a revision.
+func waitApplied(t *testing.T, w Executor, rev uint64) (state *FleetState) {
 	t.Helper()
-	err := waitUntil(t.Context(), "a revision in force everywhere", testTimeout, func() bool {
+	err := waitUntil(t.Context(), "a revision applied everywhere", testTimeout, func() bool {
 		state = do(t, w, Request{Report: &Report{Expected: rev}}).Fleet
 		return state.Applied == state.Gateways-state.Partitioned
 	})
@@ -65,11 +65,11 @@
 	return state
 }
 
-func TestFleetTakesChangesAndSnapshots(t *testing.T) {
+func TestFleetAppliesChangesAndSnapshots(t *testing.T) {
 	server, w := startFleet(t, 20)
-	waitInForce(t, w, 1)
+	waitApplied(t, w, 1)
 	server.Publish(2, []revision.Change{newMemberChange(t, 2, 1, 0, 0)})
-	state := waitInForce(t, w, 2)
+	state := waitApplied(t, w, 2)
 	if len(state.Digests) != 1 || state.Connected != 20 || state.Snapshots != 20 || state.Bytes == 0 {
 		t.Errorf("%+v", state)
 	}
@@ -79,57 +79,57 @@
 	}
 	zone := 1
 	do(t, w, Request{Restart: &Restart{Zone: &zone}})
-	if state := waitInForce(t, w, 2); state.Snapshots != 21 {
-		t.Errorf("gateway 1 alone is of zone 1: %+v", state)
+	if state := waitApplied(t, w, 2); state.Snapshots != 21 {
+		t.Errorf("only gateway 1 is in zone 1: %+v", state)
 	}
 	do(t, w, Request{Stop: &Stop{From: 5, Until: 20}})
-	if state := waitInForce(t, w, 2); state.Gateways != 5 {
+	if state := waitApplied(t, w, 2); state.Gateways != 5 {
 		t.Errorf("%+v", state)
 	}
 }
 
-func TestFleetSeesADrainUndone(t *testing.T) {
+func TestFleetDetectsUndoneDrains(t *testing.T) {
 	server, w := startFleet(t, 2)
-	waitInForce(t, w, 1)
+	waitApplied(t, w, 1)
 	server.Publish(2, []revision.Change{newMemberChange(t, 2, 0, 77, 0)})
 	server.Publish(3, []revision.Change{newMemberChange(t, 3, 0, 77, 0)})
-	if state := waitInForce(t, w, 3); state.UndoneDrains != 0 {
-		t.Errorf("the drain holds: %+v", state)
+	if state := waitApplied(t, w, 3); state.UndoneDrains != 0 {
+		t.Errorf("the drain still holds: %+v", state)
 	}
 	server.Publish(4, []revision.Change{newMemberChange(t, 4, 0, 0, 100)})
-	if state := waitInForce(t, w, 4); state.UndoneDrains != 0 {
+	if state := waitApplied(t, w, 4); state.UndoneDrains != 0 {
 		t.Errorf("a newer start ends a drain: %+v", state)
 	}
 	server.Publish(5, []revision.Change{newMemberChange(t, 5, 0, 77, 100)})
-	waitInForce(t, w, 5)
+	waitApplied(t, w, 5)
 	server.Publish(6, []revision.Change{newMemberChange(t, 6, 0, 0, 100)})
-	if state := waitInForce(t, w, 6); state.UndoneDrains != 2 {
-		t.Errorf("both gateways have lost a drain: %+v", state)
+	if state := waitApplied(t, w, 6); state.UndoneDrains != 2 {
+		t.Errorf("both gateways must detect the undone drain: %+v", state)
 	}
 }
 
-func TestCutRegionHearsNothingUntilItIsHealed(t *testing.T) {
+func TestPartitionedRegionReceivesNothingUntilHealed(t *testing.T) {
 	server, w := startFleet(t, 19)
-	waitInForce(t, w, 1)
+	waitApplied(t, w, 1)
 	do(t, w, Request{Partition: &Partition{Region: partitionedRegion}})
 	server.Publish(2, []revision.Change{newMemberChange(t, 2, 1, 0, 0)})
-	state := waitInForce(t, w, 2)
+	state := waitApplied(t, w, 2)
 	if state.Partitioned != 2 || state.Applied != 17 {
-		t.Errorf("two zones of 19 are of the region: %+v", state)
+		t.Errorf("two of 19 zones are in the region: %+v", state)
 	}
 	do(t, w, Request{Partition: &Partition{Region: partitionedRegion, Healed: true}})
-	if state := waitInForce(t, w, 2); state.Partitioned != 0 || state.Applied != 19 {
+	if state := waitApplied(t, w, 2); state.Partitioned != 0 || state.Applied != 19 {
 		t.Errorf("%+v", state)
 	}
 }
 
-func TestWorkerServesOrdersLineByLine(t *testing.T) {
-	orders, in := io.Pipe()
-	out, answers := io.Pipe()
+func TestWorkerServesRequestsLineByLine(t *testing.T) {
+	requests, in := io.Pipe()
+	out, responses := io.Pipe()
 	done := make(chan error, 1)
-	go func() { done <- new(Worker).Serve(t.Context(), orders, answers) }()
+	go func() { done <- new(Worker).Serve(t.Context(), requests, responses) }()
 	lines := bufio.NewScanner(out)
-	ask := func(line string) (a Response) {
+	send := func(line string) (a Response) {
 		if _, err := io.WriteString(in, line+"\n"); err != nil {
 			t.Fatal(err)
 		}
@@ -141,17 +141,17 @@
 	for line, want := range map[string]string{
 		`{"start":{"until":1}}`: ErrNotConfigured.Error(), `{`: "unexpected end of JSON input", `{"start":{"until":"x"}}`: "json: cannot unmarshal string into Go struct field Start.start.until of type int",
 	} {
-		if a := ask(line); a.Error != want {
+		if a := send(line); a.Error != want {
 			t.Errorf("%s: %q", line, a.Error)
 		}
 	}
-	if a := ask(`{"configure":{"cluster":"c"}}`); a.Error != "" {
+	if a := send(`{"configure":{"cluster":"c"}}`); a.Error != "" {
 		t.Error(a.Error)
 	}
-	if a := ask(`{"start":{"until":100000}}`); a.Error == "" {
-		t.Error("a fleet has a bound")
+	if a := send(`{"start":{"until":100000}}`); a.Error == "" {
+		t.Error("more gateways than the limit were accepted")
 	}
-	if a := ask(`{"report":{}}`); a.Fleet == nil || a.Fleet.Gateways != 0 || a.Fleet.Usage.Memory == 0 {
+	if a := send(`{"report":{}}`); a.Fleet == nil || a.Fleet.Gateways != 0 || a.Fleet.Usage.Memory == 0 {
 		t.Errorf("%+v", a)
 	}
 	_ = in.Close()
--- a/internal/experiment/scale/gateway.go
+++ b/internal/experiment/scale/gateway.go
@@ -15,7 +15,7 @@
 	"aspenshed/internal/netio"
 )
 
-// hollowGateway runs a gateway's control side and nothing else. What it is told is in force at once.
+// hollowGateway runs only a gateway's control side. It counts what it receives as applied at once.
 type hollowGateway struct {
 	fleet  *Fleet
 	number int
@@ -25,17 +25,17 @@
 	client              *stream.Client
 	boot                int
 	startedAt           time.Time
-	reachableSince      time.Time // since when it could have heard: its start, or the end of a cut
-	snapshotApplied     bool      // it has had the whole state in force since its start
+	reachableSince      time.Time // its start, or the end of a partition
+	snapshotApplied     bool      // the full state has been applied since the start
 	revision            uint64
-	drainedStarts       map[string]int64 // drains in force, by key, with the start of the member that they hold for
+	drainedStarts       map[string]int64 // applied drains by record key, with the member's start that each holds for
 	undoneDrains        int
 	revisionRegressions int
-	previousTraffic     traffic // of earlier boots
-	windowStartTraffic  traffic // when the window began
+	previousTraffic     traffic // total of earlier boots
+	windowStartTraffic  traffic // total when the window began
 }
 
-// traffic is what went over the sockets of a gateway's control stream.
+// traffic counts what was transferred over a gateway's control stream.
 type traffic struct{ bytes, messages, snapshots, reconnects int64 }
 
 func (t traffic) plus(o traffic) traffic {
@@ -46,7 +46,7 @@
 	return traffic{t.bytes - o.bytes, t.messages - o.messages, t.snapshots - o.snapshots, t.reconnects - o.reconnects}
 }
 
-// start runs it with no state, as a new process would.
+// start starts the gateway without state, as a new process would.
 func (g *hollowGateway) start() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -64,10 +64,10 @@
 	})
 }
 
-// GatewayID names hollow gateway number i.
+// GatewayID returns the ID of hollow gateway number i.
 func GatewayID(i int) string { return fmt.Sprintf("hollow-%04d", i) }
 
-// stop ends it and keeps count of its traffic.
+// stop stops the gateway and keeps its traffic counts.
 func (g *hollowGateway) stop() {
 	g.mu.Lock()
 	client := g.client
@@ -87,7 +87,7 @@
 		reconnects: max(int64(s.Connects)-1, 0)}
 }
 
-// traffic is all of it since the gateway's first start. The caller holds mu.
+// traffic returns the total since the gateway's first start. The caller holds mu.
 func (g *hollowGateway) traffic() traffic {
 	if g.client == nil {
 		return g.previousTraffic
@@ -95,14 +95,14 @@
 	return g.previousTraffic.plus(trafficOf(g.client.Stats()))
 }
 
-// markReachable notes that it can hear again.
+// markReachable records the end of a partition.
 func (g *hollowGateway) markReachable(now time.Time) {
 	g.mu.Lock()
 	g.reachableSince = now
 	g.mu.Unlock()
 }
 
-// onUpdate takes what the control side has received, on the client's goroutine.
+// onUpdate applies an update. It runs on the client's goroutine.
 func (g *hollowGateway) onUpdate(u stream.Update) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -123,22 +123,22 @@
 	g.client.InForce(u.Revision, nil)
 }
 
-// applySnapshot looks whether a new state holds every drain that was in force.
+// applySnapshot checks that a full state still holds every drain that was applied.
 func (g *hollowGateway) applySnapshot(u stream.Update, now time.Time) {
 	if !g.snapshotApplied {
 		g.snapshotApplied = true
 		g.fleet.recordSnapshotLatency(now.Sub(g.startedAt))
 	}
 	for key, start := range g.drainedStarts {
-		record, there := u.State.Get(key)
-		if !there || !drainHolds(record.Value, start) {
+		record, ok := u.State.Get(key)
+		if !ok || !drainHolds(record.Value, start) {
 			g.undoneDrains++
 			delete(g.drainedStarts, key)
 		}
 	}
 }
 
-// applyChange counts how long a change took, and watches the drains.
+// applyChange records how long a change took to be applied, and checks that drains hold.
 func (g *hollowGateway) applyChange(c revision.Change, now time.Time) {
 	if c.CommittedAt > 0 {
 		since := time.Unix(0, c.CommittedAt)
@@ -164,7 +164,7 @@
 	}
 }
 
-// drainOf tells whether a member's record is draining, and for which start.
+// drainOf returns the start in a member's record, and whether the member is drained.
 func drainOf(value []byte) (start int64, drained bool) {
 	m := &pb.Member{}
 	if proto.Unmarshal(value, m) != nil {
@@ -173,18 +173,19 @@
 	return m.Start, m.DrainedAt != 0
 }
 
-// drainHolds reports whether the drain of a start still holds, or a newer start has ended it.
+// drainHolds reports whether the drain of a start still holds or was ended by a newer start.
 func drainHolds(value []byte, start int64) bool {
 	now, drained := drainOf(value)
 	return drained || now > start
 }
 
 const (
-	submitRetryDelay     = 500 * time.Millisecond // between two attempts to hand a batch up
+	submitRetryDelay     = 500 * time.Millisecond // between two attempts to submit a batch
 	submitAttemptTimeout = 2 * time.Second
 )
 
-// submit hands a batch up until it is answered. It carries its own origin and numbers: what was carried out is not again.
+// submit submits a batch until it is answered. Its commands carry their own origin and sequence numbers, so that
+// a retry does not carry them out twice.
 func (g *hollowGateway) submit(batch *pb.Batch, limit time.Duration) error {
 	for end := time.Now().Add(limit); ; time.Sleep(submitRetryDelay) {
 		err := g.submitOnce(batch)
@@ -217,12 +218,12 @@
 	return firstRefusal(reply.Results)
 }
 
-// retryError says that nothing was done, and that asking again is harmless.
+// retryError reports a batch that was not processed and can be retried safely.
 type retryError struct{ reason string }
 
-func (e retryError) Error() string { return "scale: to be asked again: " + e.reason }
+func (e retryError) Error() string { return "scale: refused, can be retried: " + e.reason }
 
-// firstRefusal is the first command of a batch that was not carried out.
+// firstRefusal returns the first refusal among the results of a batch.
 func firstRefusal(results []*pb.Result) error {
 	for _, r := range results {
 		if r.Refused != "" {
--- a/internal/experiment/scale/installation.go
+++ b/internal/experiment/scale/installation.go
@@ -11,26 +11,26 @@
 	pb "aspenshed/internal/controlplane/catalog/catalogpb"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	Dir               string // for configuration and data; it is there
+	Dir               string // existing directory for configuration and data
 	Voters            int
 	RealGateways      int
 	ClientsPerGateway int // of each real gateway
 	PerWorker         int // hollow gateways of one worker
-	InitialMembers    int // at the start
+	InitialMembers    int // members at the start
 	Delays            bool
-	JoinSpread        time.Duration // over which the gateways of one worker start
+	JoinSpread        time.Duration // period over which the gateways of one worker start
 	Seed              uint64
-	MaxMemory         int64 // bytes of all processes together
-	GrowthMemoryLimit int64 // the soft limit of workers' heaps while members come in; 0: as they were started
+	MaxMemory         int64 // limit for all processes together, bytes
+	GrowthMemoryLimit int64 // soft heap limit of workers while members are added, bytes; 0: unchanged
 
-	NewInstance      func() Instance          // of a daemon
-	NewWorker        func() (Executor, error) // of hollow gateways, or of the load
+	NewInstance      func() Instance          // runs a daemon
+	NewWorker        func() (Executor, error) // runs hollow gateways or the load
 	Progress         func(string, ...any)     // may be called from any goroutine
-	EmptyWorkerUsage func() (Usage, error)    // what a worker without gateways uses; nil: not measured
-	WorkerPID        func(Executor) (pid int) // the process that a worker runs in
-	KillWorker       func(Executor)           // ends a worker at once, as its machine's loss would
+	EmptyWorkerUsage func() (Usage, error)    // usage of a worker without gateways; nil: not measured
+	WorkerPID        func(Executor) (pid int) // process of a worker
+	KillWorker       func(Executor)           // kills a worker at once, simulating the loss of its machine
 }
 
 const (
@@ -38,26 +38,27 @@
 	loadPause     = 50 * time.Millisecond
 )
 
-// installation is all that runs: voters, real gateways, workers with hollow gateways, and one with the load.
+// installation is everything that runs: voters, real gateways, workers with hollow gateways, and one worker with
+// the load.
 type installation struct {
 	options  Options
 	voters   []*Node
 	gateways []*Node
 	load     Executor
-	workers  []Executor // the i-th runs the hollow gateways from i*PerWorker on
+	workers  []Executor // worker i runs the hollow gateways from i*PerWorker on
 	observer *Observer
 
 	mu               sync.Mutex // one batch at a time
 	submitter        *Submitter
 	expected         *ExpectedState
 	changes          *ChangeGenerator
-	partitionChanges []change // handed up by a gateway that was cut off
+	partitionChanges []change // submitted by a gateway inside the partition
 }
 
 // newInstallation starts voters, real gateways and their load.
-func newInstallation(ctx context.Context, o Options, next func(int) int) (x *installation, err error) {
+func newInstallation(ctx context.Context, o Options, randomIndex func(int) int) (x *installation, err error) {
 	x = &installation{options: o, expected: NewExpectedState()}
-	x.changes = &ChangeGenerator{expected: x.expected, randomIndex: next}
+	x.changes = &ChangeGenerator{expected: x.expected, randomIndex: randomIndex}
 	for _, step := range []func(context.Context) error{x.startLoad, x.startVoters, x.startObserver, x.addInitialMembers, x.startGateways} {
 		if err := step(ctx); err != nil {
 			return x, err
@@ -66,7 +67,7 @@
 	return x, nil
 }
 
-// startLoad starts the stand-in databases; their clients come once there are gateways.
+// startLoad starts the stand-in databases. Their clients are started with the real gateways.
 func (x *installation) startLoad(ctx context.Context) (err error) {
 	if x.options.RealGateways == 0 {
 		return nil
@@ -82,11 +83,11 @@
 	if x.load == nil {
 		return nil, nil
 	}
-	answer, err := x.load.Do(ctx, Request{Report: &Report{}})
+	response, err := x.load.Do(ctx, Request{Report: &Report{}})
 	if err != nil {
 		return nil, err
 	}
-	return answer.Load.Databases, nil
+	return response.Load.Databases, nil
 }
 
 func (x *installation) startVoters(ctx context.Context) error {
@@ -135,7 +136,7 @@
 	return err
 }
 
-// servers are the addresses of the control streams.
+// servers returns the addresses of the voters' control streams.
 func (x *installation) servers() (out []string) {
 	for _, v := range x.voters {
 		out = append(out, v.Subscribers)
@@ -158,11 +159,11 @@
 }
 
 const (
-	entriesPerCommand = 500                    // members that one command brings in
-	growthPause       = 500 * time.Millisecond // between two of them: members come in by the rack, not all at once
+	entriesPerCommand = 500                    // members added by one command
+	growthPause       = 500 * time.Millisecond // between two commands: members are added rack by rack, not all at once
 )
 
-// addInitialMembers brings in the stand-in databases, and members until there are so many as the options name.
+// addInitialMembers adds the stand-in databases, then members up to the number in the options.
 func (x *installation) addInitialMembers(ctx context.Context) error {
 	databases, err := x.databases(ctx)
 	if err != nil {
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// submit has changes agreed on and enters them into the ledger.
+// submit submits changes and records each in the expected state once committed.
 func (x *installation) submit(ctx context.Context, changes ...change) error {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -205,24 +206,25 @@
 	return nil
 }
 
-// commitMarker marks the state and returns the revision at which the control plane distributes the mark: whoever has it in force
-// has all that was agreed on before.
+// commitMarker commits a marker and returns the revision at which the observer receives it. A subscriber that has
+// applied this revision has applied every change that was committed before.
 func (x *installation) commitMarker(ctx context.Context) (uint64, error) {
 	x.mu.Lock()
-	mark := x.changes.setMarker()
+	marker := x.changes.setMarker()
 	value := fmt.Sprint(x.changes.markerValue)
 	x.mu.Unlock()
-	if err := x.submit(ctx, mark); err != nil {
+	if err := x.submit(ctx, marker); err != nil {
 		return 0, err
 	}
-	err := waitUntil(ctx, "a mark at the observer", writeTimeout, func() bool { return x.observer.Pair(markerKey) == value })
+	err := waitUntil(ctx, "the marker at the observer", writeTimeout, func() bool { return x.observer.Pair(markerKey) == value })
 	return x.observer.Revision(), err
 }
 
-// addGateways starts workers until there are so many hollow gateways. Those of all new workers start at the same time.
+// addGateways starts workers until the given number of hollow gateways run. All new workers start theirs
+// concurrently.
 func (x *installation) addGateways(ctx context.Context, gateways int) error {
 	var added sync.WaitGroup
-	failures := make(chan error, gateways) // of the starts
+	failures := make(chan error, gateways) // errors of the starts
 	for first := len(x.workers) * x.options.PerWorker; first < gateways; first += x.options.PerWorker {
 		w, err := x.startWorker(ctx)
 		if err != nil {
@@ -257,7 +259,7 @@
 	return w, nil
 }
 
-// replaceWorker starts the gateways of a worker that was lost, anew.
+// replaceWorker starts a new worker with the gateways of a lost one.
 func (x *installation) replaceWorker(ctx context.Context, i int) error {
 	w, err := x.startWorker(ctx)
 	if err != nil {
@@ -272,7 +274,7 @@
 	return nil
 }
 
-// setMemoryLimit sets the soft limit of all workers' heaps; 0: it stays.
+// setMemoryLimit sets the soft heap limit of all workers. A limit of 0 leaves it unchanged.
 func (x *installation) setMemoryLimit(ctx context.Context, limit int64) error {
 	if limit == 0 {
 		return nil
@@ -281,51 +283,51 @@
 	return err
 }
 
-// broadcast hands an order to all workers side by side.
-func (x *installation) broadcast(ctx context.Context, o Request) ([]Response, error) {
-	answers, errs := make([]Response, len(x.workers)), make([]error, len(x.workers))
-	var wait sync.WaitGroup
+// broadcast sends a request to all workers concurrently.
+func (x *installation) broadcast(ctx context.Context, r Request) ([]Response, error) {
+	responses, errs := make([]Response, len(x.workers)), make([]error, len(x.workers))
+	var wg sync.WaitGroup
 	for i, w := range x.workers {
-		wait.Add(1)
+		wg.Add(1)
 		go func() {
-			defer wait.Done()
-			answers[i], errs[i] = w.Do(ctx, o)
+			defer wg.Done()
+			responses[i], errs[i] = w.Do(ctx, r)
 		}()
 	}
-	wait.Wait()
-	return answers, errors.Join(errs...)
+	wg.Wait()
+	return responses, errors.Join(errs...)
 }
 
-// report is how all hollow gateways stand, added up.
-func (x *installation) report(ctx context.Context, o Report) (fleetTotal, error) {
-	answers, err := x.broadcast(ctx, Request{Report: &o})
+// report returns the combined state of all hollow gateways.
+func (x *installation) report(ctx context.Context, r Report) (fleetTotal, error) {
+	responses, err := x.broadcast(ctx, Request{Report: &r})
 	if err != nil {
 		return fleetTotal{}, err
 	}
 	total := newFleetTotal()
-	for i, a := range answers {
-		if err := total.add(a.Fleet, x.options.WorkerPID(x.workers[i])); err != nil {
+	for i, response := range responses {
+		if err := total.add(response.Fleet, x.options.WorkerPID(x.workers[i])); err != nil {
 			return total, err
 		}
 	}
 	return total, nil
 }
 
-// closeWorkers ends all hollow gateways.
+// closeWorkers stops all workers and their hollow gateways.
 func (x *installation) closeWorkers() {
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, w := range x.workers {
-		wait.Add(1)
+		wg.Add(1)
 		go func() {
-			defer wait.Done()
+			defer wg.Done()
 			w.Close()
 		}()
 	}
-	wait.Wait()
+	wg.Wait()
 	x.workers = nil
 }
 
-// close ends all that was started.
+// close stops everything that was started.
 func (x *installation) close() (err error) {
 	if x.submitter != nil {
 		x.submitter.Close()
@@ -343,7 +345,7 @@
 	return err
 }
 
-// memory is what all processes hold that this run has started, and this one.
+// memory returns the resident memory of all processes of this run, including this one.
 func (x *installation) memory() (bytes int64, err error) {
 	pids := map[int]bool{os.Getpid(): true}
 	for _, w := range append(x.workers, x.load) {
--- a/internal/experiment/scale/judge.go
+++ b/internal/experiment/scale/judge.go
@@ -10,14 +10,14 @@
 	"aspenshed/internal/experiment/measure"
 )
 
-// verifyFinalState compares all states and looks for what was agreed on.
+// verifyFinalState compares the states of all subscribers and voters, and looks for lost changes.
 func (r *runner) verifyFinalState(ctx context.Context) error {
 	expected, err := r.commitMarker(ctx)
 	if err != nil {
 		return err
 	}
-	for _, look := range []func(context.Context, uint64) error{r.verifyStates, r.verifyRollout} {
-		if err := look(ctx, expected); err != nil {
+	for _, verify := range []func(context.Context, uint64) error{r.verifyStates, r.verifyRollout} {
+		if err := verify(ctx, expected); err != nil {
 			return err
 		}
 	}
@@ -27,11 +27,11 @@
 	return r.verifyNodes(ctx)
 }
 
-// waitUntilOrTimeout waits for something that a check looks at afterwards: a time-out is no error.
+// waitUntilOrTimeout waits for a condition that a check evaluates afterwards, so that a timeout is no error.
 func waitUntilOrTimeout(ctx context.Context, what string, ok func() bool) error {
 	err := waitUntil(ctx, what, MaxApplyDelay, ok)
-	var late *TimeoutError
-	if errors.As(err, &late) {
+	var timeout *TimeoutError
+	if errors.As(err, &timeout) {
 		return nil
 	}
 	return err
@@ -56,7 +56,8 @@
 	return nil
 }
 
-// verifyRollout compares what the voters know to be in force with what is: at all hollow and real gateways and the observer.
+// verifyRollout compares the voters' rollout report with the actual subscribers: hollow gateways, real gateways
+// and the observer.
 func (r *runner) verifyRollout(ctx context.Context, expected uint64) error {
 	total, err := r.report(ctx, Report{Expected: expected})
 	if err != nil {
@@ -81,9 +82,9 @@
 	return nil
 }
 
-// verifyNodes compares the catalogs of voters, and what the real gateways hold.
+// verifyNodes compares the voters' catalogs, and checks the load on the real gateways.
 func (r *runner) verifyNodes(ctx context.Context) error {
-	var digests map[string]int // of the last look: heartbeats change the catalogs all the time
+	var digests map[string]int // of the last poll: heartbeats change the catalogs constantly
 	err := waitUntilOrTimeout(ctx, "equal catalogs", func() bool {
 		digests = r.catalogDigests()
 		return len(digests) == 1
@@ -95,11 +96,11 @@
 	if r.load == nil {
 		return nil
 	}
-	answer, err := r.load.Do(ctx, Request{Report: &Report{}})
+	response, err := r.load.Do(ctx, Request{Report: &Report{}})
 	if err != nil {
 		return err
 	}
-	l := answer.Load
+	l := response.Load
 	r.run.Checks = append(r.run.Checks,
 		measure.Check{Name: "real gateways: requests served", Bound: 1, Value: float64(l.Served), Unit: "1", Passed: l.Served > 0,
 			Detail: fmt.Sprintf("%d refused, %d failed", l.Refused, l.Failed)},
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// catalogDigests counts voters by what their catalogs hold.
+// catalogDigests counts voters by the digest of their catalogs.
 func (r *runner) catalogDigests() map[string]int {
 	out := map[string]int{}
 	for _, n := range r.voters {
--- a/internal/experiment/scale/ledger.go
+++ b/internal/experiment/scale/ledger.go
@@ -10,39 +10,39 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// ExpectedState is what the voters have agreed to by their answers: all of it must be in the state at the end.
+// ExpectedState records the changes that the voters have committed: all of them must be in the final state.
 type ExpectedState struct {
-	memberVersions map[string]int    // revision of each member's entry, as Member makes it
-	memberIndexes  map[string]int    // which member an id names
-	drainedMembers map[string]bool   // members that were drained and never started again
-	primaries      map[string]string // member by group's key
+	memberVersions map[string]int    // version of each member's entry, as passed to MemberEntry
+	memberIndexes  map[string]int    // member number by ID
+	drainedMembers map[string]bool   // members that were drained and not started again
+	primaries      map[string]string // member ID by the key of the group's primary record
 	pairs          map[string]string
 }
 
-// NewExpectedState is empty.
+// NewExpectedState creates an empty state.
 func NewExpectedState() *ExpectedState {
 	return &ExpectedState{memberVersions: map[string]int{}, memberIndexes: map[string]int{}, drainedMembers: map[string]bool{}, primaries: map[string]string{}, pairs: map[string]string{}}
 }
 
-// Lost names what a state lacks of the ledger, in words; none: nothing was lost.
-func (l *ExpectedState) Lost(records map[string][]byte) (lost []string) {
-	for id, version := range l.memberVersions {
-		if reason := l.checkMember(records[revision.MemberPrefix+id], id, version); reason != "" {
+// Lost describes the committed changes that are missing from records. It returns nothing if there are none.
+func (e *ExpectedState) Lost(records map[string][]byte) (lost []string) {
+	for id, version := range e.memberVersions {
+		if reason := e.checkMember(records[revision.MemberPrefix+id], id, version); reason != "" {
 			lost = append(lost, id+": "+reason)
 		}
 	}
-	for id := range l.drainedMembers {
+	for id := range e.drainedMembers {
 		if _, drained := drainOf(records[revision.MemberPrefix+id]); !drained {
 			lost = append(lost, id+": its drain is undone")
 		}
 	}
-	for key, member := range l.primaries {
+	for key, member := range e.primaries {
 		p := &pb.Primary{}
 		if proto.Unmarshal(records[key], p) != nil || p.Member != member {
 			lost = append(lost, fmt.Sprintf("%s: %q, not %q", key, p.Member, member))
 		}
 	}
-	for key, value := range l.pairs {
+	for key, value := range e.pairs {
 		p := &pb.Pair{}
 		if proto.Unmarshal(records[revision.PairPrefix+key], p) != nil || string(p.Value) != value {
 			lost = append(lost, fmt.Sprintf("%s: %q, not %q", key, p.Value, value))
@@ -51,7 +51,7 @@
 	return lost
 }
 
-func (l *ExpectedState) checkMember(record []byte, id string, version int) string {
+func (e *ExpectedState) checkMember(record []byte, id string, version int) string {
 	m := &pb.Member{}
 	if len(record) == 0 {
 		return "is not there"
@@ -59,21 +59,21 @@
 	if err := proto.Unmarshal(record, m); err != nil {
 		return err.Error()
 	}
-	if want := MemberEntry(l.memberIndexes[id], version); m.Entry.GetAddress() != want.Address {
+	if want := MemberEntry(e.memberIndexes[id], version); m.Entry.GetAddress() != want.Address {
 		return fmt.Sprintf("address %s, not %s", m.Entry.GetAddress(), want.Address)
 	}
 	return ""
 }
 
-// ChangeGenerator makes changes, and enters into the ledger those that were agreed on.
+// ChangeGenerator creates changes that are recorded in the expected state once committed.
 type ChangeGenerator struct {
 	expected    *ExpectedState
-	memberCount int // members that there are
+	memberCount int // members added so far
 	randomIndex func(n int) int
 	markerValue int
 }
 
-// change is one command with what the ledger takes note of once it is agreed on.
+// change is one command with the callback that records it once committed.
 type change struct {
 	command     *pb.Command
 	onCommitted func()
@@ -86,11 +86,11 @@
 	return change{upsert(MemberEntry(i, version)), func() { c.expected.recordMember(i, version) }}
 }
 
-func (l *ExpectedState) recordMember(i, version int) {
-	l.memberVersions[MemberID(i)], l.memberIndexes[MemberID(i)] = version, i
+func (e *ExpectedState) recordMember(i, version int) {
+	e.memberVersions[MemberID(i)], e.memberIndexes[MemberID(i)] = version, i
 }
 
-// addMembers brings in members from number From to Until-1.
+// addMembers adds the members from to until-1.
 func (c *ChangeGenerator) addMembers(from, until int) change {
 	var entries []*pb.Entry
 	for i := from; i < until; i++ {
@@ -108,13 +108,13 @@
 	return &pb.Command{Body: &pb.Command_UpsertMembers{UpsertMembers: &pb.UpsertMembers{Members: entries, Author: "scale"}}}
 }
 
-// drain drains a member for good.
+// drain drains a member permanently.
 func (c *ChangeGenerator) drain(id string) change {
 	command := &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: id, Reason: "scale"}}}
 	return change{command, func() { c.expected.drainedMembers[id] = true }}
 }
 
-// primary names the member that takes a group's writes from now on.
+// primary reports a new primary of a group.
 func (c *ChangeGenerator) primary(group int32, member string, at int64) change {
 	report := &pb.ReportPrimary{Wire: memberWire, Group: group, Member: member, At: at}
 	key := revision.PrimaryPrefix + revision.Group{Wire: memberWire, ID: group}.String()
@@ -123,7 +123,7 @@
 
 const markerKey = "scale-marker"
 
-// setMarker sets a key by which the newest agreed state is known.
+// setMarker sets the key that identifies the newest committed state.
 func (c *ChangeGenerator) setMarker() change {
 	c.markerValue++
 	value := strconv.Itoa(c.markerValue)
@@ -131,7 +131,8 @@
 	return change{command, func() { c.expected.pairs[markerKey] = value }}
 }
 
-// typicalChange is the n-th change of an typicalChange day: configuration of a member mostly, now and then a drain or a new primary.
+// typicalChange returns the n-th change of a typical day: mostly the configuration of a member, and now and then
+// a drain or a new primary.
 func (c *ChangeGenerator) typicalChange(n int, now int64) change {
 	member := c.randomIndex(c.memberCount)
 	switch {
--- a/internal/experiment/scale/load.go
+++ b/internal/experiment/scale/load.go
@@ -20,12 +20,12 @@
 	FirstLoadGroup = 1
 )
 
-// loadGenerator is stand-in databases, and clients that ask real gateways one request after another.
+// loadGenerator runs stand-in databases, and clients that send requests to real gateways one after another.
 type loadGenerator struct {
 	groups []*standin.Group
 	net    *netio.Net
 	quit   chan struct{}
-	wait   sync.WaitGroup
+	wg     sync.WaitGroup
 
 	requestIDs atomic.Int64
 	counts     pgclient.Counts
@@ -34,7 +34,7 @@
 // newLoadGenerator starts stand-in databases of both roles, in groups of three.
 func newLoadGenerator(databases int) (*loadGenerator, error) {
 	if databases > maxDatabases {
-		return nil, fmt.Errorf("scale: %d databases, %d at most", databases, maxDatabases)
+		return nil, fmt.Errorf("scale: %d databases exceed the limit of %d", databases, maxDatabases)
 	}
 	n, err := netio.New(netio.Config{Name: "load", MaxDials: maxLoadClients})
 	if err != nil {
@@ -58,32 +58,32 @@
 
 func (l *loadGenerator) close() {
 	close(l.quit)
-	l.wait.Wait()
+	l.wg.Wait()
 	for _, g := range l.groups {
 		g.Stop()
 	}
 	l.net.Stop()
 }
 
-// startClients starts clients of the gateways' fronts.
-func (l *loadGenerator) startClients(o Load) error {
-	if n := o.Clients * len(o.Gateways); n > maxLoadClients {
-		return fmt.Errorf("scale: %d clients, %d at most", n, maxLoadClients)
+// startClients starts clients that connect to the gateways' fronts.
+func (l *loadGenerator) startClients(r Load) error {
+	if n := r.Clients * len(r.Gateways); n > maxLoadClients {
+		return fmt.Errorf("scale: %d clients exceed the limit of %d", n, maxLoadClients)
 	}
-	for _, address := range o.Gateways {
-		for i := range o.Clients {
-			l.wait.Add(1)
+	for _, address := range r.Gateways {
+		for i := range r.Clients {
+			l.wg.Add(1)
 			go func() {
-				defer l.wait.Done()
-				l.runClient(address, i, o.Pause)
+				defer l.wg.Done()
+				l.runClient(address, i, r.Pause)
 			}()
 		}
 	}
 	return nil
 }
 
-// runClient asks one request after another until the end, with pauses that bound the load.
-func (l *loadGenerator) runClient(address string, number int, rest time.Duration) {
+// runClient sends one request after another until the generator closes, with pauses that bound the load.
+func (l *loadGenerator) runClient(address string, number int, interval time.Duration) {
 	var c *pgclient.Client
 	for n := number; ; n++ {
 		select {
@@ -92,7 +92,7 @@
 				c.Close()
 			}
 			return
-		case <-time.After(rest):
+		case <-time.After(interval):
 		}
 		if c == nil {
 			var err error
@@ -109,7 +109,7 @@
 	}
 }
 
-// statement is the n-th of a client: one in five writes.
+// statement returns the n-th statement of a client: one in five writes.
 func (l *loadGenerator) statement(n int) string {
 	id := l.requestIDs.Add(1)
 	group := FirstLoadGroup + n%len(l.groups)
@@ -119,7 +119,7 @@
 	return fmt.Sprintf("SELECT payload FROM entries WHERE ref = 'k%d' /* id=%d,c=report,d=900,cluster=%d */", id%100, id, group)
 }
 
-// drain has a database note from when on nothing new may come.
+// drain notifies a stand-in database that it is draining.
 func (l *loadGenerator) drain(id string) error {
 	for _, g := range l.groups {
 		for _, d := range g.DBs() {
@@ -129,7 +129,7 @@
 			}
 		}
 	}
-	return fmt.Errorf("scale: no database %q", id)
+	return fmt.Errorf("scale: unknown database %q", id)
 }
 
 func (l *loadGenerator) state() (*LoadState, error) {
--- a/internal/experiment/scale/network.go
+++ b/internal/experiment/scale/network.go
@@ -9,52 +9,55 @@
 	"aspenshed/internal/netio"
 )
 
-// maxQueuedBytes bounds what one connection holds back on either way while it is delayed or cut off; beyond it the connection
-// ends, as one whose peer never acknowledges. It is twice the window of a control stream and more.
+// maxQueuedBytes bounds what a connection queues in one direction while it is delayed or partitioned. Beyond it
+// the connection is closed, like one whose peer stops acknowledging. It is more than twice the window of a
+// control stream.
 const maxQueuedBytes = 8 << 20
 
-// partitionPollInterval is how often a connection that is cut off looks whether it is healed: far below a lost segment's retransmission.
+// partitionPollInterval is how often a partitioned connection checks whether the partition has healed: far below
+// the retransmission timeout of a lost segment.
 const partitionPollInterval = 50 * time.Millisecond
 
-// ErrQueueFull ends a connection on which too much waits.
-var ErrQueueFull = errors.New("scale: too much waits on a delayed connection")
+// ErrQueueFull closes a connection on which too many bytes are queued.
+var ErrQueueFull = errors.New("scale: queue of a delayed connection is full")
 
-// EmulatedNetwork is the network between the gateways of a child and the servers: delays by zone, and regions that are cut off. It
-// hands out a stream.Network for each zone.
+// EmulatedNetwork is the network between the gateways of a child and the servers, with delays by zone and
+// partitioned regions. It provides a stream.Network for each zone.
 type EmulatedNetwork struct {
 	next               stream.Network
-	zoneOf             map[string]int // of servers, by address
+	zoneOf             map[string]int // zones of the servers by address
 	delays             bool
 	mu                 sync.Mutex
 	partitionedRegions map[int]bool
 }
 
-// NewEmulatedNetwork stands before a network. Servers are named by address with the zones that they stand in.
+// NewEmulatedNetwork wraps a network. The servers map gives the zone of each server address.
 func NewEmulatedNetwork(next stream.Network, servers map[string]int, delays bool) *EmulatedNetwork {
 	return &EmulatedNetwork{next: next, zoneOf: servers, delays: delays, partitionedRegions: map[int]bool{}}
 }
 
-// ForZone is the network as a gateway in that zone sees it.
-func (l *EmulatedNetwork) ForZone(zone int) stream.Network { return zoneNetwork{l, zone} }
+// ForZone returns the network as seen by a gateway in a zone.
+func (n *EmulatedNetwork) ForZone(zone int) stream.Network { return zoneNetwork{n, zone} }
 
-// SetPartitioned cuts a region off from all others, or heals that. What was under way arrives once it is healed.
-func (l *EmulatedNetwork) SetPartitioned(region int, cut bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.partitionedRegions[region] = cut
+// SetPartitioned cuts a region off from all others, or heals the partition. Data in flight arrives once it is
+// healed.
+func (n *EmulatedNetwork) SetPartitioned(region int, partitioned bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.partitionedRegions[region] = partitioned
 }
 
-// IsPartitioned reports whether a region is cut off.
-func (l *EmulatedNetwork) IsPartitioned(region int) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.partitionedRegions[region]
+// IsPartitioned reports whether a region is partitioned from the others.
+func (n *EmulatedNetwork) IsPartitioned(region int) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.partitionedRegions[region]
 }
 
-// isPartitioned reports whether nothing gets from one zone to the other. The caller holds mu.
-func (l *EmulatedNetwork) isPartitioned(from, to int) bool {
+// isPartitioned reports whether a partition separates two zones. The caller holds mu.
+func (n *EmulatedNetwork) isPartitioned(from, to int) bool {
 	a, b := zones[from].Region, zones[to].Region
-	return a != b && (l.partitionedRegions[a] || l.partitionedRegions[b])
+	return a != b && (n.partitionedRegions[a] || n.partitionedRegions[b])
 }
 
 type zoneNetwork struct {
@@ -62,16 +65,17 @@
 	zone    int
 }
 
-// Dial connects to a server, over the delay between the two zones. A server that is cut off can't be reached.
+// Dial connects to a server, over the delay between the two zones. A server behind a partition refuses the
+// connection.
 func (z zoneNetwork) Dial(address string, h netio.Handler) (stream.Conn, error) {
 	to, known := z.network.zoneOf[address]
 	if !known {
 		to = z.zone
 	}
 	z.network.mu.Lock()
-	cut := z.network.isPartitioned(z.zone, to)
+	partitioned := z.network.isPartitioned(z.zone, to)
 	z.network.mu.Unlock()
-	if cut {
+	if partitioned {
 		return nil, netio.ErrRefused
 	}
 	c := &delayedConn{network: z.network, from: z.zone, to: to, handler: h}
@@ -81,7 +85,7 @@
 	}
 	c.in = &delayQueue{conn: c, delay: delay}
 	c.out = &delayQueue{conn: c, delay: delay}
-	c.mu.Lock() // what the connection tells waits until conn is set
+	c.mu.Lock() // events of the connection wait until conn is set
 	defer c.mu.Unlock()
 	conn, err := z.network.next.Dial(address, c)
 	if err != nil {
@@ -91,7 +95,7 @@
 	return c, nil
 }
 
-// delayedConn is one connection: it is a stream.Conn towards the client, and the real connection's netio.Handler.
+// delayedConn is one connection: a stream.Conn for the client, and the netio.Handler of the real connection.
 type delayedConn struct {
 	network  *EmulatedNetwork
 	from, to int
@@ -100,10 +104,10 @@
 
 	mu     sync.Mutex
 	conn   stream.Conn
-	closed bool // by the client: it hears nothing more
+	closed bool // by the client, whose handler gets no more events
 }
 
-// Up arrives after the delay there and back.
+// Up is delivered after a round trip.
 func (c *delayedConn) Up() {
 	c.in.enqueue(0, 2*c.in.delay, func() {
 		if !c.isClosed() {
@@ -112,21 +116,21 @@
 	})
 }
 
-// Data arrives after the delay, in order.
+// Data is delivered after the delay, in order.
 func (c *delayedConn) Data(b []byte) {
 	copied := append([]byte(nil), b...)
-	held := c.in.enqueue(len(copied), c.in.delay, func() {
+	queued := c.in.enqueue(len(copied), c.in.delay, func() {
 		if !c.isClosed() {
 			c.handler.Data(copied)
 		}
 	})
-	if !held {
+	if !queued {
 		c.underlying().Close()
 		c.Closed(ErrQueueFull)
 	}
 }
 
-// Closed arrives behind all that came before it.
+// Closed is delivered after all earlier events.
 func (c *delayedConn) Closed(err error) {
 	c.in.enqueue(0, c.in.delay, func() {
 		if !c.isClosed() {
@@ -135,19 +139,20 @@
 	})
 }
 
-// Write has b arrive at the server after the delay.
+// Write sends b to the server after the delay.
 func (c *delayedConn) Write(b []byte) error {
 	if c.isClosed() {
 		return netio.ErrClosed
 	}
 	copied := append([]byte(nil), b...)
-	if !c.out.enqueue(len(copied), c.out.delay, func() { _ = c.underlying().Write(copied) }) { // an error shows as the connection's end
+	if !c.out.enqueue(len(copied), c.out.delay, func() { _ = c.underlying().Write(copied) }) { // an error closes it
 		return ErrQueueFull
 	}
 	return nil
 }
 
-// Close ends the connection here at once; the server sees it after the delay, or once a cut is healed.
+// Close closes the connection for the client at once. The server sees it after the delay, or once a partition
+// heals.
 func (c *delayedConn) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -163,7 +168,7 @@
 	return c.closed
 }
 
-// underlying is the connection below; before its dial has returned nothing is written to it.
+// underlying returns the real connection. Nothing is written to it before its dial has returned.
 func (c *delayedConn) underlying() stream.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -176,7 +181,8 @@
 	return c.network.isPartitioned(c.from, c.to)
 }
 
-// delayQueue is one direction of a connection: what is put in comes out in order, after the delay, and not during a cut.
+// delayQueue is one direction of a connection: events are delivered in order, after the delay, and not during a
+// partition.
 type delayQueue struct {
 	conn  *delayedConn
 	delay time.Duration
@@ -185,7 +191,7 @@
 	waiting []delayedEvent
 	bytes   int
 	timer   *time.Timer
-	running bool // a goroutine delivers: another must not overtake it
+	running bool // a goroutine is delivering; another would break the order
 }
 
 type delayedEvent struct {
@@ -194,63 +200,63 @@
 	deliver func()
 }
 
-// enqueue takes what arrives after a delay; false: too much waits already.
-func (l *delayQueue) enqueue(bytes int, delay time.Duration, arrive func()) bool {
-	l.mu.Lock()
-	if l.bytes+bytes > maxQueuedBytes {
-		l.mu.Unlock()
+// enqueue adds an event to be delivered after a delay. It returns false if the queue is full.
+func (q *delayQueue) enqueue(bytes int, delay time.Duration, deliver func()) bool {
+	q.mu.Lock()
+	if q.bytes+bytes > maxQueuedBytes {
+		q.mu.Unlock()
 		return false
 	}
-	l.bytes += bytes
+	q.bytes += bytes
 	due := time.Now().Add(delay)
-	if n := len(l.waiting); n > 0 && l.waiting[n-1].due.After(due) {
-		due = l.waiting[n-1].due
+	if n := len(q.waiting); n > 0 && q.waiting[n-1].due.After(due) {
+		due = q.waiting[n-1].due
 	}
-	l.waiting = append(l.waiting, delayedEvent{due, bytes, arrive})
-	l.mu.Unlock()
-	l.deliverDue()
+	q.waiting = append(q.waiting, delayedEvent{due, bytes, deliver})
+	q.mu.Unlock()
+	q.deliverDue()
 	return true
 }
 
-// deliverDue has what is due arrive, and sets a timer for the next.
-func (l *delayQueue) deliverDue() {
-	cut := l.conn.isPartitioned()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.running {
+// deliverDue delivers the events that are due, and sets a timer for the next one.
+func (q *delayQueue) deliverDue() {
+	partitioned := q.conn.isPartitioned()
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.running {
 		return
 	}
-	l.running = true
-	defer func() { l.running = false }()
-	for len(l.waiting) > 0 {
-		first := l.waiting[0]
-		if wait := time.Until(first.due); wait > 0 || cut {
-			l.scheduleDelivery(nextCheckDelay(wait, cut))
+	q.running = true
+	defer func() { q.running = false }()
+	for len(q.waiting) > 0 {
+		first := q.waiting[0]
+		if wait := time.Until(first.due); wait > 0 || partitioned {
+			q.scheduleDelivery(nextCheckDelay(wait, partitioned))
 			return
 		}
-		l.waiting[0] = delayedEvent{}
-		l.waiting = l.waiting[1:]
-		l.bytes -= first.bytes
-		l.mu.Unlock()
+		q.waiting[0] = delayedEvent{}
+		q.waiting = q.waiting[1:]
+		q.bytes -= first.bytes
+		q.mu.Unlock()
 		first.deliver()
-		cut = l.conn.isPartitioned()
-		l.mu.Lock()
+		partitioned = q.conn.isPartitioned()
+		q.mu.Lock()
 	}
-	l.waiting = nil
+	q.waiting = nil
 }
 
-// scheduleDelivery has deliver run again. The caller holds mu.
-func (l *delayQueue) scheduleDelivery(after time.Duration) {
-	if l.timer == nil {
-		l.timer = time.AfterFunc(after, l.deliverDue)
+// scheduleDelivery runs deliverDue again after a delay. The caller holds mu.
+func (q *delayQueue) scheduleDelivery(after time.Duration) {
+	if q.timer == nil {
+		q.timer = time.AfterFunc(after, q.deliverDue)
 		return
 	}
-	l.timer.Reset(after)
+	q.timer.Reset(after)
 }
 
-// nextCheckDelay is when to look again: once the next is due, or whether a cut is healed.
-func nextCheckDelay(wait time.Duration, cut bool) time.Duration {
-	if cut {
+// nextCheckDelay returns when to check again: once the next event is due, or whether a partition has healed.
+func nextCheckDelay(wait time.Duration, partitioned bool) time.Duration {
+	if partitioned {
 		return max(wait, partitionPollInterval)
 	}
 	return wait
--- a/internal/experiment/scale/network_test.go
+++ b/internal/experiment/scale/network_test.go
@@ -13,7 +13,7 @@
 
 const testTimeout = 10 * time.Second
 
-// fakeNetwork hands out connections whose far end is the test.
+// fakeNetwork creates connections whose far end is the test.
 type fakeNetwork struct{ dialled chan *fakeConn }
 
 func (n *fakeNetwork) Dial(_ string, h netio.Handler) (stream.Conn, error) {
@@ -36,7 +36,7 @@
 
 func (c *fakeConn) Close() { c.once.Do(func() { close(c.closed) }) }
 
-// recordingHandler is what a client's handler has been told, in order.
+// recordingHandler records the events of a client's connection in order.
 type recordingHandler chan string
 
 func (h recordingHandler) Up()              { h <- "up" }
@@ -49,31 +49,31 @@
 	case x := <-h:
 		return x
 	case <-time.After(testTimeout):
-		t.Fatal("nothing came")
+		t.Fatal("timed out waiting for an event")
 		return ""
 	}
 }
 
-// dialFarServer is a connection from zone 0 to a server in the farthest region.
+// dialFarServer connects from zone 0 to a server in the farthest region.
 func dialFarServer(t *testing.T) (*EmulatedNetwork, recordingHandler, stream.Conn, *fakeConn) {
 	t.Helper()
-	below := &fakeNetwork{dialled: make(chan *fakeConn, 1)}
-	links := NewEmulatedNetwork(below, map[string]int{"far": 3}, true)
-	told := make(recordingHandler, 100)
-	conn, err := links.ForZone(0).Dial("far", told)
+	next := &fakeNetwork{dialled: make(chan *fakeConn, 1)}
+	network := NewEmulatedNetwork(next, map[string]int{"far": 3}, true)
+	events := make(recordingHandler, 100)
+	conn, err := network.ForZone(0).Dial("far", events)
 	if err != nil {
 		t.Fatal(err)
 	}
-	far := <-below.dialled
+	far := <-next.dialled
 	far.handler.Up()
-	if got := told.next(t); got != "up" {
+	if got := events.next(t); got != "up" {
 		t.Fatal(got)
 	}
-	return links, told, conn, far
+	return network, events, conn, far
 }
 
 func TestDelayKeepsOrder(t *testing.T) {
-	_, told, conn, far := dialFarServer(t)
+	_, events, conn, far := dialFarServer(t)
 	begin := time.Now()
 	for i := range 10 {
 		far.handler.Data([]byte(fmt.Sprint(i)))
@@ -83,71 +83,71 @@
 	}
 	far.handler.Closed(netio.ErrClosed)
 	for i := range 10 {
-		if got := told.next(t); got != fmt.Sprint(i) {
-			t.Errorf("%q came as number %d", got, i)
+		if got := events.next(t); got != fmt.Sprint(i) {
+			t.Errorf("%q was received as number %d", got, i)
 		}
 		if got := <-far.written; got != fmt.Sprint(i) {
 			t.Errorf("%q arrived as number %d", got, i)
 		}
 	}
-	if got := told.next(t); got != "closed connection closed" {
+	if got := events.next(t); got != "closed connection closed" {
 		t.Error(got)
 	}
 	if took := time.Since(begin); took < Delay(0, 3) {
-		t.Errorf("it took %v", took)
+		t.Errorf("delivery took only %v", took)
 	}
 }
 
-func TestCutHoldsBackUntilItIsHealed(t *testing.T) {
-	links, told, conn, far := dialFarServer(t)
-	links.SetPartitioned(zones[3].Region, true)
-	far.handler.Data([]byte("during the cut"))
-	if err := conn.Write([]byte("during the cut")); err != nil {
+func TestPartitionQueuesDataUntilHealed(t *testing.T) {
+	network, events, conn, far := dialFarServer(t)
+	network.SetPartitioned(zones[3].Region, true)
+	far.handler.Data([]byte("during the partition"))
+	if err := conn.Write([]byte("during the partition")); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := links.ForZone(0).Dial("far", told); !errors.Is(err, netio.ErrRefused) {
-		t.Errorf("a dial during a cut: %v", err)
+	if _, err := network.ForZone(0).Dial("far", events); !errors.Is(err, netio.ErrRefused) {
+		t.Errorf("dial during a partition: %v", err)
 	}
-	time.Sleep(2 * Delay(0, 3)) // nothing may come in this time
-	if len(told) > 0 || len(far.written) > 0 {
-		t.Error("the cut lets data through")
+	time.Sleep(2 * Delay(0, 3)) // nothing may be delivered meanwhile
+	if len(events) > 0 || len(far.written) > 0 {
+		t.Error("data was delivered during the partition")
 	}
-	links.SetPartitioned(zones[3].Region, false)
-	if got := told.next(t); got != "during the cut" {
+	network.SetPartitioned(zones[3].Region, false)
+	if got := events.next(t); got != "during the partition" {
 		t.Error(got)
 	}
-	if got := <-far.written; got != "during the cut" {
+	if got := <-far.written; got != "during the partition" {
 		t.Error(got)
 	}
 }
 
-func TestClosedConnectionHearsNothing(t *testing.T) {
-	_, told, conn, far := dialFarServer(t)
+func TestClosedConnectionReceivesNothing(t *testing.T) {
+	_, events, conn, far := dialFarServer(t)
 	far.handler.Data([]byte("late"))
 	conn.Close()
 	select {
 	case <-far.closed:
 	case <-time.After(testTimeout):
-		t.Fatal("the server never sees the end")
+		t.Fatal("the server's connection was not closed")
 	}
 	if err := conn.Write(nil); !errors.Is(err, netio.ErrClosed) {
 		t.Error(err)
 	}
-	if len(told) > 0 {
-		t.Error(<-told)
+	if len(events) > 0 {
+		t.Error(<-events)
 	}
 }
 
-func TestTooMuchHeldBackEndsTheConnection(t *testing.T) {
-	links, told, conn, far := dialFarServer(t)
-	links.SetPartitioned(zones[3].Region, true)
+func TestFullQueueClosesTheConnection(t *testing.T) {
+	network, events, conn, far := dialFarServer(t)
+	network.SetPartitioned(zones[3].Region, true)
 	if err := conn.Write(make([]byte, maxQueuedBytes+1)); !errors.Is(err, ErrQueueFull) {
 		t.Error(err)
 	}
 	far.handler.Data(make([]byte, maxQueuedBytes+1))
 	<-far.closed
-	links.SetPartitioned(zones[3].Region, false)
-	if got := told.next(t); got != "closed "+ErrQueueFull.Error() {
+	network.SetPartitioned(zones[3].Region, false)
+	if got := events.next(t); got != "closed "+ErrQueueFull.Error() {
 		t.Error(got)
 	}
 }
--- a/internal/experiment/scale/observer.go
+++ b/internal/experiment/scale/observer.go
@@ -17,7 +17,7 @@
 	"aspenshed/internal/netio"
 )
 
-// Observer is a subscriber of the runner's own, without delays: it knows what the control plane distributes.
+// Observer is the runner's own subscriber, without delays. It holds the state that the control plane distributes.
 type Observer struct {
 	net    *netio.Net
 	client *stream.Client
@@ -27,26 +27,26 @@
 	records  map[string][]byte
 }
 
-// NewObserver subscribes to one of the servers.
+// NewObserver subscribes to the servers.
 func NewObserver(c Configure) (*Observer, error) {
 	n, err := netio.New(netio.Config{Name: "observer", MaxDials: 2 * len(c.Servers)})
 	if err != nil {
 		return nil, err
 	}
-	silent := logrus.New()
-	silent.SetOutput(io.Discard)
+	discard := logrus.New()
+	discard.SetOutput(io.Discard)
 	o := &Observer{net: n, records: map[string][]byte{}}
-	o.mu.Lock() // what is applied waits until the client is known
+	o.mu.Lock() // updates wait until the client is set
 	defer o.mu.Unlock()
 	o.client = stream.NewClient(stream.ClientConfig{
 		Machine: subscription.ClientConfig{Cluster: c.Cluster, Subscriber: "observer", Boot: "1", Region: RegionName(0),
 			Zone: zones[0].Name, Release: "scale", Servers: c.Servers, Seed: c.Seed},
-		Network: stream.NewNetwork(n), Log: logrus.NewEntry(silent), Clock: eventloop.NewClock(), OnUpdate: o.applied,
+		Network: stream.NewNetwork(n), Log: logrus.NewEntry(discard), Clock: eventloop.NewClock(), OnUpdate: o.applied,
 	})
 	return o, nil
 }
 
-// Close ends it.
+// Close stops the observer.
 func (o *Observer) Close() {
 	o.client.Stop()
 	o.net.Stop()
@@ -72,20 +72,20 @@
 	o.client.InForce(u.Revision, nil)
 }
 
-// Revision is the newest that it has.
+// Revision returns the newest revision received.
 func (o *Observer) Revision() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.revision
 }
 
-// Digest names the state that it has.
+// Digest returns the current state as formatted by FormatDigest.
 func (o *Observer) Digest() string {
 	s := o.client.Stats()
 	return FormatDigest(s.Revision, uint64(s.Digest))
 }
 
-// Pair is a key's value; empty: there is none.
+// Pair returns the value of a key, or an empty string if the key is not set.
 func (o *Observer) Pair(key string) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -96,7 +96,7 @@
 	return string(p.Value)
 }
 
-// Records are all that it has, by key.
+// Records returns a copy of all records by key.
 func (o *Observer) Records() map[string][]byte {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/experiment/scale/process.go
+++ b/internal/experiment/scale/process.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// memoryDivisor is the part of the machine's memory that a run may take at most, all of its processes together.
+	// memoryDivisor bounds a run's memory: all of its processes together may take the machine's memory divided by it.
 	memoryDivisor = 2
-	// workerMemoryLimit is the Go runtime's soft limit for a worker, bytes: 150 gateways hold some 2.6 MB each at 21,000 members,
-	// and 16 workers stay below memoryShare of 24 GB.
+	// workerMemoryLimit is the Go runtime's soft limit for a worker, bytes: 150 gateways hold some 2.6 MB each at
+	// 21,000 members, and 16 workers stay below the bound of memoryDivisor on a machine with 24 GB.
 	workerMemoryLimit = 600 << 20
-	// growthMemoryLimit is the same while members come in: states that grew by changes take up to twice as much as those of a
-	// snapshot, and a heap at its limit would measure the collector.
+	// growthMemoryLimit is the same while members are added: states that grew by changes take up to twice as much as
+	// those of a snapshot, and with a heap at its limit the garbage collector would be measured.
 	growthMemoryLimit     = 1800 << 20
 	gatewaysPerWorker     = 150
-	emptyWorkerSettleTime = 2 * time.Second // for an empty worker's start
+	emptyWorkerSettleTime = 2 * time.Second // lets an empty worker finish its start
 	loadClients           = 8
 )
 
-// ProcessOptions run daemons and workers as processes of a program, which has the commands serve and experiment hollow.
+// ProcessOptions returns options that run daemons and workers as processes of a program, which has the commands
+// serve and experiment hollow.
 func ProcessOptions(program Command, dir string) Options {
 	return Options{
 		Dir: dir, Voters: 5, RealGateways: 2, ClientsPerGateway: loadClients, PerWorker: gatewaysPerWorker, Delays: true, MaxMemory: machineMemory() / memoryDivisor,
@@ -41,7 +42,7 @@
 	return StartChild(program)
 }
 
-// measureEmptyWorkerUsage is what a worker uses that has its engine and no gateway.
+// measureEmptyWorkerUsage returns the usage of a configured worker without gateways.
 func measureEmptyWorkerUsage(program Command) (Usage, error) {
 	w, err := startWorkerProcess(program)
 	if err != nil {
@@ -55,7 +56,7 @@
 	return ReadUsage(w.(*Child).PID())
 }
 
-// machineMemory is that of the machine, bytes.
+// machineMemory returns the machine's memory in bytes.
 func machineMemory() int64 {
 	const unknown = 8 << 30
 	kilobytes, err := strconv.ParseInt(firstField("/proc/meminfo", "MemTotal:"), 10, 64)
--- a/internal/experiment/scale/result.go
+++ b/internal/experiment/scale/result.go
@@ -10,14 +10,14 @@
 	"aspenshed/internal/experiment/measure"
 )
 
-// The roles that series and events name.
+// Roles of processes in series and events.
 const (
 	RoleGateway = "gateway"
-	RoleHollow  = "hollow gateways" // a process with many of them
+	RoleHollow  = "hollow gateways" // one process with many hollow gateways
 	RoleVoter   = "voter"
 )
 
-// newSeries makes a series with its fit. A series of fewer than two points has the zero fit.
+// newSeries returns a series with its linear fit. With fewer than two points the fit is zero.
 func newSeries(s measure.Series, points []measure.Point) measure.Series {
 	s.Points = points
 	if fit, err := measure.LeastSquares(points); err == nil {
@@ -26,7 +26,7 @@
 	return s
 }
 
-// Failed names the checks of a run that did not pass.
+// Failed returns the names of the checks that did not pass.
 func Failed(r measure.Run) (names []string) {
 	for _, c := range r.Checks {
 		if !c.Passed {
@@ -36,7 +36,7 @@
 	return names
 }
 
-// machineDescription describes where a run takes place, with the load that others put on it at the start.
+// machineDescription describes the machine, with the load average at the start of the run.
 func machineDescription() string {
 	description := fmt.Sprintf("%d cores", runtime.NumCPU())
 	if memory := firstField("/proc/meminfo", "MemTotal:"); memory != "" {
@@ -48,7 +48,7 @@
 	return description
 }
 
-// firstField is the first field behind a prefix of a line of a file; empty: there is none.
+// firstField returns the first field after a prefix of a line of a file, or an empty string if there is none.
 func firstField(file, prefix string) string {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -63,8 +63,8 @@
 	return ""
 }
 
-// commitName names the commitName that is checked out in the working folder, with "-dirty" where the program's sources differ from
-// it; those of the experiments do not count, as they are what measures.
+// commitName returns the commit checked out in the working directory, with "-dirty" if the program's sources
+// differ from it. Sources of the experiments do not count, as they only measure.
 func commitName() string {
 	head, err := exec.Command("git", "rev-parse", "--short", "HEAD").Output()
 	if err != nil {
--- a/internal/experiment/scale/scale.go
+++ b/internal/experiment/scale/scale.go
@@ -11,20 +11,20 @@
 	"aspenshed/internal/experiment/measure"
 )
 
-// Plan says what a run goes through, in this order: members at the first number of gateways, rates of changes there, numbers
-// of gateways at the last number of members, and then the events.
+// Plan lists the phases of a run, in this order: member counts at the first gateway count, rates of changes
+// there, gateway counts at the last member count, and then the events.
 type Plan struct {
 	Members        []int
-	Rates          []float64 // changes a second, beside OrdinaryRate
-	Gateways       []int     // rising
+	Rates          []float64 // changes per second, in addition to TypicalChangeRate
+	Gateways       []int     // increasing
 	SteadyDuration time.Duration
-	GrowthDuration time.Duration // that new members are let be: they change once more when they have warmed up
-	JoinSpread     time.Duration // over which the gateways of one worker start
+	GrowthDuration time.Duration // wait after adding members: each changes once more when it has warmed up
+	JoinSpread     time.Duration // period over which the gateways of one worker start
 	Events         eventSettings
-	CheckBounds    bool // hold the operators' bounds against the last number of gateways
+	CheckBounds    bool // check the operators' limits at the last number of gateways
 }
 
-// FullPlan is what `make scale` runs: some ten minutes.
+// FullPlan returns the plan of `make scale`, which takes some ten minutes.
 func FullPlan() Plan {
 	return Plan{Members: []int{2100, 10500, 21000}, Rates: []float64{2.92, 7.3}, Gateways: []int{150, 300, 600, 1200, 2400},
 		SteadyDuration: 15 * time.Second, GrowthDuration: 22 * time.Second, JoinSpread: 2 * time.Second, CheckBounds: true,
@@ -32,7 +32,7 @@
 			restartPeriod: 30 * time.Second, restartCount: 200, convergeTimeout: 90 * time.Second, stalledSubscribers: 50, burstSize: BurstChanges}}
 }
 
-// ShortPlan takes half a minute: it is for tests, whose verdict does not depend on how fast the machine is.
+// ShortPlan returns a plan for tests, which takes half a minute. Its checks do not depend on the machine's speed.
 func ShortPlan() Plan {
 	return Plan{Members: []int{60, 180}, Rates: []float64{10}, Gateways: []int{19, 38},
 		SteadyDuration: time.Second, GrowthDuration: time.Second, JoinSpread: 200 * time.Millisecond,
@@ -40,17 +40,17 @@
 			restartPeriod: time.Second, restartCount: 10, convergeTimeout: MaxApplyDelay, stalledSubscribers: 4, burstSize: 150}}
 }
 
-// Limit leaves out numbers of gateways above a limit; 0: none.
+// Limit removes the gateway counts above a limit; 0 keeps all.
 func (p *Plan) Limit(gateways int) {
 	if gateways > 0 {
 		p.Gateways = slices.DeleteFunc(slices.Clone(p.Gateways), func(n int) bool { return n > gateways })
 	}
 }
 
-// ErrEmptyPlan says that a plan has no number of members or gateways.
+// ErrEmptyPlan reports a plan without a number of members or gateways.
 var ErrEmptyPlan = errors.New("scale: a plan needs members and gateways")
 
-// Run starts an installation, goes through a plan, and ends all that it has started.
+// Run starts an installation, executes a plan, and stops everything that it started.
 func Run(ctx context.Context, o Options, p Plan) (run measure.Run, err error) {
 	run = measure.Run{Experiment: "scale", Commit: commitName(), Started: time.Now(), Machine: machineDescription()}
 	defer func() { run.Seconds = time.Since(run.Started).Seconds() }()
@@ -74,16 +74,16 @@
 	return run, nil
 }
 
-// runner goes through a plan.
+// runner executes a plan.
 type runner struct {
 	*installation
 	plan           Plan
 	run            *measure.Run
-	emptyWorker    Usage   // a worker without gateways
-	steadyByteRate float64 // a second and gateway, at the last number of gateways
+	emptyWorker    Usage   // usage of a worker without gateways
+	steadyByteRate float64 // bytes per second and gateway, at the last number of gateways
 }
 
-// notes tell what a reader of the figures has to know.
+// notes returns what a reader needs to interpret the results.
 func (r *runner) notes() []string {
 	e := r.plan.Events
 	return []string{
@@ -104,7 +104,7 @@
 	return err
 }
 
-// measureSteady measures a window without any disturbance.
+// measureSteady measures a window without an action.
 func (r *runner) measureSteady(ctx context.Context, name string, rate float64) (*windowResult, error) {
 	return r.recordWindow(ctx, windowPlan{name: name, duration: r.plan.SteadyDuration, rate: rate})
 }
@@ -135,12 +135,12 @@
 	}
 	held := fmt.Sprintf("%d gateways, %d voters, %.2f changes/s", r.plan.Gateways[0], r.options.Voters, TypicalChangeRate)
 	r.run.Series = append(r.run.Series, points.series("members", "members", "1", held)...)
-	// The heap of the worker that has seen all sizes stays fragmented, and would be collected all the time within its limit.
+	// The worker's heap stays fragmented after all sizes, and at its limit it would be garbage-collected all the time.
 	r.closeWorkers()
 	return nil
 }
 
-// measureMemberCount brings in members until there are so many, restarts all gateways once, and measures a steady window.
+// measureMemberCount adds members up to a number, restarts all gateways once, and measures a steady window.
 func (r *runner) measureMemberCount(ctx context.Context, members int) (metrics, error) {
 	if err := r.addMembersUpTo(ctx, members); err != nil {
 		return nil, err
@@ -164,7 +164,7 @@
 	return f, nil
 }
 
-// joinGateways starts gateways until there are so many, and lets them get the state.
+// joinGateways starts gateways up to a number, and waits until they have applied the state.
 func (r *runner) joinGateways(ctx context.Context, gateways int) error {
 	if err := r.addGateways(ctx, gateways); err != nil {
 		return err
--- a/internal/experiment/scale/scale_test.go
+++ b/internal/experiment/scale/scale_test.go
@@ -52,8 +52,8 @@
 		KillWorker:  func(d Executor) { d.Close() }}
 }
 
-// The short form of a scale run: all events on a small installation, in this process. Its checks don't depend on speed.
-func TestShortForm(t *testing.T) {
+// Runs all events on a small installation in this process. The checks do not depend on the machine's speed.
+func TestShortPlan(t *testing.T) {
 	logrus.SetOutput(io.Discard)
 	run, err := Run(t.Context(), testOptions(t), ShortPlan())
 	if err != nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestRunWithoutSizes(t *testing.T) {
+func TestRunRejectsEmptyPlan(t *testing.T) {
 	if _, err := Run(t.Context(), Options{}, Plan{}); !errors.Is(err, ErrEmptyPlan) {
 		t.Error(err)
 	}
--- a/internal/experiment/scale/stalled.go
+++ b/internal/experiment/scale/stalled.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	stalledReadBuffer     = 4 << 10 // bytes that the system takes for a subscriber that never reads
+	stalledReadBuffer     = 4 << 10 // receive buffer of a subscriber that never reads, bytes
 	closeDetectionTimeout = 3 * time.Second
 )
 
@@ -41,8 +41,9 @@
 	return s, nil
 }
 
-// isClosed tells whether the server has closed the connection. What the server had not sent by then may still keep its system
-// from telling the end, as nothing was ever read here; but a byte that comes for a closed socket is answered by a reset.
+// isClosed reports whether the server has closed the connection. As nothing was read here, data that the server
+// had not sent by then may keep its system from sending the FIN; but a byte that arrives for a closed socket is
+// answered by a reset.
 func (s *stalledSubscriber) isClosed() bool {
 	if _, err := s.conn.Write([]byte{0}); err != nil {
 		return true
@@ -56,13 +57,13 @@
 
 func (s *stalledSubscriber) close() { _ = s.conn.Close() }
 
-// Stall opens slow subscribers, or looks which of them the servers have closed.
-func (f *Fleet) Stall(o Stall) error {
-	if o.CheckClosed {
+// Stall opens stalled subscribers, or checks which of them the servers have closed.
+func (f *Fleet) Stall(r Stall) error {
+	if r.CheckClosed {
 		f.checkStalledClosed()
 		return nil
 	}
-	for i := range min(o.Count, maxGatewaysPerProcess) {
+	for i := range min(r.Count, maxGatewaysPerProcess) {
 		s, err := openStalledSubscriber(f.config, i)
 		if err != nil {
 			return err
--- a/internal/experiment/scale/stalled_test.go
+++ b/internal/experiment/scale/stalled_test.go
@@ -27,7 +27,7 @@
 	t.Cleanup(w.Close)
 	do(t, w, Request{Configure: &Configure{Cluster: clusterName, Servers: []string{server.Addr()}}})
 	do(t, w, Request{Stall: &Stall{Count: 3}})
-	err = waitUntil(t.Context(), "their end", testTimeout, func() bool { return server.Stats().Closed == 3 })
+	err = waitUntil(t.Context(), "the end of the stalled connections", testTimeout, func() bool { return server.Stats().Closed == 3 })
 	if err != nil {
 		t.Errorf("%v: %+v", err, server.Stats())
 	}
--- a/internal/experiment/scale/submitter.go
+++ b/internal/experiment/scale/submitter.go
@@ -18,30 +18,31 @@
 )
 
 const (
-	callTimeout      = 4 * time.Second // for one voter to answer
+	callTimeout      = 4 * time.Second // for one voter to reply
 	callRetryDelay   = 50 * time.Millisecond
-	writeTimeout     = 30 * time.Second // for a batch to be agreed on, a leader's loss included
-	maxBatchCommands = 64               // commands of one batch, as the store takes them
+	writeTimeout     = 30 * time.Second // for a batch to be committed; covers the loss of a leader
+	maxBatchCommands = 64               // commands per batch, the store's limit
 )
 
-// Submitter brings commands to the voters as another instance of the store would: to the leader's service, again and again
-// until it is known whether they were carried out. Its numbers keep them from being carried out twice.
+// Submitter submits commands to the voters as an instance of the store does: to the leader's service, with
+// retries until it is known whether they were carried out. Sequence numbers keep commands from being carried out
+// twice.
 type Submitter struct {
 	cluster  string
 	origin   string
 	services []string
 	sequence uint64
-	current  int // the service that is asked next
+	current  int // index of the service that is called next
 	conn     net.Conn
 	reader   *bufio.Reader
 }
 
-// NewSubmitter asks the voters whose services are named.
+// NewSubmitter creates a submitter that calls the voters' services.
 func NewSubmitter(cluster, origin string, services []string) *Submitter {
 	return &Submitter{cluster: cluster, origin: origin, services: services}
 }
 
-// Close ends its connection.
+// Close closes the connection.
 func (s *Submitter) Close() {
 	if s.conn != nil {
 		_ = s.conn.Close()
@@ -49,7 +50,7 @@
 	s.conn = nil
 }
 
-// Submit has commands carried out, in batches. It fails on the first that the catalog refuses.
+// Submit submits commands in batches. It fails on the first that the catalog refuses.
 func (s *Submitter) Submit(ctx context.Context, commands ...*pb.Command) error {
 	for len(commands) > 0 {
 		n := min(len(commands), maxBatchCommands)
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// assignSequence gives commands their origin and sequence.
+// assignSequence gives commands their origin and sequence numbers.
 func (s *Submitter) assignSequence(commands []*pb.Command) *pb.Batch {
 	for _, c := range commands {
 		s.sequence++
@@ -81,7 +82,7 @@
 			err = refusedError{reply.Refused}
 		}
 		if time.Now().After(end) {
-			return errors.Join(err, &TimeoutError{"agreement on a batch", writeTimeout})
+			return errors.Join(err, &TimeoutError{"the commit of a batch", writeTimeout})
 		}
 		s.selectNextService(reply)
 		if err := sleepContext(ctx, callRetryDelay); err != nil {
@@ -90,7 +91,7 @@
 	}
 }
 
-// selectNextService turns to the leader that a reply names, else to another voter.
+// selectNextService switches to the leader named in a reply, or else to the next voter.
 func (s *Submitter) selectNextService(reply *pb.Reply) {
 	s.Close()
 	for i, service := range s.services {
@@ -135,7 +136,7 @@
 	}
 	message := make([]byte, size)
 	if _, err := io.ReadFull(s.reader, message); err != nil {
-		return nil, fmt.Errorf("a reply cut short: %w", err)
+		return nil, fmt.Errorf("truncated reply: %w", err)
 	}
 	reply := &pb.Reply{}
 	return reply, proto.Unmarshal(message, reply)
--- a/internal/experiment/scale/topology.go
+++ b/internal/experiment/scale/topology.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// The topology of the target: 19 zones in 7 regions. Regions that hold voters come first.
+// The target topology: 19 zones in 7 regions. Regions with voters come first.
 const (
 	RegionCount = 7
 	ZoneCount   = 19
 )
 
-// One-way delays between a gateway and a server, set at the seam of the control stream's network. Regions stand on a ring.
+// One-way delays between a gateway and a server, emulated below the control stream. Regions form a ring.
 const (
 	DelayWithinZone     = 500 * time.Microsecond
 	DelayWithinRegion   = 1 * time.Millisecond
-	DelayNextRegion     = 15 * time.Millisecond // to a neighbour on the ring
+	DelayNextRegion     = 15 * time.Millisecond // to a neighbor on the ring
 	DelayPerExtraRegion = 12500 * time.Microsecond
-	maxRegionSpan       = RegionCount / 2 // 40 ms one way, 80 ms there and back
+	maxRegionSpan       = RegionCount / 2 // 40 ms one way, 80 ms round trip
 )
 
-// Zone is a place that fails as one.
+// Zone is a failure domain within a region.
 type Zone struct {
 	Name   string
 	Region int
@@ -36,19 +36,19 @@
 	return out
 }
 
-// Zones are those of the target.
+// Zones returns the zones of the target.
 func Zones() []Zone { return zones }
 
-// RegionName names a region.
+// RegionName returns the name of a region.
 func RegionName(region int) string { return fmt.Sprintf("region-%d", region) }
 
-// GatewayZone is the zone of gateway number i: gateways are dealt out to zones in turn.
+// GatewayZone returns the zone of gateway number i: gateways are assigned to zones in turn.
 func GatewayZone(i int) int { return i % ZoneCount }
 
-// ServerZone is the zone of voter number i: each voter stands in a region of its own.
+// ServerZone returns the zone of voter number i: each voter is in a region of its own.
 func ServerZone(i int) int { return i % RegionCount }
 
-// Delay is the one-way delay between two zones.
+// Delay returns the one-way delay between two zones.
 func Delay(from, to int) time.Duration {
 	if from == to {
 		return DelayWithinZone
--- a/internal/experiment/scale/total.go
+++ b/internal/experiment/scale/total.go
@@ -10,12 +10,12 @@
 	"aspenshed/internal/experiment/measure"
 )
 
-// fleetTotal is how the hollow gateways of all workers stand.
+// fleetTotal is the combined state of the hollow gateways of all workers.
 type fleetTotal struct {
 	FleetState
 	applyLatency, snapshotLatency *hdrhistogram.Histogram
-	usageByProcess                map[int]Usage // of workers, by process
-	gatewaysByProcess             map[int]int   // gateways, by process
+	usageByProcess                map[int]Usage // of workers by process ID
+	gatewaysByProcess             map[int]int   // number of gateways by process ID
 }
 
 func newFleetTotal() fleetTotal {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// quantilesOf a histogram of microseconds, in seconds.
+// quantilesOf returns the quantiles of a histogram of microseconds, in seconds.
 func quantilesOf(h *hdrhistogram.Histogram) measure.Quantiles {
 	seconds := func(us int64) float64 { return (time.Duration(us) * time.Microsecond).Seconds() }
 	if h.TotalCount() == 0 {
@@ -75,7 +75,7 @@
 	return measure.Quantiles{Count: h.TotalCount(), P50: seconds(h.ValueAtQuantile(50)), P99: seconds(h.ValueAtQuantile(99)), Max: seconds(h.Max())}
 }
 
-// statesByFrequency are the statesByFrequency that gateways are in, the most frequent first.
+// statesByFrequency returns the states of the gateways, the most frequent first.
 func (t *fleetTotal) statesByFrequency() []string {
 	return slices.SortedFunc(maps.Keys(t.Digests), func(a, b string) int { return t.Digests[b] - t.Digests[a] })
 }
--- a/internal/experiment/scale/usage.go
+++ b/internal/experiment/scale/usage.go
@@ -9,10 +9,11 @@
 	"time"
 )
 
-// clockTick is the unit of processor time in /proc/PID/stat on Linux, whatever the kernel's own tick (USER_HZ).
+// clockTick is the unit of processor time in /proc/PID/stat on Linux (USER_HZ), whatever the kernel's own tick.
 const clockTick = 10 * time.Millisecond
 
-// Usage is what the system has counted for one process since its start, but for Memory, which is the present value.
+// Usage is the system's resource accounting of one process since its start, except for Memory, which is the
+// current value.
 type Usage struct {
 	CPU      time.Duration `json:"cpu_ns"`
 	Memory   int64         `json:"memory_bytes"` // resident set
@@ -20,14 +21,14 @@
 	Written  int64         `json:"written_bytes"`
 	Reads    int64         `json:"reads"` // system calls
 	Writes   int64         `json:"writes"`
-	ToDisk   int64         `json:"to_disk_bytes"` // of Written, what is on its way to a disk
+	ToDisk   int64         `json:"to_disk_bytes"` // the part of Written that goes to a disk
 	Recorded time.Time     `json:"recorded"`
 }
 
-// ErrProcessUsage says that the system's account of a process could not be understood.
-var ErrProcessUsage = errors.New("scale: unreadable process account")
+// ErrProcessUsage reports process accounting that could not be parsed.
+var ErrProcessUsage = errors.New("scale: unreadable process accounting")
 
-// ReadUsage asks the system for one process's account.
+// ReadUsage reads the resource usage of a process from /proc.
 func ReadUsage(pid int) (Usage, error) {
 	folder := fmt.Sprintf("/proc/%d/", pid)
 	u := Usage{Recorded: time.Now()}
@@ -46,9 +47,10 @@
 	return u, nil
 }
 
-// parseStat reads the processor time: the 14th and 15th field. The second, the program's name, may hold blanks.
+// parseStat parses the processor time: the 14th and 15th field. The second, the program's name, may contain
+// spaces.
 func parseStat(u *Usage, text string) error {
-	const user, system = 11, 12 // counted behind the name
+	const user, system = 11, 12 // counted after the name
 	_, rest, ok := strings.Cut(text[max(strings.LastIndexByte(text, ')'), 0):], " ")
 	fields := strings.Fields(rest)
 	if !ok || len(fields) <= system {
@@ -64,7 +66,7 @@
 	return nil
 }
 
-// parseStatm reads the resident set: the second field, in pages.
+// parseStatm parses the resident set: the second field, in pages.
 func parseStatm(u *Usage, text string) error {
 	fields := strings.Fields(text)
 	if len(fields) < 2 {
@@ -99,17 +101,17 @@
 	return nil
 }
 
-// Rates is what a process used a second between two accounts of it.
+// Rates is the average resource usage of a process between two samples.
 type Rates struct {
-	Cores                   float64 // processor seconds a second
-	Read, Written           float64 // bytes a second
-	Reads, Writes, ToDisk   float64 // system calls and bytes a second
+	Cores                   float64 // processor seconds per second
+	Read, Written           float64 // bytes per second
+	Reads, Writes, ToDisk   float64 // system calls and bytes per second
 	Memory                  float64 // bytes at the end
 	Elapsed                 time.Duration
-	ReadBytes, WrittenBytes int64 // over all of it
+	ReadBytes, WrittenBytes int64 // totals of the interval
 }
 
-// Since is what was used from an earlier account on.
+// Since returns the usage since an earlier sample.
 func (u Usage) Since(earlier Usage) Rates {
 	elapsed := u.Recorded.Sub(earlier.Recorded)
 	perSecond := func(now, before int64) float64 { return float64(now-before) / elapsed.Seconds() }
--- a/internal/experiment/scale/usage_test.go
+++ b/internal/experiment/scale/usage_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestParseStatPassesOverBlanksInTheName(t *testing.T) {
+func TestParseStatSkipsSpacesInTheName(t *testing.T) {
 	var u Usage
 	text := "12 (a ) b) S 1 1 1 0 -1 0 0 0 0 0 7 5 0 0 20 0 1 0 100 0 0\n"
 	if err := parseStat(&u, text); err != nil || u.CPU != 120*time.Millisecond {
--- a/internal/experiment/scale/voter.go
+++ b/internal/experiment/scale/voter.go
@@ -16,20 +16,20 @@
 
 const clusterName = "scale"
 
-// Instance runs one daemon: as a process of its own, or within a test.
+// Instance runs one daemon: as a process, or within a test.
 type Instance interface {
 	Start(deployPath string) error
-	Kill() error // at once, as a crash would; it can be started again
+	Kill() error // immediately, like a crash; it can be started again
 	PID() int
 }
 
-// ProcessInstance is `aspenshed serve` as a process.
+// ProcessInstance runs `aspenshed serve` as a process.
 type ProcessInstance struct {
-	Command Command // without its arguments
+	Command Command // without the arguments of serve
 	cmd     *exec.Cmd
 }
 
-// Start starts it with a deploy file. Its log goes into the file's folder.
+// Start starts the daemon with a deploy file. Its log is written to the file's directory.
 func (p *ProcessInstance) Start(deployPath string) error {
 	log, err := os.OpenFile(filepath.Join(filepath.Dir(deployPath), "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -40,23 +40,23 @@
 	command.Args = append(append([]string(nil), command.Args...), "serve", "--log-level", "warn", "--deploy", deployPath)
 	p.cmd = command.exec()
 	p.cmd.Stderr = log
-	// Without its runner it would go on for ever.
+	// The daemon must not outlive its runner.
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	return p.cmd.Start()
 }
 
-// Kill ends it.
+// Kill kills the process and waits for it.
 func (p *ProcessInstance) Kill() error {
 	if p.cmd == nil {
 		return nil
 	}
 	err := p.cmd.Process.Kill()
-	_ = p.cmd.Wait() // it was killed: that is its error
+	_ = p.cmd.Wait() // the error is that it was killed
 	p.cmd = nil
 	return err
 }
 
-// PID is its process; 0: it does not run.
+// PID returns the process ID, or 0 if the daemon is not running.
 func (p *ProcessInstance) PID() int {
 	if p.cmd == nil {
 		return 0
@@ -64,14 +64,14 @@
 	return p.cmd.Process.Pid
 }
 
-// Node is one daemon of the installation, a voter or a real gateway.
+// Node is one daemon of the installation: a voter or a real gateway.
 type Node struct {
 	ID          string
 	Dir         string
 	Address     string // replication
 	Service     string // commands of other instances
 	Subscribers string // control streams
-	Front       string // PostgreSQL's wire
+	Front       string // PostgreSQL front
 	Instance    Instance
 }
 
@@ -92,25 +92,25 @@
 // Start starts the daemon.
 func (n *Node) Start() error { return n.Instance.Start(n.deployPath()) }
 
-// Status asks the daemon how its store stands.
+// Status queries the status of the daemon's store.
 func (n *Node) Status() (s store.Status, err error) {
-	answer, err := daemon.CallAdmin(n.socket(), daemon.AdminRequest{Command: "status"})
+	response, err := daemon.CallAdmin(n.socket(), daemon.AdminRequest{Command: "status"})
 	if err != nil {
 		return s, err
 	}
-	return s, json.Unmarshal(answer, &s)
+	return s, json.Unmarshal(response, &s)
 }
 
-// Rollout asks a voter how far a revision has come at the subscribers of all voters.
+// Rollout queries a voter for the rollout of a revision among the subscribers of all voters.
 func (n *Node) Rollout(rev uint64) (r store.RolloutReport, err error) {
-	answer, err := daemon.CallAdmin(n.socket(), daemon.AdminRequest{Command: "rollout", Revision: rev})
+	response, err := daemon.CallAdmin(n.socket(), daemon.AdminRequest{Command: "rollout", Revision: rev})
 	if err != nil {
 		return r, err
 	}
-	return r, json.Unmarshal(answer, &r)
+	return r, json.Unmarshal(response, &r)
 }
 
-// Usage is the account of its process.
+// Usage returns the resource usage of the daemon's process.
 func (n *Node) Usage() (Usage, error) { return ReadUsage(n.Instance.PID()) }
 
 const deployFrontTemplate = `postgres:
@@ -147,7 +147,7 @@
   zone: %s
 `
 
-// writeVoterConfig writes a voter's folder. It has no front.
+// writeVoterConfig writes the configuration of a voter, which has no front.
 func (n *Node) writeVoterConfig(voters []*Node) error {
 	peers := ""
 	for _, v := range voters {
@@ -160,20 +160,21 @@
 	return os.WriteFile(n.deployPath(), []byte(text), 0o600)
 }
 
-// writeGatewayConfig writes a real gateway's folder. Its own list names the databases that its clients' requests go to.
+// writeGatewayConfig writes the configuration of a real gateway. Its own inventory lists the databases that serve
+// its clients.
 func (n *Node) writeGatewayConfig(servers []string, zone Zone, databases []Database) error {
 	store := fmt.Sprintf(deployGatewayTemplate, clusterName, n.ID, strings.Join(servers, ", "), RegionName(zone.Region), zone.Name)
 	if err := n.writeDeploy(fmt.Sprintf(deployFrontTemplate, n.Front) + store); err != nil {
 		return err
 	}
-	list := []byte("id,address,site,group,kind,state\n")
+	inventory := []byte("id,address,site,group,kind,state\n")
 	for _, d := range databases {
-		list = fmt.Appendf(list, "%s,%s,%s,%d,%s,in_service\n", d.ID, d.Address, zones[0].Name, d.Group, databaseKind)
+		inventory = fmt.Appendf(inventory, "%s,%s,%s,%d,%s,in_service\n", d.ID, d.Address, zones[0].Name, d.Group, databaseKind)
 	}
-	return os.WriteFile(filepath.Join(n.Dir, "inventory.csv"), list, 0o600)
+	return os.WriteFile(filepath.Join(n.Dir, "inventory.csv"), inventory, 0o600)
 }
 
-// leaderOf is the voter that leads, by its own account; nil: none does.
+// leaderOf returns the voter that reports itself as leader, or nil if there is none.
 func leaderOf(voters []*Node) *Node {
 	for _, v := range voters {
 		if v.Instance.PID() == 0 {
@@ -186,4 +187,4 @@
 	return nil
 }
 
-const voterStartTimeout = 60 * time.Second // for voters to agree on a leader
+const voterStartTimeout = 60 * time.Second // for voters to elect a leader
--- a/internal/experiment/scale/wait.go
+++ b/internal/experiment/scale/wait.go
@@ -8,17 +8,17 @@
 
 const pollInterval = 20 * time.Millisecond
 
-// TimeoutError names what did not come in time.
+// TimeoutError reports what did not happen in time.
 type TimeoutError struct {
 	What  string
 	Limit time.Duration
 }
 
 func (e *TimeoutError) Error() string {
-	return fmt.Sprintf("scale: %s did not come within %v", e.What, e.Limit)
+	return fmt.Sprintf("scale: timed out waiting for %s after %v", e.What, e.Limit)
 }
 
-// waitUntil returns once ok is true, with a TimeoutError at the limit, or with the context's error.
+// waitUntil polls until ok returns true. It returns a TimeoutError at the limit, or the context's error.
 func waitUntil(ctx context.Context, what string, limit time.Duration, ok func() bool) error {
 	end := time.Now().Add(limit)
 	for !ok() {
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// sleepContext lets a measurement run on for some time.
+// sleepContext waits for a duration, or returns the context's error if the context ends first.
 func sleepContext(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/internal/experiment/scale/window.go
+++ b/internal/experiment/scale/window.go
@@ -10,82 +10,84 @@
 )
 
 const (
-	// MaxApplyDelay is the operators' limit from a commit to its being in force at every gateway that can be reached.
+	// MaxApplyDelay is the operators' limit from a commit until every reachable gateway has applied it.
 	MaxApplyDelay = 11 * time.Second
-	// convergeGrace is how long a window waits for gateways at its end, beyond the bound, so that a late one is seen as late
+	// convergeGrace is how long a window waits at its end beyond the limit, so that a late gateway is counted as late
 	// rather than as lost.
 	convergeGrace = 60 * time.Second
 )
 
-// windowPlan is one stretch of time that is measured by itself.
+// windowPlan describes one period that is measured separately.
 type windowPlan struct {
 	name            string
 	duration        time.Duration
-	rate            float64                              // ordinary changes a second meanwhile
-	action          func(context.Context) error          // what is done at its start; nil: nothing
-	convergeTimeout time.Duration                        // how long all may take to have everything in force at the end; 0: InForceBound
-	check           func(context.Context, *windowResult) // more that has to hold at its end
+	rate            float64                              // typical changes per second
+	action          func(context.Context) error          // runs from the window's start; nil: none
+	convergeTimeout time.Duration                        // for gateways to apply all changes; 0: MaxApplyDelay
+	check           func(context.Context, *windowResult) // adds checks at the end
 }
 
-// windowResult is what came of it.
+// windowResult holds the measurements of a window.
 type windowResult struct {
 	event        measure.Event
 	total        fleetTotal
-	voters       map[string]Rates // by node
+	voters       map[string]Rates // by node ID
 	gateways     map[string]Rates
-	lateGateways int           // gateways that did not have everything in force in time
-	convergeTime time.Duration // from the last commit until all had it
-	logEntryRate float64       // a second
-	messageRate  float64       // a second and gateway
+	lateGateways int           // gateways that had not applied everything in time
+	convergeTime time.Duration // from the last commit until all had applied it
+	logEntryRate float64       // per second
+	messageRate  float64       // per second and gateway
 	checks       []measure.Check
 }
 
-// usageSnapshot are those of all daemons at one time.
+// usageSnapshot is the usage of all daemons at one time.
 type usageSnapshot struct {
 	usage       map[string]Usage
 	commitIndex uint64
 	at          time.Time
 }
 
-func (x *installation) collectUsage() (a usageSnapshot, err error) {
-	a = usageSnapshot{usage: map[string]Usage{}, at: time.Now()}
+func (x *installation) collectUsage() (u usageSnapshot, err error) {
+	u = usageSnapshot{usage: map[string]Usage{}, at: time.Now()}
 	for _, n := range append(append([]*Node(nil), x.voters...), x.gateways...) {
 		if n.Instance.PID() == 0 {
 			continue
 		}
-		if a.usage[n.ID], err = n.Usage(); err != nil {
-			return a, err
+		if u.usage[n.ID], err = n.Usage(); err != nil {
+			return u, err
 		}
 	}
 	if leader := leaderOf(x.voters); leader != nil {
 		s, err := leader.Status()
 		if err != nil {
-			return a, err
+			return u, err
 		}
-		a.commitIndex = s.Commit
+		u.commitIndex = s.Commit
 	}
-	return a, nil
+	return u, nil
 }
 
-// rates are what nodes used between two accounts. One that was started again meanwhile counts from its start.
+// rates returns the usage of nodes between two snapshots. A node that was restarted in between counts from its
+// restart.
 func rates(nodes []*Node, before, after usageSnapshot) map[string]Rates {
 	out := map[string]Rates{}
 	for _, n := range nodes {
-		now, there := after.usage[n.ID]
+		now, ok := after.usage[n.ID]
 		earlier := before.usage[n.ID]
 		if now.CPU < earlier.CPU || now.Read < earlier.Read {
 			earlier = Usage{Recorded: before.at}
 		}
-		if there {
+		if ok {
 			out[n.ID] = now.Since(earlier)
 		}
 	}
 	return out
 }
 
-// measureWindow lets time pass with ordinary changes, disturbs, and waits until all gateways have everything in force.
+// measureWindow runs a window with typical changes and its action, and waits until all gateways have applied
+// every change.
 func (x *installation) measureWindow(ctx context.Context, p windowPlan) (*windowResult, error) {
-	x.options.Progress("%s: begins", p.name)
+	x.options.Progress("%s: started", p.name)
 	workersBefore, err := x.report(ctx, Report{NewWindow: true})
 	if err != nil {
 		return nil, err
@@ -112,14 +114,14 @@
 	return r, x.checkMemory()
 }
 
-// runWindow has ordinary changes agreed on at their rate until the window is over, and the disturbance beside them.
+// runWindow submits typical changes at the window's rate until it is over, concurrently with the action.
 func (x *installation) runWindow(ctx context.Context, p windowPlan) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	var wait sync.WaitGroup
-	wait.Add(1)
+	var wg sync.WaitGroup
+	wg.Add(1)
 	go func() {
-		defer wait.Done()
+		defer wg.Done()
 		if p.action == nil {
 			return
 		}
@@ -140,8 +142,8 @@
 			cancel(err)
 		}
 	}
-	_ = sleepContext(ctx, time.Until(end)) // the cause of an early end is looked at below
-	wait.Wait()
+	_ = sleepContext(ctx, time.Until(end)) // the cause of an early end is returned below
+	wg.Wait()
 	return context.Cause(ctx)
 }
 
@@ -152,28 +154,28 @@
 	return x.submit(ctx, c)
 }
 
-// waitConverged waits until every gateway that can be reached has in force all that was agreed on.
+// waitConverged waits until every reachable gateway has applied every committed change.
 func (x *installation) waitConverged(ctx context.Context, p windowPlan, r *windowResult) error {
 	expected, err := x.commitMarker(ctx)
 	if err != nil {
 		return err
 	}
-	bound := p.convergeTimeout
-	if bound == 0 {
-		bound = MaxApplyDelay
+	limit := p.convergeTimeout
+	if limit == 0 {
+		limit = MaxApplyDelay
 	}
 	begin := time.Now()
 	for {
-		askedInTime := time.Since(begin) <= bound
+		withinLimit := time.Since(begin) <= limit
 		if r.total, err = x.report(ctx, Report{Expected: expected}); err != nil {
 			return err
 		}
 		missing := r.total.Gateways - r.total.Partitioned - r.total.Applied
 		r.convergeTime = time.Since(begin)
-		if askedInTime {
+		if withinLimit {
 			r.lateGateways = missing
 		}
-		if missing == 0 || r.convergeTime > bound+convergeGrace {
+		if missing == 0 || r.convergeTime > limit+convergeGrace {
 			return nil
 		}
 		if err := sleepContext(ctx, 5*pollInterval); err != nil {
@@ -182,7 +184,7 @@
 	}
 }
 
-// evaluate makes the event and its checks.
+// evaluate computes the event and its checks.
 func (x *installation) evaluate(p windowPlan, r *windowResult, workersBefore fleetTotal, before, after usageSnapshot) {
 	t := &r.total
 	seconds := t.Window.Seconds()
@@ -208,17 +210,17 @@
 		atMost(p.name+": slowest from commit to in force", r.event.InForce.Max, MaxApplyDelay.Seconds(), "s", fmt.Sprintf("%d changes taken", r.event.InForce.Count)),
 		atMost(p.name+": drains undone", float64(t.UndoneDrains), 0, "1", ""),
 		atMost(p.name+": updates that led backward", float64(t.RevisionRegressions), 0, "1", ""))
-	x.options.Progress("%s: %d gateways, in force p50 %.3f s, p99 %.3f s, slowest %.3f s; %.0f B/s a gateway, most %.0f; "+
-		"%d snapshots (slowest %.1f s), %d reconnects; all %.1f s after the last commit; %d late",
+	x.options.Progress("%s: %d gateways, applied p50 %.3f s, p99 %.3f s, max %.3f s; %.0f B/s per gateway, max %.0f; "+
+		"%d snapshots (max %.1f s), %d reconnects; converged %.1f s after the last commit; %d late",
 		p.name, t.Gateways, r.event.InForce.P50, r.event.InForce.P99, r.event.InForce.Max, r.event.GatewayBytes, r.event.WorstMinuteBytes, t.Snapshots, quantilesOf(t.snapshotLatency).Max,
 		t.Reconnects, r.convergeTime.Seconds(), r.lateGateways)
 }
 
-// workerRates are what the workers used, by process. One that began meanwhile is left out.
+// workerRates returns the usage of the workers by process ID. A worker started during the window is left out.
 func (r *windowResult) workerRates(before fleetTotal) map[int]Rates {
 	out := map[int]Rates{}
 	for pid, now := range r.total.usageByProcess {
-		if earlier, there := before.usageByProcess[pid]; there {
+		if earlier, ok := before.usageByProcess[pid]; ok {
 			out[pid] = now.Since(earlier)
 		}
 	}
@@ -229,11 +231,11 @@
 	return measure.Usage{Role: role, Process: process, Hosts: hosts, Cores: r.Cores, Memory: r.Memory, BytesIn: r.Read, BytesOut: r.Written}
 }
 
-// MemoryError ends a run that would take more of the machine than it may.
+// MemoryError ends a run that takes more than its share of the machine's memory.
 type MemoryError struct{ Used, Limit int64 }
 
 func (e *MemoryError) Error() string {
-	return fmt.Sprintf("scale: all processes together hold %d MB, %d MB at most", e.Used>>20, e.Limit>>20)
+	return fmt.Sprintf("scale: processes hold %d MB in total, more than the limit of %d MB", e.Used>>20, e.Limit>>20)
 }
 
 func (x *installation) checkMemory() error {
@@ -241,7 +243,7 @@
 	if err != nil {
 		return err
 	}
-	x.options.Progress("all processes hold %d MB", used>>20)
+	x.options.Progress("all processes hold %d MB in total", used>>20)
 	if used > x.options.MaxMemory {
 		return &MemoryError{used, x.options.MaxMemory}
 	}
--- a/internal/experiment/scale/worker.go
+++ b/internal/experiment/scale/worker.go
@@ -10,16 +10,16 @@
 	"runtime/debug"
 )
 
-// maxLineBytes bounds one order or answer. The longest answer holds two histograms of some 10 kB.
+// maxLineBytes bounds one request or response. The longest response holds two histograms of some 10 kB.
 const maxLineBytes = 8 << 20
 
-// Worker carries orders out: hollow gateways, stand-in databases and their clients, of one process.
+// Worker executes requests in one process: for hollow gateways, stand-in databases and their clients.
 type Worker struct {
 	fleet *Fleet
 	load  *loadGenerator
 }
 
-// Close ends all that the worker has started.
+// Close stops everything that the worker has started.
 func (w *Worker) Close() {
 	if w.load != nil {
 		w.load.close()
@@ -31,87 +31,87 @@
 	}
 }
 
-// Do carries one order out.
-func (w *Worker) Do(_ context.Context, o Request) (Response, error) {
+// Do executes one request.
+func (w *Worker) Do(_ context.Context, r Request) (Response, error) {
 	switch {
-	case o.Configure != nil:
-		return Response{}, w.configure(*o.Configure)
-	case o.Load != nil:
-		return w.handleLoad(*o.Load)
-	case o.Memory != nil:
-		debug.SetMemoryLimit(o.Memory.Limit)
+	case r.Configure != nil:
+		return Response{}, w.configure(*r.Configure)
+	case r.Load != nil:
+		return w.handleLoad(*r.Load)
+	case r.Memory != nil:
+		debug.SetMemoryLimit(r.Memory.Limit)
 		return Response{}, nil
-	case o.Drain != nil && w.load != nil:
-		return Response{}, w.load.drain(o.Drain.Database)
-	case o.Report != nil:
-		return w.report(*o.Report)
+	case r.Drain != nil && w.load != nil:
+		return Response{}, w.load.drain(r.Drain.Database)
+	case r.Report != nil:
+		return w.report(*r.Report)
 	case w.fleet == nil:
 		return Response{}, ErrNotConfigured
 	}
-	return Response{}, w.handleFleet(o)
+	return Response{}, w.handleFleet(r)
 }
 
 func (w *Worker) configure(c Configure) (err error) {
 	if w.fleet != nil {
-		return errors.New("scale: configured already")
+		return errors.New("scale: already configured")
 	}
 	w.fleet, err = NewFleet(c)
 	return err
 }
 
-func (w *Worker) handleFleet(o Request) error {
+func (w *Worker) handleFleet(r Request) error {
 	switch {
-	case o.Start != nil:
-		return w.fleet.Start(*o.Start)
-	case o.Restart != nil:
-		w.fleet.Restart(*o.Restart)
-	case o.Stop != nil:
-		w.fleet.Stop(*o.Stop)
-	case o.Partition != nil:
-		w.fleet.Partition(*o.Partition)
-	case o.Stall != nil:
-		return w.fleet.Stall(*o.Stall)
-	case o.Submit != nil:
-		return w.fleet.Submit(*o.Submit)
+	case r.Start != nil:
+		return w.fleet.Start(*r.Start)
+	case r.Restart != nil:
+		w.fleet.Restart(*r.Restart)
+	case r.Stop != nil:
+		w.fleet.Stop(*r.Stop)
+	case r.Partition != nil:
+		w.fleet.Partition(*r.Partition)
+	case r.Stall != nil:
+		return w.fleet.Stall(*r.Stall)
+	case r.Submit != nil:
+		return w.fleet.Submit(*r.Submit)
 	default:
-		return errors.New("scale: an order without a body")
+		return errors.New("scale: request without a body")
 	}
 	return nil
 }
 
-func (w *Worker) handleLoad(o Load) (a Response, err error) {
+func (w *Worker) handleLoad(r Load) (response Response, err error) {
 	if w.load == nil {
-		if w.load, err = newLoadGenerator(o.Databases); err != nil {
-			return a, err
+		if w.load, err = newLoadGenerator(r.Databases); err != nil {
+			return response, err
 		}
 	}
-	if err := w.load.startClients(o); err != nil {
-		return a, err
+	if err := w.load.startClients(r); err != nil {
+		return response, err
 	}
-	a.Load, err = w.load.state()
-	return a, err
+	response.Load, err = w.load.state()
+	return response, err
 }
 
-func (w *Worker) report(o Report) (a Response, err error) {
+func (w *Worker) report(r Report) (response Response, err error) {
 	if w.fleet != nil {
-		if a.Fleet, err = w.fleet.Report(o); err != nil {
-			return a, err
+		if response.Fleet, err = w.fleet.Report(r); err != nil {
+			return response, err
 		}
 	}
 	if w.load != nil {
-		a.Load, err = w.load.state()
+		response.Load, err = w.load.state()
 	}
-	return a, err
+	return response, err
 }
 
-// Serve takes orders from in until it ends, and writes an answer to out for each.
+// Serve reads requests from in until it ends, and writes a response to out for each.
 func (w *Worker) Serve(ctx context.Context, in io.Reader, out io.Writer) error {
 	defer w.Close()
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		answer := w.handleLine(ctx, lines.Bytes())
-		encoded, err := json.Marshal(answer)
+		response := w.handleLine(ctx, lines.Bytes())
+		encoded, err := json.Marshal(response)
 		if err != nil {
 			return err
 		}
@@ -123,14 +123,14 @@
 }
 
 func (w *Worker) handleLine(ctx context.Context, line []byte) Response {
-	var o Request
-	err := json.Unmarshal(line, &o)
-	var a Response
+	var r Request
+	err := json.Unmarshal(line, &r)
+	var response Response
 	if err == nil {
-		a, err = w.Do(ctx, o)
+		response, err = w.Do(ctx, r)
 	}
 	if err != nil {
 		return Response{Error: err.Error()}
 	}
-	return a
+	return response
 }
