--- a/internal/experiment/scale/ledger.go
+++ b/internal/experiment/scale/ledger.go
@@ -10,39 +10,39 @@
 	"aspenshed/internal/controlplane/revision"
 )
 
-// Ledger is what the voters have agreed to by their answers: all of it must be in the state at the end.
-type Ledger struct {
-	members   map[string]int    // revision of each member's entry, as Member makes it
-	numbers   map[string]int    // which member an id names
-	drained   map[string]bool   // members that were drained and never started again
-	primaries map[string]string // member by group's key
-	pairs     map[string]string
+// ExpectedState records the changes that the voters have committed: all of them must be in the final state.
+type ExpectedState struct {
+	memberVersions map[string]int    // version of each member's entry, as passed to MemberEntry
+	memberIndexes  map[string]int    // member number by ID
+	drainedMembers map[string]bool   // members that were drained and not started again
+	primaries      map[string]string // member ID by the key of the group's primary record
+	pairs          map[string]string
 }
 
-// NewLedger is empty.
-func NewLedger() *Ledger {
-	return &Ledger{members: map[string]int{}, numbers: map[string]int{}, drained: map[string]bool{}, primaries: map[string]string{}, pairs: map[string]string{}}
+// NewExpectedState creates an empty state.
+func NewExpectedState() *ExpectedState {
+	return &ExpectedState{memberVersions: map[string]int{}, memberIndexes: map[string]int{}, drainedMembers: map[string]bool{}, primaries: map[string]string{}, pairs: map[string]string{}}
 }
 
-// Lost names what a state lacks of the ledger, in words; none: nothing was lost.
-func (l *Ledger) Lost(records map[string][]byte) (lost []string) {
-	for id, version := range l.members {
-		if reason := l.memberLost(records[revision.MemberPrefix+id], id, version); reason != "" {
+// Lost describes the committed changes that are missing from records. It returns nothing if there are none.
+func (e *ExpectedState) Lost(records map[string][]byte) (lost []string) {
+	for id, version := range e.memberVersions {
+		if reason := e.checkMember(records[revision.MemberPrefix+id], id, version); reason != "" {
 			lost = append(lost, id+": "+reason)
 		}
 	}
-	for id := range l.drained {
+	for id := range e.drainedMembers {
 		if _, drained := drainOf(records[revision.MemberPrefix+id]); !drained {
 			lost = append(lost, id+": its drain is undone")
 		}
 	}
-	for key, member := range l.primaries {
+	for key, member := range e.primaries {
 		p := &pb.Primary{}
 		if proto.Unmarshal(records[key], p) != nil || p.Member != member {
 			lost = append(lost, fmt.Sprintf("%s: %q, not %q", key, p.Member, member))
 		}
 	}
-	for key, value := range l.pairs {
+	for key, value := range e.pairs {
 		p := &pb.Pair{}
 		if proto.Unmarshal(records[revision.PairPrefix+key], p) != nil || string(p.Value) != value {
 			lost = append(lost, fmt.Sprintf("%s: %q, not %q", key, p.Value, value))
@@ -51,7 +51,7 @@
 	return lost
 }
 
-func (l *Ledger) memberLost(record []byte, id string, version int) string {
+func (e *ExpectedState) checkMember(record []byte, id string, version int) string {
 	m := &pb.Member{}
 	if len(record) == 0 {
 		return "is not there"
@@ -59,48 +59,48 @@
 	if err := proto.Unmarshal(record, m); err != nil {
 		return err.Error()
 	}
-	if want := Member(l.numbers[id], version); m.Entry.GetAddress() != want.Address {
+	if want := MemberEntry(e.memberIndexes[id], version); m.Entry.GetAddress() != want.Address {
 		return fmt.Sprintf("address %s, not %s", m.Entry.GetAddress(), want.Address)
 	}
 	return ""
 }
 
-// Changes makes changes, and enters into the ledger those that were agreed on.
-type Changes struct {
-	ledger *Ledger
-	count  int // members that there are
-	next   func(n int) int
-	marker int
+// ChangeGenerator creates changes that are recorded in the expected state once committed.
+type ChangeGenerator struct {
+	expected    *ExpectedState
+	memberCount int // members added so far
+	randomIndex func(n int) int
+	markerValue int
 }
 
-// change is one command with what the ledger takes note of once it is agreed on.
+// change is one command with the callback that records it once committed.
 type change struct {
-	command *pb.Command
-	agreed  func()
+	command     *pb.Command
+	onCommitted func()
 }
 
-// rewrite gives one member a new address.
-func (c *Changes) rewrite(i int) change {
+// changeAddress gives one member a new address.
+func (c *ChangeGenerator) changeAddress(i int) change {
 	id := MemberID(i)
-	version := c.ledger.members[id] + 1
-	return change{upsert(Member(i, version)), func() { c.ledger.enter(i, version) }}
+	version := c.expected.memberVersions[id] + 1
+	return change{upsert(MemberEntry(i, version)), func() { c.expected.recordMember(i, version) }}
 }
 
-func (l *Ledger) enter(i, version int) {
-	l.members[MemberID(i)], l.numbers[MemberID(i)] = version, i
+func (e *ExpectedState) recordMember(i, version int) {
+	e.memberVersions[MemberID(i)], e.memberIndexes[MemberID(i)] = version, i
 }
 
-// add brings in members from number From to Until-1.
-func (c *Changes) add(from, until int) change {
+// addMembers adds the members from to until-1.
+func (c *ChangeGenerator) addMembers(from, until int) change {
 	var entries []*pb.Entry
 	for i := from; i < until; i++ {
-		entries = append(entries, Member(i, 0))
+		entries = append(entries, MemberEntry(i, 0))
 	}
 	return change{upsert(entries...), func() {
 		for i := from; i < until; i++ {
-			c.ledger.enter(i, 0)
+			c.expected.recordMember(i, 0)
 		}
-		c.count = max(c.count, until)
+		c.memberCount = max(c.memberCount, until)
 	}}
 }
 
@@ -108,40 +108,41 @@
 	return &pb.Command{Body: &pb.Command_UpsertMembers{UpsertMembers: &pb.UpsertMembers{Members: entries, Author: "scale"}}}
 }
 
-// drain drains a member for good.
-func (c *Changes) drain(id string) change {
+// drain drains a member permanently.
+func (c *ChangeGenerator) drain(id string) change {
 	command := &pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: id, Reason: "scale"}}}
-	return change{command, func() { c.ledger.drained[id] = true }}
+	return change{command, func() { c.expected.drainedMembers[id] = true }}
 }
 
-// primary names the member that takes a group's writes from now on.
-func (c *Changes) primary(group int32, member string, at int64) change {
+// primary reports a new primary of a group.
+func (c *ChangeGenerator) primary(group int32, member string, at int64) change {
 	report := &pb.ReportPrimary{Wire: memberWire, Group: group, Member: member, At: at}
 	key := revision.PrimaryPrefix + revision.Group{Wire: memberWire, ID: group}.String()
-	return change{&pb.Command{Body: &pb.Command_ReportPrimary{ReportPrimary: report}}, func() { c.ledger.primaries[key] = member }}
+	return change{&pb.Command{Body: &pb.Command_ReportPrimary{ReportPrimary: report}}, func() { c.expected.primaries[key] = member }}
 }
 
 const markerKey = "scale-marker"
 
-// mark sets a key by which the newest agreed state is known.
-func (c *Changes) mark() change {
-	c.marker++
-	value := strconv.Itoa(c.marker)
+// setMarker sets the key that identifies the newest committed state.
+func (c *ChangeGenerator) setMarker() change {
+	c.markerValue++
+	value := strconv.Itoa(c.markerValue)
 	command := &pb.Command{Body: &pb.Command_Set{Set: &pb.Set{Key: markerKey, Value: []byte(value)}}}
-	return change{command, func() { c.ledger.pairs[markerKey] = value }}
+	return change{command, func() { c.expected.pairs[markerKey] = value }}
 }
 
-// ordinary is the n-th change of an ordinary day: configuration of a member mostly, now and then a drain or a new primary.
-func (c *Changes) ordinary(n int, now int64) change {
-	member := c.next(c.count)
+// typicalChange returns the n-th change of a typical day: mostly the configuration of a member, and now and then
+// a drain or a new primary.
+func (c *ChangeGenerator) typicalChange(n int, now int64) change {
+	member := c.randomIndex(c.memberCount)
 	switch {
 	case n%20 == 7:
 		return c.drain(MemberID(member))
 	case n%20 == 13:
-		group := member / membersOfGroup
-		return c.primary(int32(group), MemberID(group*membersOfGroup), now)
+		group := member / membersPerGroup
+		return c.primary(int32(group), MemberID(group*membersPerGroup), now)
 	}
-	return c.rewrite(member)
+	return c.changeAddress(member)
 }
 
 func commandsOf(changes []change) (out []*pb.Command) {
--- a/internal/experiment/scale/submitter.go
+++ b/internal/experiment/scale/submitter.go
@@ -18,30 +18,31 @@
 )
 
 const (
-	callLimit    = 4 * time.Second // for one voter to answer
-	callRetry    = 50 * time.Millisecond
-	writeLimit   = 30 * time.Second // for a batch to be agreed on, a leader's loss included
-	maxBatchSize = 64               // commands of one batch, as the store takes them
+	callTimeout      = 4 * time.Second // for one voter to reply
+	callRetryDelay   = 50 * time.Millisecond
+	writeTimeout     = 30 * time.Second // for a batch to be committed; covers the loss of a leader
+	maxBatchCommands = 64               // commands per batch, the store's limit
 )
 
-// Submitter brings commands to the voters as another instance of the store would: to the leader's service, again and again
-// until it is known whether they were carried out. Its numbers keep them from being carried out twice.
+// Submitter submits commands to the voters as an instance of the store does: to the leader's service, with
+// retries until it is known whether they were carried out. Sequence numbers keep commands from being carried out
+// twice.
 type Submitter struct {
 	cluster  string
 	origin   string
 	services []string
 	sequence uint64
-	at       int // the service that is asked next
+	current  int // index of the service that is called next
 	conn     net.Conn
 	reader   *bufio.Reader
 }
 
-// NewSubmitter asks the voters whose services are named.
+// NewSubmitter creates a submitter that calls the voters' services.
 func NewSubmitter(cluster, origin string, services []string) *Submitter {
 	return &Submitter{cluster: cluster, origin: origin, services: services}
 }
 
-// Close ends its connection.
+// Close closes the connection.
 func (s *Submitter) Close() {
 	if s.conn != nil {
 		_ = s.conn.Close()
@@ -49,11 +50,11 @@
 	s.conn = nil
 }
 
-// Submit has commands carried out, in batches. It fails on the first that the catalog refuses.
+// Submit submits commands in batches. It fails on the first that the catalog refuses.
 func (s *Submitter) Submit(ctx context.Context, commands ...*pb.Command) error {
 	for len(commands) > 0 {
-		n := min(len(commands), maxBatchSize)
-		if err := s.submitBatch(ctx, s.number(commands[:n])); err != nil {
+		n := min(len(commands), maxBatchCommands)
+		if err := s.submitBatch(ctx, s.assignSequence(commands[:n])); err != nil {
 			return err
 		}
 		commands = commands[n:]
@@ -61,8 +62,8 @@
 	return nil
 }
 
-// number gives commands their origin and sequence.
-func (s *Submitter) number(commands []*pb.Command) *pb.Batch {
+// assignSequence gives commands their origin and sequence numbers.
+func (s *Submitter) assignSequence(commands []*pb.Command) *pb.Batch {
 	for _, c := range commands {
 		s.sequence++
 		c.Origin, c.Seq, c.Kind = s.origin, s.sequence, catalog.CommandKind(c)
@@ -72,7 +73,7 @@
 
 func (s *Submitter) submitBatch(ctx context.Context, b *pb.Batch) error {
 	call := &pb.Call{Cluster: s.cluster, Body: &pb.Call_Submit{Submit: b}}
-	for end := time.Now().Add(writeLimit); ; {
+	for end := time.Now().Add(writeTimeout); ; {
 		reply, err := s.call(call)
 		if err == nil && reply.Refused == "" {
 			return firstRefusal(reply.Results)
@@ -81,30 +82,30 @@
 			err = refusedError{reply.Refused}
 		}
 		if time.Now().After(end) {
-			return errors.Join(err, &TimeoutError{"agreement on a batch", writeLimit})
+			return errors.Join(err, &TimeoutError{"the commit of a batch", writeTimeout})
 		}
-		s.next(reply)
-		if err := pause(ctx, callRetry); err != nil {
+		s.selectNextService(reply)
+		if err := sleepContext(ctx, callRetryDelay); err != nil {
 			return err
 		}
 	}
 }
 
-// next turns to the leader that a reply names, else to another voter.
-func (s *Submitter) next(reply *pb.Reply) {
+// selectNextService switches to the leader named in a reply, or else to the next voter.
+func (s *Submitter) selectNextService(reply *pb.Reply) {
 	s.Close()
 	for i, service := range s.services {
 		if reply != nil && service == reply.LeaderService {
-			s.at = i
+			s.current = i
 			return
 		}
 	}
-	s.at = (s.at + 1) % len(s.services)
+	s.current = (s.current + 1) % len(s.services)
 }
 
 func (s *Submitter) call(call *pb.Call) (*pb.Reply, error) {
 	if s.conn == nil {
-		conn, err := net.DialTimeout("tcp", s.services[s.at], time.Second)
+		conn, err := net.DialTimeout("tcp", s.services[s.current], time.Second)
 		if err != nil {
 			return nil, err
 		}
@@ -113,7 +114,7 @@
 	call.Id++
 	message, err := frame.Append(nil, call)
 	if err == nil {
-		err = s.conn.SetDeadline(time.Now().Add(callLimit))
+		err = s.conn.SetDeadline(time.Now().Add(callTimeout))
 	}
 	if err == nil {
 		_, err = s.conn.Write(message)
@@ -135,7 +136,7 @@
 	}
 	message := make([]byte, size)
 	if _, err := io.ReadFull(s.reader, message); err != nil {
-		return nil, fmt.Errorf("a reply cut short: %w", err)
+		return nil, fmt.Errorf("truncated reply: %w", err)
 	}
 	reply := &pb.Reply{}
 	return reply, proto.Unmarshal(message, reply)
