--- a/internal/experiment/scale/figures.go
+++ b/internal/experiment/scale/figures.go
@@ -18,7 +18,7 @@
 // metrics holds the measurements of one steady window by metric name.
 type metrics map[string]float64
 
-// metricDefinition describes a metric, which becomes one series of a role.
+// metricDefinition describes a metric of a role, which becomes one series.
 type metricDefinition struct {
 	name, role, y, unit string
 }
--- a/internal/experiment/scale/ledger_test.go
+++ b/internal/experiment/scale/ledger_test.go
@@ -72,14 +72,14 @@
 	for n := range 40 {
 		switch c.typicalChange(n, int64(n)).command.Body.(type) {
 		case *pb.Command_UpsertMembers:
-			kinds["address"]++
+			kinds["rewrite"]++
 		case *pb.Command_Drain:
 			kinds["drain"]++
 		case *pb.Command_ReportPrimary:
 			kinds["primary"]++
 		}
 	}
-	if kinds["address"] != 36 || kinds["drain"] != 2 || kinds["primary"] != 2 {
+	if kinds["rewrite"] != 36 || kinds["drain"] != 2 || kinds["primary"] != 2 {
 		t.Errorf("%v", kinds)
 	}
 }
--- a/internal/experiment/scale/observer.go
+++ b/internal/experiment/scale/observer.go
@@ -27,7 +27,7 @@
 	records  map[string][]byte
 }
 
-// NewObserver subscribes to the servers.
+// NewObserver subscribes to one of the servers.
 func NewObserver(c Configure) (*Observer, error) {
 	n, err := netio.New(netio.Config{Name: "observer", MaxDials: 2 * len(c.Servers)})
 	if err != nil {
