--- a/internal/experiment/capacity/events.go
+++ b/internal/experiment/capacity/events.go
@@ -29,16 +29,16 @@
 	zoneShare := target.GatewaysPerZone()
 	left := target.Gateways - zoneShare
 	return []loss{
-		{"machine of a gateway", fmt.Sprintf("%s a day, all roles", number(target.MachineFailures)), []effect{
+		{"machine of a gateway", fmt.Sprintf("%s a day, all roles", number(target.MachineFailuresPerDay)), []effect{
 			{"clients that come to each other gateway", "1", fixed(target.ClientsPerGateway() / (target.Gateways - 1)), false, noBound},
 			{"processor time of all others to take them", "s", lostClients, false, noBound},
 			{"connections to databases that its successor opens", "1", at("datapath.connections-by-members"), true, noBound},
 		}},
-		{"machine of a primary", fmt.Sprintf("%s changes of primary a day", number(target.PrimaryChanges)), []effect{
-			{"until 99% of writes are served, longest history, process gone, as the daemon is", "s", worst("datapath.outage-by-gateways-crash"), true, bound{target.PrimaryChangeMax, operators}},
-			{"until 99% of writes are served, longest history, process gone, gateways told their number", "s", worst("datapath.outage-by-gateways-crash-told"), true, bound{target.PrimaryChangeMax, operators}},
-			{"until 99% of writes are served, longest history, machine silent, as the daemon is", "s", worst("datapath.outage-by-gateways-silent"), true, bound{target.PrimaryChangeMax, operators}},
-			{"until 99% of writes are served, longest history, machine silent, gateways told their number", "s", worst("datapath.outage-by-gateways-silent-told"), true, bound{target.PrimaryChangeMax, operators}},
+		{"machine of a primary", fmt.Sprintf("%s changes of primary a day", number(target.PrimaryChangesPerDay)), []effect{
+			{"until 99% of writes are served, longest history, process gone, as the daemon is", "s", worst("datapath.outage-by-gateways-crash"), true, bound{target.MaxPrimaryChangeSeconds, operators}},
+			{"until 99% of writes are served, longest history, process gone, gateways told their number", "s", worst("datapath.outage-by-gateways-crash-told"), true, bound{target.MaxPrimaryChangeSeconds, operators}},
+			{"until 99% of writes are served, longest history, machine silent, as the daemon is", "s", worst("datapath.outage-by-gateways-silent"), true, bound{target.MaxPrimaryChangeSeconds, operators}},
+			{"until 99% of writes are served, longest history, machine silent, gateways told their number", "s", worst("datapath.outage-by-gateways-silent-told"), true, bound{target.MaxPrimaryChangeSeconds, operators}},
 			{"from another's being primary to the first served write, one real gateway, process gone", "s", intercept("datapath.first-write-by-hand-over"), true, noBound},
 			{"probes at a database in the worst second, process gone, as the daemon is", "1/s", at("database.round-probes-by-gateways-crash"), true, bound{primaryProbeBound, assumed}},
 			{"the same, gateways told their number", "1/s", at("database.round-probes-by-gateways-crash-told"), true, bound{primaryProbeBound, assumed}},
@@ -52,10 +52,10 @@
 		}},
 		{"zone", "once or twice a year", []effect{
 			{"clients that come to each other gateway", "1", fixed(zoneShare * target.ClientsPerGateway() / left), false, noBound},
-			{"statements at each other gateway", "1/s", fixed(target.Statements / left), false, noBound},
+			{"statements at each other gateway", "1/s", fixed(target.StatementsPerSecond / left), false, noBound},
 			{"databases gone at once", "1", fixed(target.DatabasesPerZone()), false, noBound},
 			{"primaries gone at once", "1", fixed(target.DatabasesPerZone() / target.GroupSize), false, noBound},
-			{"until 99% of a gateway's writes are served, databases silent, as the daemon is", "s", worst("datapath.zone-outage-by-members"), true, bound{target.PrimaryChangeMax, operators}},
+			{"until 99% of a gateway's writes are served, databases silent, as the daemon is", "s", worst("datapath.zone-outage-by-members"), true, bound{target.MaxPrimaryChangeSeconds, operators}},
 			{"writes of a gateway that are not served", "1", at("datapath.zone-writes-lost-by-members"), true, noBound},
 			{"handshakes of a gateway in the second after", "1/s", at("datapath.zone-handshakes-by-members"), true, noBound},
 			{"probes of a gateway that arrive in the second after", "1/s", at("datapath.zone-probes-by-members"), true, noBound},
@@ -67,7 +67,7 @@
 		}},
 		{"region cut off", "several times a year, minutes", []effect{
 			{"gateways that go on by their last state", "1", fixed(target.GatewaysPerRegion()), false, noBound},
-			{"clients that stay with them", "1", fixed(target.ClientConns / target.Regions), false, noBound},
+			{"clients that stay with them", "1", fixed(target.ClientConnections / target.Regions), false, noBound},
 		}},
 		{"rollout of 1,105 changes at once", "as a zone's loss", []effect{
 			{"bytes to each gateway, if each brings the whole list (as at 64f1608)", "B", zoneWhole, false, noBound},
@@ -81,7 +81,7 @@
 			{"probes at a database in the worst second", "1/s", at("database.start-probes-by-gateways"), true, bound{primaryProbeBound, assumed}},
 			{"connections that a database accepts anew", "1", at("database.connections-by-gateways"), true, bound{databaseConns, assumed}},
 		}},
-		{"start of one database, cold", fmt.Sprintf("%s restarts a day, all roles", number(target.Restarts)), []effect{
+		{"start of one database, cold", fmt.Sprintf("%s restarts a day, all roles", number(target.RestartsPerDay)), []effect{
 			{"share of what topples it, with safe shares", "1", at("database.cold-share-by-gateways-safe-share"), true, bound{1, settings}},
 			{"share of what topples it, without leases", "1", at("database.cold-share-by-gateways-no-leases"), true, bound{1, settings}},
 			{"statements a second that it gets, with safe shares", "1/s", at("database.cold-statements-by-gateways-safe-share"), true, noBound},
@@ -119,7 +119,7 @@
 
 func zoneSnapshotRate(b *book) (float64, error) {
 	all, err := zoneSnapshots(b)
-	return all / voters / target.InForceMax, err
+	return all / voters / target.MaxApplySeconds, err
 }
 
 func allSnapshots(b *book) (float64, error) {
@@ -154,7 +154,7 @@
 				processes += fmt.Sprintf("%s %s %s %s", u.Role, u.Process, quantity(u.Cores, "core"), quantity(u.Memory, "B"))
 			}
 			t.add(e.Name, r.reference(), number(float64(e.Gateways)), number(float64(e.Members)), quantity(e.Seconds, "s"),
-				fmt.Sprintf("%s / %s / %s of %s", quantity(e.InForce.P50, "s"), quantity(e.InForce.P99, "s"), quantity(e.InForce.Max, "s"), number(float64(e.InForce.Count))),
+				fmt.Sprintf("%s / %s / %s of %s", quantity(e.ApplyDelay.P50, "s"), quantity(e.ApplyDelay.P99, "s"), quantity(e.ApplyDelay.Max, "s"), number(float64(e.ApplyDelay.Count))),
 				quantity(e.GatewayBytes, "B/s"), quantity(e.WorstMinuteBytes, "B/s"), processes)
 		}
 	}
--- a/internal/experiment/capacity/page.go
+++ b/internal/experiment/capacity/page.go
@@ -165,7 +165,7 @@
 			least, most = min(least, p.X), max(most, p.X)
 		}
 		t.add("`"+s.Name+"`", s.Y, s.X, quantity(s.Fit.Slope, s.YUnit), quantity(s.Fit.Intercept, s.YUnit), number(s.Fit.R2), quantity(s.Fit.MaxResidual, s.YUnit),
-			fmt.Sprintf("%d, %s to %s", len(s.Points), number(least), number(most)), s.Held, s.Source())
+			fmt.Sprintf("%d, %s to %s", len(s.Points), number(least), number(most)), s.Conditions, s.Source())
 	}
 	if len(t.rows) == 0 {
 		t.add("none yet", "", "", "", "", "", "", "", "", "")
--- a/internal/experiment/capacity/ranked.go
+++ b/internal/experiment/capacity/ranked.go
@@ -22,10 +22,10 @@
 func needs() []need {
 	const ownPart = "1 s of it is taken for the databases' own; what they need more comes on top"
 	return []need{
-		{"control bytes of a gateway, both directions", "B/s", at("gateway.bytes-by-gateways"), true, bound{target.ControlBytes, operators}, ""},
+		{"control bytes of a gateway, both directions", "B/s", at("gateway.bytes-by-gateways"), true, bound{target.ControlBytesPerSecond, operators}, ""},
 		{"control processor time of a gateway", "core", at("gateway.cpu-by-gateways"), true, bound{target.ControlCores, operators}, ""},
-		{"control memory of a gateway", "B", at("gateway.memory-by-gateways"), true, bound{target.ControlMemory, operators}, ""},
-		{"commit to in force at the slowest gateway, steady", "s", at("gateway.in-force-max-by-gateways"), true, bound{target.InForceMax, operators}, ""},
+		{"control memory of a gateway", "B", at("gateway.memory-by-gateways"), true, bound{target.ControlMemoryBytes, operators}, ""},
+		{"commit to in force at the slowest gateway, steady", "s", at("gateway.in-force-max-by-gateways"), true, bound{target.MaxApplySeconds, operators}, ""},
 		{"processor time of the busiest voter", "core", at("voter.cpu-max-by-gateways"), true, bound{halfMachine, assumed}, "half of a machine of 8 cores"},
 		{"connections at a database", "1", at("database.connections-by-gateways"), true, bound{databaseConns, assumed}, "each gateway keeps a connection to each database that it used within 60 s"},
 		{"connections of a gateway to databases", "1", at("datapath.connections-by-members"), true, bound{gatewayConns, assumed}, "the same from the other end"},
@@ -41,22 +41,22 @@
 		{"cold database, safe shares, share of what topples it", "1", at("database.cold-share-by-gateways-safe-share"), true, bound{1, settings}, "1: it falls"},
 		{"cold database, no leases, share of what topples it", "1", at("database.cold-share-by-gateways-no-leases"), true, bound{1, settings}, "1: it falls"},
 		{"cold database, what could be saved up sent at once, share of the budget's rest", "1", fixed(burstTerm(target.Gateways)), false, bound{1, settings}, "the burst term of docs/design/store.md: a bound by proof. Where a gateway's part is less than a request it saves nothing and draws by chance, and the two rows on cold databases show what came"},
-		{"memory of a gateway with its idle clients, resident", "B", at("client.memory-by-clients"), true, bound{target.ControlMemory, assumed}, "held against what control alone is given: the data path has no bound yet"},
-		{"memory of a gateway, all of it", "B", gatewayMemory, false, bound{target.ControlMemory, assumed}, "held against the same"},
-		{"change of primary, longest history, process gone, as the daemon is", "s", worst("datapath.outage-by-gateways-crash"), true, bound{target.PrimaryChangeMax, operators}, ownPart},
-		{"change of primary, longest history, process gone, gateways told their number", "s", worst("datapath.outage-by-gateways-crash-told"), true, bound{target.PrimaryChangeMax, operators}, ownPart},
-		{"change of primary, longest history, machine silent, as the daemon is", "s", worst("datapath.outage-by-gateways-silent"), true, bound{target.PrimaryChangeMax, operators}, ownPart},
-		{"change of primary, longest history, machine silent, gateways told their number", "s", worst("datapath.outage-by-gateways-silent-told"), true, bound{target.PrimaryChangeMax, operators}, ownPart},
+		{"memory of a gateway with its idle clients, resident", "B", at("client.memory-by-clients"), true, bound{target.ControlMemoryBytes, assumed}, "held against what control alone is given: the data path has no bound yet"},
+		{"memory of a gateway, all of it", "B", gatewayMemory, false, bound{target.ControlMemoryBytes, assumed}, "held against the same"},
+		{"change of primary, longest history, process gone, as the daemon is", "s", worst("datapath.outage-by-gateways-crash"), true, bound{target.MaxPrimaryChangeSeconds, operators}, ownPart},
+		{"change of primary, longest history, process gone, gateways told their number", "s", worst("datapath.outage-by-gateways-crash-told"), true, bound{target.MaxPrimaryChangeSeconds, operators}, ownPart},
+		{"change of primary, longest history, machine silent, as the daemon is", "s", worst("datapath.outage-by-gateways-silent"), true, bound{target.MaxPrimaryChangeSeconds, operators}, ownPart},
+		{"change of primary, longest history, machine silent, gateways told their number", "s", worst("datapath.outage-by-gateways-silent-told"), true, bound{target.MaxPrimaryChangeSeconds, operators}, ownPart},
 	}
 }
 
 // needsBefore are of the program before gateways subscribed: every instance votes, and a list is replicated whole.
 func needsBefore() []need {
 	return []need{
-		{"control bytes of a gateway: the whole list for each change", "B/s", wholeLists, false, bound{target.ControlBytes, operators}, "PutInventory"},
-		{"control bytes of a gateway: heartbeats in the log", "B/s", at("voter.log-bytes-by-instances"), true, bound{target.ControlBytes, operators}, "each instance's heartbeat goes to every instance"},
+		{"control bytes of a gateway: the whole list for each change", "B/s", wholeLists, false, bound{target.ControlBytesPerSecond, operators}, "PutInventory"},
+		{"control bytes of a gateway: heartbeats in the log", "B/s", at("voter.log-bytes-by-instances"), true, bound{target.ControlBytesPerSecond, operators}, "each instance's heartbeat goes to every instance"},
 		{"processor time of one instance, idle", "core", shared("voter.cpu-by-instances", target.Gateways), false, bound{target.ControlCores, operators}, "a line in one process; what the leader sends to each is not in it"},
-		{"memory of what all instances have learned", "B", learnedCatalog, false, bound{target.ControlMemory, operators}, "kept of each instance"},
+		{"memory of what all instances have learned", "B", learnedCatalog, false, bound{target.ControlMemoryBytes, operators}, "kept of each instance"},
 	}
 }
 
--- a/internal/experiment/capacity/roles.go
+++ b/internal/experiment/capacity/roles.go
@@ -47,7 +47,7 @@
 	sideWorkShare     = 0.1    // handshakes or probes for each statement at a database
 	primaryProbeBound = target.DatabaseCapacity * sideWorkShare
 	halfMachine       = 4.0 // core: half of a machine like the one that measured
-	sideWork          = target.Statements / target.Databases * sideWorkShare
+	sideWork          = target.StatementsPerSecond / target.Databases * sideWorkShare
 )
 
 func roles() []role {
@@ -58,7 +58,7 @@
 			series("memory: resident, of a gateway with all its clients", "B", "client.memory-by-clients", noBound, "netio, frontend/session"),
 			series("processor: of a gateway whose clients are all idle", "core", "client.idle-cores-by-clients", bound{halfLoaded, assumed}, "frontend/session (sweep)"),
 			derived("processor: of a gateway for a new connection and its first statement", "s", perClient("client.connect-time-by-clients"), noBound, "netio, frontend"),
-			derived("messages: statements of one connection", "1/s", fixed(target.Statements/target.ClientConns), noBound, "frontend"),
+			derived("messages: statements of one connection", "1/s", fixed(target.StatementsPerSecond/target.ClientConnections), noBound, "frontend"),
 			derived("bytes: of one connection, both directions", "B/s", shared("client.bytes-by-statements", target.ClientsPerGateway()), noBound, "frontend/postgres, protocol/pgwire"),
 		}},
 		{"gateway, data path", "datapath.", true, []line{
@@ -76,12 +76,12 @@
 			derived("memory: all of a gateway", "B", gatewayMemory, noBound, "all of the data path"),
 		}},
 		{"gateway, control side", "gateway.", false, []line{
-			series("bytes: control stream, both directions", "B/s", "gateway.bytes-by-gateways", bound{target.ControlBytes, operators}, controlSide),
+			series("bytes: control stream, both directions", "B/s", "gateway.bytes-by-gateways", bound{target.ControlBytesPerSecond, operators}, controlSide),
 			series("messages: control stream", "1/s", "gateway.messages-by-gateways", noBound, controlSide),
 			series("processor", "core", "gateway.cpu-by-gateways", bound{target.ControlCores, operators}, controlSide),
-			series("memory", "B", "gateway.memory-by-gateways", bound{target.ControlMemory, operators}, controlSide),
-			series("state: memory with all databases", "B", "gateway.memory-by-members", bound{target.ControlMemory, operators}, "controlplane/revision"),
-			series("in force after a commit, slowest gateway", "s", "gateway.in-force-max-by-gateways", bound{target.InForceMax, operators}, controlSide),
+			series("memory", "B", "gateway.memory-by-gateways", bound{target.ControlMemoryBytes, operators}, controlSide),
+			series("state: memory with all databases", "B", "gateway.memory-by-members", bound{target.ControlMemoryBytes, operators}, "controlplane/revision"),
+			series("in force after a commit, slowest gateway", "s", "gateway.in-force-max-by-gateways", bound{target.MaxApplySeconds, operators}, controlSide),
 		}},
 		{"relay", "relay.", false, []line{
 			derived("state: streams, if 17 machines less 5 voters carry all gateways", "1", fixed(target.Gateways/relayMachines), noBound, "not built"),
@@ -194,10 +194,10 @@
 	bound  bound
 }{
 	{"gateway.cpu", bound{target.ControlCores, operators}},
-	{"gateway.memory", bound{target.ControlMemory, operators}},
-	{"gateway.real-memory", bound{target.ControlMemory, operators}},
-	{"gateway.bytes", bound{target.ControlBytes, operators}},
-	{"gateway.in-force", bound{target.InForceMax, operators}},
+	{"gateway.memory", bound{target.ControlMemoryBytes, operators}},
+	{"gateway.real-memory", bound{target.ControlMemoryBytes, operators}},
+	{"gateway.bytes", bound{target.ControlBytesPerSecond, operators}},
+	{"gateway.in-force", bound{target.MaxApplySeconds, operators}},
 }
 
 func boundOf(name string) bound {
--- a/internal/experiment/datapath/datapath.go
+++ b/internal/experiment/datapath/datapath.go
@@ -117,7 +117,7 @@
 	if !known {
 		at = len(c.all)
 		c.index[name] = at
-		c.all = append(c.all, measure.Series{Name: name, Role: role, X: c.x, XUnit: c.unit, Y: what, YUnit: unit, Held: c.held})
+		c.all = append(c.all, measure.Series{Name: name, Role: role, X: c.x, XUnit: c.unit, Y: what, YUnit: unit, Conditions: c.held})
 	}
 	c.all[at].Points = append(c.all[at].Points, measure.Point{X: x, Y: y})
 }
--- a/internal/experiment/datapath/datapath_test.go
+++ b/internal/experiment/datapath/datapath_test.go
@@ -43,7 +43,7 @@
 			t.Errorf("%s: no series", name)
 		}
 		for _, s := range r.Series {
-			if seen[s.Name] || s.Role == "" || s.YUnit == "" || s.Held == "" || len(s.Points) < 2 {
+			if seen[s.Name] || s.Role == "" || s.YUnit == "" || s.Conditions == "" || len(s.Points) < 2 {
 				t.Errorf("%s: series %+v", name, s)
 			}
 			seen[s.Name] = true
--- a/internal/experiment/datapath/firstwrite.go
+++ b/internal/experiment/datapath/firstwrite.go
@@ -37,7 +37,7 @@
 	}
 	s := measure.Series{Name: "datapath.first-write-by-hand-over", Role: "data path", X: "from a primary's loss until another is primary", XUnit: "s",
 		Y: "from a primary's loss to the first served write", YUnit: "s",
-		Held: fmt.Sprintf("one real gateway on loopback, %d stand-in databases, the primary's process ends, %d clients write; each run a point", databasesOfRealGateway, writers)}
+		Conditions: fmt.Sprintf("one real gateway on loopback, %d stand-in databases, the primary's process ends, %d clients write; each run a point", databasesOfRealGateway, writers)}
 	for i, delay := range delays {
 		for run := range runs {
 			folder := filepath.Join(dir, fmt.Sprintf("%d-%d", i, run))
--- a/internal/experiment/datapath/step.go
+++ b/internal/experiment/datapath/step.go
@@ -29,7 +29,7 @@
 			members = members[1:]
 		}
 		s := measure.Series{Name: fmt.Sprintf("datapath.step-by-members-%d", flying), Role: "data path", X: "members", XUnit: "1",
-			Y: "processor time of one Router.Step", YUnit: "s", Held: fmt.Sprintf("%d requests in flight, one request and one answer a step", flying)}
+			Y: "processor time of one Router.Step", YUnit: "s", Conditions: fmt.Sprintf("%d requests in flight, one request and one answer a step", flying)}
 		for _, m := range members {
 			took, err := stepTime(m, flying, steps, o.Seed)
 			if err != nil {
@@ -42,7 +42,7 @@
 		}
 	}
 	s := measure.Series{Name: "datapath.step-by-in-flight", Role: "data path", X: "requests in flight", XUnit: "1",
-		Y: "processor time of one Router.Step", YUnit: "s", Held: fmt.Sprintf("%d members, one request and one answer a step", most)}
+		Y: "processor time of one Router.Step", YUnit: "s", Conditions: fmt.Sprintf("%d members, one request and one answer a step", most)}
 	for _, flying := range inFlight {
 		took, err := stepTime(most, flying, steps, o.Seed)
 		if err != nil {
--- a/internal/experiment/knownred/main_test.go
+++ b/internal/experiment/knownred/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestTheListIsReadStrictly(t *testing.T) {
+func TestParseListRejectsMalformedLists(t *testing.T) {
 	line := "internal/x TestA; cause; issue 1\n"
 	for text, want := range map[string]string{
 		"":                              "",
@@ -21,7 +21,7 @@
 		"internal/x TestA;  ; issue 1":  "cause or issue",
 		"internal/x TestA; cause; \n\n": "cause or issue",
 	} {
-		_, err := parse(text)
+		_, err := parseList(text)
 		if got := fmt.Sprint(err); want == "" && err != nil || !strings.Contains(got, want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
@@ -29,8 +29,8 @@
 }
 
 // Guards the test command: it passes over the known failures and no others, whatever hides behind them.
-func TestOnlyTheKnownArePassedOver(t *testing.T) {
-	known := []red{{"x", "TestRed", "cause", "issue 1"}}
+func TestOnlyListedFailuresAreTolerated(t *testing.T) {
+	known := []knownFailure{{"x", "TestRed", "cause", "issue 1"}}
 	for name, c := range map[string]struct {
 		events string // action package test, or a panic's
 		failed bool
@@ -54,16 +54,16 @@
 		var in, out bytes.Buffer
 		for _, e := range strings.Split(c.events, ", ") {
 			f := append(strings.Fields(e), "")
-			x := event{Action: f[0], Package: "m/" + f[1], Test: f[2]}
+			x := testEvent{Action: f[0], Package: "m/" + f[1], Test: f[2]}
 			if x.Action == "panic" {
 				x.Action, x.Output = "output", "panic: boom\n"
 			}
 			b, _ := json.Marshal(x)
 			in.Write(append(b, '\n'))
 		}
-		y := tally{module: "m", out: &out, tests: map[string]map[string]string{}, said: map[string]string{}}
-		_ = y.read(&in)
-		err := y.judge(known, c.failed)
+		y := testResults{module: "m", out: &out, lastActions: map[string]map[string]string{}, output: map[string]string{}}
+		_ = y.readEvents(&in)
+		err := y.evaluate(known, c.failed)
 		if got := fmt.Sprint(err); c.fault == "" && err != nil || c.fault != "" && !strings.Contains(got, c.fault) || !strings.Contains(out.String(), c.says) {
 			t.Errorf("%s: %v, said %q", name, err, out.String())
 		}
--- a/internal/experiment/loganalysis/loganalysis.go
+++ b/internal/experiment/loganalysis/loganalysis.go
@@ -19,19 +19,19 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-const longestLine = 1 << 20
+const maxLineBytes = 1 << 20
 
-// requests and told are the messages that are read: of requests, by their id, and of who was told to leave.
-const told = "discovery told"
+// requests and discoveryMessage are the messages that are read: of requests, by their id, and of who was discoveryMessage to leave.
+const discoveryMessage = "discovery told"
 
-var requests = []string{"attempt ended", "request ended"}
+var requestMessages = []string{"attempt ended", "request ended"}
 
 // Line is one of a gateway's lines about a request or about the member list.
 type Line struct {
-	Gateway string
-	At      time.Duration // since midnight
-	Msg     string
-	Fields  map[string]string
+	Gateway   string
+	TimeOfDay time.Duration `json:"At"` // since midnight
+	Msg       string
+	Fields    map[string]string
 }
 
 // Number is a field's value; 0 where it is absent.
@@ -66,33 +66,33 @@
 // that was cut off are passed over.
 func Read(r io.Reader, gateway string, f func(Line)) error {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, longestLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		text := s.Text()
-		if !slices.ContainsFunc(append(requests, told), func(m string) bool { return strings.Contains(text, m) }) {
+		if !slices.ContainsFunc(append(requestMessages, discoveryMessage), func(m string) bool { return strings.Contains(text, m) }) {
 			continue
 		}
-		l := Line{Gateway: gateway, Fields: fields(text)}
-		at, err := time.Parse("15:04:05.000", clock(l.Fields["time"]))
-		if l.Msg = l.Fields["msg"]; err != nil || l.Msg != told && (l.Fields["id"] == "" || !slices.Contains(requests, l.Msg)) {
+		l := Line{Gateway: gateway, Fields: parseFields(text)}
+		at, err := time.Parse("15:04:05.000", timeOfDay(l.Fields["time"]))
+		if l.Msg = l.Fields["msg"]; err != nil || l.Msg != discoveryMessage && (l.Fields["id"] == "" || !slices.Contains(requestMessages, l.Msg)) {
 			continue
 		}
-		l.At = time.Duration(at.Hour())*time.Hour + time.Duration(at.Minute())*time.Minute +
+		l.TimeOfDay = time.Duration(at.Hour())*time.Hour + time.Duration(at.Minute())*time.Minute +
 			time.Duration(at.Second())*time.Second + time.Duration(at.Nanosecond())
 		f(l)
 	}
 	return s.Err()
 }
 
-// clock is the time of day of either form that the program logs.
-func clock(t string) string {
+// timeOfDay is the time of day of either form that the program logs.
+func timeOfDay(t string) string {
 	if _, day, ok := strings.Cut(t, "T"); ok && len(day) >= 12 {
 		return day[:12]
 	}
 	return t
 }
 
-func fields(text string) map[string]string {
+func parseFields(text string) map[string]string {
 	out := map[string]string{}
 	if at := strings.IndexByte(text, '{'); at >= 0 && !strings.Contains(text[:at], "=") {
 		var v map[string]any
@@ -112,19 +112,19 @@
 	return out
 }
 
-// Follow is all that the gateways say of one request, in the order of time.
-func Follow(dir, id string) (path []Line, err error) {
+// TraceRequest is all that the gateways say of one request, in the order of time.
+func TraceRequest(dir, id string) (path []Line, err error) {
 	err = ReadDir(dir, func(l Line) {
 		if l.Fields["id"] == id {
 			path = append(path, l)
 		}
 	})
-	slices.SortStableFunc(path, func(a, b Line) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(path, func(a, b Line) int { return cmp.Compare(a.TimeOfDay, b.TimeOfDay) })
 	return path, err
 }
 
-// End counts the requests of a class that ended alike.
-type End struct {
+// ResultCount counts the requests of a class that ended alike.
+type ResultCount struct {
 	Class, Cause string
 	Count        int
 	Share        float64 // of the class's requests
@@ -144,12 +144,12 @@
 	return fmt.Sprintf("%s unsent, after %d0%% of its time", verdict, 10*took/max(took+l.Number("left_ms"), 1))
 }
 
-// Ends counts the ends of requests by class and cause, the most frequent first.
-func Ends(dir string) (out []End, err error) {
-	count, all := map[End]int{}, map[string]int{}
+// CountResults counts the ends of requests by class and cause, the most frequent first.
+func CountResults(dir string) (out []ResultCount, err error) {
+	count, all := map[ResultCount]int{}, map[string]int{}
 	err = ReadDir(dir, func(l Line) {
-		if l.Msg == requests[1] {
-			count[End{Class: l.Fields["class"], Cause: Cause(l)}]++
+		if l.Msg == requestMessages[1] {
+			count[ResultCount{Class: l.Fields["class"], Cause: Cause(l)}]++
 			all[l.Fields["class"]]++
 		}
 	})
@@ -157,23 +157,23 @@
 		e.Count, e.Share = n, float64(n)/float64(all[e.Class])
 		out = append(out, e)
 	}
-	slices.SortFunc(out, func(a, b End) int {
+	slices.SortFunc(out, func(a, b ResultCount) int {
 		return cmp.Or(cmp.Compare(a.Class, b.Class), cmp.Compare(b.Count, a.Count), cmp.Compare(a.Cause, b.Cause))
 	})
 	return out, err
 }
 
-// Span is what came of the attempts at one member in one stretch of time.
-type Span struct {
+// MemberInterval is what came of the attempts at one member in one stretch of time.
+type MemberInterval struct {
 	Member                       string
 	From                         time.Duration
 	Served, Full, Silent, Others int
-	Median                       int // of the answer times, ms
-	took                         []int
+	MedianMs                     int `json:"Median"` // of the answer times, ms
+	responseTimes                []int
 }
 
-// Members counts attempts by member and stretch of time.
-func Members(dir string, every time.Duration) (out []Span, err error) {
+// CountByMember counts attempts by member and stretch of time.
+func CountByMember(dir string, every time.Duration) (out []MemberInterval, err error) {
 	if every <= 0 {
 		return nil, errors.New("the stretch of time must be longer than 0")
 	}
@@ -181,21 +181,21 @@
 		member string
 		from   time.Duration
 	}
-	spans := map[key]*Span{}
+	spans := map[key]*MemberInterval{}
 	err = ReadDir(dir, func(l Line) {
-		if l.Msg != requests[0] {
+		if l.Msg != requestMessages[0] {
 			return
 		}
-		k := key{l.Fields["member"], l.At.Truncate(every)}
+		k := key{l.Fields["member"], l.TimeOfDay.Truncate(every)}
 		s := spans[k]
 		if s == nil {
-			s = &Span{Member: k.member, From: k.from}
+			s = &MemberInterval{Member: k.member, From: k.from}
 			spans[k] = s
 		}
 		switch l.Fields["outcome"] {
 		case "served":
 			s.Served++
-			s.took = append(s.took, l.Number("took_ms"))
+			s.responseTimes = append(s.responseTimes, l.Number("took_ms"))
 		case "full":
 			s.Full++
 		case "timed_out", "cancelled":
@@ -205,42 +205,44 @@
 		}
 	})
 	for _, s := range spans {
-		if slices.Sort(s.took); len(s.took) > 0 {
-			s.Median = s.took[len(s.took)/2]
+		if slices.Sort(s.responseTimes); len(s.responseTimes) > 0 {
+			s.MedianMs = s.responseTimes[len(s.responseTimes)/2]
 		}
 		out = append(out, *s)
 	}
-	slices.SortFunc(out, func(a, b Span) int { return cmp.Or(cmp.Compare(a.Member, b.Member), cmp.Compare(a.From, b.From)) })
+	slices.SortFunc(out, func(a, b MemberInterval) int {
+		return cmp.Or(cmp.Compare(a.Member, b.Member), cmp.Compare(a.From, b.From))
+	})
 	return out, err
 }
 
-// Late is an attempt that began after its member was told to leave, by a gateway that had not heard of its return.
-type Late struct {
+// LateAttempt is an attempt that began after its member was told to leave, by a gateway that had not heard of its return.
+type LateAttempt struct {
 	Gateway, ID, Member string
-	Begun               time.Duration
-	Fleet               time.Duration // since some gateway was told first
-	Untold              bool          // this gateway had not been told until then
+	StartedAt           time.Duration `json:"Begun"`
+	SinceFirstNotice    time.Duration `json:"Fleet"`  // since some gateway was told first
+	NotNotified         bool          `json:"Untold"` // this gateway had not been told until then
 }
 
-// Leaving finds the attempts that began longer than after the first word that their member leaves, by any gateway's
+// LateAttempts finds the attempts that began longer than after the first word that their member leaves, by any gateway's
 // clock, the latest first. What it lists breaks a rule only by the clock on which that word counted as told there.
-func Leaving(dir string, after time.Duration) (out []Late, err error) {
+func LateAttempts(dir string, after time.Duration) (out []LateAttempt, err error) {
 	first := map[string]time.Duration{}            // by member: when some gateway was told that it leaves
 	here := map[[2]string]map[time.Duration]bool{} // by gateway and member: when it was told what: true: that it leaves
 	err = ReadDir(dir, func(l Line) {
-		if l.Msg != told {
+		if l.Msg != discoveryMessage {
 			return
 		}
 		for field, leaves := range map[string]bool{"leaving": true, "up": false} {
 			for _, m := range strings.Fields(l.Fields[field]) {
-				if at, known := first[m]; leaves && (!known || l.At < at) {
-					first[m] = l.At
+				if at, known := first[m]; leaves && (!known || l.TimeOfDay < at) {
+					first[m] = l.TimeOfDay
 				}
 				k := [2]string{l.Gateway, m}
 				if here[k] == nil {
 					here[k] = map[time.Duration]bool{}
 				}
-				here[k][l.At] = leaves
+				here[k][l.TimeOfDay] = leaves
 			}
 		}
 	})
@@ -250,24 +252,24 @@
 	err = ReadDir(dir, func(l Line) {
 		m := l.Fields["member"]
 		at, leaves := first[m]
-		begun := l.At - time.Duration(l.Number("took_ms"))*time.Millisecond
-		if l.Msg != requests[0] || !leaves || begun <= at+after {
+		begun := l.TimeOfDay - time.Duration(l.Number("took_ms"))*time.Millisecond
+		if l.Msg != requestMessages[0] || !leaves || begun <= at+after {
 			return
 		}
-		x := Late{Gateway: l.Gateway, ID: l.Fields["id"], Member: m, Begun: begun, Fleet: begun - at, Untold: true}
+		x := LateAttempt{Gateway: l.Gateway, ID: l.Fields["id"], Member: m, StartedAt: begun, SinceFirstNotice: begun - at, NotNotified: true}
 		for heard, leaves := range here[[2]string{l.Gateway, m}] {
 			switch {
 			case heard < at || heard > begun:
 			case leaves:
-				x.Untold = false
+				x.NotNotified = false
 			default: // it is back, and this gateway knew
 				return
 			}
 		}
 		out = append(out, x)
 	})
-	slices.SortFunc(out, func(a, b Late) int {
-		return cmp.Or(cmp.Compare(b.Fleet, a.Fleet), cmp.Compare(a.Gateway, b.Gateway), cmp.Compare(a.ID, b.ID))
+	slices.SortFunc(out, func(a, b LateAttempt) int {
+		return cmp.Or(cmp.Compare(b.SinceFirstNotice, a.SinceFirstNotice), cmp.Compare(a.Gateway, b.Gateway), cmp.Compare(a.ID, b.ID))
 	})
 	return out, err
 }
--- a/internal/experiment/loganalysis/loganalysis_test.go
+++ b/internal/experiment/loganalysis/loganalysis_test.go
@@ -17,15 +17,15 @@
 	"aspenshed/internal/dataplane/request"
 )
 
-type still aspenshed.Nanos
+type fixedClock aspenshed.Nanos
 
-func (c still) Now() aspenshed.Nanos { return aspenshed.Nanos(c) }
+func (c fixedClock) Now() aspenshed.Nanos { return aspenshed.Nanos(c) }
 
-// booked is what the program itself writes, behind a platform's prefix, with a line that was cut off.
-func booked(f logrus.Formatter) string {
+// sampleLog is what the program itself writes, behind a platform's prefix, with a line that was cut off.
+func sampleLog(f logrus.Formatter) string {
 	var out strings.Builder
 	log := &logrus.Logger{Out: &out, Formatter: f, Level: logrus.DebugLevel, Hooks: logrus.LevelHooks{}}
-	b := accounting.New(eventloop.NewLoop(still(80e6)), log.WithTime(time.Date(2026, 12, 1, 10, 0, 1, 4e8, time.UTC)))
+	b := accounting.New(eventloop.NewLoop(fixedClock(80e6)), log.WithTime(time.Date(2026, 12, 1, 10, 0, 1, 4e8, time.UTC)))
 	ask := func(id string, class, attempts int, arrived aspenshed.Nanos) *request.Request {
 		return &request.Request{Query: request.Query{ExternalID: id, Class: class}, Attempts: attempts, ArrivedAt: arrived, Deadline: 160e6}
 	}
@@ -39,22 +39,22 @@
 }
 
 // One request over two gateways, ends by class and cause, members by time.
-func TestLogsOfTwoGateways(t *testing.T) {
+func TestTraceAndCountsAcrossGateways(t *testing.T) {
 	dir := t.TempDir()
 	for name, f := range map[string]logrus.Formatter{
 		"n1.log": &logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: "15:04:05.000"},
 		"n2.log": &logrus.JSONFormatter{TimestampFormat: "2006-01-02T15:04:05.000Z07:00"}, "n3.txt": &logrus.TextFormatter{}} {
-		if err := os.WriteFile(filepath.Join(dir, name), []byte(booked(f)), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, name), []byte(sampleLog(f)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	path, err := Follow(dir, "q1")
+	path, err := TraceRequest(dir, "q1")
 	if err != nil || len(path) != 6 || path[0].Gateway != "n1" || path[0].Fields["detail"] != `53300 no "room"` ||
-		path[5].Gateway != "n2" || path[5].Fields["verdict"] != "served" || path[5].At != 10*time.Hour+1400*time.Millisecond {
+		path[5].Gateway != "n2" || path[5].Fields["verdict"] != "served" || path[5].TimeOfDay != 10*time.Hour+1400*time.Millisecond {
 		t.Errorf("%v: %+v", err, path)
 	}
-	ends, err := Ends(dir)
-	spans, fault := Members(dir, time.Second)
+	ends, err := CountResults(dir)
+	spans, fault := CountByMember(dir, time.Second)
 	if got := fmt.Sprint(ends, err, spans, fault); got != "[{0 refused at once 2 0.5} {0 refused unsent, after 50% of its time 2 0.5} "+
 		"{1 served 2 1}] <nil> [{s-1 10h0m1s 0 2 0 0 0 []} {s-2 10h0m1s 2 0 0 0 40 [40 40]}] <nil>" {
 		t.Error(got)
@@ -63,7 +63,7 @@
 
 // Attempts to a member after the word that it leaves: by a gateway that heard it, one that heard it later, one that never
 // did, and one that was told of its return.
-func TestAttemptsToThoseWhoLeave(t *testing.T) {
+func TestLateAttemptsToLeavingMembers(t *testing.T) {
 	dir := t.TempDir()
 	for name, lines := range map[string][]string{
 		"n1": {"10:00:01.000 leaving s-1 s-2", "10:00:03.500 sent early s-1 2600", "10:00:03.500 sent late s-2 400"},
@@ -82,7 +82,7 @@
 			t.Fatal(err)
 		}
 	}
-	late, err := Leaving(dir, 2*time.Second)
+	late, err := LateAttempts(dir, 2*time.Second)
 	if got := fmt.Sprint(late, err); got != "[{n3 late s-1 10h0m9s 8s true} {n2 late s-1 10h0m4s 3s true} {n1 late s-2 10h0m3.1s 2.1s false}] <nil>" {
 		t.Error(got)
 	}
--- a/internal/experiment/measure/measure.go
+++ b/internal/experiment/measure/measure.go
@@ -18,15 +18,15 @@
 
 // Series is what was measured of one quantity of a role while one other thing was varied and all else held still.
 type Series struct {
-	Name   string  `json:"name"`   // unique within the committed runs, as in "voter.cpu-by-gateways"
-	Role   string  `json:"role"`   // client, data path, gateway, relay, voter, database
-	X      string  `json:"x"`      // what was varied: gateways, members, changes a second, ...
-	XUnit  string  `json:"x_unit"` // of X, as in "1" or "1/s"
-	Y      string  `json:"y"`
-	YUnit  string  `json:"y_unit"` // as in "core", "B/s", "B", "s"
-	Held   string  `json:"held"`   // what was held still, in words: "2,100 members, 3 voters"
-	Points []Point `json:"points"`
-	Fit    Fit     `json:"fit"`
+	Name       string  `json:"name"`   // unique within the committed runs, as in "voter.cpu-by-gateways"
+	Role       string  `json:"role"`   // client, data path, gateway, relay, voter, database
+	X          string  `json:"x"`      // what was varied: gateways, members, changes a second, ...
+	XUnit      string  `json:"x_unit"` // of X, as in "1" or "1/s"
+	Y          string  `json:"y"`
+	YUnit      string  `json:"y_unit"` // as in "core", "B/s", "B", "s"
+	Conditions string  `json:"held"`   // what was held still, in words: "2,100 members, 3 voters"
+	Points     []Point `json:"points"`
+	Fit        Fit     `json:"fit"`
 }
 
 // Fit is the line through a Series by least squares.
@@ -80,7 +80,7 @@
 	Gateways         int       `json:"gateways"`
 	Members          int       `json:"members"`
 	Seconds          float64   `json:"seconds"`            // how long it was watched
-	InForce          Quantiles `json:"in_force"`           // from the commit to in force at a gateway, over all gateways and changes
+	ApplyDelay       Quantiles `json:"in_force"`           // from the commit to in force at a gateway, over all gateways and changes
 	GatewayBytes     float64   `json:"gateway_bytes_s"`    // mean control bytes a second at a gateway's sockets, both directions
 	WorstMinuteBytes float64   `json:"worst_minute_bytes"` // the same in the worst minute at the gateway with most; where less than a minute was watched, over all of it
 	Roles            []Usage   `json:"roles"`
@@ -90,7 +90,7 @@
 type Usage struct {
 	Role     string  `json:"role"`
 	Process  string  `json:"process"`
-	Hosts    int     `json:"hosts"` // gateways in the process
+	Gateways int     `json:"hosts"` // gateways in the process
 	Cores    float64 `json:"cores"` // processor seconds a second
 	Memory   float64 `json:"memory_bytes"`
 	BytesIn  float64 `json:"bytes_in_s"`
--- a/internal/experiment/pgclient/pgclient.go
+++ b/internal/experiment/pgclient/pgclient.go
@@ -12,48 +12,48 @@
 )
 
 const (
-	dialLimit   = time.Second
-	greetLimit  = 2 * time.Second
-	answerLimit = 3 * time.Second
-	maxMessage  = 1 << 20 // bytes of one message
-	user        = "web"
-	database    = "orders"
+	dialTimeout     = time.Second
+	startupTimeout  = 2 * time.Second
+	responseTimeout = 3 * time.Second
+	maxMessageBytes = 1 << 20 // bytes of one message
+	user            = "web"
+	database        = "orders"
 )
 
 // The errors of a connection. After one of them it can't be used any more.
 var (
-	ErrEnded   = errors.New("pgclient: the connection has ended")
+	ErrClosed  = errors.New("pgclient: the connection has ended")
 	ErrTimeout = errors.New("pgclient: no answer in time")
 )
 
 // Client is one connection. It is used by one goroutine at a time.
 type Client struct {
-	conn    *netio.Conn
-	reader  pgwire.Reader
-	up      chan struct{}
-	answers chan string // an answer's error code; empty: served
-	ended   chan struct{}
-	once    sync.Once
-	code    string // of the answer that is under way
+	conn        *netio.Conn
+	reader      pgwire.Reader
+	connected   chan struct{}
+	results     chan string // an answer's error code; empty: served
+	closed      chan struct{}
+	closeOnce   sync.Once
+	pendingCode string // of the answer that is under way
 }
 
 // Dial connects and is greeted.
 func Dial(n *netio.Net, address string) (*Client, error) {
-	c := &Client{reader: pgwire.Reader{MaxSize: maxMessage}, up: make(chan struct{}), answers: make(chan string, 4), ended: make(chan struct{})}
-	conn, err := n.Dial(address, dialLimit, false, c)
+	c := &Client{reader: pgwire.Reader{MaxSize: maxMessageBytes}, connected: make(chan struct{}), results: make(chan string, 4), closed: make(chan struct{})}
+	conn, err := n.Dial(address, dialTimeout, false, c)
 	if err != nil {
 		return nil, err
 	}
 	c.conn = conn
 	select {
-	case <-c.up:
-	case <-c.ended:
-		return nil, ErrEnded
+	case <-c.connected:
+	case <-c.closed:
+		return nil, ErrClosed
 	}
 	if err := conn.Write(pgwire.StartupMessage(user, database)); err != nil {
 		return nil, err
 	}
-	if _, err := c.answer(greetLimit); err != nil {
+	if _, err := c.awaitResult(startupTimeout); err != nil {
 		return nil, err
 	}
 	return c, nil
@@ -64,15 +64,15 @@
 	if err := c.conn.Write(pgwire.QueryMessage(sql)); err != nil {
 		return "", err
 	}
-	return c.answer(answerLimit)
+	return c.awaitResult(responseTimeout)
 }
 
-func (c *Client) answer(limit time.Duration) (code string, err error) {
+func (c *Client) awaitResult(limit time.Duration) (code string, err error) {
 	select {
-	case code = <-c.answers:
+	case code = <-c.results:
 		return code, nil
-	case <-c.ended:
-		return "", ErrEnded
+	case <-c.closed:
+		return "", ErrClosed
 	case <-time.After(limit):
 		c.conn.Close()
 		return "", ErrTimeout
@@ -108,27 +108,27 @@
 func (c *Client) Close() { c.conn.Close() }
 
 // Up is of netio.Handler.
-func (c *Client) Up() { close(c.up) }
+func (c *Client) Up() { close(c.connected) }
 
 // Closed is of netio.Handler.
-func (c *Client) Closed(error) { c.once.Do(func() { close(c.ended) }) }
+func (c *Client) Closed(error) { c.closeOnce.Do(func() { close(c.closed) }) }
 
 // Data is of netio.Handler.
 func (c *Client) Data(b []byte) {
-	if err := c.reader.Feed(b, c.message); err != nil {
+	if err := c.reader.Feed(b, c.handleMessage); err != nil {
 		c.conn.Close()
 		c.Closed(err)
 	}
 }
 
-func (c *Client) message(m pgwire.Message) error {
+func (c *Client) handleMessage(m pgwire.Message) error {
 	switch m.Type {
 	case 'E':
 		e, _ := pgwire.ParseError(m.Body)
-		c.code = e.Code
+		c.pendingCode = e.Code
 	case 'Z':
-		c.answers <- c.code
-		c.code = ""
+		c.results <- c.pendingCode
+		c.pendingCode = ""
 	}
 	return nil
 }
--- a/internal/experiment/scale/baseline.go
+++ b/internal/experiment/scale/baseline.go
@@ -169,7 +169,7 @@
 			at = append(at, measure.Point{X: float64(p.instances), Y: value(p)})
 		}
 		return seriesOf(measure.Series{Name: name, Role: RoleVoter, X: "instances, all of them voters", XUnit: "1", Y: y, YUnit: unit,
-			Held: "no members, no commands, all instances in one process"}, at)
+			Conditions: "no members, no commands, all instances in one process"}, at)
 	}
 	return []measure.Series{
 		series("voter.log-entries-by-instances", "log entries a second, idle", "1/s", func(p idlePoint) float64 { return p.entries }),
@@ -279,7 +279,7 @@
 		points = append(points, measure.Point{X: float64(n), Y: grown})
 	}
 	return seriesOf(measure.Series{Name: "voter.log-bytes-by-members", Role: RoleVoter, X: "members of the inventory", XUnit: "1",
-		Y: "bytes of the log for one changed member", YUnit: "B", Held: "3 instances"}, points), nil
+		Y: "bytes of the log for one changed member", YUnit: "B", Conditions: "3 instances"}, points), nil
 }
 
 func (v *votingInstances) changeOneMember(ctx context.Context, members int) (float64, error) {
@@ -335,7 +335,7 @@
 		kept = append(kept, measure.Point{X: float64(n), Y: float64(encodedSize(c) - before)})
 	}
 	series := func(name, y string, points []measure.Point) measure.Series {
-		return seriesOf(measure.Series{Name: name, Role: RoleVoter, X: "groups", XUnit: "1", Y: y, YUnit: "B", Held: "1 instance"}, points)
+		return seriesOf(measure.Series{Name: name, Role: RoleVoter, X: "groups", XUnit: "1", Y: y, YUnit: "B", Conditions: "1 instance"}, points)
 	}
 	return []measure.Series{
 		series("voter.learned-bytes-by-groups", "bytes of the log each time that one instance tells what it has learned", told),
--- a/internal/experiment/scale/figures.go
+++ b/internal/experiment/scale/figures.go
@@ -46,8 +46,8 @@
 
 // figures of a window.
 func (r *runner) figures(w *windowResult) figures {
-	f := figures{"gateway.bytes": w.event.GatewayBytes, "gateway.messages": w.messages, "gateway.in-force-p50": w.event.InForce.P50,
-		"gateway.in-force-p99": w.event.InForce.P99, "gateway.in-force-max": w.event.InForce.Max, "voter.log-entries": w.logEntries}
+	f := figures{"gateway.bytes": w.event.GatewayBytes, "gateway.messages": w.messages, "gateway.in-force-p50": w.event.ApplyDelay.P50,
+		"gateway.in-force-p99": w.event.ApplyDelay.P99, "gateway.in-force-max": w.event.ApplyDelay.Max, "voter.log-entries": w.logEntries}
 	f["gateway.cpu"], f["gateway.memory"] = r.hollowGateway(w)
 	for _, used := range w.gateways {
 		f["gateway.real-cpu"] += used.Cores / float64(len(w.gateways))
@@ -68,12 +68,12 @@
 func (r *runner) hollowGateway(w *windowResult) (cores, memory float64) {
 	gateways, workers := 0, 0
 	for _, u := range w.event.Roles {
-		if u.Role != RoleHollow || u.Hosts == 0 {
+		if u.Role != RoleHollow || u.Gateways == 0 {
 			continue
 		}
 		cores += u.Cores
 		memory += u.Memory
-		gateways += u.Hosts
+		gateways += u.Gateways
 		workers++
 	}
 	if gateways == 0 {
@@ -104,7 +104,7 @@
 			}
 		}
 		if len(points) > 1 {
-			out = append(out, seriesOf(measure.Series{Name: q.name + "-by-" + axis, Role: q.role, X: x, XUnit: unit, Y: q.y, YUnit: q.unit, Held: held}, points))
+			out = append(out, seriesOf(measure.Series{Name: q.name + "-by-" + axis, Role: q.role, X: x, XUnit: unit, Y: q.y, YUnit: q.unit, Conditions: held}, points))
 		}
 	}
 	return out
--- a/internal/experiment/scale/figures_test.go
+++ b/internal/experiment/scale/figures_test.go
@@ -42,8 +42,8 @@
 	r := &runner{empty: Usage{Memory: 100}}
 	w := &windowResult{event: measure.Event{Roles: []measure.Usage{
 		{Role: RoleVoter, Cores: 9, Memory: 9e9},
-		{Role: RoleHollow, Hosts: 10, Cores: 0.1, Memory: 1100},
-		{Role: RoleHollow, Hosts: 30, Cores: 0.3, Memory: 3100},
+		{Role: RoleHollow, Gateways: 10, Cores: 0.1, Memory: 1100},
+		{Role: RoleHollow, Gateways: 30, Cores: 0.3, Memory: 3100},
 	}}}
 	if cores, memory := r.hollowGateway(w); math.Abs(cores-0.01) > 1e-9 || memory != 100 {
 		t.Errorf("%v cores, %v bytes", cores, memory)
--- a/internal/experiment/scale/window.go
+++ b/internal/experiment/scale/window.go
@@ -192,7 +192,7 @@
 		r.logEntries = float64(after.commit-before.commit) / after.at.Sub(before.at).Seconds()
 	}
 	r.messages = float64(t.Messages) / gateways / seconds
-	r.event = measure.Event{Name: p.name, Gateways: t.Gateways, Members: x.changes.count, Seconds: seconds, InForce: quantilesOf(t.inForce),
+	r.event = measure.Event{Name: p.name, Gateways: t.Gateways, Members: x.changes.count, Seconds: seconds, ApplyDelay: quantilesOf(t.inForce),
 		GatewayBytes: float64(t.Bytes) / gateways / seconds, WorstMinuteBytes: float64(t.MaxBytes) / max(seconds, 1)}
 	for _, n := range x.voters {
 		r.event.Roles = append(r.event.Roles, daemonUsage(RoleVoter, n.ID, 0, r.voters[n.ID]))
@@ -205,12 +205,12 @@
 	}
 	r.checks = append(r.checks,
 		atMost(p.name+": gateways without all changes in force in time", float64(r.late), 0, "1", fmt.Sprintf("of %d, after %.1f s", t.Gateways, r.converged.Seconds())),
-		atMost(p.name+": slowest from commit to in force", r.event.InForce.Max, InForceBound.Seconds(), "s", fmt.Sprintf("%d changes taken", r.event.InForce.Count)),
+		atMost(p.name+": slowest from commit to in force", r.event.ApplyDelay.Max, InForceBound.Seconds(), "s", fmt.Sprintf("%d changes taken", r.event.ApplyDelay.Count)),
 		atMost(p.name+": drains undone", float64(t.Undone), 0, "1", ""),
 		atMost(p.name+": updates that led backward", float64(t.Backward), 0, "1", ""))
 	x.options.Progress("%s: %d gateways, in force p50 %.3f s, p99 %.3f s, slowest %.3f s; %.0f B/s a gateway, most %.0f; "+
 		"%d snapshots (slowest %.1f s), %d reconnects; all %.1f s after the last commit; %d late",
-		p.name, t.Gateways, r.event.InForce.P50, r.event.InForce.P99, r.event.InForce.Max, r.event.GatewayBytes, r.event.WorstMinuteBytes, t.Snapshots, quantilesOf(t.snapshots).Max,
+		p.name, t.Gateways, r.event.ApplyDelay.P50, r.event.ApplyDelay.P99, r.event.ApplyDelay.Max, r.event.GatewayBytes, r.event.WorstMinuteBytes, t.Snapshots, quantilesOf(t.snapshots).Max,
 		t.Reconnects, r.converged.Seconds(), r.late)
 }
 
@@ -226,7 +226,7 @@
 }
 
 func daemonUsage(role, process string, hosts int, r Rates) measure.Usage {
-	return measure.Usage{Role: role, Process: process, Hosts: hosts, Cores: r.Cores, Memory: r.Memory, BytesIn: r.Read, BytesOut: r.Written}
+	return measure.Usage{Role: role, Process: process, Gateways: hosts, Cores: r.Cores, Memory: r.Memory, BytesIn: r.Read, BytesOut: r.Written}
 }
 
 // MemoryError ends a run that would take more of the machine than it may.
--- a/internal/experiment/target/target.go
+++ b/internal/experiment/target/target.go
@@ -3,22 +3,22 @@
 
 // The operators' figures.
 const (
-	Gateways         = 2400.0
-	Databases        = 21000.0
-	ClientConns      = 16e6
-	Statements       = 2.9e6 // a second
-	PrimaryChanges   = 15.0  // a day
-	PrimaryChangeMax = 12.0  // s, from the loss of a primary until writes are served again
-	Regions          = 7.0
-	Zones            = 19.0
-	ConfigChanges    = 63000.0 // a day
-	InForceMax       = 11.0    // s, from a commit until it is in force at every gateway
-	ControlCores     = 0.021   // of a gateway
-	ControlMemory    = 128e6   // B, of a gateway
-	ControlBytes     = 7000.0  // B/s, of a gateway
-	ControlMachines  = 17.0
-	MachineFailures  = 64.0   // a day
-	Restarts         = 5000.0 // a day
+	Gateways                = 2400.0
+	Databases               = 21000.0
+	ClientConnections       = 16e6
+	StatementsPerSecond     = 2.9e6 // a second
+	PrimaryChangesPerDay    = 15.0  // a day
+	MaxPrimaryChangeSeconds = 12.0  // s, from the loss of a primary until writes are served again
+	Regions                 = 7.0
+	Zones                   = 19.0
+	ConfigChangesPerDay     = 63000.0 // a day
+	MaxApplySeconds         = 11.0    // s, from a commit until it is in force at every gateway
+	ControlCores            = 0.021   // of a gateway
+	ControlMemoryBytes      = 128e6   // B, of a gateway
+	ControlBytesPerSecond   = 7000.0  // B/s, of a gateway
+	ControlMachines         = 17.0
+	MachineFailuresPerDay   = 64.0   // a day
+	RestartsPerDay          = 5000.0 // a day
 )
 
 // Assumed is what the operators have not told and the experiments need.
@@ -27,13 +27,13 @@
 	DatabaseCapacity = 400.0 // statements a second of one database, as the stand-ins have it
 )
 
-const secondsOfDay = 86400.0
+const secondsPerDay = 86400.0
 
 // StatementsPerGateway is the load of one gateway a second.
-func StatementsPerGateway() float64 { return Statements / Gateways }
+func StatementsPerGateway() float64 { return StatementsPerSecond / Gateways }
 
 // ClientsPerGateway is the number of client connections of one gateway.
-func ClientsPerGateway() float64 { return ClientConns / Gateways }
+func ClientsPerGateway() float64 { return ClientConnections / Gateways }
 
 // GatewaysPerZone is how many gateways go with a zone.
 func GatewaysPerZone() float64 { return Gateways / Zones }
@@ -48,13 +48,13 @@
 func Groups() float64 { return Databases / GroupSize }
 
 // StatementsPerDatabase is the load of one database a second.
-func StatementsPerDatabase() float64 { return Statements / Databases }
+func StatementsPerDatabase() float64 { return StatementsPerSecond / Databases }
 
 // StatementsPerGroup is the load of one group a second, from all gateways.
-func StatementsPerGroup() float64 { return Statements / Groups() }
+func StatementsPerGroup() float64 { return StatementsPerSecond / Groups() }
 
 // ChangesPerSecond is the mean rate of configuration changes.
-func ChangesPerSecond() float64 { return ConfigChanges / secondsOfDay }
+func ChangesPerSecond() float64 { return ConfigChangesPerDay / secondsPerDay }
 
 // RestartsPerSecond is the mean rate of restarts and replacements.
-func RestartsPerSecond() float64 { return Restarts / secondsOfDay }
+func RestartsPerSecond() float64 { return RestartsPerDay / secondsPerDay }
--- a/internal/experiment/target/target_test.go
+++ b/internal/experiment/target/target_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestWhatFollowsFromTheOperatorsFigures(t *testing.T) {
+func TestDerivedTargets(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		got, want float64 // worked by hand
