--- a/internal/experiment/knownred/main.go
+++ b/internal/experiment/knownred/main.go
@@ -1,9 +1,9 @@
-// Command knownred runs go test with the arguments it is given and passes over the failures that KNOWN-RED.txt names, and
-// over no other: tests that fail for a real fault which has an issue, and is not mended yet. They run like all others.
+// Command knownred runs go test with the given arguments and tolerates only the failures listed in KNOWN-RED.txt: tests
+// that fail because of a real fault that has an open issue and is not fixed yet. Listed tests run like all others.
 //
 //	internal/netio TestX; what is at fault; issue 25
 //
-// It also fails on a line that it can't read, on a test that is not there and on more than three lines.
+// The command also fails on a malformed line, on a listed test that has no result and on more than three lines.
 package main
 
 import (
@@ -35,7 +35,7 @@
 	}
 }
 
-// knownFailure is a line of the file.
+// knownFailure is one entry of the list.
 type knownFailure struct{ pkg, test, cause, issue string }
 
 func readList(path string) ([]knownFailure, error) {
@@ -56,7 +56,7 @@
 		parts := strings.Split(line, ";")
 		names := strings.Fields(parts[0])
 		if len(parts) != 3 || len(names) != 2 || strings.Contains(names[1], "/") {
-			return nil, fmt.Errorf("%s:%d: not of the form 'package test; cause; issue'", listFile, i+1)
+			return nil, fmt.Errorf("%s:%d: want 'package test; cause; issue'", listFile, i+1)
 		}
 		r := knownFailure{names[0], names[1], strings.TrimSpace(parts[1]), strings.TrimSpace(parts[2])}
 		if r.cause == "" || r.issue == "" {
@@ -65,7 +65,7 @@
 		out = append(out, r)
 	}
 	if len(out) > maxEntries {
-		return nil, fmt.Errorf("%s: %d lines, %d are the most", listFile, len(out), maxEntries)
+		return nil, fmt.Errorf("%s: %d lines, at most %d are allowed", listFile, len(out), maxEntries)
 	}
 	return out, nil
 }
@@ -89,15 +89,15 @@
 	return errors.Join(err, t.evaluate(known, cmd.Wait() != nil))
 }
 
-// testEvent is what go test -json says.
+// testEvent is an event of go test -json.
 type testEvent struct{ Action, Package, Test, Output string }
 
-// testResults is what came of a run.
+// testResults collects the results of a test run.
 type testResults struct {
 	module      string
 	out         io.Writer
-	lastActions map[string]map[string]string // by package and test: the last action
-	output      map[string]string            // by a running test of a package: its output
+	lastActions map[string]map[string]string // last action by package and test
+	output      map[string]string            // output of running tests, by package and test
 	failures    []string
 }
 
@@ -133,7 +133,7 @@
 	switch {
 	case e.Action == "output" && e.Test != "":
 		t.output[pkg+" "+top] += e.Output
-		if strings.HasPrefix(e.Output, "panic: ") { // the tests behind it have not run
+		if strings.HasPrefix(e.Output, "panic: ") { // a panic keeps the package's remaining tests from running
 			t.failures = append(t.failures, pkg+" "+top+" panicked")
 		}
 	case e.Output != "":
@@ -142,7 +142,7 @@
 		t.lastActions[pkg][""] = e.Action
 	case e.Test != top:
 	case e.Action == "run", e.Action == "pass", e.Action == "skip", e.Action == "fail":
-		if t.lastActions[pkg][top] != "fail" { // with -count a test may run again
+		if t.lastActions[pkg][top] != "fail" { // with -count a test may run more than once
 			t.lastActions[pkg][top] = e.Action
 		}
 		if e.Action == "fail" {
@@ -154,42 +154,43 @@
 	}
 }
 
-// evaluate says what came of the known ones, and returns what else has failed. failed: go test did.
-func (t *testResults) evaluate(known []knownFailure, failed bool) error {
-	excused := 0
+// evaluate reports the results of the known failures and returns an error for every other failure. testFailed tells
+// whether go test itself failed.
+func (t *testResults) evaluate(known []knownFailure, testFailed bool) error {
+	tolerated := 0
 	listed := map[string]bool{}
 	for _, k := range known {
 		listed[k.pkg+" "+k.test] = true
 		switch t.lastActions[k.pkg][k.test] {
 		case "fail":
-			excused++
-			fmt.Fprintf(t.out, "known red: %s %s failed (%s; %s)\n", k.pkg, k.test, k.cause, k.issue)
+			tolerated++
+			fmt.Fprintf(t.out, "known failure: %s %s failed (%s; %s)\n", k.pkg, k.test, k.cause, k.issue)
 		case "pass":
-			fmt.Fprintf(t.out, "known red: %s %s passed: its line can go (%s; %s)\n", k.pkg, k.test, k.cause, k.issue)
+			fmt.Fprintf(t.out, "known failure: %s %s passed: its line can be removed (%s; %s)\n", k.pkg, k.test, k.cause, k.issue)
 		case "skip":
 			t.failures = append(t.failures, k.pkg+" "+k.test+" was skipped")
 		default:
-			t.failures = append(t.failures, fmt.Sprintf("%s names %s %s, which is not there", listFile, k.pkg, k.test))
+			t.failures = append(t.failures, fmt.Sprintf("%s names %s %s, which has no result", listFile, k.pkg, k.test))
 		}
 	}
 	for _, pkg := range slices.Sorted(maps.Keys(t.lastActions)) {
-		reds := 0
+		knownFailures := 0
 		for _, test := range slices.Sorted(maps.Keys(t.lastActions[pkg])) {
-			switch is := t.lastActions[pkg][test]; {
+			switch action := t.lastActions[pkg][test]; {
 			case test == "":
-			case is == "run":
-				t.failures = append(t.failures, pkg+" "+test+" never ended")
-			case is == "fail" && listed[pkg+" "+test]:
-				reds++
-			case is == "fail":
+			case action == "run":
+				t.failures = append(t.failures, pkg+" "+test+" did not finish")
+			case action == "fail" && listed[pkg+" "+test]:
+				knownFailures++
+			case action == "fail":
 				t.failures = append(t.failures, pkg+" "+test+" failed")
 			}
 		}
-		if t.lastActions[pkg][""] == "fail" && reds == 0 {
+		if t.lastActions[pkg][""] == "fail" && knownFailures == 0 {
 			t.failures = append(t.failures, pkg+" failed")
 		}
 	}
-	if failed && excused == 0 && len(t.failures) == 0 {
+	if testFailed && tolerated == 0 && len(t.failures) == 0 {
 		t.failures = append(t.failures, "go test failed")
 	}
 	if len(t.failures) > 0 {
--- a/internal/experiment/knownred/main_test.go
+++ b/internal/experiment/knownred/main_test.go
@@ -28,28 +28,29 @@
 	}
 }
 
-// Guards the test command: it passes over the known failures and no others, whatever hides behind them.
+// Guards the test command against hiding a failure: it tolerates the listed failures only, also where another test, a
+// package of the same test name, a panic or a build error fails beside them.
 func TestOnlyListedFailuresAreTolerated(t *testing.T) {
 	known := []knownFailure{{"x", "TestRed", "cause", "issue 1"}}
 	for name, c := range map[string]struct {
-		events string // action package test, or a panic's
-		failed bool
-		fault  string // "": none
-		says   string
+		events     string // action, package and test of each event; "panic" is an output event
+		testFailed bool
+		want       string // substring of the error; empty: no error
+		output     string // substring of the output
 	}{
-		"all pass":              {"run x TestRed, pass x TestRed, pass x", false, "", "TestRed passed: its line can go"},
-		"the known fails":       {"run x TestRed, fail x TestRed, fail x", true, "", "TestRed failed (cause; issue 1)"},
-		"its subtest fails":     {"run x TestRed, run x TestRed/a, fail x TestRed/a, fail x TestRed, fail x", true, "", "TestRed failed"},
-		"another fails too":     {"run x TestRed, fail x TestRed, run x TestB, fail x TestB, fail x", true, "x TestB failed", ""},
-		"its namesake fails":    {"run x TestRed, fail x TestRed, fail x, run y TestRed, fail y TestRed, fail y", true, "y TestRed failed", ""},
-		"it is not there":       {"run x TestB, pass x TestB, pass x", false, "names x TestRed", ""},
-		"it is skipped":         {"run x TestRed, skip x TestRed, pass x", false, "skipped", ""},
-		"it panics":             {"run x TestRed, panic x TestRed, fail x TestRed, fail x", true, "panicked", ""},
-		"another never ends":    {"run x TestRed, fail x TestRed, run x TestB, fail x", true, "x TestB never ended", ""},
-		"a package is broken":   {"run x TestRed, pass x TestRed, pass x, fail y", true, "y failed", ""},
-		"nothing tells why":     {"run x TestRed, pass x TestRed, pass x", true, "go test failed", ""},
-		"it fails one time":     {"run x TestRed, fail x TestRed, run x TestRed, pass x TestRed, fail x", true, "", "TestRed failed"},
-		"a test before it ends": {"run x TestB, run x TestRed, fail x TestRed, pass x TestB, fail x", true, "", "TestRed failed"},
+		"all tests pass":                                {"run x TestRed, pass x TestRed, pass x", false, "", "TestRed passed: its line can be removed"},
+		"known failure fails":                           {"run x TestRed, fail x TestRed, fail x", true, "", "TestRed failed (cause; issue 1)"},
+		"subtest of known failure fails":                {"run x TestRed, run x TestRed/a, fail x TestRed/a, fail x TestRed, fail x", true, "", "TestRed failed"},
+		"another test fails too":                        {"run x TestRed, fail x TestRed, run x TestB, fail x TestB, fail x", true, "x TestB failed", ""},
+		"same test name fails in another package":       {"run x TestRed, fail x TestRed, fail x, run y TestRed, fail y TestRed, fail y", true, "y TestRed failed", ""},
+		"known failure has no result":                   {"run x TestB, pass x TestB, pass x", false, "names x TestRed", ""},
+		"known failure is skipped":                      {"run x TestRed, skip x TestRed, pass x", false, "skipped", ""},
+		"known failure panics":                          {"run x TestRed, panic x TestRed, fail x TestRed, fail x", true, "panicked", ""},
+		"another test does not finish":                  {"run x TestRed, fail x TestRed, run x TestB, fail x", true, "x TestB did not finish", ""},
+		"another package fails to build":                {"run x TestRed, pass x TestRed, pass x, fail y", true, "y failed", ""},
+		"go test fails without a failed test":           {"run x TestRed, pass x TestRed, pass x", true, "go test failed", ""},
+		"known failure fails in one of two runs":        {"run x TestRed, fail x TestRed, run x TestRed, pass x TestRed, fail x", true, "", "TestRed failed"},
+		"earlier test finishes after the known failure": {"run x TestB, run x TestRed, fail x TestRed, pass x TestB, fail x", true, "", "TestRed failed"},
 	} {
 		var in, out bytes.Buffer
 		for _, e := range strings.Split(c.events, ", ") {
@@ -63,9 +64,9 @@
 		}
 		y := testResults{module: "m", out: &out, lastActions: map[string]map[string]string{}, output: map[string]string{}}
 		_ = y.readEvents(&in)
-		err := y.evaluate(known, c.failed)
-		if got := fmt.Sprint(err); c.fault == "" && err != nil || c.fault != "" && !strings.Contains(got, c.fault) || !strings.Contains(out.String(), c.says) {
-			t.Errorf("%s: %v, said %q", name, err, out.String())
+		err := y.evaluate(known, c.testFailed)
+		if got := fmt.Sprint(err); c.want == "" && err != nil || c.want != "" && !strings.Contains(got, c.want) || !strings.Contains(out.String(), c.output) {
+			t.Errorf("%s: %v, output %q", name, err, out.String())
 		}
 	}
 }
