--- a/internal/experiment/loganalysis/loganalysis.go
+++ b/internal/experiment/loganalysis/loganalysis.go
@@ -1,5 +1,5 @@
-// Package loganalysis reads the debug lines of many gateways: it follows one request over all of them and counts how
-// requests ended, and what members did, by time.
+// Package loganalysis reads the debug logs of many gateways: it traces one request across all of them, counts requests
+// by result, and counts attempts by member and time.
 package loganalysis
 
 import (
@@ -21,12 +21,13 @@
 
 const maxLineBytes = 1 << 20
 
-// requests and discoveryMessage are the messages that are read: of requests, by their id, and of who was discoveryMessage to leave.
+// discoveryMessage and requestMessages are the log messages that are read: updates of the member list, and events of
+// requests, which carry the request's id.
 const discoveryMessage = "discovery told"
 
 var requestMessages = []string{"attempt ended", "request ended"}
 
-// Line is one of a gateway's lines about a request or about the member list.
+// Line is a line of a gateway's log about a request or about an update of the member list.
 type Line struct {
 	Gateway   string
 	TimeOfDay time.Duration `json:"At"` // since midnight
@@ -34,13 +35,13 @@
 	Fields    map[string]string
 }
 
-// Number is a field's value; 0 where it is absent.
+// Number returns a field's value as an integer; 0 if it is absent or no integer.
 func (l Line) Number(name string) int {
 	n, _ := strconv.Atoi(l.Fields[name])
 	return n
 }
 
-// ReadDir hands on the lines of all *.log files of a folder, file by file.
+// ReadDir calls f for the lines of all *.log files of a directory, file by file.
 func ReadDir(dir string, f func(Line)) error {
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err == nil && len(files) == 0 {
@@ -62,8 +63,8 @@
 	return nil
 }
 
-// Read hands on what a gateway's log says of requests. Other lines, what a platform puts before a line, and a last line
-// that was cut off are passed over.
+// Read calls f for each line of a gateway's log about requests or the member list. It skips other lines, a platform's
+// prefix of a line, and a truncated last line.
 func Read(r io.Reader, gateway string, f func(Line)) error {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLineBytes)
@@ -84,7 +85,7 @@
 	return s.Err()
 }
 
-// timeOfDay is the time of day of either form that the program logs.
+// timeOfDay returns the time of day of a timestamp in either of the formats that the program logs.
 func timeOfDay(t string) string {
 	if _, day, ok := strings.Cut(t, "T"); ok && len(day) >= 12 {
 		return day[:12]
@@ -112,25 +113,25 @@
 	return out
 }
 
-// TraceRequest is all that the gateways say of one request, in the order of time.
-func TraceRequest(dir, id string) (path []Line, err error) {
+// TraceRequest returns all log lines of one request, in order of time.
+func TraceRequest(dir, id string) (lines []Line, err error) {
 	err = ReadDir(dir, func(l Line) {
 		if l.Fields["id"] == id {
-			path = append(path, l)
+			lines = append(lines, l)
 		}
 	})
-	slices.SortStableFunc(path, func(a, b Line) int { return cmp.Compare(a.TimeOfDay, b.TimeOfDay) })
-	return path, err
+	slices.SortStableFunc(lines, func(a, b Line) int { return cmp.Compare(a.TimeOfDay, b.TimeOfDay) })
+	return lines, err
 }
 
-// ResultCount counts the requests of a class that ended alike.
+// ResultCount counts the requests of a class that ended with the same cause.
 type ResultCount struct {
 	Class, Cause string
 	Count        int
 	Share        float64 // of the class's requests
 }
 
-// Cause is why a request ended as it did: its verdict, how many attempts it had and how long it was kept.
+// Cause describes how a request ended: its verdict, the number of attempts and how long it was queued.
 func Cause(l Line) string {
 	verdict, tries, took := l.Fields["verdict"], l.Number("attempts"), l.Number("took_ms")
 	switch {
@@ -144,17 +145,17 @@
 	return fmt.Sprintf("%s unsent, after %d0%% of its time", verdict, 10*took/max(took+l.Number("left_ms"), 1))
 }
 
-// CountResults counts the ends of requests by class and cause, the most frequent first.
+// CountResults counts finished requests by class and cause, the most frequent cause of a class first.
 func CountResults(dir string) (out []ResultCount, err error) {
-	count, all := map[ResultCount]int{}, map[string]int{}
+	counts, classTotals := map[ResultCount]int{}, map[string]int{}
 	err = ReadDir(dir, func(l Line) {
 		if l.Msg == requestMessages[1] {
-			count[ResultCount{Class: l.Fields["class"], Cause: Cause(l)}]++
-			all[l.Fields["class"]]++
+			counts[ResultCount{Class: l.Fields["class"], Cause: Cause(l)}]++
+			classTotals[l.Fields["class"]]++
 		}
 	})
-	for e, n := range count {
-		e.Count, e.Share = n, float64(n)/float64(all[e.Class])
+	for e, n := range counts {
+		e.Count, e.Share = n, float64(n)/float64(classTotals[e.Class])
 		out = append(out, e)
 	}
 	slices.SortFunc(out, func(a, b ResultCount) int {
@@ -163,19 +164,19 @@
 	return out, err
 }
 
-// MemberInterval is what came of the attempts at one member in one stretch of time.
+// MemberInterval counts the attempts at one member in one interval by outcome.
 type MemberInterval struct {
 	Member                       string
 	From                         time.Duration
 	Served, Full, Silent, Others int
-	MedianMs                     int `json:"Median"` // of the answer times, ms
+	MedianMs                     int `json:"Median"` // of the response times
 	responseTimes                []int
 }
 
-// CountByMember counts attempts by member and stretch of time.
-func CountByMember(dir string, every time.Duration) (out []MemberInterval, err error) {
-	if every <= 0 {
-		return nil, errors.New("the stretch of time must be longer than 0")
+// CountByMember counts attempts by member and interval.
+func CountByMember(dir string, interval time.Duration) (out []MemberInterval, err error) {
+	if interval <= 0 {
+		return nil, errors.New("loganalysis: interval must be positive")
 	}
 	type key struct {
 		member string
@@ -186,7 +187,7 @@
 		if l.Msg != requestMessages[0] {
 			return
 		}
-		k := key{l.Fields["member"], l.TimeOfDay.Truncate(every)}
+		k := key{l.Fields["member"], l.TimeOfDay.Truncate(interval)}
 		s := spans[k]
 		if s == nil {
 			s = &MemberInterval{Member: k.member, From: k.from}
@@ -216,33 +217,35 @@
 	return out, err
 }
 
-// LateAttempt is an attempt that began after its member was told to leave, by a gateway that had not heard of its return.
+// LateAttempt is an attempt that began after the first notification that its member is leaving, at a gateway that had
+// not been notified of the member's return.
 type LateAttempt struct {
 	Gateway, ID, Member string
 	StartedAt           time.Duration `json:"Begun"`
-	SinceFirstNotice    time.Duration `json:"Fleet"`  // since some gateway was told first
-	NotNotified         bool          `json:"Untold"` // this gateway had not been told until then
+	SinceFirstNotice    time.Duration `json:"Fleet"`  // since the first gateway was notified
+	NotNotified         bool          `json:"Untold"` // this gateway had not been notified before the attempt
 }
 
-// LateAttempts finds the attempts that began longer than after the first word that their member leaves, by any gateway's
-// clock, the latest first. What it lists breaks a rule only by the clock on which that word counted as told there.
+// LateAttempts returns the attempts that began more than after later than the first notification that their member is
+// leaving, by any gateway's clock, the latest first. Whether an attempt breaks a rule depends on the time at which the
+// notification counted as received at its own gateway.
 func LateAttempts(dir string, after time.Duration) (out []LateAttempt, err error) {
-	first := map[string]time.Duration{}            // by member: when some gateway was told that it leaves
-	here := map[[2]string]map[time.Duration]bool{} // by gateway and member: when it was told what: true: that it leaves
+	firstNotified := map[string]time.Duration{}             // time of the first notification that a member is leaving
+	notifications := map[[2]string]map[time.Duration]bool{} // by gateway and member: time of each notification; true: leaving
 	err = ReadDir(dir, func(l Line) {
 		if l.Msg != discoveryMessage {
 			return
 		}
 		for field, leaves := range map[string]bool{"leaving": true, "up": false} {
 			for _, m := range strings.Fields(l.Fields[field]) {
-				if at, known := first[m]; leaves && (!known || l.TimeOfDay < at) {
-					first[m] = l.TimeOfDay
+				if at, known := firstNotified[m]; leaves && (!known || l.TimeOfDay < at) {
+					firstNotified[m] = l.TimeOfDay
 				}
 				k := [2]string{l.Gateway, m}
-				if here[k] == nil {
-					here[k] = map[time.Duration]bool{}
+				if notifications[k] == nil {
+					notifications[k] = map[time.Duration]bool{}
 				}
-				here[k][l.TimeOfDay] = leaves
+				notifications[k][l.TimeOfDay] = leaves
 			}
 		}
 	})
@@ -251,18 +254,18 @@
 	}
 	err = ReadDir(dir, func(l Line) {
 		m := l.Fields["member"]
-		at, leaves := first[m]
-		begun := l.TimeOfDay - time.Duration(l.Number("took_ms"))*time.Millisecond
-		if l.Msg != requestMessages[0] || !leaves || begun <= at+after {
+		at, leaves := firstNotified[m]
+		startedAt := l.TimeOfDay - time.Duration(l.Number("took_ms"))*time.Millisecond
+		if l.Msg != requestMessages[0] || !leaves || startedAt <= at+after {
 			return
 		}
-		x := LateAttempt{Gateway: l.Gateway, ID: l.Fields["id"], Member: m, StartedAt: begun, SinceFirstNotice: begun - at, NotNotified: true}
-		for heard, leaves := range here[[2]string{l.Gateway, m}] {
+		x := LateAttempt{Gateway: l.Gateway, ID: l.Fields["id"], Member: m, StartedAt: startedAt, SinceFirstNotice: startedAt - at, NotNotified: true}
+		for notified, leaves := range notifications[[2]string{l.Gateway, m}] {
 			switch {
-			case heard < at || heard > begun:
+			case notified < at || notified > startedAt:
 			case leaves:
 				x.NotNotified = false
-			default: // it is back, and this gateway knew
+			default: // the member is up again, and this gateway had been notified
 				return
 			}
 		}
--- a/internal/experiment/loganalysis/loganalysis_test.go
+++ b/internal/experiment/loganalysis/loganalysis_test.go
@@ -21,7 +21,7 @@
 
 func (c fixedClock) Now() aspenshed.Nanos { return aspenshed.Nanos(c) }
 
-// sampleLog is what the program itself writes, behind a platform's prefix, with a line that was cut off.
+// sampleLog returns lines written by the program's own accounting, with a platform's prefix and a truncated last line.
 func sampleLog(f logrus.Formatter) string {
 	var out strings.Builder
 	log := &logrus.Logger{Out: &out, Formatter: f, Level: logrus.DebugLevel, Hooks: logrus.LevelHooks{}}
@@ -38,7 +38,7 @@
 	return "0.2 " + strings.ReplaceAll(out.String(), "\n", "\n0.3 ") + `time="10:00:03.100" level=debug msg="request en`
 }
 
-// One request over two gateways, ends by class and cause, members by time.
+// Traces one request across two gateways and counts results by class and cause, and attempts by member and time.
 func TestTraceAndCountsAcrossGateways(t *testing.T) {
 	dir := t.TempDir()
 	for name, f := range map[string]logrus.Formatter{
@@ -54,15 +54,15 @@
 		t.Errorf("%v: %+v", err, path)
 	}
 	ends, err := CountResults(dir)
-	spans, fault := CountByMember(dir, time.Second)
-	if got := fmt.Sprint(ends, err, spans, fault); got != "[{0 refused at once 2 0.5} {0 refused unsent, after 50% of its time 2 0.5} "+
+	intervals, intervalErr := CountByMember(dir, time.Second)
+	if got := fmt.Sprint(ends, err, intervals, intervalErr); got != "[{0 refused at once 2 0.5} {0 refused unsent, after 50% of its time 2 0.5} "+
 		"{1 served 2 1}] <nil> [{s-1 10h0m1s 0 2 0 0 0 []} {s-2 10h0m1s 2 0 0 0 40 [40 40]}] <nil>" {
 		t.Error(got)
 	}
 }
 
-// Attempts to a member after the word that it leaves: by a gateway that heard it, one that heard it later, one that never
-// did, and one that was told of its return.
+// Attempts at a member after the first notification that it is leaving: by a gateway that was notified, one notified
+// later, one never notified, and one notified of the member's return.
 func TestLateAttemptsToLeavingMembers(t *testing.T) {
 	dir := t.TempDir()
 	for name, lines := range map[string][]string{
