--- a/internal/experiment/measure/measure_test.go
+++ b/internal/experiment/measure/measure_test.go
@@ -11,9 +11,9 @@
 		t.Errorf("%+v %v", f, err)
 	}
 	if f, err := LeastSquares([]Point{{0, 4}, {5, 4}}); err != nil || f.Slope != 0 || f.R2 != 1 {
-		t.Errorf("a level line: %+v %v", f, err)
+		t.Errorf("horizontal line: %+v %v", f, err)
 	}
 	if _, err := LeastSquares([]Point{{3, 1}, {3, 2}}); !errors.Is(err, ErrTooFewPoints) {
-		t.Errorf("one x: %v", err)
+		t.Errorf("a single x: %v", err)
 	}
 }
