--- a/internal/experiment/pgclient/pgclient.go
+++ b/internal/experiment/pgclient/pgclient.go
@@ -1,4 +1,4 @@
-// Package pgclient is a client of the platform's protocol for experiments: one connection, one statement at a time.
+// Package pgclient is a PostgreSQL client for experiments: one connection, one statement at a time.
 package pgclient
 
 import (
@@ -15,15 +15,15 @@
 	dialTimeout     = time.Second
 	startupTimeout  = 2 * time.Second
 	responseTimeout = 3 * time.Second
-	maxMessageBytes = 1 << 20 // bytes of one message
+	maxMessageBytes = 1 << 20 // size limit of one message
 	user            = "web"
 	database        = "orders"
 )
 
-// The errors of a connection. After one of them it can't be used any more.
+// Errors of a connection, which can't be used after either of them.
 var (
-	ErrClosed  = errors.New("pgclient: the connection has ended")
-	ErrTimeout = errors.New("pgclient: no answer in time")
+	ErrClosed  = errors.New("pgclient: connection closed")
+	ErrTimeout = errors.New("pgclient: response timed out")
 )
 
 // Client is one connection. It is used by one goroutine at a time.
@@ -31,13 +31,13 @@
 	conn        *netio.Conn
 	reader      pgwire.Reader
 	connected   chan struct{}
-	results     chan string // an answer's error code; empty: served
+	results     chan string // a response's error code; empty: served
 	closed      chan struct{}
 	closeOnce   sync.Once
-	pendingCode string // of the answer that is under way
+	pendingCode string // of the response being received
 }
 
-// Dial connects and is greeted.
+// Dial connects and completes the startup handshake.
 func Dial(n *netio.Net, address string) (*Client, error) {
 	c := &Client{reader: pgwire.Reader{MaxSize: maxMessageBytes}, connected: make(chan struct{}), results: make(chan string, 4), closed: make(chan struct{})}
 	conn, err := n.Dial(address, dialTimeout, false, c)
@@ -59,7 +59,7 @@
 	return c, nil
 }
 
-// Query asks one statement and returns the error code of its answer; empty: it was served.
+// Query sends one statement and returns the error code of its response; empty: it was served.
 func (c *Client) Query(sql string) (code string, err error) {
 	if err := c.conn.Write(pgwire.QueryMessage(sql)); err != nil {
 		return "", err
@@ -79,16 +79,16 @@
 	}
 }
 
-// The error codes by which a gateway refuses: nothing ran.
+// Error codes with which a gateway refuses a statement without running it.
 const (
 	codeTooManyConnections = "53300"
 	codeCannotConnectNow   = "57P03"
 )
 
-// Counts are the answers that clients have got, by what they were. Its methods may be called from any goroutine.
+// Counts counts responses by result. It is safe for concurrent use.
 type Counts struct{ Served, Refused, Failed atomic.Int64 }
 
-// Add counts what Query returned, and tells whether it was served.
+// Add counts a result of Query and reports whether the statement was served.
 func (c *Counts) Add(code string, err error) (served bool) {
 	switch {
 	case err != nil:
@@ -107,13 +107,13 @@
 // Close ends the connection.
 func (c *Client) Close() { c.conn.Close() }
 
-// Up is of netio.Handler.
+// Up implements netio.Handler.
 func (c *Client) Up() { close(c.connected) }
 
-// Closed is of netio.Handler.
+// Closed implements netio.Handler.
 func (c *Client) Closed(error) { c.closeOnce.Do(func() { close(c.closed) }) }
 
-// Data is of netio.Handler.
+// Data implements netio.Handler.
 func (c *Client) Data(b []byte) {
 	if err := c.reader.Feed(b, c.handleMessage); err != nil {
 		c.conn.Close()
