--- a/internal/experiment/seeded/seeded.go
+++ b/internal/experiment/seeded/seeded.go
@@ -1,5 +1,5 @@
-// Package seeded makes property tests give the same verdict every time: they begin from one seed, which rapid prints
-// with a failure, and -rapid.seed names another.
+// Package seeded makes property tests deterministic: they start from a fixed seed, which rapid prints with a failure.
+// The flag -rapid.seed selects another one.
 package seeded
 
 import (
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// Main is a package's TestMain: so many histories for each property, from the one seed.
-func Main(m *testing.M, histories string) {
+// Main is a package's TestMain: it runs the given number of checks for each property, from the fixed seed.
+func Main(m *testing.M, checks string) {
 	flag.Parse()
-	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.checks": histories} {
+	for name, value := range map[string]string{"rapid.seed": "20261201", "rapid.checks": checks} {
 		given := false
 		flag.Visit(func(f *flag.Flag) { given = given || f.Name == name })
 		if !given {
