--- a/internal/experiment/datapath/clients.go
+++ b/internal/experiment/datapath/clients.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	databasesOfRealGateway = 6
-	mostRefusals           = 50 // of a client's statement: a busy machine's answers are late, which admission goes by
-	pauseAfterRefusal      = 20 * time.Millisecond
+	realGatewayDatabases = 6
+	maxRefusals          = 50 // of a client's statement: a busy machine's answers are late, which admission goes by
+	refusalRetryDelay    = 20 * time.Millisecond
 )
 
-// realGateway builds and starts a gateway's process in a folder of its own, runs f and ends it.
-func realGateway(l standin.Limits, f func(*process) error) (err error) {
+// withRealGateway builds and starts a gateway's process in a folder of its own, runs f and ends it.
+func withRealGateway(l standin.Limits, f func(*gatewayProcess) error) (err error) {
 	dir, err := os.MkdirTemp("", "datapath-")
 	if err != nil {
 		return err
@@ -26,11 +26,11 @@
 	if err != nil {
 		return err
 	}
-	return startAndRun(program, dir, l, f)
+	return withStartedGateway(program, dir, l, f)
 }
 
-func startAndRun(program, dir string, l standin.Limits, f func(*process) error) (err error) {
-	p, err := startGateway(program, dir, l, databasesOfRealGateway)
+func withStartedGateway(program, dir string, l standin.Limits, f func(*gatewayProcess) error) (err error) {
+	p, err := startGateway(program, dir, l, realGatewayDatabases)
 	if err != nil {
 		return err
 	}
@@ -45,8 +45,8 @@
 	if o.Short {
 		sizes, quiet = []int{10, 20}, 200*time.Millisecond
 	}
-	return realGateway(limits(), func(p *process) error {
-		c := newCurves("clients", "1", fmt.Sprintf("one real gateway on loopback, %d stand-in databases, every client idle after one statement", databasesOfRealGateway))
+	return withRealGateway(limits(), func(p *gatewayProcess) error {
+		c := newSeriesSet("clients", "1", fmt.Sprintf("one real gateway on loopback, %d stand-in databases, every client idle after one statement", realGatewayDatabases))
 		var all []*clientConn
 		refused, taking := 0, 0.0
 		asked, err := p.usage()
@@ -55,7 +55,7 @@
 		}
 		defer func() {
 			for _, x := range all {
-				_ = x.c.Close()
+				_ = x.conn.Close()
 			}
 		}()
 		for _, n := range sizes {
@@ -65,7 +65,7 @@
 					return fmt.Errorf("client %d: %w", len(all), err)
 				}
 				all = append(all, x)
-				n, err := x.askUntilServed(int64(len(all)))
+				n, err := x.queryUntilServed(int64(len(all)))
 				if err != nil {
 					return fmt.Errorf("client %d: %w", len(all), err)
 				}
@@ -99,14 +99,14 @@
 	})
 }
 
-// askUntilServed has one read served, and tells how often it was refused before.
-func (x *clientConn) askUntilServed(client int64) (refused int, err error) {
-	for ; refused < mostRefusals; refused++ {
-		code, err := x.ask(anyRead, client*mostRefusals+int64(refused))
+// queryUntilServed has one read served, and tells how often it was refused before.
+func (x *clientConn) queryUntilServed(client int64) (refused int, err error) {
+	for ; refused < maxRefusals; refused++ {
+		code, err := x.query(anyRead, client*maxRefusals+int64(refused))
 		if code == "" || err != nil {
 			return refused, err
 		}
-		time.Sleep(pauseAfterRefusal)
+		time.Sleep(refusalRetryDelay)
 	}
-	return refused, fmt.Errorf("refused %d times, at last with %s", refused, x.code)
+	return refused, fmt.Errorf("refused %d times, at last with %s", refused, x.errorCode)
 }
--- a/internal/experiment/datapath/cold.go
+++ b/internal/experiment/datapath/cold.go
@@ -5,16 +5,16 @@
 )
 
 const (
-	leasePool   = 0.5         // the daemon's default: the rest is split into safe shares
-	coldLongest = 18 * second // that a start without an agreed word counts as cold
-	coldSettle  = 20 * second // what warm members answer has to be learned first
-	coldWatch   = 17 * second // a little more than a cold start lasts
+	leasePoolShare  = 0.5         // the daemon's default: the rest is split into safe shares
+	maxColdStart    = 18 * second // that a start without an agreed word counts as cold
+	coldSettleTime  = 20 * second // what warm members answer has to be learned first
+	coldMeasureTime = 17 * second // a little more than a cold start lasts
 )
 
 // measureColdStart restarts one replica cold and takes how much of what topples it the gateways send, with safe shares
 // of (1-p)/N and no leases, and, for comparison, with none: each gateway goes by what it has measured alone.
 func measureColdStart(r *recorder, o Options) error {
-	settle, watch := coldSettle, coldWatch
+	settle, watch := coldSettleTime, coldMeasureTime
 	if o.Short {
 		settle, watch = 2*second, 2*second
 	}
@@ -23,30 +23,30 @@
 		change     func(s *aspenshed.Settings, gateways int)
 	}{
 		{"safe-share", "each with a safe share of (1-0.5)/N of a cold database, the agreed rate and no lease", func(s *aspenshed.Settings, n int) {
-			s.UnleasedShare, s.MaxWarmUpTime = (1-leasePool)/float64(n), coldLongest
+			s.UnleasedShare, s.MaxWarmUpTime = (1-leasePoolShare)/float64(n), maxColdStart
 		}},
-		{"no-leases", "no leases, " + toldOne, func(*aspenshed.Settings, int) {}},
+		{"no-leases", "no leases, " + singleGatewayCondition, func(*aspenshed.Settings, int) {}},
 	} {
-		c := newCurves("gateways", "1", groupHeld(kind.told))
+		c := newSeriesSet("gateways", "1", groupConditions(kind.told))
 		for _, n := range fleetSizes(o) {
 			s, err := settings(1)
 			if err != nil {
 				return err
 			}
 			kind.change(&s, n)
-			w, err := groupWorld(n, s, o)
+			w, err := newGroupSimulation(n, s, o)
 			if err != nil {
 				return err
 			}
-			w.run(worldStart + settle)
+			w.run(simulationStart + settle)
 			d := w.databases[len(w.databases)-1]
-			rate := w.warmRate()
-			w.restart(d)
+			rate := w.learnedWorkRate()
+			w.restartCold(d)
 			if s.UnleasedShare > 0 {
-				w.agree(d, rate)
+				w.announceSlowStart(d, rate)
 			}
 			before := d.statements
-			w.run(worldStart + settle + watch)
+			w.run(simulationStart + settle + watch)
 			x := float64(n)
 			c.add("database", "database.cold-share-by-gateways-"+kind.name, "largest share of what topples a cold database", "1", x, d.model.Highest)
 			c.add("database", "database.cold-statements-by-gateways-"+kind.name, "statements at a cold database", "1/s", x,
@@ -60,9 +60,9 @@
 	return nil
 }
 
-// warmRate is what the catalog would hold of the first group: the sum over gateways of the work a second that its warm
+// learnedWorkRate is what the catalog would hold of the first group: the sum over gateways of the work a second that its warm
 // members answer.
-func (w *world) warmRate() (rate float64) {
+func (w *simulation) learnedWorkRate() (rate float64) {
 	for _, g := range w.gateways {
 		if l := g.router.Learned(); len(l.Groups) > 0 {
 			rate += l.Groups[0].WorkRate
@@ -71,8 +71,8 @@
 	return rate
 }
 
-// agree tells all gateways what the store holds of a database that has just started.
-func (w *world) agree(d *database, rate float64) {
+// announceSlowStart tells all gateways what the store holds of a database that has just started.
+func (w *simulation) announceSlowStart(d *database, rate float64) {
 	for _, g := range w.gateways {
 		g.pipeline.Tell(aspenshed.SlowStartShare{Member: d.id, StartedAt: w.clock.now, WorkRate: rate})
 	}
--- a/internal/experiment/datapath/connection.go
+++ b/internal/experiment/datapath/connection.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	dialLimit   = 5 * time.Second
-	answerLimit = 3 * time.Second
-	answerBytes = 4096
+	dialTimeout     = 5 * time.Second
+	responseTimeout = 3 * time.Second
+	readBufferSize  = 4096
 )
 
 // clientConn is a client's connection to a real gateway.
 type clientConn struct {
-	c     net.Conn
-	in    pgwire.Reader
-	ready int    // ReadyForQuery messages that came
-	code  string // of the last error
-	bytes int
+	conn        net.Conn
+	reader      pgwire.Reader
+	readyCount  int    // ReadyForQuery messages that came
+	errorCode   string // of the last error
+	socketBytes int
 }
 
 func dialClient(address string) (*clientConn, error) {
-	c, err := net.DialTimeout("tcp", address, dialLimit)
+	c, err := net.DialTimeout("tcp", address, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
-	x := &clientConn{c: c, in: pgwire.Reader{MaxSize: 1 << 20}}
+	x := &clientConn{conn: c, reader: pgwire.Reader{MaxSize: 1 << 20}}
 	if err := x.roundTrip(pgwire.StartupMessage("web", "orders")); err != nil {
 		_ = c.Close()
 		return nil, err
@@ -36,39 +36,39 @@
 	return x, nil
 }
 
-// ask sends one statement of a class; code is an error's, empty: it was served.
-func (x *clientConn) ask(class int, id int64) (code string, err error) {
+// query sends one statement of a class; code is an error's, empty: it was served.
+func (x *clientConn) query(class int, id int64) (code string, err error) {
 	verb := "SELECT payload FROM entries WHERE ref = 'k%d' /* id=%d,c=%s,d=900,cluster=1 */"
 	if class == write {
 		verb = "INSERT INTO entries (ref, payload) VALUES ('k%d', '\\x00') RETURNING payload /* id=%d,c=%s,d=900,cluster=1 */"
 	}
 	err = x.roundTrip(pgwire.QueryMessage(fmt.Sprintf(verb, id%100, id, classNames[class])))
-	return x.code, err
+	return x.errorCode, err
 }
 
 // roundTrip writes and reads up to the next ReadyForQuery.
 func (x *clientConn) roundTrip(out []byte) error {
-	_ = x.c.SetDeadline(time.Now().Add(answerLimit))
-	x.code = ""
-	n, err := x.c.Write(out)
-	x.bytes += n
-	b := make([]byte, answerBytes)
-	for until := x.ready + 1; err == nil && x.ready < until; {
-		if n, err = x.c.Read(b); n > 0 {
-			x.bytes += n
-			err = x.in.Feed(b[:n], x.message)
+	_ = x.conn.SetDeadline(time.Now().Add(responseTimeout))
+	x.errorCode = ""
+	n, err := x.conn.Write(out)
+	x.socketBytes += n
+	b := make([]byte, readBufferSize)
+	for until := x.readyCount + 1; err == nil && x.readyCount < until; {
+		if n, err = x.conn.Read(b); n > 0 {
+			x.socketBytes += n
+			err = x.reader.Feed(b[:n], x.handleMessage)
 		}
 	}
 	return err
 }
 
-func (x *clientConn) message(m pgwire.Message) error {
+func (x *clientConn) handleMessage(m pgwire.Message) error {
 	switch m.Type {
 	case 'E':
 		e, _ := pgwire.ParseError(m.Body)
-		x.code = e.Code
+		x.errorCode = e.Code
 	case 'Z':
-		x.ready++
+		x.readyCount++
 	}
 	return nil
 }
--- a/internal/experiment/datapath/database.go
+++ b/internal/experiment/datapath/database.go
@@ -8,13 +8,13 @@
 	"aspenshed/internal/experiment/standin"
 )
 
-// state of a database's machine.
-type state int
+// machineState of a database's machine.
+type machineState int
 
 const (
-	running  state = iota
-	refusing       // its process is gone: connections break and are refused
-	silent         // its machine is gone: nothing is answered
+	running  machineState = iota
+	refusing              // its process is gone: connections break and are refused
+	silent                // its machine is gone: nothing is answered
 )
 
 // loadCounts is what gateways have asked of a database.
@@ -22,16 +22,16 @@
 
 // database is a simulated one: standin's model without its sockets.
 type database struct {
-	id    string
-	group int
-	model standin.Model
-	state state
-	links []*link // open connections
+	id          string
+	group       int
+	model       standin.Model
+	state       machineState
+	connections []*dbConnection // open connections
 	loadCounts
 }
 
 // addGroups makes databases in groups; the first of each is its primary.
-func (w *world) addGroups(groups, size int) {
+func (w *simulation) addGroups(groups, size int) {
 	for i := range groups * size {
 		w.databases = append(w.databases, &database{id: fmt.Sprintf("db-%05d", i), group: i / size,
 			model: standin.NewModel(limits(), i%size == 0)})
@@ -43,7 +43,7 @@
 	return aspenshed.Member{ID: d.id, Group: d.group, Weight: 1, State: aspenshed.Up, StartedAt: startedAt, Primary: d.model.Primary}
 }
 
-func (w *world) list() (l aspenshed.MemberList, addresses map[string]string) {
+func (w *simulation) memberList() (l aspenshed.MemberList, addresses map[string]string) {
 	l.Complete, addresses = true, map[string]string{}
 	for _, d := range w.databases {
 		l.Members = append(l.Members, d.member(0))
@@ -52,38 +52,38 @@
 	return l, addresses
 }
 
-// counts adds up what all databases were asked.
-func (w *world) counts() (all loadCounts, connections int) {
+// totalLoad adds up what all databases were asked.
+func (w *simulation) totalLoad() (all loadCounts, connections int) {
 	for _, d := range w.databases {
 		all.handshakes += d.handshakes
 		all.probes += d.probes
 		all.statements += d.statements
-		connections += len(d.links)
+		connections += len(d.connections)
 	}
 	return all, connections
 }
 
-// lose ends a database. Gateways hear of it only if its process ends and its machine's kernel closes the connections.
-func (w *world) lose(d *database, how state) {
+// fail ends a database. Gateways hear of it only if its process ends and its machine's kernel closes the connections.
+func (w *simulation) fail(d *database, how machineState) {
 	d.state, d.model.Primary = how, false
 	if how == refusing {
-		w.cut(d)
+		w.breakConnections(d)
 	}
 }
 
-// cut breaks all connections of a database.
-func (w *world) cut(d *database) {
-	broken := d.links
-	d.links = nil
+// breakConnections breaks all connections of a database.
+func (w *simulation) breakConnections(d *database) {
+	broken := d.connections
+	d.connections = nil
 	for _, l := range broken {
-		l.place = -1
-		l.gateway.at(oneWay, l.broke)
+		l.index = -1
+		l.gateway.after(oneWayDelay, l.connectionBroken)
 	}
 }
 
-// restart has a database start cold, and all gateways hear of it.
-func (w *world) restart(d *database) {
-	w.cut(d)
+// restartCold has a database start cold, and all gateways hear of it.
+func (w *simulation) restartCold(d *database) {
+	w.breakConnections(d)
 	d.model.Start(int64(w.clock.now))
 	for _, g := range w.gateways {
 		g.pipeline.Members(aspenshed.MemberList{Members: []aspenshed.Member{d.member(w.clock.now)}}, nil)
--- a/internal/experiment/datapath/datapath.go
+++ b/internal/experiment/datapath/datapath.go
@@ -50,8 +50,8 @@
 
 // Run runs the experiments one after another.
 func Run(o Options) (measure.Run, error) {
-	r := &recorder{begun: time.Now(), out: o.Out}
-	r.run.Experiment, r.run.Started = "datapath", r.begun.UTC().Truncate(time.Second)
+	r := &recorder{startedAt: time.Now(), out: o.Out}
+	r.run.Experiment, r.run.Started = "datapath", r.startedAt.UTC().Truncate(time.Second)
 	r.note("seed %d", o.Seed)
 	known := false
 	for _, e := range experiments() {
@@ -61,7 +61,7 @@
 		known = true
 		begun := time.Now()
 		r.note("%s: load average %s at its start", e.name, loadAverage())
-		if err := onOneThread(func() error { return e.run(r, o) }); err != nil {
+		if err := runOnOneThread(func() error { return e.run(r, o) }); err != nil {
 			return r.run, fmt.Errorf("%s: %w", e.name, err)
 		}
 		r.progress("%s done in %s", e.name, time.Since(begun).Round(time.Second))
@@ -69,15 +69,15 @@
 	if !known {
 		return r.run, fmt.Errorf("unknown experiment %q: it is one of %v", o.Only, Names())
 	}
-	r.run.Seconds = time.Since(r.begun).Seconds()
+	r.run.Seconds = time.Since(r.startedAt).Seconds()
 	return r.run, nil
 }
 
 // recorder gathers a run.
 type recorder struct {
-	run   measure.Run
-	begun time.Time
-	out   io.Writer
+	run       measure.Run
+	startedAt time.Time
+	out       io.Writer
 }
 
 func (r *recorder) note(format string, args ...any) {
@@ -85,11 +85,11 @@
 }
 
 func (r *recorder) progress(format string, args ...any) {
-	_, _ = fmt.Fprintf(r.out, "%6.1f s  %s\n", time.Since(r.begun).Seconds(), fmt.Sprintf(format, args...))
+	_, _ = fmt.Fprintf(r.out, "%6.1f s  %s\n", time.Since(r.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// series fits a line through the points and keeps them.
-func (r *recorder) series(s measure.Series) error {
+// addSeries fits a line through the points and keeps them.
+func (r *recorder) addSeries(s measure.Series) error {
 	fit, err := measure.LeastSquares(s.Points)
 	if err != nil {
 		return fmt.Errorf("%s: %w", s.Name, err)
@@ -100,31 +100,31 @@
 	return nil
 }
 
-// curves are several quantities that are measured at the same values of one axis.
-type curves struct {
-	x, unit, held string
-	all           []measure.Series
-	index         map[string]int
+// seriesSet are several quantities that are measured at the same values of one axis.
+type seriesSet struct {
+	x, unit, conditions string
+	list                []measure.Series
+	index               map[string]int
 }
 
-func newCurves(x, unit, held string) *curves {
-	return &curves{x: x, unit: unit, held: held, index: map[string]int{}}
+func newSeriesSet(x, unit, held string) *seriesSet {
+	return &seriesSet{x: x, unit: unit, conditions: held, index: map[string]int{}}
 }
 
 // add puts one point to the quantity of that name.
-func (c *curves) add(role, name, what, unit string, x, y float64) {
+func (c *seriesSet) add(role, name, what, unit string, x, y float64) {
 	at, known := c.index[name]
 	if !known {
-		at = len(c.all)
+		at = len(c.list)
 		c.index[name] = at
-		c.all = append(c.all, measure.Series{Name: name, Role: role, X: c.x, XUnit: c.unit, Y: what, YUnit: unit, Conditions: c.held})
+		c.list = append(c.list, measure.Series{Name: name, Role: role, X: c.x, XUnit: c.unit, Y: what, YUnit: unit, Conditions: c.conditions})
 	}
-	c.all[at].Points = append(c.all[at].Points, measure.Point{X: x, Y: y})
+	c.list[at].Points = append(c.list[at].Points, measure.Point{X: x, Y: y})
 }
 
-func (c *curves) record(r *recorder) error {
-	for _, s := range c.all {
-		if err := r.series(s); err != nil {
+func (c *seriesSet) record(r *recorder) error {
+	for _, s := range c.list {
+		if err := r.addSeries(s); err != nil {
 			return err
 		}
 	}
--- a/internal/experiment/datapath/datapath_test.go
+++ b/internal/experiment/datapath/datapath_test.go
@@ -12,7 +12,7 @@
 	"aspenshed/internal/experiment/measure"
 )
 
-func short(t *testing.T, name string, seed uint64) measure.Run {
+func runShort(t *testing.T, name string, seed uint64) measure.Run {
 	t.Helper()
 	r, err := Run(Options{Only: name, Short: true, Seed: seed, Out: io.Discard})
 	if err != nil {
@@ -24,21 +24,21 @@
 // Guards the page's figures: in virtual time a seed gives one history, but for how long Steps took here.
 func TestVirtualTimeIsDeterministic(t *testing.T) {
 	for _, name := range []string{"group", "cold", "primary", "zone"} {
-		a, b := short(t, name, 7), short(t, name, 7)
+		a, b := runShort(t, name, 7), runShort(t, name, 7)
 		if !reflect.DeepEqual(a.Series, b.Series) {
 			t.Errorf("%s: two runs of seed 7 differ", name)
 		}
-		if other := short(t, name, 8); reflect.DeepEqual(a.Series, other.Series) {
+		if other := runShort(t, name, 8); reflect.DeepEqual(a.Series, other.Series) {
 			t.Errorf("%s: seed 8 gives what 7 did", name)
 		}
 	}
 }
 
 // Every experiment's short form gives named series with a fit; those of real processes run a gateway on loopback.
-func TestShortForms(t *testing.T) {
+func TestShortExperimentsYieldFittedSeries(t *testing.T) {
 	seen := map[string]bool{}
 	for _, name := range Names() {
-		r := short(t, name, 1)
+		r := runShort(t, name, 1)
 		if len(r.Series) == 0 {
 			t.Errorf("%s: no series", name)
 		}
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestAnUnknownExperimentIsNamed(t *testing.T) {
+func TestUnknownExperimentIsRejected(t *testing.T) {
 	if _, err := Run(Options{Only: "nothing", Out: io.Discard}); err == nil || !strings.Contains(err.Error(), `"nothing"`) {
 		t.Error(err)
 	}
@@ -62,20 +62,20 @@
 
 func TestOutage(t *testing.T) {
 	const lost = 100 * second
-	at := func(seconds float64, served bool) ending {
-		return ending{class: write, arrived: lost + aspenshed.Nanos(seconds*1e9), served: served}
+	at := func(seconds float64, served bool) completion {
+		return completion{class: write, arrivedAt: lost + aspenshed.Nanos(seconds*1e9), served: served}
 	}
 	for _, c := range []struct {
 		name   string
-		writes []ending
+		writes []completion
 		want   outage
 	}{
-		{"all served", []ending{at(0.1, true), at(1.1, true)}, outage{}},
-		{"lost at once, then served", []ending{at(0.5, false), at(1.5, true)}, outage{1, 0.5, 1}},
-		{"one of two in the third second", []ending{at(0.5, true), at(2.25, false), at(2.5, true), at(3, true)}, outage{3, 2.25, 1}},
-		{"answers after the end are not known", []ending{at(0.5, true), at(9.5, false)}, outage{}},
+		{"all served", []completion{at(0.1, true), at(1.1, true)}, outage{}},
+		{"lost at once, then served", []completion{at(0.5, false), at(1.5, true)}, outage{1, 0.5, 1}},
+		{"one of two in the third second", []completion{at(0.5, true), at(2.25, false), at(2.5, true), at(3, true)}, outage{3, 2.25, 1}},
+		{"answers after the end are not known", []completion{at(0.5, true), at(9.5, false)}, outage{}},
 	} {
-		if got := outageOf(c.writes, lost, lost+9*second); got != c.want {
+		if got := computeOutage(c.writes, lost, lost+9*second); got != c.want {
 			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
 	}
@@ -87,26 +87,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := newWorld(3)
+	w := newSimulation(3)
 	w.addGroups(2, 3)
 	if err := w.addGateways(4, s, 40); err != nil {
 		t.Fatal(err)
 	}
-	w.run(worldStart + 5*second)
-	counts, open := w.counts()
+	w.run(simulationStart + 5*second)
+	counts, open := w.totalLoad()
 	if counts.statements < 600 || counts.statements > 1000 || open == 0 || counts.handshakes < open {
 		t.Fatalf("%+v, %d open, after 800 statements asked for", counts, open)
 	}
 	lost := w.databases[0]
-	w.lose(lost, refusing)
+	w.fail(lost, refusing)
 	w.run(w.clock.now + 3*second)
-	if len(lost.links) != 0 || lost.model.Primary {
-		t.Errorf("a lost database keeps %d connections", len(lost.links))
+	if len(lost.connections) != 0 || lost.model.Primary {
+		t.Errorf("a lost database keeps %d connections", len(lost.connections))
 	}
 	for _, d := range w.databases {
-		for i, l := range d.links {
-			if l.place != i || l.closed {
-				t.Fatalf("connection %d of %s: place %d, closed %v", i, d.id, l.place, l.closed)
+		for i, l := range d.connections {
+			if l.index != i || l.closed {
+				t.Fatalf("connection %d of %s: place %d, closed %v", i, d.id, l.index, l.closed)
 			}
 		}
 	}
--- a/internal/experiment/datapath/firstwrite.go
+++ b/internal/experiment/datapath/firstwrite.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	writers          = 4
-	writePause       = 10 * time.Millisecond
-	firstWriteLimit  = 30 * time.Second
-	beforeLoss       = 500 * time.Millisecond
-	redialAfterBreak = 20 * time.Millisecond
+	writeClients      = 4
+	writeInterval     = 10 * time.Millisecond
+	firstWriteTimeout = 30 * time.Second
+	delayBeforeLoss   = 500 * time.Millisecond
+	redialDelay       = 20 * time.Millisecond
 )
 
 // measureFirstWrite loses a real group's primary behind a real gateway and takes the time to the first served write, by
@@ -37,7 +37,7 @@
 	}
 	s := measure.Series{Name: "datapath.first-write-by-hand-over", Role: "data path", X: "from a primary's loss until another is primary", XUnit: "s",
 		Y: "from a primary's loss to the first served write", YUnit: "s",
-		Conditions: fmt.Sprintf("one real gateway on loopback, %d stand-in databases, the primary's process ends, %d clients write; each run a point", databasesOfRealGateway, writers)}
+		Conditions: fmt.Sprintf("one real gateway on loopback, %d stand-in databases, the primary's process ends, %d clients write; each run a point", realGatewayDatabases, writeClients)}
 	for i, delay := range delays {
 		for run := range runs {
 			folder := filepath.Join(dir, fmt.Sprintf("%d-%d", i, run))
@@ -45,8 +45,8 @@
 				return err
 			}
 			var took time.Duration
-			err := startAndRun(program, folder, limits(), func(p *process) (err error) {
-				took, err = firstWrite(p, delay)
+			err := withStartedGateway(program, folder, limits(), func(p *gatewayProcess) (err error) {
+				took, err = timeToFirstWrite(p, delay)
 				return err
 			})
 			if err != nil {
@@ -56,65 +56,65 @@
 		}
 		r.progress("first write: hand-over after %s, last run %s", delay, time.Duration(s.Points[len(s.Points)-1].Y*1e9).Round(time.Millisecond))
 	}
-	return r.series(s)
+	return r.addSeries(s)
 }
 
-var errNeverServed = errors.New("no write was served after the primary's loss")
+var errNoWriteServed = errors.New("no write was served after the primary's loss")
 
-// firstWrite ends the primary and waits for a write to be served.
-func firstWrite(p *process, delay time.Duration) (time.Duration, error) {
-	served := make(chan time.Time, writers)
+// timeToFirstWrite ends the primary and waits for a write to be served.
+func timeToFirstWrite(p *gatewayProcess, delay time.Duration) (time.Duration, error) {
+	served := make(chan time.Time, writeClients)
 	quit := make(chan struct{})
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer close(quit)
-	for n := range writers {
+	for n := range writeClients {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			writeOn(p.address, int64(n), served, quit)
+			writeContinuously(p.address, int64(n), served, quit)
 		}()
 	}
-	time.Sleep(beforeLoss)
+	time.Sleep(delayBeforeLoss)
 	lost := time.Now()
 	dbs := p.group.DBs()
 	dbs[0].Stop()
 	hand := time.AfterFunc(delay, func() { p.group.HandOver(dbs[1].ID) })
 	defer hand.Stop()
-	for limit := time.After(firstWriteLimit); ; {
+	for limit := time.After(firstWriteTimeout); ; {
 		select {
 		case at := <-served:
 			if at.After(lost) {
 				return at.Sub(lost), nil
 			}
 		case <-limit:
-			return 0, errNeverServed
+			return 0, errNoWriteServed
 		}
 	}
 }
 
-// writeOn writes, one statement after another, and tells when each served one was asked and answered.
-func writeOn(address string, number int64, served chan<- time.Time, quit <-chan struct{}) {
+// writeContinuously writes, one statement after another, and tells when each served one was asked and answered.
+func writeContinuously(address string, number int64, served chan<- time.Time, quit <-chan struct{}) {
 	var x *clientConn
-	for id := number; ; id += writers {
+	for id := number; ; id += writeClients {
 		select {
 		case <-quit:
 			if x != nil {
-				_ = x.c.Close()
+				_ = x.conn.Close()
 			}
 			return
-		case <-time.After(writePause):
+		case <-time.After(writeInterval):
 		}
 		if x == nil {
 			var err error
 			if x, err = dialClient(address); err != nil {
-				time.Sleep(redialAfterBreak)
+				time.Sleep(redialDelay)
 				continue
 			}
 		}
-		code, err := x.ask(write, id)
+		code, err := x.query(write, id)
 		if err != nil {
-			_ = x.c.Close()
+			_ = x.conn.Close()
 			x = nil
 			continue
 		}
--- a/internal/experiment/datapath/gateway.go
+++ b/internal/experiment/datapath/gateway.go
@@ -12,59 +12,59 @@
 	"aspenshed/internal/dataplane/routing"
 )
 
-const mostHeld = 8192 // as the daemon's
+const maxPending = 8192 // as the daemon's
 
 // gateway is a real pipeline with simulated clients and connections.
 type gateway struct {
-	number   int
-	world    *world
-	loop     *eventloop.Loop
-	pipeline *pipeline.Pipeline
-	router   *aspenshed.Router
-	byID     map[string]*database
-	random   *rand.Rand
-	due      aspenshed.Nanos
-	steps    steps
-	groups   int
-	ended    func(ending) // hears of every statement's end; nil: nobody does
-	answers  answers
+	number       int
+	world        *simulation
+	loop         *eventloop.Loop
+	pipeline     *pipeline.Pipeline
+	router       *aspenshed.Router
+	databaseByID map[string]*database
+	random       *rand.Rand
+	nextDue      aspenshed.Nanos
+	steps        stepStats
+	groups       int
+	onCompletion func(completion) // hears of every statement's end; nil: nobody does
+	responses    responseCounts
 }
 
-// answers counts ends of statements.
-type answers struct{ served, refused, failed int }
+// responseCounts counts ends of statements.
+type responseCounts struct{ served, refused, failed int }
 
-// ending is one statement's end.
-type ending struct {
-	class   int
-	arrived aspenshed.Nanos
-	at      aspenshed.Nanos
-	served  bool
+// completion is one statement's end.
+type completion struct {
+	class       int
+	arrivedAt   aspenshed.Nanos
+	completedAt aspenshed.Nanos
+	served      bool
 }
 
-// steps is what the routing module was asked, and the processor time that it took.
-type steps struct {
-	count int
-	took  time.Duration
+// stepStats is what the routing module was asked, and the processor time that it took.
+type stepStats struct {
+	count   int
+	cpuTime time.Duration
 }
 
-// timed is a Router whose Steps are counted.
-type timed struct {
+// timedDecider is a Router whose Steps are counted.
+type timedDecider struct {
 	routing.Decider
-	steps *steps
+	steps *stepStats
 }
 
 // Step counts and passes on.
-func (t timed) Step(now aspenshed.Nanos, events []aspenshed.Event) []aspenshed.Action {
-	begun := threadTime()
+func (t timedDecider) Step(now aspenshed.Nanos, events []aspenshed.Event) []aspenshed.Action {
+	begun := threadCPUTime()
 	actions := t.Decider.Step(now, events)
-	t.steps.took += threadTime() - begun
+	t.steps.cpuTime += threadCPUTime() - begun
 	t.steps.count++
 	return actions
 }
 
 // addGateways starts gateways before all databases, each with so many statements a second over all groups alike.
-func (w *world) addGateways(n int, s aspenshed.Settings, statements float64) error {
-	list, addresses := w.list()
+func (w *simulation) addGateways(n int, s aspenshed.Settings, statements float64) error {
+	list, addresses := w.memberList()
 	byID := map[string]*database{}
 	groups := 0
 	for _, d := range w.databases {
@@ -73,77 +73,77 @@
 	}
 	for i := range n {
 		s.Rank = i
-		g := &gateway{number: i, world: w, loop: eventloop.NewLoop(&w.clock), byID: byID, groups: groups,
+		g := &gateway{number: i, world: w, loop: eventloop.NewLoop(&w.clock), databaseByID: byID, groups: groups,
 			random: rand.New(rand.NewPCG(w.random.Uint64(), uint64(i)))}
 		g.pipeline = pipeline.New(pipeline.Config{Loop: g.loop, Log: w.log, Settings: s, Seed: w.random.Uint64(),
-			MaxPending: mostHeld, Backend: g, Watch: func() {}})
+			MaxPending: maxPending, Backend: g, Watch: func() {}})
 		g.pipeline.Routing.NewDecider = func(s aspenshed.Settings, seed uint64) (routing.Decider, error) {
 			r, err := aspenshed.New(s, seed)
 			g.router = r
-			return timed{r, &g.steps}, err
+			return timedDecider{r, &g.steps}, err
 		}
 		if err := g.pipeline.Start(list, addresses); err != nil {
 			return err
 		}
-		g.load(statements)
+		g.generateLoad(statements)
 		w.gateways = append(w.gateways, g)
 	}
 	return nil
 }
 
-// at calls f after a while, on the gateway's loop.
-func (g *gateway) at(after aspenshed.Nanos, f func()) *eventloop.Timer {
+// after calls f after a while, on the gateway's loop.
+func (g *gateway) after(after aspenshed.Nanos, f func()) *eventloop.Timer {
 	return g.loop.At(g.loop.Now()+after, f)
 }
 
-// turn handles what is due.
-func (g *gateway) turn() { g.due = g.loop.RunPending() }
+// runDue handles what is due.
+func (g *gateway) runDue() { g.nextDue = g.loop.RunPending() }
 
-// load has clients ask at random instants, so many a second in the mean.
-func (g *gateway) load(statements float64) {
+// generateLoad has clients ask at random instants, so many a second in the mean.
+func (g *gateway) generateLoad(statements float64) {
 	if statements <= 0 {
 		return
 	}
 	asked := 0
 	var next func()
 	next = func() {
-		g.ask(mix[asked%len(mix)])
+		g.submit(classMix[asked%len(classMix)])
 		asked++
-		g.at(g.gap(statements), next)
+		g.after(g.interarrivalTime(statements), next)
 	}
-	asked = g.random.IntN(len(mix))
-	g.at(g.gap(statements), next)
+	asked = g.random.IntN(len(classMix))
+	g.after(g.interarrivalTime(statements), next)
 }
 
-func (g *gateway) gap(statements float64) aspenshed.Nanos {
+func (g *gateway) interarrivalTime(statements float64) aspenshed.Nanos {
 	return aspenshed.Nanos(g.random.ExpFloat64() * 1e9 / statements)
 }
 
-// ask takes one statement in.
-func (g *gateway) ask(class int) {
+// submit takes one statement in.
+func (g *gateway) submit(class int) {
 	now := g.loop.Now()
-	g.pipeline.Accept.Accept(request.Query{Class: class, Group: g.random.IntN(g.groups), Timeout: statementWait,
-		Statement: class == write, Client: &client{g, class, now}}, now)
+	g.pipeline.Accept.Accept(request.Query{Class: class, Group: g.random.IntN(g.groups), Timeout: statementTimeout,
+		Statement: class == write, Client: &simulatedClient{g, class, now}}, now)
 }
 
-// client waits for one answer.
-type client struct {
-	gateway *gateway
-	class   int
-	arrived aspenshed.Nanos
+// simulatedClient waits for one answer.
+type simulatedClient struct {
+	gateway   *gateway
+	class     int
+	arrivedAt aspenshed.Nanos
 }
 
 // Respond counts the answer.
-func (c *client) Respond(f request.Response) {
+func (c *simulatedClient) Respond(f request.Response) {
 	switch g := c.gateway; f.Status {
 	case request.Served:
-		g.answers.served++
+		g.responses.served++
 	case request.Refused:
-		g.answers.refused++
+		g.responses.refused++
 	default:
-		g.answers.failed++
+		g.responses.failed++
 	}
-	if c.gateway.ended != nil {
-		c.gateway.ended(ending{c.class, c.arrived, c.gateway.loop.Now(), f.Status == request.Served})
+	if c.gateway.onCompletion != nil {
+		c.gateway.onCompletion(completion{c.class, c.arrivedAt, c.gateway.loop.Now(), f.Status == request.Served})
 	}
 }
--- a/internal/experiment/datapath/link.go
+++ b/internal/experiment/datapath/link.go
@@ -11,29 +11,29 @@
 	"aspenshed/internal/experiment/standin"
 )
 
-var errGone = errors.New("connection refused or broken")
+var errConnectionLost = errors.New("connection refused or broken")
 
-// link is one simulated connection from a gateway to a database. It takes the same steps as the PostgreSQL backend's:
+// dbConnection is one simulated connection from a gateway to a database. It takes the same steps as the PostgreSQL backend's:
 // connect, greeting, an empty query before each statement, the statement's last byte.
-type link struct {
-	gateway  *gateway
-	database *database
-	events   request.ConnectionEvents
-	place    int // in database.links; -1: not there
-	closed   bool
-	sent     bool
-	limit    *eventloop.Timer
+type dbConnection struct {
+	gateway      *gateway
+	database     *database
+	events       request.ConnectionEvents
+	index        int // in database.links; -1: not there
+	closed       bool
+	mayHaveSent  bool
+	connectTimer *eventloop.Timer
 }
 
 // Open connects.
 func (g *gateway) Open(address string, limit aspenshed.Nanos, _ bool, events request.ConnectionEvents) (request.Connection, error) {
-	l := &link{gateway: g, database: g.byID[address], events: events, place: -1}
-	l.limit = g.at(limit, func() { l.down(request.ConnectFailed) })
-	g.at(oneWay, func() {
+	l := &dbConnection{gateway: g, database: g.databaseByID[address], events: events, index: -1}
+	l.connectTimer = g.after(limit, func() { l.reportLoss(request.ConnectFailed) })
+	g.after(oneWayDelay, func() {
 		switch l.database.state {
 		case silent:
 		case refusing:
-			g.at(oneWay, func() { l.down(request.ConnectFailed) })
+			g.after(oneWayDelay, func() { l.reportLoss(request.ConnectFailed) })
 		default:
 			l.establish()
 		}
@@ -42,48 +42,48 @@
 }
 
 // establish counts the connection and goes through the greeting: a round trip after that of TCP.
-func (l *link) establish() {
+func (l *dbConnection) establish() {
 	if l.closed {
 		return
 	}
 	d := l.database
 	d.handshakes++
-	l.place = len(d.links)
-	d.links = append(d.links, l)
-	l.gateway.at(3*oneWay, func() {
+	l.index = len(d.connections)
+	d.connections = append(d.connections, l)
+	l.gateway.after(3*oneWayDelay, func() {
 		if !l.closed && d.state == running {
-			l.gateway.loop.StopTimer(l.limit)
+			l.gateway.loop.StopTimer(l.connectTimer)
 			l.events.Ready()
 		}
 	})
 }
 
 // Send shows by an empty query's round trip that the connection is alive, then lets the statement go.
-func (l *link) Send(statement any, _ aspenshed.Nanos) bool {
-	l.gateway.at(2*oneWay, func() {
+func (l *dbConnection) Send(statement any, _ aspenshed.Nanos) bool {
+	l.gateway.after(2*oneWayDelay, func() {
 		if l.closed || l.database.state != running || !l.events.AllowSend() {
 			return
 		}
-		l.sent = true
-		l.gateway.at(oneWay, func() { l.arrive(statement.(bool)) })
+		l.mayHaveSent = true
+		l.gateway.after(oneWayDelay, func() { l.deliverStatement(statement.(bool)) })
 	})
 	return !l.closed
 }
 
-// arrive has the database take a statement.
-func (l *link) arrive(isWrite bool) {
+// deliverStatement has the database take a statement.
+func (l *dbConnection) deliverStatement(isWrite bool) {
 	d := l.database
-	if d.state != running || l.place < 0 {
+	if d.state != running || l.index < 0 {
 		return
 	}
 	d.statements++
 	verdict, took := d.model.Take(int64(l.gateway.loop.Now()), isWrite)
-	l.gateway.at(nanos(took), func() {
+	l.gateway.after(nanos(took), func() {
 		if verdict == standin.Served {
 			verdict = d.model.Done(int64(l.gateway.loop.Now()))
 		}
 		if d.state == running && verdict != standin.Down {
-			l.answer(request.Result{Outcome: outcomes[verdict]})
+			l.respond(request.Result{Outcome: outcomes[verdict]})
 		}
 	})
 }
@@ -92,13 +92,13 @@
 	standin.Miss: aspenshed.Ineligible}
 
 // Probe asks for role, position and load.
-func (l *link) Probe() bool {
-	l.sent = true
-	l.gateway.at(oneWay, func() {
-		if d := l.database; d.state == running && l.place >= 0 {
+func (l *dbConnection) Probe() bool {
+	l.mayHaveSent = true
+	l.gateway.after(oneWayDelay, func() {
+		if d := l.database; d.state == running && l.index >= 0 {
 			d.probes++
 			now := int64(l.gateway.loop.Now())
-			l.answer(request.Result{Outcome: aspenshed.Served, Report: aspenshed.Report{
+			l.respond(request.Result{Outcome: aspenshed.Served, Report: aspenshed.Report{
 				HasPosition: true, Position: toMilliseconds(d.model.Position(now)), HasRole: true, Primary: d.model.Primary,
 				HasQueued: true, Queued: float64(d.model.Waiting(now))}})
 		}
@@ -106,16 +106,16 @@
 	return !l.closed
 }
 
-// answer travels back with role and position, as every answer does.
-func (l *link) answer(r request.Result) {
+// respond travels back with role and position, as every respond does.
+func (l *dbConnection) respond(r request.Result) {
 	now := int64(l.gateway.loop.Now())
 	r.Role, r.Position = aspenshed.RoleReplica, toMilliseconds(l.database.model.Position(now))
 	if l.database.model.Primary {
 		r.Role = aspenshed.RolePrimary
 	}
-	l.gateway.at(oneWay, func() {
+	l.gateway.after(oneWayDelay, func() {
 		if !l.closed {
-			l.sent = false
+			l.mayHaveSent = false
 			l.events.Done(r)
 		}
 	})
@@ -128,36 +128,36 @@
 func nanos(d time.Duration) aspenshed.Nanos { return aspenshed.Nanos(d) }
 
 // MayHaveSent tells whether a statement may have left.
-func (l *link) MayHaveSent() bool { return l.sent }
+func (l *dbConnection) MayHaveSent() bool { return l.mayHaveSent }
 
 // Close ends the connection without another event.
-func (l *link) Close() {
+func (l *dbConnection) Close() {
 	if l.closed {
 		return
 	}
 	l.closed = true
-	l.gateway.loop.StopTimer(l.limit)
-	l.leave()
+	l.gateway.loop.StopTimer(l.connectTimer)
+	l.removeFromDatabase()
 }
 
-// leave takes the connection off the database's list.
-func (l *link) leave() {
-	if l.place < 0 {
+// removeFromDatabase takes the connection off the database's list.
+func (l *dbConnection) removeFromDatabase() {
+	if l.index < 0 {
 		return
 	}
-	links := l.database.links
+	links := l.database.connections
 	last := links[len(links)-1]
-	links[l.place], last.place = last, l.place
-	l.database.links, l.place = links[:len(links)-1], -1
+	links[l.index], last.index = last, l.index
+	l.database.connections, l.index = links[:len(links)-1], -1
 }
 
-// broke tells the gateway that the connection has ended by itself.
-func (l *link) broke() { l.down(request.ClassifyLoss(l.sent, false)) }
+// connectionBroken tells the gateway that the connection has ended by itself.
+func (l *dbConnection) connectionBroken() { l.reportLoss(request.ClassifyLoss(l.mayHaveSent, false)) }
 
-func (l *link) down(how request.ConnectionLoss) {
+func (l *dbConnection) reportLoss(how request.ConnectionLoss) {
 	if l.closed {
 		return
 	}
 	l.Close()
-	l.events.Lost(how, errGone)
+	l.events.Lost(how, errConnectionLost)
 }
--- a/internal/experiment/datapath/process.go
+++ b/internal/experiment/datapath/process.go
@@ -18,9 +18,9 @@
 
 const (
 	clockTicks   = 100 // USER_HZ: the unit of processor time in /proc
-	programBuild = 2 * time.Minute
-	startLimit   = 10 * time.Second
-	stopLimit    = 10 * time.Second
+	buildTimeout = 2 * time.Minute
+	startTimeout = 10 * time.Second
+	stopTimeout  = 10 * time.Second
 )
 
 // buildGateway builds the program that is measured, into a folder.
@@ -33,8 +33,8 @@
 	return program, nil
 }
 
-// process is a gateway's, with its stand-in databases in this one.
-type process struct {
+// gatewayProcess is a gateway's, with its stand-in databases in this one.
+type gatewayProcess struct {
 	cmd     *exec.Cmd
 	group   *standin.Group
 	address string
@@ -42,12 +42,12 @@
 }
 
 // startGateway starts a gateway in front of one group of stand-in databases, and returns once it has served a statement.
-func startGateway(program, dir string, l standin.Limits, databases int) (p *process, err error) {
+func startGateway(program, dir string, l standin.Limits, databases int) (p *gatewayProcess, err error) {
 	var ids []string
 	for i := range databases {
 		ids = append(ids, fmt.Sprint("db-", i))
 	}
-	p = &process{}
+	p = &gatewayProcess{}
 	if p.group, err = standin.NewGroup(standin.Postgres, l, ids...); err != nil {
 		return nil, err
 	}
@@ -59,7 +59,7 @@
 		inventory = fmt.Appendf(inventory, "%s,%s,site-1,1,std-4core,in_service\n", d.ID, d.Address())
 	}
 	deploy := filepath.Join(dir, "aspenshed.yaml")
-	text := strings.Replace(service, "127.0.0.1:0", p.address, 1)
+	text := strings.Replace(serviceConfig, "127.0.0.1:0", p.address, 1)
 	err = errors.Join(os.WriteFile(filepath.Join(dir, "inventory.csv"), inventory, 0o600), os.WriteFile(deploy, []byte(text), 0o600))
 	if err != nil {
 		return nil, errors.Join(err, p.stop())
@@ -71,7 +71,7 @@
 		p.cmd = nil
 		return nil, errors.Join(err, p.stop())
 	}
-	if _, err = daemon.QueryUntilServed(p.address, "first", startLimit); err != nil {
+	if _, err = daemon.QueryUntilServed(p.address, "first", startTimeout); err != nil {
 		stopErr := p.stop() // the process writes its log until it has ended
 		return nil, errors.Join(fmt.Errorf("the gateway did not serve: %w\n%s", err, p.log.String()), stopErr)
 	}
@@ -79,14 +79,14 @@
 }
 
 // stop ends the gateway that was started, and its databases.
-func (p *process) stop() error {
+func (p *gatewayProcess) stop() error {
 	if p.cmd != nil {
 		ended := make(chan error, 1)
 		go func() { ended <- p.cmd.Wait() }()
 		_ = p.cmd.Process.Kill()
 		select {
 		case <-ended: // by the signal
-		case <-time.After(stopLimit):
+		case <-time.After(stopTimeout):
 			return errors.New("the gateway's process does not end")
 		}
 	}
@@ -106,7 +106,7 @@
 }
 
 // usage reads /proc.
-func (p *process) usage() (u usage, err error) {
+func (p *gatewayProcess) usage() (u usage, err error) {
 	dir := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
 	stat, err := os.ReadFile(dir + "stat")
 	if err != nil {
@@ -121,12 +121,12 @@
 		}
 		u.cores += ticks / clockTicks
 	}
-	status, err := keyed(dir + "status")
+	status, err := readKeyedNumbers(dir + "status")
 	if err != nil {
 		return u, err
 	}
 	u.resident = status["VmRSS"] * 1024
-	counts, err := keyed(dir + "io")
+	counts, err := readKeyedNumbers(dir + "io")
 	if err != nil {
 		return u, err
 	}
@@ -136,8 +136,8 @@
 	return u, err
 }
 
-// keyed reads a file of lines "key: number ...".
-func keyed(path string) (map[string]float64, error) {
+// readKeyedNumbers reads a file of lines "key: number ...".
+func readKeyedNumbers(path string) (map[string]float64, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
--- a/internal/experiment/datapath/settings.go
+++ b/internal/experiment/datapath/settings.go
@@ -9,9 +9,9 @@
 	"aspenshed/internal/experiment/standin"
 )
 
-// service is a front's settings as an operator writes them. The classes are those of the demonstration. Beyond three
+// serviceConfig is a front's settings as an operator writes them. The classes are those of the demonstration. Beyond three
 // quarters of clients the front closes idle ones, so that 6,700 need 9,000 at least.
-const service = `
+const serviceConfig = `
 postgres:
   listen: 127.0.0.1:0
   inventory: inventory.csv
@@ -36,23 +36,23 @@
 
 var classNames = []string{boundedRead: "point-read", anyRead: "report", write: "order"}
 
-// mix is the order in which clients ask: 40% bounded reads, 40% reads of any age, 20% writes, as in experiment cut.
-var mix = []int{write, write, anyRead, anyRead, anyRead, anyRead, boundedRead, boundedRead, boundedRead, boundedRead}
+// classMix is the order in which clients ask: 40% bounded reads, 40% reads of any age, 20% writes, as in experiment cut.
+var classMix = []int{write, write, anyRead, anyRead, anyRead, anyRead, boundedRead, boundedRead, boundedRead, boundedRead}
 
-const statementWait = aspenshed.Nanos(900e6) // of a client for one statement
+const statementTimeout = aspenshed.Nanos(900e6) // of a client for one statement
 
-var errNoFront = errors.New("datapath: the settings make no front")
+var errClassCount = errors.New("datapath: the settings make no front")
 
 // settings are those that the daemon makes of service; routers is how many gateways it is told there are. The daemon
 // itself always says 1.
 func settings(routers int) (aspenshed.Settings, error) {
-	d, err := config.ParseDeploy("aspenshed.yaml", []byte(service))
+	d, err := config.ParseDeploy("aspenshed.yaml", []byte(serviceConfig))
 	if err != nil {
 		return aspenshed.Settings{}, err
 	}
 	s := d.Postgres.Settings
 	if len(s.Classes) != len(classNames) {
-		return s, errNoFront
+		return s, errClassCount
 	}
 	s.ListHasRoles = true
 	s.Routers = routers
--- a/internal/experiment/datapath/statements.go
+++ b/internal/experiment/datapath/statements.go
@@ -17,9 +17,9 @@
 	if o.Short {
 		rates, warm, watch = []float64{20, 40}, 100*time.Millisecond, 500*time.Millisecond
 	}
-	return realGateway(limits(), func(p *process) error {
-		c := newCurves("statements a second", "1/s", fmt.Sprintf("one real gateway on loopback, %d stand-in databases, %d clients (40%% bounded, 40%% any, 20%% writes)",
-			databasesOfRealGateway, loadClients))
+	return withRealGateway(limits(), func(p *gatewayProcess) error {
+		c := newSeriesSet("statements a second", "1/s", fmt.Sprintf("one real gateway on loopback, %d stand-in databases, %d clients (40%% bounded, 40%% any, 20%% writes)",
+			realGatewayDatabases, loadClients))
 		for _, rate := range rates {
 			l, err := startLoad(p.address, rate)
 			if err != nil {
@@ -49,16 +49,16 @@
 	})
 }
 
-// load is clients that ask at a steady rate together.
-type load struct {
+// loadGenerator is clients that ask at a steady rate together.
+type loadGenerator struct {
 	served, unserved atomic.Int64
 	bytes            atomic.Int64 // at the clients' sockets, both directions
 	quit             atomic.Bool
 	wg               sync.WaitGroup
 }
 
-func startLoad(address string, rate float64) (*load, error) {
-	l := &load{}
+func startLoad(address string, rate float64) (*loadGenerator, error) {
+	l := &loadGenerator{}
 	pause := time.Duration(loadClients / rate * float64(time.Second))
 	for i := range loadClients {
 		x, err := dialClient(address)
@@ -67,22 +67,22 @@
 			return nil, err
 		}
 		l.wg.Add(1)
-		go l.client(x, i, pause)
+		go l.runClient(x, i, pause)
 	}
 	return l, nil
 }
 
-// client asks at set instants, so that a slow answer does not lower the rate.
-func (l *load) client(x *clientConn, number int, pause time.Duration) {
+// runClient asks at set instants, so that a slow answer does not lower the rate.
+func (l *loadGenerator) runClient(x *clientConn, number int, pause time.Duration) {
 	defer l.wg.Done()
-	defer func() { _ = x.c.Close() }()
+	defer func() { _ = x.conn.Close() }()
 	next := time.Now().Add(pause * time.Duration(number) / loadClients)
 	for n := number; !l.quit.Load(); n++ {
 		time.Sleep(time.Until(next))
 		next = next.Add(pause)
-		before := x.bytes
-		code, err := x.ask(mix[n%len(mix)], time.Now().UnixNano())
-		l.bytes.Add(int64(x.bytes - before))
+		before := x.socketBytes
+		code, err := x.query(classMix[n%len(classMix)], time.Now().UnixNano())
+		l.bytes.Add(int64(x.socketBytes - before))
 		if err != nil {
 			l.unserved.Add(1)
 			return
@@ -95,7 +95,7 @@
 	}
 }
 
-func (l *load) stop() (unserved int64) {
+func (l *loadGenerator) stop() (unserved int64) {
 	l.quit.Store(true)
 	l.wg.Wait()
 	return l.unserved.Load()
--- a/internal/experiment/datapath/steady.go
+++ b/internal/experiment/datapath/steady.go
@@ -9,27 +9,27 @@
 	"aspenshed/internal/experiment/target"
 )
 
-// window is how long a steady load is watched, after it has run for long enough that idle connections are closed.
-type window struct{ settle, watch aspenshed.Nanos }
+// measureWindow is how long a steady load is watched, after it has run for long enough that idle connections are closed.
+type measureWindow struct{ settle, measure aspenshed.Nanos }
 
 // measureSteady takes what one gateway of the target opens, asks and spends, by members and by statements a second, in
 // virtual time. Its databases carry no other gateway's load.
 func measureSteady(r *recorder, o Options) error {
-	members, rates, w := []int{2100, 6300, 10500, 21000}, []float64{150, 300, 600, target.StatementsPerGateway()}, window{75 * second, 15 * second}
+	members, rates, w := []int{2100, 6300, 10500, 21000}, []float64{150, 300, 600, target.StatementsPerGateway()}, measureWindow{75 * second, 15 * second}
 	if o.Short {
-		members, rates, w = []int{60, 120}, []float64{20, 40}, window{2 * second, 2 * second}
+		members, rates, w = []int{60, 120}, []float64{20, 40}, measureWindow{2 * second, 2 * second}
 	}
 	rate, most := rates[len(rates)-1], members[len(members)-1]
-	byMembers := newCurves("members", "1", fmt.Sprintf("one gateway, %.0f statements/s (40%% bounded, 40%% any, 20%% writes), virtual time", rate))
+	byMembers := newSeriesSet("members", "1", fmt.Sprintf("one gateway, %.0f statements/s (40%% bounded, 40%% any, 20%% writes), virtual time", rate))
 	for _, m := range members {
-		if err := steady(byMembers, "members", m, rate, float64(m), w, o.Seed); err != nil {
+		if err := measureSteadyPoint(byMembers, "members", m, rate, float64(m), w, o.Seed); err != nil {
 			return err
 		}
 		r.progress("steady: %d members", m)
 	}
-	byRate := newCurves("statements a second", "1/s", fmt.Sprintf("one gateway, %d members, virtual time", most))
+	byRate := newSeriesSet("statements a second", "1/s", fmt.Sprintf("one gateway, %d members, virtual time", most))
 	for _, x := range rates {
-		if err := steady(byRate, "statements", most, x, x, w, o.Seed); err != nil {
+		if err := measureSteadyPoint(byRate, "statements", most, x, x, w, o.Seed); err != nil {
 			return err
 		}
 		r.progress("steady: %.0f statements/s", x)
@@ -40,10 +40,10 @@
 	return byRate.record(r)
 }
 
-// steady runs one gateway and adds what it did in the window.
-func steady(c *curves, axis string, members int, rate, x float64, span window, seed uint64) error {
+// measureSteadyPoint runs one gateway and adds what it did in the window.
+func measureSteadyPoint(c *seriesSet, axis string, members int, rate, x float64, span measureWindow, seed uint64) error {
 	before := heapInUse()
-	w := newWorld(seed)
+	w := newSimulation(seed)
 	w.addGroups(members/int(target.GroupSize), int(target.GroupSize))
 	databases := heapInUse()
 	s, err := settings(1)
@@ -54,19 +54,19 @@
 		return err
 	}
 	g := w.gateways[0]
-	w.run(worldStart + span.settle)
-	from, steps, answers := countsOf(w), g.steps, g.answers
-	w.run(worldStart + span.settle + span.watch)
-	to, seconds := countsOf(w), float64(span.watch)/1e9
-	_, connections := w.counts()
+	w.run(simulationStart + span.settle)
+	from, steps, answers := totalLoadOf(w), g.steps, g.responses
+	w.run(simulationStart + span.settle + span.measure)
+	to, seconds := totalLoadOf(w), float64(span.measure)/1e9
+	_, connections := w.totalLoad()
 	per := func(n int) float64 { return float64(n) / seconds }
-	c.add("data path", "datapath.router-cores-by-"+axis, "processor time of Router.Step", "core", x, (g.steps.took-steps.took).Seconds()/seconds)
+	c.add("data path", "datapath.router-cores-by-"+axis, "processor time of Router.Step", "core", x, (g.steps.cpuTime-steps.cpuTime).Seconds()/seconds)
 	c.add("data path", "datapath.steps-by-"+axis, "calls of Router.Step", "1/s", x, per(g.steps.count-steps.count))
 	c.add("data path", "datapath.connections-by-"+axis, "connections to databases", "1", x, float64(connections))
 	c.add("data path", "datapath.handshakes-by-"+axis, "handshakes with databases", "1/s", x, per(to.handshakes-from.handshakes))
 	c.add("data path", "datapath.probes-by-"+axis, "probes of databases", "1/s", x, per(to.probes-from.probes))
 	c.add("data path", "datapath.unserved-by-"+axis, "statements refused or failed", "1/s", x,
-		per(g.answers.refused+g.answers.failed-answers.refused-answers.failed))
+		per(g.responses.refused+g.responses.failed-answers.refused-answers.failed))
 	if axis == "members" {
 		c.add("data path", "datapath.heap-by-members", "heap of routing and connection state", "B", x, heapInUse()-databases-(databases-before))
 	}
@@ -74,8 +74,8 @@
 	return nil
 }
 
-func countsOf(w *world) loadCounts {
-	all, _ := w.counts()
+func totalLoadOf(w *simulation) loadCounts {
+	all, _ := w.totalLoad()
 	return all
 }
 
--- a/internal/experiment/datapath/step.go
+++ b/internal/experiment/datapath/step.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	stepTrials   = 7 // whose median counts
-	stepGroup    = 5 // members of a group, as in BenchmarkStep
-	stepInterval = 10 * aspenshed.Nanos(1e3)
-	stepAnswer   = 20 * millisecond
+	stepTrials       = 7 // whose median counts
+	stepGroupSize    = 5 // members of a group, as in BenchmarkStep
+	stepInterval     = 10 * aspenshed.Nanos(1e3)
+	stepResponseTime = 20 * millisecond
 )
 
 // measureStep takes the time of one Step with one request and one answer, as BenchmarkStep does, by members and by
@@ -37,7 +37,7 @@
 			}
 			s.Points = append(s.Points, measure.Point{X: float64(m), Y: took})
 		}
-		if err := r.series(s); err != nil {
+		if err := r.addSeries(s); err != nil {
 			return err
 		}
 	}
@@ -50,7 +50,7 @@
 		}
 		s.Points = append(s.Points, measure.Point{X: float64(flying), Y: took})
 	}
-	return r.series(s)
+	return r.addSeries(s)
 }
 
 // stepTime is the median over trials of the mean processor time of a Step.
@@ -61,11 +61,11 @@
 	}
 	var trials []float64
 	for range stepTrials {
-		begun := threadTime()
+		begun := threadCPUTime()
 		for range steps {
 			d.step()
 		}
-		trials = append(trials, (threadTime()-begun).Seconds()/float64(steps))
+		trials = append(trials, (threadCPUTime()-begun).Seconds()/float64(steps))
 	}
 	slices.Sort(trials)
 	return trials[len(trials)/2], nil
@@ -73,11 +73,11 @@
 
 // stepDriver keeps a Router with so many requests in flight.
 type stepDriver struct {
-	router *aspenshed.Router
-	now    aspenshed.Nanos
-	groups int
-	asked  int
-	out    []aspenshed.Send // the oldest first
+	router       *aspenshed.Router
+	now          aspenshed.Nanos
+	groups       int
+	requestCount int
+	inFlight     []aspenshed.Send // the oldest first
 }
 
 func newStepDriver(members, inFlight int, seed uint64) (*stepDriver, error) {
@@ -85,46 +85,46 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &stepDriver{now: worldStart, groups: members / stepGroup}
+	d := &stepDriver{now: simulationStart, groups: members / stepGroupSize}
 	if d.router, err = aspenshed.New(s, seed); err != nil {
 		return nil, err
 	}
 	var list []aspenshed.Member
 	for i := range members {
-		list = append(list, aspenshed.Member{ID: fmt.Sprint("m", i), Group: i / stepGroup, Weight: 1, State: aspenshed.Up, Primary: i%stepGroup == 0})
+		list = append(list, aspenshed.Member{ID: fmt.Sprint("m", i), Group: i / stepGroupSize, Weight: 1, State: aspenshed.Up, Primary: i%stepGroupSize == 0})
 	}
 	d.router.Step(d.now, []aspenshed.Event{aspenshed.MemberList{Complete: true, Members: list}})
-	for tries := 0; len(d.out) < inFlight && tries < 4*inFlight; tries++ {
-		d.take([]aspenshed.Event{d.request()})
+	for tries := 0; len(d.inFlight) < inFlight && tries < 4*inFlight; tries++ {
+		d.apply([]aspenshed.Event{d.request()})
 	}
-	if len(d.out) < inFlight {
-		return nil, fmt.Errorf("only %d of %d requests are in flight", len(d.out), inFlight)
+	if len(d.inFlight) < inFlight {
+		return nil, fmt.Errorf("only %d of %d requests are in flight", len(d.inFlight), inFlight)
 	}
 	return d, nil
 }
 
 func (d *stepDriver) request() aspenshed.Event {
-	d.asked++
-	return aspenshed.Request{ID: fmt.Sprint("q", d.asked), Class: anyRead, Group: d.asked % d.groups, Remaining: 3600 * second}
+	d.requestCount++
+	return aspenshed.Request{ID: fmt.Sprint("q", d.requestCount), Class: anyRead, Group: d.requestCount % d.groups, Remaining: 3600 * second}
 }
 
 // step gives the Router one request and the oldest answer.
 func (d *stepDriver) step() {
 	events := []aspenshed.Event{d.request()}
-	if len(d.out) > 0 {
-		x := d.out[0]
-		d.out = d.out[1:]
-		events = append(events, aspenshed.AttemptResult{ID: x.ID, Member: x.Member, Outcome: aspenshed.Served, Final: true, Duration: stepAnswer,
+	if len(d.inFlight) > 0 {
+		x := d.inFlight[0]
+		d.inFlight = d.inFlight[1:]
+		events = append(events, aspenshed.AttemptResult{ID: x.ID, Member: x.Member, Outcome: aspenshed.Served, Final: true, Duration: stepResponseTime,
 			Role: aspenshed.RoleReplica})
 	}
-	d.take(events)
+	d.apply(events)
 }
 
-func (d *stepDriver) take(events []aspenshed.Event) {
+func (d *stepDriver) apply(events []aspenshed.Event) {
 	d.now += stepInterval
 	for _, a := range d.router.Step(d.now, events) {
 		if x, ok := a.(aspenshed.Send); ok {
-			d.out = append(d.out, x)
+			d.inFlight = append(d.inFlight, x)
 		}
 	}
 }
--- a/internal/experiment/datapath/threadtime.go
+++ b/internal/experiment/datapath/threadtime.go
@@ -7,15 +7,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// onOneThread runs f on one thread, so that threadTime tells what f alone has used however busy the machine is.
-func onOneThread(f func() error) error {
+// runOnOneThread runs f on one thread, so that threadTime tells what f alone has used however busy the machine is.
+func runOnOneThread(f func() error) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	return f()
 }
 
-// threadTime is the processor time that the calling thread has used.
-func threadTime() time.Duration {
+// threadCPUTime is the processor time that the calling thread has used.
+func threadCPUTime() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t) != nil {
 		return 0
--- a/internal/experiment/datapath/worst.go
+++ b/internal/experiment/datapath/worst.go
@@ -4,15 +4,15 @@
 	"aspenshed"
 )
 
-// worst is the load of whichever database had most, in whichever second that was.
-type worst struct{ handshakes, probes float64 }
+// peakLoad is the load of whichever database had most, in whichever second that was.
+type peakLoad struct{ handshakes, probes float64 }
 
-// worstSecond runs second by second until then.
-func (w *world) worstSecond(until aspenshed.Nanos) (most worst) {
-	before := w.eachCounts()
+// runAndFindPeak runs second by second until then.
+func (w *simulation) runAndFindPeak(until aspenshed.Nanos) (most peakLoad) {
+	before := w.loadPerDatabase()
 	for w.clock.now < until {
 		w.run(w.clock.now + second)
-		now := w.eachCounts()
+		now := w.loadPerDatabase()
 		for i := range now {
 			most.handshakes = max(most.handshakes, float64(now[i].handshakes-before[i].handshakes))
 			most.probes = max(most.probes, float64(now[i].probes-before[i].probes))
@@ -22,7 +22,7 @@
 	return most
 }
 
-func (w *world) eachCounts() (counts []loadCounts) {
+func (w *simulation) loadPerDatabase() (counts []loadCounts) {
 	for _, d := range w.databases {
 		counts = append(counts, d.loadCounts)
 	}
