--- a/internal/experiment/datapath/clients.go
+++ b/internal/experiment/datapath/clients.go
@@ -11,11 +11,11 @@
 
 const (
 	realGatewayDatabases = 6
-	maxRefusals          = 50 // of a client's statement: a busy machine's answers are late, which admission goes by
+	maxRefusals          = 50 // per statement: late responses of a busy machine make admission refuse more
 	refusalRetryDelay    = 20 * time.Millisecond
 )
 
-// withRealGateway builds and starts a gateway's process in a folder of its own, runs f and ends it.
+// withRealGateway builds a gateway, starts it in a temporary directory, runs f and stops it.
 func withRealGateway(l standin.Limits, f func(*gatewayProcess) error) (err error) {
 	dir, err := os.MkdirTemp("", "datapath-")
 	if err != nil {
@@ -38,18 +38,18 @@
 	return f(p)
 }
 
-// measureClients takes memory, descriptors and processor time of a real gateway by clients that have asked once and are
-// idle since.
+// measureClients measures memory, descriptors and processor time of a real gateway by the number of clients, which are
+// idle after one statement each.
 func measureClients(r *recorder, o Options) error {
-	sizes, quiet := []int{500, 1000, 2000, 4000, 6700}, 4*time.Second
+	sizes, idleTime := []int{500, 1000, 2000, 4000, 6700}, 4*time.Second
 	if o.Short {
-		sizes, quiet = []int{10, 20}, 200*time.Millisecond
+		sizes, idleTime = []int{10, 20}, 200*time.Millisecond
 	}
 	return withRealGateway(limits(), func(p *gatewayProcess) error {
 		c := newSeriesSet("clients", "1", fmt.Sprintf("one real gateway on loopback, %d stand-in databases, every client idle after one statement", realGatewayDatabases))
 		var all []*clientConn
-		refused, taking := 0, 0.0
-		asked, err := p.usage()
+		refused, connectTime := 0, 0.0
+		last, err := p.usage()
 		if err != nil {
 			return err
 		}
@@ -71,27 +71,27 @@
 				}
 				refused += n
 			}
-			taken, err := p.usage()
+			connected, err := p.usage()
 			if err != nil {
 				return err
 			}
-			taking += taken.cores - asked.cores
-			time.Sleep(quiet / 2) // its garbage collector's pace
+			connectTime += connected.cores - last.cores
+			time.Sleep(idleTime / 2) // lets the garbage collector run
 			before, err := p.usage()
 			if err != nil {
 				return err
 			}
-			time.Sleep(quiet)
+			time.Sleep(idleTime)
 			after, err := p.usage()
 			if err != nil {
 				return err
 			}
 			x := float64(n)
 			c.add("client", "client.memory-by-clients", "resident memory of a gateway", "B", x, after.resident)
-			c.add("client", "client.connect-time-by-clients", "processor time of a gateway to take so many clients and a first statement of each", "s", x, taking)
-			asked = after
+			c.add("client", "client.connect-time-by-clients", "processor time of a gateway to take so many clients and a first statement of each", "s", x, connectTime)
+			last = after
 			c.add("client", "client.descriptors-by-clients", "descriptors of a gateway", "1", x, after.descriptors)
-			c.add("client", "client.idle-cores-by-clients", "processor time of a gateway whose clients are idle", "core", x, (after.cores-before.cores)/quiet.Seconds())
+			c.add("client", "client.idle-cores-by-clients", "processor time of a gateway whose clients are idle", "core", x, (after.cores-before.cores)/idleTime.Seconds())
 			r.progress("clients: %d, %.0f MB", n, after.resident/1e6)
 		}
 		r.note("clients: %d statements refused before each client had one served", refused)
@@ -99,7 +99,7 @@
 	})
 }
 
-// queryUntilServed has one read served, and tells how often it was refused before.
+// queryUntilServed repeats a read until it is served and returns how many times it was refused.
 func (x *clientConn) queryUntilServed(client int64) (refused int, err error) {
 	for ; refused < maxRefusals; refused++ {
 		code, err := x.query(anyRead, client*maxRefusals+int64(refused))
@@ -108,5 +108,5 @@
 		}
 		time.Sleep(refusalRetryDelay)
 	}
-	return refused, fmt.Errorf("refused %d times, at last with %s", refused, x.errorCode)
+	return refused, fmt.Errorf("read refused %d times, last error code %s", refused, x.errorCode)
 }
--- a/internal/experiment/datapath/cmd/datapath/main.go
+++ b/internal/experiment/datapath/cmd/datapath/main.go
@@ -1,4 +1,4 @@
-// Command datapath measures the data path and writes a run for docs/capacity.
+// Command datapath measures the data path and writes the results as a run for docs/capacity.
 package main
 
 import (
@@ -17,10 +17,10 @@
 
 func main() {
 	o := datapath.Options{Out: os.Stderr}
-	output := flag.String("output", "", "file for the run, in JSON; empty: standard output")
-	flag.StringVar(&o.Only, "only", "", "one experiment of "+strings.Join(datapath.Names(), ", "))
-	flag.Uint64Var(&o.Seed, "seed", 1, "of everything that is drawn")
-	flag.BoolVar(&o.Short, "short", false, "a fraction of each: no figures for the page")
+	output := flag.String("output", "", "output file of the run, in JSON; empty: standard output")
+	flag.StringVar(&o.Only, "only", "", "name of the only experiment to run: "+strings.Join(datapath.Names(), ", "))
+	flag.Uint64Var(&o.Seed, "seed", 1, "seed of all random numbers")
+	flag.BoolVar(&o.Short, "short", false, "run reduced experiments, whose figures are not for the page")
 	flag.Parse()
 	logrus.SetLevel(logrus.ErrorLevel)
 	if err := run(o, *output); err != nil {
@@ -52,7 +52,8 @@
 	return os.WriteFile(output, b, 0o644)
 }
 
-// measuredCommit is that of the folder's clone; "-dirty" behind it says that Go sources differ from it.
+// measuredCommit returns the commit of the working directory's repository, with the suffix "-dirty" if Go sources
+// differ.
 func measuredCommit() (string, error) {
 	head, err := exec.Command("git", "rev-parse", "--short=7", "HEAD").Output()
 	if err != nil {
@@ -69,7 +70,7 @@
 	return commit, nil
 }
 
-// machine is its cores and memory.
+// machine describes the machine's cores and memory.
 func machine() string {
 	text := fmt.Sprintf("%d cores", runtime.NumCPU())
 	b, err := os.ReadFile("/proc/meminfo")
--- a/internal/experiment/datapath/cold.go
+++ b/internal/experiment/datapath/cold.go
@@ -5,29 +5,30 @@
 )
 
 const (
-	leasePoolShare  = 0.5         // the daemon's default: the rest is split into safe shares
-	maxColdStart    = 18 * second // that a start without an agreed word counts as cold
-	coldSettleTime  = 20 * second // what warm members answer has to be learned first
-	coldMeasureTime = 17 * second // a little more than a cold start lasts
+	leasePoolShare  = 0.5         // the daemon's default; the rest is split into safe shares
+	maxColdStart    = 18 * second // how long a member counts as cold without a slow-start share from the store
+	coldSettleTime  = 20 * second // time to learn the work rate of warm members
+	coldMeasureTime = 17 * second // slightly longer than a cold start
 )
 
-// measureColdStart restarts one replica cold and takes how much of what topples it the gateways send, with safe shares
-// of (1-p)/N and no leases, and, for comparison, with none: each gateway goes by what it has measured alone.
+// measureColdStart restarts one replica cold and measures the load that the gateways send as a share of the load at
+// which it collapses: with safe shares of (1-p)/N and no leases, and, for comparison, without shares, where each
+// gateway relies on its own measurements.
 func measureColdStart(r *recorder, o Options) error {
 	settle, watch := coldSettleTime, coldMeasureTime
 	if o.Short {
 		settle, watch = 2*second, 2*second
 	}
 	for _, kind := range []struct {
-		name, told string
-		change     func(s *aspenshed.Settings, gateways int)
+		name, conditions string
+		change           func(s *aspenshed.Settings, gateways int)
 	}{
 		{"safe-share", "each with a safe share of (1-0.5)/N of a cold database, the agreed rate and no lease", func(s *aspenshed.Settings, n int) {
 			s.UnleasedShare, s.MaxWarmUpTime = (1-leasePoolShare)/float64(n), maxColdStart
 		}},
 		{"no-leases", "no leases, " + singleGatewayCondition, func(*aspenshed.Settings, int) {}},
 	} {
-		c := newSeriesSet("gateways", "1", groupConditions(kind.told))
+		c := newSeriesSet("gateways", "1", groupConditions(kind.conditions))
 		for _, n := range fleetSizes(o) {
 			s, err := settings(1)
 			if err != nil {
@@ -60,8 +61,8 @@
 	return nil
 }
 
-// learnedWorkRate is what the catalog would hold of the first group: the sum over gateways of the work a second that its warm
-// members answer.
+// learnedWorkRate returns the work rate that the catalog would hold of the first group: the sum over gateways of the
+// work per second that its warm members serve.
 func (w *simulation) learnedWorkRate() (rate float64) {
 	for _, g := range w.gateways {
 		if l := g.router.Learned(); len(l.Groups) > 0 {
@@ -71,7 +72,7 @@
 	return rate
 }
 
-// announceSlowStart tells all gateways what the store holds of a database that has just started.
+// announceSlowStart passes the store's slow-start share of a database that has just started to all gateways.
 func (w *simulation) announceSlowStart(d *database, rate float64) {
 	for _, g := range w.gateways {
 		g.pipeline.Tell(aspenshed.SlowStartShare{Member: d.id, StartedAt: w.clock.now, WorkRate: rate})
--- a/internal/experiment/datapath/connection.go
+++ b/internal/experiment/datapath/connection.go
@@ -14,12 +14,12 @@
 	readBufferSize  = 4096
 )
 
-// clientConn is a client's connection to a real gateway.
+// clientConn is a client connection to a real gateway.
 type clientConn struct {
 	conn        net.Conn
 	reader      pgwire.Reader
-	readyCount  int    // ReadyForQuery messages that came
-	errorCode   string // of the last error
+	readyCount  int    // ReadyForQuery messages received
+	errorCode   string // of the last error response
 	socketBytes int
 }
 
@@ -36,17 +36,17 @@
 	return x, nil
 }
 
-// query sends one statement of a class; code is an error's, empty: it was served.
+// query sends one statement of a class and returns the error code of its response; empty: it was served.
 func (x *clientConn) query(class int, id int64) (code string, err error) {
-	verb := "SELECT payload FROM entries WHERE ref = 'k%d' /* id=%d,c=%s,d=900,cluster=1 */"
+	statement := "SELECT payload FROM entries WHERE ref = 'k%d' /* id=%d,c=%s,d=900,cluster=1 */"
 	if class == write {
-		verb = "INSERT INTO entries (ref, payload) VALUES ('k%d', '\\x00') RETURNING payload /* id=%d,c=%s,d=900,cluster=1 */"
+		statement = "INSERT INTO entries (ref, payload) VALUES ('k%d', '\\x00') RETURNING payload /* id=%d,c=%s,d=900,cluster=1 */"
 	}
-	err = x.roundTrip(pgwire.QueryMessage(fmt.Sprintf(verb, id%100, id, classNames[class])))
+	err = x.roundTrip(pgwire.QueryMessage(fmt.Sprintf(statement, id%100, id, classNames[class])))
 	return x.errorCode, err
 }
 
-// roundTrip writes and reads up to the next ReadyForQuery.
+// roundTrip writes a message and reads up to the next ReadyForQuery.
 func (x *clientConn) roundTrip(out []byte) error {
 	_ = x.conn.SetDeadline(time.Now().Add(responseTimeout))
 	x.errorCode = ""
--- a/internal/experiment/datapath/database.go
+++ b/internal/experiment/datapath/database.go
@@ -8,19 +8,19 @@
 	"aspenshed/internal/experiment/standin"
 )
 
-// machineState of a database's machine.
+// machineState is the state of a database's machine.
 type machineState int
 
 const (
 	running  machineState = iota
-	refusing              // its process is gone: connections break and are refused
-	silent                // its machine is gone: nothing is answered
+	refusing              // the process has ended: connections break and are refused
+	silent                // the machine is down: nothing responds
 )
 
-// loadCounts is what gateways have asked of a database.
+// loadCounts counts the load that gateways put on a database.
 type loadCounts struct{ handshakes, probes, statements int }
 
-// database is a simulated one: standin's model without its sockets.
+// database is a simulated database: standin's model without sockets.
 type database struct {
 	id          string
 	group       int
@@ -30,7 +30,7 @@
 	loadCounts
 }
 
-// addGroups makes databases in groups; the first of each is its primary.
+// addGroups adds databases in groups; the first of each group is its primary.
 func (w *simulation) addGroups(groups, size int) {
 	for i := range groups * size {
 		w.databases = append(w.databases, &database{id: fmt.Sprintf("db-%05d", i), group: i / size,
@@ -38,7 +38,7 @@
 	}
 }
 
-// member is the list's entry of a database.
+// member returns the database's entry of the member list.
 func (d *database) member(startedAt aspenshed.Nanos) aspenshed.Member {
 	return aspenshed.Member{ID: d.id, Group: d.group, Weight: 1, State: aspenshed.Up, StartedAt: startedAt, Primary: d.model.Primary}
 }
@@ -52,7 +52,7 @@
 	return l, addresses
 }
 
-// totalLoad adds up what all databases were asked.
+// totalLoad sums the load counts and open connections of all databases.
 func (w *simulation) totalLoad() (all loadCounts, connections int) {
 	for _, d := range w.databases {
 		all.handshakes += d.handshakes
@@ -63,10 +63,10 @@
 	return all, connections
 }
 
-// fail ends a database. Gateways hear of it only if its process ends and its machine's kernel closes the connections.
-func (w *simulation) fail(d *database, how machineState) {
-	d.state, d.model.Primary = how, false
-	if how == refusing {
+// fail takes a database down. Gateways notice at once only if its process ends and the kernel closes its connections.
+func (w *simulation) fail(d *database, failure machineState) {
+	d.state, d.model.Primary = failure, false
+	if failure == refusing {
 		w.breakConnections(d)
 	}
 }
@@ -81,7 +81,7 @@
 	}
 }
 
-// restartCold has a database start cold, and all gateways hear of it.
+// restartCold restarts a database cold and notifies all gateways.
 func (w *simulation) restartCold(d *database) {
 	w.breakConnections(d)
 	d.model.Start(int64(w.clock.now))
--- a/internal/experiment/datapath/datapath.go
+++ b/internal/experiment/datapath/datapath.go
@@ -1,7 +1,7 @@
-// Package datapath measures what the data path costs as the fleet grows: the routing module by members and requests in
-// flight, connections, handshakes and probes of a gateway and at a database, clients that are idle, a change of primary
-// and a cold start. Gateways are either real processes on loopback or real pipelines in virtual time over simulated
-// databases; each series says which.
+// Package datapath measures how the cost of the data path grows with the fleet: the routing module by members and by
+// requests in flight; connections, handshakes and probes of a gateway and at a database; idle clients; a change of
+// primary and a cold start. Gateways are either real processes on loopback or real pipelines in virtual time with
+// simulated databases; the conditions of each series say which.
 package datapath
 
 import (
@@ -12,15 +12,15 @@
 	"aspenshed/internal/experiment/measure"
 )
 
-// Options say what is measured, and how much of it.
+// Options select the experiments and their extent.
 type Options struct {
-	Only  string // the one experiment to run; empty: all
-	Short bool   // a fraction of each, for tests: its figures are not for the page
+	Only  string // name of the only experiment to run; empty: all
+	Short bool   // a reduced form for tests, whose figures are not for the page
 	Seed  uint64
-	Out   io.Writer // progress
+	Out   io.Writer // receives progress messages
 }
 
-// experiment adds its series to a run.
+// experiment is a named measurement that adds its series to a run.
 type experiment struct {
 	name string
 	run  func(*recorder, Options) error
@@ -40,7 +40,7 @@
 	}
 }
 
-// Names are the experiments that Options.Only may name.
+// Names returns the valid values of Options.Only.
 func Names() (names []string) {
 	for _, e := range experiments() {
 		names = append(names, e.name)
@@ -59,21 +59,21 @@
 			continue
 		}
 		known = true
-		begun := time.Now()
+		startedAt := time.Now()
 		r.note("%s: load average %s at its start", e.name, loadAverage())
 		if err := runOnOneThread(func() error { return e.run(r, o) }); err != nil {
 			return r.run, fmt.Errorf("%s: %w", e.name, err)
 		}
-		r.progress("%s done in %s", e.name, time.Since(begun).Round(time.Second))
+		r.progress("%s done in %s", e.name, time.Since(startedAt).Round(time.Second))
 	}
 	if !known {
-		return r.run, fmt.Errorf("unknown experiment %q: it is one of %v", o.Only, Names())
+		return r.run, fmt.Errorf("unknown experiment %q, want one of %v", o.Only, Names())
 	}
 	r.run.Seconds = time.Since(r.startedAt).Seconds()
 	return r.run, nil
 }
 
-// recorder gathers a run.
+// recorder collects the results of a run.
 type recorder struct {
 	run       measure.Run
 	startedAt time.Time
@@ -88,7 +88,7 @@
 	_, _ = fmt.Fprintf(r.out, "%6.1f s  %s\n", time.Since(r.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// addSeries fits a line through the points and keeps them.
+// addSeries fits a line to the points of a series and adds the series to the run.
 func (r *recorder) addSeries(s measure.Series) error {
 	fit, err := measure.LeastSquares(s.Points)
 	if err != nil {
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// seriesSet are several quantities that are measured at the same values of one axis.
+// seriesSet is a set of series measured at the same values of one axis.
 type seriesSet struct {
 	x, unit, conditions string
 	list                []measure.Series
@@ -111,15 +111,15 @@
 	return &seriesSet{x: x, unit: unit, conditions: held, index: map[string]int{}}
 }
 
-// add puts one point to the quantity of that name.
-func (c *seriesSet) add(role, name, what, unit string, x, y float64) {
-	at, known := c.index[name]
+// add appends a point to the series of that name.
+func (c *seriesSet) add(role, name, quantity, unit string, x, y float64) {
+	i, known := c.index[name]
 	if !known {
-		at = len(c.list)
-		c.index[name] = at
-		c.list = append(c.list, measure.Series{Name: name, Role: role, X: c.x, XUnit: c.unit, Y: what, YUnit: unit, Conditions: c.conditions})
+		i = len(c.list)
+		c.index[name] = i
+		c.list = append(c.list, measure.Series{Name: name, Role: role, X: c.x, XUnit: c.unit, Y: quantity, YUnit: unit, Conditions: c.conditions})
 	}
-	c.list[at].Points = append(c.list[at].Points, measure.Point{X: x, Y: y})
+	c.list[i].Points = append(c.list[i].Points, measure.Point{X: x, Y: y})
 }
 
 func (c *seriesSet) record(r *recorder) error {
--- a/internal/experiment/datapath/datapath_test.go
+++ b/internal/experiment/datapath/datapath_test.go
@@ -21,7 +21,7 @@
 	return r
 }
 
-// Guards the page's figures: in virtual time a seed gives one history, but for how long Steps took here.
+// Guards the reproducibility of the page's figures: in virtual time equal seeds give equal series.
 func TestVirtualTimeIsDeterministic(t *testing.T) {
 	for _, name := range []string{"group", "cold", "primary", "zone"} {
 		a, b := runShort(t, name, 7), runShort(t, name, 7)
@@ -29,12 +29,12 @@
 			t.Errorf("%s: two runs of seed 7 differ", name)
 		}
 		if other := runShort(t, name, 8); reflect.DeepEqual(a.Series, other.Series) {
-			t.Errorf("%s: seed 8 gives what 7 did", name)
+			t.Errorf("%s: seed 8 gives the same series as seed 7", name)
 		}
 	}
 }
 
-// Every experiment's short form gives named series with a fit; those of real processes run a gateway on loopback.
+// Every experiment's short form yields named series with a fit; some run a real gateway process on loopback.
 func TestShortExperimentsYieldFittedSeries(t *testing.T) {
 	seen := map[string]bool{}
 	for _, name := range Names() {
@@ -71,9 +71,9 @@
 		want   outage
 	}{
 		{"all served", []completion{at(0.1, true), at(1.1, true)}, outage{}},
-		{"lost at once, then served", []completion{at(0.5, false), at(1.5, true)}, outage{1, 0.5, 1}},
-		{"one of two in the third second", []completion{at(0.5, true), at(2.25, false), at(2.5, true), at(3, true)}, outage{3, 2.25, 1}},
-		{"answers after the end are not known", []completion{at(0.5, true), at(9.5, false)}, outage{}},
+		{"unserved in the first second only", []completion{at(0.5, false), at(1.5, true)}, outage{1, 0.5, 1}},
+		{"one of two unserved in the third second", []completion{at(0.5, true), at(2.25, false), at(2.5, true), at(3, true)}, outage{3, 2.25, 1}},
+		{"writes after the end are ignored", []completion{at(0.5, true), at(9.5, false)}, outage{}},
 	} {
 		if got := computeOutage(c.writes, lost, lost+9*second); got != c.want {
 			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
@@ -81,7 +81,8 @@
 	}
 }
 
-// Guards the simulation: statements reach databases, connections are counted at both ends, and a lost primary's are gone.
+// Guards the simulation's counts: statements reach databases, each open connection is listed once at its database, and
+// a failed primary has none.
 func TestConnectionsAreCountedOnce(t *testing.T) {
 	s, err := settings(1)
 	if err != nil {
@@ -95,18 +96,18 @@
 	w.run(simulationStart + 5*second)
 	counts, open := w.totalLoad()
 	if counts.statements < 600 || counts.statements > 1000 || open == 0 || counts.handshakes < open {
-		t.Fatalf("%+v, %d open, after 800 statements asked for", counts, open)
+		t.Fatalf("%+v, %d open, after 800 statements requested", counts, open)
 	}
 	lost := w.databases[0]
 	w.fail(lost, refusing)
 	w.run(w.clock.now + 3*second)
 	if len(lost.connections) != 0 || lost.model.Primary {
-		t.Errorf("a lost database keeps %d connections", len(lost.connections))
+		t.Errorf("a failed database keeps %d connections", len(lost.connections))
 	}
 	for _, d := range w.databases {
 		for i, l := range d.connections {
 			if l.index != i || l.closed {
-				t.Fatalf("connection %d of %s: place %d, closed %v", i, d.id, l.index, l.closed)
+				t.Fatalf("connection %d of %s: index %d, closed %v", i, d.id, l.index, l.closed)
 			}
 		}
 	}
--- a/internal/experiment/datapath/firstwrite.go
+++ b/internal/experiment/datapath/firstwrite.go
@@ -19,8 +19,8 @@
 	redialDelay       = 20 * time.Millisecond
 )
 
-// measureFirstWrite loses a real group's primary behind a real gateway and takes the time to the first served write, by
-// the time that the databases take to make another one primary.
+// measureFirstWrite stops the primary of a group of stand-in databases behind a real gateway and measures the time to
+// the first served write, by the time until another database is promoted.
 func measureFirstWrite(r *recorder, o Options) error {
 	delays, runs := []time.Duration{0, time.Second, 3 * time.Second}, 8
 	if o.Short {
@@ -40,12 +40,12 @@
 		Conditions: fmt.Sprintf("one real gateway on loopback, %d stand-in databases, the primary's process ends, %d clients write; each run a point", realGatewayDatabases, writeClients)}
 	for i, delay := range delays {
 		for run := range runs {
-			folder := filepath.Join(dir, fmt.Sprintf("%d-%d", i, run))
-			if err := os.Mkdir(folder, 0o700); err != nil {
+			runDir := filepath.Join(dir, fmt.Sprintf("%d-%d", i, run))
+			if err := os.Mkdir(runDir, 0o700); err != nil {
 				return err
 			}
 			var took time.Duration
-			err := withStartedGateway(program, folder, limits(), func(p *gatewayProcess) (err error) {
+			err := withStartedGateway(program, runDir, limits(), func(p *gatewayProcess) (err error) {
 				took, err = timeToFirstWrite(p, delay)
 				return err
 			})
@@ -59,9 +59,9 @@
 	return r.addSeries(s)
 }
 
-var errNoWriteServed = errors.New("no write was served after the primary's loss")
+var errNoWriteServed = errors.New("no write was served after the loss of the primary")
 
-// timeToFirstWrite ends the primary and waits for a write to be served.
+// timeToFirstWrite stops the primary and returns the time until a write is served.
 func timeToFirstWrite(p *gatewayProcess, delay time.Duration) (time.Duration, error) {
 	served := make(chan time.Time, writeClients)
 	quit := make(chan struct{})
@@ -79,21 +79,21 @@
 	lost := time.Now()
 	dbs := p.group.DBs()
 	dbs[0].Stop()
-	hand := time.AfterFunc(delay, func() { p.group.HandOver(dbs[1].ID) })
-	defer hand.Stop()
-	for limit := time.After(firstWriteTimeout); ; {
+	promotion := time.AfterFunc(delay, func() { p.group.HandOver(dbs[1].ID) })
+	defer promotion.Stop()
+	for timeout := time.After(firstWriteTimeout); ; {
 		select {
 		case at := <-served:
 			if at.After(lost) {
 				return at.Sub(lost), nil
 			}
-		case <-limit:
+		case <-timeout:
 			return 0, errNoWriteServed
 		}
 	}
 }
 
-// writeContinuously writes, one statement after another, and tells when each served one was asked and answered.
+// writeContinuously sends one write after another and reports when each served write was completed.
 func writeContinuously(address string, number int64, served chan<- time.Time, quit <-chan struct{}) {
 	var x *clientConn
 	for id := number; ; id += writeClients {
--- a/internal/experiment/datapath/gateway.go
+++ b/internal/experiment/datapath/gateway.go
@@ -12,7 +12,7 @@
 	"aspenshed/internal/dataplane/routing"
 )
 
-const maxPending = 8192 // as the daemon's
+const maxPending = 8192 // same as the daemon's
 
 // gateway is a real pipeline with simulated clients and connections.
 type gateway struct {
@@ -26,14 +26,14 @@
 	nextDue      aspenshed.Nanos
 	steps        stepStats
 	groups       int
-	onCompletion func(completion) // hears of every statement's end; nil: nobody does
+	onCompletion func(completion) // called when a statement completes; may be nil
 	responses    responseCounts
 }
 
-// responseCounts counts ends of statements.
+// responseCounts counts completed statements by result.
 type responseCounts struct{ served, refused, failed int }
 
-// completion is one statement's end.
+// completion describes a completed statement.
 type completion struct {
 	class       int
 	arrivedAt   aspenshed.Nanos
@@ -41,28 +41,29 @@
 	served      bool
 }
 
-// stepStats is what the routing module was asked, and the processor time that it took.
+// stepStats counts the calls of Router.Step and their processor time.
 type stepStats struct {
 	count   int
 	cpuTime time.Duration
 }
 
-// timedDecider is a Router whose Steps are counted.
+// timedDecider is a Router whose Step calls are counted and timed.
 type timedDecider struct {
 	routing.Decider
 	steps *stepStats
 }
 
-// Step counts and passes on.
+// Step counts and times the call.
 func (t timedDecider) Step(now aspenshed.Nanos, events []aspenshed.Event) []aspenshed.Action {
-	begun := threadCPUTime()
+	startedAt := threadCPUTime()
 	actions := t.Decider.Step(now, events)
-	t.steps.cpuTime += threadCPUTime() - begun
+	t.steps.cpuTime += threadCPUTime() - startedAt
 	t.steps.count++
 	return actions
 }
 
-// addGateways starts gateways before all databases, each with so many statements a second over all groups alike.
+// addGateways starts n gateways with all databases, each receiving the given number of statements per second, spread
+// uniformly over all groups.
 func (w *simulation) addGateways(n int, s aspenshed.Settings, statements float64) error {
 	list, addresses := w.memberList()
 	byID := map[string]*database{}
@@ -91,27 +92,27 @@
 	return nil
 }
 
-// after calls f after a while, on the gateway's loop.
-func (g *gateway) after(after aspenshed.Nanos, f func()) *eventloop.Timer {
-	return g.loop.At(g.loop.Now()+after, f)
+// after calls f after a delay, on the gateway's loop.
+func (g *gateway) after(delay aspenshed.Nanos, f func()) *eventloop.Timer {
+	return g.loop.At(g.loop.Now()+delay, f)
 }
 
-// runDue handles what is due.
+// runDue runs the pending events of the loop that are due.
 func (g *gateway) runDue() { g.nextDue = g.loop.RunPending() }
 
-// generateLoad has clients ask at random instants, so many a second in the mean.
+// generateLoad submits statements at random times at the given mean rate per second.
 func (g *gateway) generateLoad(statements float64) {
 	if statements <= 0 {
 		return
 	}
-	asked := 0
+	submitted := 0
 	var next func()
 	next = func() {
-		g.submit(classMix[asked%len(classMix)])
-		asked++
+		g.submit(classMix[submitted%len(classMix)])
+		submitted++
 		g.after(g.interarrivalTime(statements), next)
 	}
-	asked = g.random.IntN(len(classMix))
+	submitted = g.random.IntN(len(classMix))
 	g.after(g.interarrivalTime(statements), next)
 }
 
@@ -119,23 +120,23 @@
 	return aspenshed.Nanos(g.random.ExpFloat64() * 1e9 / statements)
 }
 
-// submit takes one statement in.
+// submit passes one statement to the pipeline.
 func (g *gateway) submit(class int) {
 	now := g.loop.Now()
 	g.pipeline.Accept.Accept(request.Query{Class: class, Group: g.random.IntN(g.groups), Timeout: statementTimeout,
 		Statement: class == write, Client: &simulatedClient{g, class, now}}, now)
 }
 
-// simulatedClient waits for one answer.
+// simulatedClient waits for one response.
 type simulatedClient struct {
 	gateway   *gateway
 	class     int
 	arrivedAt aspenshed.Nanos
 }
 
-// Respond counts the answer.
-func (c *simulatedClient) Respond(f request.Response) {
-	switch g := c.gateway; f.Status {
+// Respond counts the response.
+func (c *simulatedClient) Respond(r request.Response) {
+	switch g := c.gateway; r.Status {
 	case request.Served:
 		g.responses.served++
 	case request.Refused:
@@ -144,6 +145,6 @@
 		g.responses.failed++
 	}
 	if c.gateway.onCompletion != nil {
-		c.gateway.onCompletion(completion{c.class, c.arrivedAt, c.gateway.loop.Now(), f.Status == request.Served})
+		c.gateway.onCompletion(completion{c.class, c.arrivedAt, c.gateway.loop.Now(), r.Status == request.Served})
 	}
 }
--- a/internal/experiment/datapath/group.go
+++ b/internal/experiment/datapath/group.go
@@ -8,7 +8,7 @@
 	"aspenshed/internal/experiment/target"
 )
 
-const startupWindow = 20 * second // after all gateways have started
+const startupWindow = 20 * second // measured after all gateways have started
 
 func fleetSizes(o Options) []int {
 	if o.Short {
@@ -17,10 +17,11 @@
 	return []int{150, 300, 600, 1200, 2400}
 }
 
-// groupConditions says what is held still where gateways share one group: the target's load of a group, however many there are.
-func groupConditions(told string) string {
+// groupConditions describes the constant parameters where gateways share one group: the group's target load, whatever
+// the number of gateways.
+func groupConditions(fleet string) string {
 	return fmt.Sprintf("one group of %.0f databases, %.0f statements/s over all gateways, %s, virtual time",
-		target.GroupSize, target.StatementsPerGroup(), told)
+		target.GroupSize, target.StatementsPerGroup(), fleet)
 }
 
 const (
@@ -28,7 +29,7 @@
 	gatewayCountCondition  = "each told how many gateways there are (as the platform's settings do)"
 )
 
-// newGroupSimulation is one group and all gateways before it.
+// newGroupSimulation returns a simulation of one group and the given number of gateways.
 func newGroupSimulation(gateways int, s aspenshed.Settings, o Options) (*simulation, error) {
 	w := newSimulation(o.Seed)
 	w.addGroups(1, int(target.GroupSize))
@@ -39,7 +40,7 @@
 	return w, w.addGateways(gateways, s, rate/float64(gateways))
 }
 
-// measureGroup takes the load of a database in steady state, by gateways.
+// measureGroup measures the load of a database at start and in steady state, by the number of gateways.
 func measureGroup(r *recorder, o Options) error {
 	span := measureWindow{90 * second, 30 * second}
 	if o.Short {
--- a/internal/experiment/datapath/primary.go
+++ b/internal/experiment/datapath/primary.go
@@ -9,34 +9,34 @@
 
 const (
 	primarySettleTime  = 20 * second
-	promotionDelay     = 1 * second // from the primary's loss until another database is the primary: the databases' own doing
+	promotionDelay     = 1 * second // from the loss of the primary until the databases promote another
 	primaryMeasureTime = 30 * second
-	runsPerFleetSize   = 3          // histories of each number of gateways, each a point
-	servedWindow       = 1 * second // over which the share of writes served is taken
+	runsPerFleetSize   = 3          // simulations for each number of gateways, each giving a point
+	servedWindow       = 1 * second // interval over which the share of served writes is computed
 	minServedShare     = 0.99
 	maxResponseDelay   = statementTimeout + second
 )
 
-// measurePrimaryLoss loses a group's primary under load and takes how long writes are not served, and how many probes
-// the group gets, by gateways.
+// measurePrimaryLoss takes a group's primary down under load and measures how long writes are not served and how many
+// probes the group receives, by the number of gateways.
 func measurePrimaryLoss(r *recorder, o Options) error {
 	for _, kind := range []struct {
-		name, told string
-		how        machineState
-		routers    func(gateways int) int
+		name, conditions string
+		failure          machineState
+		routers          func(gateways int) int
 	}{
 		{"crash", "process gone; " + singleGatewayCondition, refusing, func(int) int { return 1 }},
 		{"crash-told", "process gone; " + gatewayCountCondition, refusing, func(n int) int { return n }},
 		{"silent", "machine gone; " + singleGatewayCondition, silent, func(int) int { return 1 }},
 		{"silent-told", "machine gone; " + gatewayCountCondition, silent, func(n int) int { return n }},
 	} {
-		c := newSeriesSet("gateways", "1", groupConditions(kind.told+fmt.Sprintf("; another is primary after %d s", promotionDelay/second)))
+		c := newSeriesSet("gateways", "1", groupConditions(kind.conditions+fmt.Sprintf("; another is primary after %d s", promotionDelay/second)))
 		for _, n := range fleetSizes(o) {
 			s, err := settings(kind.routers(n))
 			if err != nil {
 				return err
 			}
-			if err := measurePrimaryLosses(c, kind.name, n, s, kind.how, o); err != nil {
+			if err := measurePrimaryLosses(c, kind.name, n, s, kind.failure, o); err != nil {
 				return err
 			}
 			r.progress("primary, %s: %d gateways", kind.name, n)
@@ -48,10 +48,10 @@
 	return nil
 }
 
-// measurePrimaryLosses adds a point of each history.
-func measurePrimaryLosses(c *seriesSet, name string, gateways int, s aspenshed.Settings, how machineState, o Options) error {
+// measurePrimaryLosses adds one point for each simulation.
+func measurePrimaryLosses(c *seriesSet, name string, gateways int, s aspenshed.Settings, failure machineState, o Options) error {
 	for range runsPerFleetSize {
-		outage, probes, err := simulatePrimaryLoss(gateways, s, how, o)
+		outage, probes, err := simulatePrimaryLoss(gateways, s, failure, o)
 		if err != nil {
 			return err
 		}
@@ -65,15 +65,15 @@
 	return nil
 }
 
-// outage is how long writes were not served.
+// outage describes how long writes were not served.
 type outage struct {
-	untilMostServed float64 // s: from then on each second at least servedEnough of the writes that came were served
-	lastUnserved    float64 // s: when the last write came that was not
+	untilMostServed float64 // s: from then on at least minServedShare of the writes that arrived in each second were served
+	lastUnserved    float64 // s: arrival of the last write that was not served
 	unserved        float64
 }
 
-// simulatePrimaryLoss takes the outage and the worst rate of probes at the group's busiest database.
-func simulatePrimaryLoss(gateways int, s aspenshed.Settings, how machineState, o Options) (out outage, probes float64, err error) {
+// simulatePrimaryLoss returns the outage and the highest rate of probes at any database of the group.
+func simulatePrimaryLoss(gateways int, s aspenshed.Settings, failure machineState, o Options) (out outage, probes float64, err error) {
 	settle, watch := primarySettleTime, primaryMeasureTime
 	if o.Short {
 		settle, watch = 2*second, 4*second
@@ -92,14 +92,14 @@
 		}
 	}
 	w.run(lost)
-	w.fail(w.databases[0], how)
-	without := w.runAndFindPeak(lost + promotionDelay)
+	w.fail(w.databases[0], failure)
+	beforePromotion := w.runAndFindPeak(lost + promotionDelay)
 	w.databases[1].model.Primary = true
-	with := w.runAndFindPeak(lost + watch)
-	return computeOutage(writes, lost, lost+watch-maxResponseDelay), max(without.probes, with.probes), nil
+	afterPromotion := w.runAndFindPeak(lost + watch)
+	return computeOutage(writes, lost, lost+watch-maxResponseDelay), max(beforePromotion.probes, afterPromotion.probes), nil
 }
 
-// computeOutage takes the writes that came from the loss until the end of those whose answers must be known.
+// computeOutage evaluates the writes that arrived from the loss until the given time; all of them must have completed.
 func computeOutage(writes []completion, lost, until aspenshed.Nanos) (out outage) {
 	windows := make([]struct{ all, served float64 }, (until-lost)/servedWindow+1)
 	for _, e := range writes {
--- a/internal/experiment/datapath/process.go
+++ b/internal/experiment/datapath/process.go
@@ -23,7 +23,7 @@
 	stopTimeout  = 10 * time.Second
 )
 
-// buildGateway builds the program that is measured, into a folder.
+// buildGateway builds the measured program into a directory and returns its path.
 func buildGateway(dir string) (string, error) {
 	program := filepath.Join(dir, "aspenshed")
 	out, err := exec.Command("go", "build", "-o", program, "aspenshed/cmd/aspenshed").CombinedOutput()
@@ -33,7 +33,7 @@
 	return program, nil
 }
 
-// gatewayProcess is a gateway's, with its stand-in databases in this one.
+// gatewayProcess is a gateway process; its stand-in databases run in this process.
 type gatewayProcess struct {
 	cmd     *exec.Cmd
 	group   *standin.Group
@@ -41,7 +41,7 @@
 	log     bytes.Buffer
 }
 
-// startGateway starts a gateway in front of one group of stand-in databases, and returns once it has served a statement.
+// startGateway starts a gateway with one group of stand-in databases and returns once it has served a statement.
 func startGateway(program, dir string, l standin.Limits, databases int) (p *gatewayProcess, err error) {
 	var ids []string
 	for i := range databases {
@@ -72,22 +72,22 @@
 		return nil, errors.Join(err, p.stop())
 	}
 	if _, err = daemon.QueryUntilServed(p.address, "first", startTimeout); err != nil {
-		stopErr := p.stop() // the process writes its log until it has ended
-		return nil, errors.Join(fmt.Errorf("the gateway did not serve: %w\n%s", err, p.log.String()), stopErr)
+		stopErr := p.stop() // p.log may be read only after the process has ended
+		return nil, errors.Join(fmt.Errorf("gateway did not serve a statement: %w\n%s", err, p.log.String()), stopErr)
 	}
 	return p, nil
 }
 
-// stop ends the gateway that was started, and its databases.
+// stop kills the gateway, if started, and stops its databases.
 func (p *gatewayProcess) stop() error {
 	if p.cmd != nil {
 		ended := make(chan error, 1)
 		go func() { ended <- p.cmd.Wait() }()
 		_ = p.cmd.Process.Kill()
 		select {
-		case <-ended: // by the signal
+		case <-ended: // killed by the signal
 		case <-time.After(stopTimeout):
-			return errors.New("the gateway's process does not end")
+			return errors.New("gateway process did not exit after SIGKILL")
 		}
 	}
 	if p.group != nil {
@@ -96,16 +96,16 @@
 	return nil
 }
 
-// usage is what a process has used since its start, and holds now.
+// usage is the resource use of a process: totals since its start and current values.
 type usage struct {
 	cores       float64 // processor seconds
 	resident    float64 // bytes
 	descriptors float64
-	bytes       float64 // read and written, at sockets for the most part
-	calls       float64 // of read and write
+	bytes       float64 // read and written, mostly at sockets
+	calls       float64 // system calls that read or write
 }
 
-// usage reads /proc.
+// usage reads the resource use of the process from /proc.
 func (p *gatewayProcess) usage() (u usage, err error) {
 	dir := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
 	stat, err := os.ReadFile(dir + "stat")
@@ -113,7 +113,7 @@
 		return u, err
 	}
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
-	const userTime, systemTime = 11, 12 // after the command's name
+	const userTime, systemTime = 11, 12 // field indexes after the command name
 	for _, i := range []int{userTime, systemTime} {
 		ticks, err := strconv.ParseFloat(fields[i], 64)
 		if err != nil {
@@ -136,7 +136,7 @@
 	return u, err
 }
 
-// readKeyedNumbers reads a file of lines "key: number ...".
+// readKeyedNumbers reads a file with lines of the form "key: number ...".
 func readKeyedNumbers(path string) (map[string]float64, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -154,7 +154,7 @@
 	return values, nil
 }
 
-// loadAverage is the machine's, of the last minute.
+// loadAverage returns the machine's load average over the last minute.
 func loadAverage() string {
 	b, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/internal/experiment/datapath/settings.go
+++ b/internal/experiment/datapath/settings.go
@@ -9,8 +9,9 @@
 	"aspenshed/internal/experiment/standin"
 )
 
-// serviceConfig is a front's settings as an operator writes them. The classes are those of the demonstration. Beyond three
-// quarters of clients the front closes idle ones, so that 6,700 need 9,000 at least.
+// serviceConfig is the configuration of a front as an operator writes it, with the classes of the demonstration. The
+// front closes idle clients above three quarters of the limit clients, so that 6,700 idle clients need a limit of at
+// least 9,000.
 const serviceConfig = `
 postgres:
   listen: 127.0.0.1:0
@@ -27,7 +28,7 @@
   client_idle: 10m
 `
 
-// classes of service, in its order.
+// Classes of serviceConfig, in its order.
 const (
 	boundedRead = iota
 	anyRead
@@ -36,15 +37,16 @@
 
 var classNames = []string{boundedRead: "point-read", anyRead: "report", write: "order"}
 
-// classMix is the order in which clients ask: 40% bounded reads, 40% reads of any age, 20% writes, as in experiment cut.
+// classMix is the sequence of classes that clients request: 40% bounded reads, 40% reads of any age, 20% writes, as in
+// the experiment cut.
 var classMix = []int{write, write, anyRead, anyRead, anyRead, anyRead, boundedRead, boundedRead, boundedRead, boundedRead}
 
-const statementTimeout = aspenshed.Nanos(900e6) // of a client for one statement
+const statementTimeout = aspenshed.Nanos(900e6) // client's time limit of one statement
 
-var errClassCount = errors.New("datapath: the settings make no front")
+var errClassCount = errors.New("datapath: the number of configured classes is not that of classNames")
 
-// settings are those that the daemon makes of service; routers is how many gateways it is told there are. The daemon
-// itself always says 1.
+// settings returns the settings that the daemon derives from serviceConfig, with the number of gateways set to routers.
+// The daemon itself always sets 1.
 func settings(routers int) (aspenshed.Settings, error) {
 	d, err := config.ParseDeploy("aspenshed.yaml", []byte(serviceConfig))
 	if err != nil {
@@ -59,7 +61,7 @@
 	return s, nil
 }
 
-// limits of every database here.
+// limits returns the limits of every database of this package.
 func limits() standin.Limits {
 	l := standin.DefaultLimits()
 	l.Queue = 4000
--- a/internal/experiment/datapath/statements.go
+++ b/internal/experiment/datapath/statements.go
@@ -11,11 +11,11 @@
 
 const loadClients = 48
 
-// measureStatements takes processor time, bytes and system calls of a real gateway by statements a second.
+// measureStatements measures processor time, bytes and system calls of a real gateway by statements per second.
 func measureStatements(r *recorder, o Options) error {
-	rates, warm, watch := []float64{150, 300, 600, target.StatementsPerGateway()}, time.Second, 6*time.Second
+	rates, settle, measured := []float64{150, 300, 600, target.StatementsPerGateway()}, time.Second, 6*time.Second
 	if o.Short {
-		rates, warm, watch = []float64{20, 40}, 100*time.Millisecond, 500*time.Millisecond
+		rates, settle, measured = []float64{20, 40}, 100*time.Millisecond, 500*time.Millisecond
 	}
 	return withRealGateway(limits(), func(p *gatewayProcess) error {
 		c := newSeriesSet("statements a second", "1/s", fmt.Sprintf("one real gateway on loopback, %d stand-in databases, %d clients (40%% bounded, 40%% any, 20%% writes)",
@@ -25,15 +25,15 @@
 			if err != nil {
 				return err
 			}
-			time.Sleep(warm)
+			time.Sleep(settle)
 			before, err := p.usage()
 			if err != nil {
 				return err
 			}
-			served, bytes, begun := l.served.Load(), l.bytes.Load(), time.Now()
-			time.Sleep(watch)
+			served, bytes, startedAt := l.served.Load(), l.bytes.Load(), time.Now()
+			time.Sleep(measured)
 			after, err := p.usage()
-			seconds := time.Since(begun).Seconds()
+			seconds := time.Since(startedAt).Seconds()
 			done, clientBytes := float64(l.served.Load()-served)/seconds, float64(l.bytes.Load()-bytes)/seconds
 			unserved := l.stop()
 			if err != nil {
@@ -43,13 +43,13 @@
 			c.add("data path", "datapath.bytes-by-statements", "bytes at a real gateway's sockets, all directions", "B/s", done, (after.bytes-before.bytes)/seconds)
 			c.add("client", "client.bytes-by-statements", "bytes at all clients' sockets, both directions", "B/s", done, clientBytes)
 			c.add("data path", "datapath.calls-by-statements", "reads and writes of a real gateway", "1/s", done, (after.calls-before.calls)/seconds)
-			r.progress("statements: %.0f/s served of %.0f asked, %d not served", done, rate, unserved)
+			r.progress("statements: %.0f/s served of %.0f requested, %d not served", done, rate, unserved)
 		}
 		return c.record(r)
 	})
 }
 
-// loadGenerator is clients that ask at a steady rate together.
+// loadGenerator is a set of clients that together send statements at a constant rate.
 type loadGenerator struct {
 	served, unserved atomic.Int64
 	bytes            atomic.Int64 // at the clients' sockets, both directions
@@ -72,7 +72,7 @@
 	return l, nil
 }
 
-// runClient asks at set instants, so that a slow answer does not lower the rate.
+// runClient sends statements at scheduled times, so that a slow response does not lower the rate.
 func (l *loadGenerator) runClient(x *clientConn, number int, pause time.Duration) {
 	defer l.wg.Done()
 	defer func() { _ = x.conn.Close() }()
--- a/internal/experiment/datapath/steady.go
+++ b/internal/experiment/datapath/steady.go
@@ -9,11 +9,12 @@
 	"aspenshed/internal/experiment/target"
 )
 
-// measureWindow is how long a steady load is watched, after it has run for long enough that idle connections are closed.
+// measureWindow is how long a steady load is measured, after it has settled for long enough that idle connections are
+// closed.
 type measureWindow struct{ settle, measure aspenshed.Nanos }
 
-// measureSteady takes what one gateway of the target opens, asks and spends, by members and by statements a second, in
-// virtual time. Its databases carry no other gateway's load.
+// measureSteady measures connections, handshakes, probes and processor time of one gateway at the target, by members
+// and by statements per second, in virtual time. Its databases carry no other gateway's load.
 func measureSteady(r *recorder, o Options) error {
 	members, rates, w := []int{2100, 6300, 10500, 21000}, []float64{150, 300, 600, target.StatementsPerGateway()}, measureWindow{75 * second, 15 * second}
 	if o.Short {
@@ -40,7 +41,7 @@
 	return byRate.record(r)
 }
 
-// measureSteadyPoint runs one gateway and adds what it did in the window.
+// measureSteadyPoint runs one gateway and adds its measurements during the window.
 func measureSteadyPoint(c *seriesSet, axis string, members int, rate, x float64, span measureWindow, seed uint64) error {
 	before := heapInUse()
 	w := newSimulation(seed)
@@ -79,7 +80,7 @@
 	return all
 }
 
-// heapInUse is what is in use after a collection.
+// heapInUse returns the bytes in use after a garbage collection.
 func heapInUse() float64 {
 	var m runtime.MemStats
 	runtime.GC()
--- a/internal/experiment/datapath/step.go
+++ b/internal/experiment/datapath/step.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	stepTrials       = 7 // whose median counts
-	stepGroupSize    = 5 // members of a group, as in BenchmarkStep
+	stepTrials       = 7 // the median is recorded
+	stepGroupSize    = 5 // members per group, as in BenchmarkStep
 	stepInterval     = 10 * aspenshed.Nanos(1e3)
 	stepResponseTime = 20 * millisecond
 )
 
-// measureStep takes the time of one Step with one request and one answer, as BenchmarkStep does, by members and by
-// requests in flight.
+// measureStep measures the processor time of one Step with one request and one response, as BenchmarkStep does, by
+// members and by requests in flight.
 func measureStep(r *recorder, o Options) error {
 	members, inFlight, steps := []int{20, 2100, 10500, 21000}, []int{100, 300, 600, 1200}, 4000
 	if o.Short {
 		members, inFlight, steps = []int{20, 200, 400}, []int{10, 20}, 50
 	}
 	most := members[len(members)-1]
-	for _, flying := range []int{inFlight[0], inFlight[len(inFlight)-1]} {
-		if flying > inFlight[0] { // the windows of few members do not let so many out
+	for _, count := range []int{inFlight[0], inFlight[len(inFlight)-1]} {
+		if count > inFlight[0] { // the windows of few members admit fewer requests in flight
 			members = members[1:]
 		}
-		s := measure.Series{Name: fmt.Sprintf("datapath.step-by-members-%d", flying), Role: "data path", X: "members", XUnit: "1",
-			Y: "processor time of one Router.Step", YUnit: "s", Conditions: fmt.Sprintf("%d requests in flight, one request and one answer a step", flying)}
+		s := measure.Series{Name: fmt.Sprintf("datapath.step-by-members-%d", count), Role: "data path", X: "members", XUnit: "1",
+			Y: "processor time of one Router.Step", YUnit: "s", Conditions: fmt.Sprintf("%d requests in flight, one request and one answer a step", count)}
 		for _, m := range members {
-			took, err := stepTime(m, flying, steps, o.Seed)
+			took, err := stepTime(m, count, steps, o.Seed)
 			if err != nil {
 				return err
 			}
@@ -43,17 +43,17 @@
 	}
 	s := measure.Series{Name: "datapath.step-by-in-flight", Role: "data path", X: "requests in flight", XUnit: "1",
 		Y: "processor time of one Router.Step", YUnit: "s", Conditions: fmt.Sprintf("%d members, one request and one answer a step", most)}
-	for _, flying := range inFlight {
-		took, err := stepTime(most, flying, steps, o.Seed)
+	for _, count := range inFlight {
+		took, err := stepTime(most, count, steps, o.Seed)
 		if err != nil {
 			return err
 		}
-		s.Points = append(s.Points, measure.Point{X: float64(flying), Y: took})
+		s.Points = append(s.Points, measure.Point{X: float64(count), Y: took})
 	}
 	return r.addSeries(s)
 }
 
-// stepTime is the median over trials of the mean processor time of a Step.
+// stepTime returns the median over trials of the mean processor time of a Step.
 func stepTime(members, inFlight, steps int, seed uint64) (float64, error) {
 	d, err := newStepDriver(members, inFlight, seed)
 	if err != nil {
@@ -61,23 +61,23 @@
 	}
 	var trials []float64
 	for range stepTrials {
-		begun := threadCPUTime()
+		startedAt := threadCPUTime()
 		for range steps {
 			d.step()
 		}
-		trials = append(trials, (threadCPUTime()-begun).Seconds()/float64(steps))
+		trials = append(trials, (threadCPUTime()-startedAt).Seconds()/float64(steps))
 	}
 	slices.Sort(trials)
 	return trials[len(trials)/2], nil
 }
 
-// stepDriver keeps a Router with so many requests in flight.
+// stepDriver drives a Router with a constant number of requests in flight.
 type stepDriver struct {
 	router       *aspenshed.Router
 	now          aspenshed.Nanos
 	groups       int
 	requestCount int
-	inFlight     []aspenshed.Send // the oldest first
+	inFlight     []aspenshed.Send // oldest first
 }
 
 func newStepDriver(members, inFlight int, seed uint64) (*stepDriver, error) {
@@ -98,7 +98,7 @@
 		d.apply([]aspenshed.Event{d.request()})
 	}
 	if len(d.inFlight) < inFlight {
-		return nil, fmt.Errorf("only %d of %d requests are in flight", len(d.inFlight), inFlight)
+		return nil, fmt.Errorf("only %d of %d requests in flight", len(d.inFlight), inFlight)
 	}
 	return d, nil
 }
@@ -108,7 +108,7 @@
 	return aspenshed.Request{ID: fmt.Sprint("q", d.requestCount), Class: anyRead, Group: d.requestCount % d.groups, Remaining: 3600 * second}
 }
 
-// step gives the Router one request and the oldest answer.
+// step passes the Router one request and the response of the oldest request in flight.
 func (d *stepDriver) step() {
 	events := []aspenshed.Event{d.request()}
 	if len(d.inFlight) > 0 {
--- a/internal/experiment/datapath/threadtime.go
+++ b/internal/experiment/datapath/threadtime.go
@@ -7,14 +7,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// runOnOneThread runs f on one thread, so that threadTime tells what f alone has used however busy the machine is.
+// runOnOneThread runs f locked to one thread, so that threadCPUTime counts the processor time of f alone, whatever else
+// the machine runs.
 func runOnOneThread(f func() error) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	return f()
 }
 
-// threadCPUTime is the processor time that the calling thread has used.
+// threadCPUTime returns the processor time used by the calling thread.
 func threadCPUTime() time.Duration {
 	var t unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &t) != nil {
--- a/internal/experiment/datapath/world.go
+++ b/internal/experiment/datapath/world.go
@@ -14,18 +14,18 @@
 	second      = aspenshed.Nanos(1e9)
 	millisecond = aspenshed.Nanos(1e6)
 
-	oneWayDelay = 250 * aspenshed.Nanos(1e3) // delay between a gateway and a database, within a region
+	oneWayDelay = 250 * aspenshed.Nanos(1e3) // network delay between a gateway and a database within a region
 
-	simulationStart = 1000 * second // any instant: positions must not be negative
+	simulationStart = 1000 * second // arbitrary, but large enough that positions are not negative
 )
 
 // clock is virtual time.
 type clock struct{ now aspenshed.Nanos }
 
-// Now is the present instant.
+// Now returns the virtual time.
 func (c *clock) Now() aspenshed.Nanos { return c.now }
 
-// simulation is gateways and databases in virtual time: equal seeds give equal histories.
+// simulation runs gateways and databases in virtual time: equal seeds give equal results.
 type simulation struct {
 	clock     clock
 	log       *logrus.Entry
@@ -41,7 +41,7 @@
 	return &simulation{clock: clock{simulationStart}, log: logrus.NewEntry(log), random: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// run goes on until that instant.
+// run advances virtual time to the given time.
 func (w *simulation) run(until aspenshed.Nanos) {
 	w.reschedule()
 	for len(w.queue) > 0 && w.queue[0].nextDue <= until {
@@ -53,7 +53,7 @@
 	w.clock.now = until
 }
 
-// reschedule has every gateway look at what was done to it from outside.
+// reschedule runs due events of every gateway and rebuilds the queue, as events may have been added from outside.
 func (w *simulation) reschedule() {
 	w.queue = w.queue[:0]
 	for _, g := range w.gateways {
@@ -63,7 +63,7 @@
 	heap.Init(&w.queue)
 }
 
-// gatewayHeap orders gateways by what is due next.
+// gatewayHeap orders gateways by the time of their next event.
 type gatewayHeap []*gateway
 
 func (h gatewayHeap) Len() int { return len(h) }
--- a/internal/experiment/datapath/worst.go
+++ b/internal/experiment/datapath/worst.go
@@ -4,10 +4,10 @@
 	"aspenshed"
 )
 
-// peakLoad is the load of whichever database had most, in whichever second that was.
+// peakLoad is the highest load of any database in any second, for each kind of load separately.
 type peakLoad struct{ handshakes, probes float64 }
 
-// runAndFindPeak runs second by second until then.
+// runAndFindPeak runs second by second until the given time and returns the peak load.
 func (w *simulation) runAndFindPeak(until aspenshed.Nanos) (most peakLoad) {
 	before := w.loadPerDatabase()
 	for w.clock.now < until {
--- a/internal/experiment/datapath/zone.go
+++ b/internal/experiment/datapath/zone.go
@@ -6,8 +6,8 @@
 	"aspenshed/internal/experiment/target"
 )
 
-// measureZoneLoss has a zone's databases fall silent at once before one gateway that goes on by its old list: for each
-// group that loses its primary so another takes over after handOver.
+// measureZoneLoss makes all databases of a zone unresponsive at once while one gateway keeps its old member list. In
+// each group that loses its primary, another database is promoted after promotionDelay.
 func measureZoneLoss(r *recorder, o Options) error {
 	members, rate := []int{2100, 6300, 10500, 21000}, target.StatementsPerGateway()
 	if o.Short {
@@ -52,10 +52,10 @@
 			unservedReads++
 		}
 	}
-	without := w.silenceZone()
+	successors := w.silenceZone()
 	before := totalLoadOf(w)
 	w.run(lost + promotionDelay)
-	for _, d := range without {
+	for _, d := range successors {
 		d.model.Primary = true
 	}
 	after := totalLoadOf(w)
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// silenceZone silences every so manieth database and names who is to take over from the primaries among them.
+// silenceZone makes every target.Zones-th database unresponsive and returns the successors of the primaries among them.
 func (w *simulation) silenceZone() (successors []*database) {
 	const zones = int(target.Zones)
 	for i := 0; i < len(w.databases); i += zones {
@@ -78,7 +78,7 @@
 		wasPrimary := d.model.Primary
 		w.fail(d, silent)
 		if wasPrimary {
-			successors = append(successors, w.databases[i+1]) // of the same group: its primary comes first
+			successors = append(successors, w.databases[i+1]) // of the same group, as its primary comes first
 		}
 	}
 	return successors
