--- a/internal/experiment/capacity/arithmetic_test.go
+++ b/internal/experiment/capacity/arithmetic_test.go
@@ -10,7 +10,7 @@
 )
 
 // line is a run whose series go through y = intercept + slope x at these x.
-func lineRun(t *testing.T, name, x string, intercept, slope float64, xs ...float64) *Run {
+func runOnLine(t *testing.T, name, x string, intercept, slope float64, xs ...float64) *Run {
 	t.Helper()
 	s := measure.Series{Name: name, X: x, YUnit: "B"}
 	for _, at := range xs {
@@ -27,17 +27,17 @@
 func testRuns(t *testing.T) *Runs {
 	t.Helper()
 	runs, err := NewRuns([]*Run{
-		lineRun(t, "voter.log-bytes-by-members", "members of the inventory", 100, 63, 2100, 10500),
-		lineRun(t, "client.connect-time-by-clients", "clients", 0.1, 0.0005, 500, 4000),
-		lineRun(t, "gateway.bytes-by-gateways", "gateways", 400, 0, 150, 2400),
-		lineRun(t, "voter.catalog-bytes-by-groups", "groups", 0, 86, 35, 350),
-		lineRun(t, "client.memory-by-clients", "clients", 20e6, 10e3, 500, 4000),
-		lineRun(t, "datapath.heap-by-members", "members", 1e6, 1000, 2100, 10500),
-		lineRun(t, "datapath.connections-by-members", "members", 0, 0.5, 2100, 10500),
-		lineRun(t, "datapath.cores-by-statements", "statements a second", 0.1, 1e-4, 100, 600),
-		lineRun(t, "datapath.router-cores-by-members", "members", 0, 1e-5, 2100, 21000),
-		lineRun(t, "client.bytes-by-statements", "statements a second", 0, 400, 100, 600),
-		lineRun(t, "database.connections-by-gateways", "gateways", 10, 0.9, 150, 2400),
+		runOnLine(t, "voter.log-bytes-by-members", "members of the inventory", 100, 63, 2100, 10500),
+		runOnLine(t, "client.connect-time-by-clients", "clients", 0.1, 0.0005, 500, 4000),
+		runOnLine(t, "gateway.bytes-by-gateways", "gateways", 400, 0, 150, 2400),
+		runOnLine(t, "voter.catalog-bytes-by-groups", "groups", 0, 86, 35, 350),
+		runOnLine(t, "client.memory-by-clients", "clients", 20e6, 10e3, 500, 4000),
+		runOnLine(t, "datapath.heap-by-members", "members", 1e6, 1000, 2100, 10500),
+		runOnLine(t, "datapath.connections-by-members", "members", 0, 0.5, 2100, 10500),
+		runOnLine(t, "datapath.cores-by-statements", "statements a second", 0.1, 1e-4, 100, 600),
+		runOnLine(t, "datapath.router-cores-by-members", "members", 0, 1e-5, 2100, 21000),
+		runOnLine(t, "client.bytes-by-statements", "statements a second", 0, 400, 100, 600),
+		runOnLine(t, "database.connections-by-gateways", "gateways", 10, 0.9, 150, 2400),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -52,36 +52,36 @@
 		value formula
 		want  float64
 	}{
-		{"a series at its target: 100 + 63 x 21,000", at("voter.log-bytes-by-members"), 1323100},
-		{"learned by all: 2,400 x 86 B x 3,500", learnedCatalog, 722400000},
-		{"whole lists: 1,323,100 x 63,000 / 86,400", wholeLists, 964760.4},
-		{"a zone's changes, whole lists: 1,323,100 x 21,000 / 19", zoneWhole, 1462373684},
-		{"a zone's changes, members alone: 63 x 1,105.26", zoneChanges, 69631.6},
-		{"snapshots of all: 1,323,100 x 2,400", allSnapshots, 3175440000},
-		{"a zone's gateways back: 1,323,100 x 2,400 / 19", zoneSnapshots, 167128421},
-		{"each voter of 5, within 11 s", zoneSnapshotRate, 3038698.6},
-		{"a lost gateway's clients: 6,666.67 x 0.5 ms", lostClients, 3.33333},
-		{"streams: 200 times 400 B/s", times("gateway.bytes-by-gateways", 200), 80000},
-		{"the largest point: 10 + 0.9 x 2,400", worst("database.connections-by-gateways"), 2170},
+		{"a series at its target: 100 + 63 x 21,000", atTarget("voter.log-bytes-by-members"), 1323100},
+		{"learned by all: 2,400 x 86 B x 3,500", learnedCatalogBytes, 722400000},
+		{"whole lists: 1,323,100 x 63,000 / 86,400", wholeListBytesPerSecond, 964760.4},
+		{"a zone's changes, whole lists: 1,323,100 x 21,000 / 19", zoneWholeListBytes, 1462373684},
+		{"a zone's changes, members alone: 63 x 1,105.26", zoneChangeBytes, 69631.6},
+		{"snapshots of all: 1,323,100 x 2,400", allSnapshotBytes, 3175440000},
+		{"a zone's gateways back: 1,323,100 x 2,400 / 19", zoneSnapshotBytes, 167128421},
+		{"each voter of 5, within 11 s", zoneSnapshotBytesPerSecond, 3038698.6},
+		{"a lost gateway's clients: 6,666.67 x 0.5 ms", reconnectTime, 3.33333},
+		{"streams: 200 times 400 B/s", multipliedBy("gateway.bytes-by-gateways", 200), 80000},
+		{"the largest point: 10 + 0.9 x 2,400", largestPoint("database.connections-by-gateways"), 2170},
 		{"a line at 0", intercept("client.memory-by-clients"), 20e6},
 		{"one client: the slope", perClient("client.memory-by-clients"), 10000},
-		{"bytes of one client: 400 x 1,208.33 / 6,666.67", shared("client.bytes-by-statements", 6666.667), 72.5},
-		{"memory: 86.67 MB of clients, 22 MB of state, 10,500 connections of 10 kB", gatewayMemory, 213666667},
-		{"cores: 0.1 + 0.1208 + 0.21", wholeGateway, 0.43083},
-		{"saved-up requests: 2,400 x 1.2 / (0.1 x 2.5 x 60 x 1.5)", fixed(burstTerm(2400)), 128},
-		{"two gateways fit: 2 x 1.2 / 22.5", fixed(burstTerm(2)), 0.10667},
-		{"round of the daemon: 250 ms", fixed(roundSeconds(1)), 0.25},
-		{"round told 80 gateways: 0.25 x 80 / 40", fixed(roundSeconds(80)), 0.5},
-		{"round told 2,400: the longest", fixed(roundSeconds(2400)), 4},
+		{"bytes of one client: 400 x 1,208.33 / 6,666.67", dividedBy("client.bytes-by-statements", 6666.667), 72.5},
+		{"memory: 86.67 MB of clients, 22 MB of state, 10,500 connections of 10 kB", gatewayMemoryBytes, 213666667},
+		{"cores: 0.1 + 0.1208 + 0.21", gatewayCores, 0.43083},
+		{"saved-up requests: 2,400 x 1.2 / (0.1 x 2.5 x 60 x 1.5)", constant(burstTerm(2400)), 128},
+		{"two gateways fit: 2 x 1.2 / 22.5", constant(burstTerm(2)), 0.10667},
+		{"round of the daemon: 250 ms", constant(probeRoundSeconds(1)), 0.25},
+		{"round told 80 gateways: 0.25 x 80 / 40", constant(probeRoundSeconds(80)), 0.5},
+		{"round told 2,400: the longest", constant(probeRoundSeconds(2400)), 4},
 	} {
-		got, err := c.value(&book{runs: testRuns(t)})
+		got, err := c.value(&evaluation{runs: testRuns(t)})
 		if err != nil || math.Abs(got-c.want) > 1e-4*math.Abs(c.want) {
 			t.Errorf("%s: %v (%v), by hand %v", c.name, got, err, c.want)
 		}
 	}
 }
 
-func TestAValueSaysHowItIsKnown(t *testing.T) {
+func TestValueKinds(t *testing.T) {
 	runs := testRuns(t)
 	for _, c := range []struct {
 		name  string
@@ -89,29 +89,29 @@
 		plain bool
 		want  Kind
 	}{
-		{"no run", at("database.nothing"), true, Missing},
-		{"beyond the range", at("voter.log-bytes-by-members"), true, Extended},
-		{"at the target", at("database.connections-by-gateways"), true, Measured},
-		{"arithmetic", wholeLists, false, WorkedOut},
-		{"arithmetic over what is missing", shared("database.nothing", 2), false, Missing},
+		{"no run", atTarget("database.nothing"), true, Missing},
+		{"beyond the range", atTarget("voter.log-bytes-by-members"), true, Extrapolated},
+		{"at the target", atTarget("database.connections-by-gateways"), true, Measured},
+		{"arithmetic", wholeListBytesPerSecond, false, Derived},
+		{"arithmetic over what is missing", dividedBy("database.nothing", 2), false, Missing},
 	} {
 		if v := evaluate(runs, c.value, "B", c.plain); v.Kind != c.want {
 			t.Errorf("%s: kind %d, want %d", c.name, v.Kind, c.want)
 		}
 	}
-	if v := evaluate(runs, at("voter.log-bytes-by-members"), "B", true); v.String() != "1.32 MB (extrapolated 2 times)" {
+	if v := evaluate(runs, atTarget("voter.log-bytes-by-members"), "B", true); v.String() != "1.32 MB (extrapolated 2 times)" {
 		t.Errorf("%s", v)
 	}
-	if v := evaluate(runs, wholeLists, "B/s", false); !strings.HasSuffix(v.String(), "(worked out)") || !strings.Contains(v.Basis(), "extrapolated 2 times") {
+	if v := evaluate(runs, wholeListBytesPerSecond, "B/s", false); !strings.HasSuffix(v.String(), "(worked out)") || !strings.Contains(v.Basis(), "extrapolated 2 times") {
 		t.Errorf("%s from %s", v, v.Basis())
 	}
 }
 
 // A point at the target counts for more than the line: what grows in steps has none.
-func TestAMeasuredTargetIsNotTakenFromTheLine(t *testing.T) {
+func TestProjectionPrefersPointsAtTarget(t *testing.T) {
 	s := measure.Series{Name: "x", X: "gateways", Points: []measure.Point{{X: 150, Y: 1}, {X: 1200, Y: 1}, {X: 2400, Y: 5}, {X: 2400, Y: 7}}}
 	s.Fit, _ = measure.LeastSquares(s.Points)
-	p, ok := Project(Slope{s, &Run{}})
+	p, ok := Project(FittedSeries{s, &Run{}})
 	if !ok || !p.Measured || p.Value != 6 || p.Factor != 1 {
 		t.Errorf("%+v %v", p, ok)
 	}
@@ -143,7 +143,7 @@
 		{0.0123, "s", "12.3 ms"}, {12, "s", "12 s"}, {21000, "1", "21,000"}, {1105.26, "1", "1,105"}, {1208.33, "1/s", "1,210/s"}, {0.021, "core", "0.021 core"},
 		{-0.5, "core", "-0.5 core"}, {1.6e7, "1", "16,000,000"},
 	} {
-		if got := quantity(c.v, c.unit); got != c.want {
+		if got := formatQuantity(c.v, c.unit); got != c.want {
 			t.Errorf("%v %s: %q, want %q", c.v, c.unit, got, c.want)
 		}
 	}
@@ -151,9 +151,9 @@
 
 // The worst comes first, what is not measured last.
 func TestRanking(t *testing.T) {
-	rows := rankedTable(testRuns(t), needs()).rows
-	if len(rows) != len(needs()) {
-		t.Fatalf("%d rows of %d needs", len(rows), len(needs()))
+	rows := rankedTable(testRuns(t), requirements()).rows
+	if len(rows) != len(requirements()) {
+		t.Fatalf("%d rows of %d needs", len(rows), len(requirements()))
 	}
 	if !strings.HasPrefix(rows[0][1], "cold database, what could") || rows[0][4] != "**short by 128**" {
 		t.Errorf("first: %q", rows[0])
@@ -168,8 +168,8 @@
 
 // Two runs of a series: only what differs by a tenth and more at the target is shown, with both values.
 func TestRepeats(t *testing.T) {
-	older, newer := lineRun(t, "x", "gateways", 0, 2, 1200, 2400), lineRun(t, "x", "gateways", 0, 5, 1200, 2400)
-	same, again := lineRun(t, "y", "gateways", 0, 2, 1200, 2400), lineRun(t, "y", "gateways", 0, 2.1, 1200, 2400)
+	older, newer := runOnLine(t, "x", "gateways", 0, 2, 1200, 2400), runOnLine(t, "x", "gateways", 0, 5, 1200, 2400)
+	same, again := runOnLine(t, "y", "gateways", 0, 2, 1200, 2400), runOnLine(t, "y", "gateways", 0, 2.1, 1200, 2400)
 	newer.Started, again.Started = time.Unix(60, 0), time.Unix(60, 0)
 	runs, err := NewRuns([]*Run{older, newer, same, again})
 	if err != nil {
@@ -181,22 +181,22 @@
 	}
 }
 
-func TestAFitThatIsNotThatOfItsPointsIsRefused(t *testing.T) {
-	r := lineRun(t, "x", "gateways", 1, 2, 10, 20)
+func TestNewRunsRejectsInconsistentFit(t *testing.T) {
+	r := runOnLine(t, "x", "gateways", 1, 2, 10, 20)
 	r.Series[0].Fit.Slope = 3
 	if _, err := NewRuns([]*Run{r}); err == nil {
 		t.Error("taken")
 	}
 }
 
-func TestTheNewerOfTwoSeriesCounts(t *testing.T) {
-	older, newer := lineRun(t, "x", "gateways", 1, 2, 10, 20), lineRun(t, "x", "gateways", 1, 5, 10, 20)
+func TestNewestSeriesWins(t *testing.T) {
+	older, newer := runOnLine(t, "x", "gateways", 1, 2, 10, 20), runOnLine(t, "x", "gateways", 1, 5, 10, 20)
 	newer.Started = time.Unix(60, 0)
 	runs, err := NewRuns([]*Run{newer, older})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s, ok := runs.Slope("x"); !ok || math.Abs(s.Fit.Slope-5) > 1e-9 {
+	if s, ok := runs.SeriesNamed("x"); !ok || math.Abs(s.Fit.Slope-5) > 1e-9 {
 		t.Errorf("%+v", s)
 	}
 }
--- a/internal/experiment/capacity/crosscheck.go
+++ b/internal/experiment/capacity/crosscheck.go
@@ -1,16 +1,16 @@
 package capacity
 
-// claim is a figure of issue 29's "What stands", which was measured elsewhere.
-type claim struct {
-	what, unit string
-	x          float64 // of the axis
-	theirs     float64
-	series     string
-	slope      bool // theirs is of one more of the axis
+// referenceFigure is a figure of issue 29's "What stands", which was measured elsewhere.
+type referenceFigure struct {
+	description, unit string
+	x                 float64 // of the axis
+	reference         float64
+	series            string
+	slope             bool // theirs is of one more of the axis
 }
 
-func claims() []claim {
-	return []claim{
+func referenceFigures() []referenceFigure {
+	return []referenceFigure{
 		{"log entries, 3 voters, idle", "1/s", 3, 1.5, "voter.log-entries-by-instances", false},
 		{"log entries, 54 voters, idle", "1/s", 54, 25, "voter.log-entries-by-instances", false},
 		{"processor, 3 voters, idle", "core", 3, 0.028, "voter.cpu-by-instances", false},
@@ -25,20 +25,20 @@
 	}
 }
 
-// claimTable sets ours beside theirs.
-func claimTable(runs *Runs) *table {
-	t := &table{head: []string{"figure", "issue 29", "ours", "ours over theirs", "from"}}
-	for _, c := range claims() {
-		s, ok := runs.Slope(c.series)
+// referenceTable sets ours beside theirs.
+func referenceTable(runs *Runs) *table {
+	t := &table{header: []string{"figure", "issue 29", "ours", "ours over theirs", "from"}}
+	for _, c := range referenceFigures() {
+		s, ok := runs.SeriesNamed(c.series)
 		if !ok {
-			t.add(c.what, quantity(c.theirs, c.unit), "not measured yet", "", "")
+			t.addRow(c.description, formatQuantity(c.reference, c.unit), "not measured yet", "", "")
 			continue
 		}
 		ours := s.Fit.Slope
 		if !c.slope {
 			ours = projectTo(s, c.x).Value
 		}
-		t.add(c.what, quantity(c.theirs, c.unit), quantity(ours, c.unit), number(ours/c.theirs), "`"+s.Name+"`, "+s.Source())
+		t.addRow(c.description, formatQuantity(c.reference, c.unit), formatQuantity(ours, c.unit), formatNumber(ours/c.reference), "`"+s.Name+"`, "+s.Source())
 	}
 	return t
 }
--- a/internal/experiment/capacity/format.go
+++ b/internal/experiment/capacity/format.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// number is a value with three significant digits.
-func number(v float64) string { return numberTo(v, 3) }
+// formatNumber is a value with three significant digits.
+func formatNumber(v float64) string { return formatSignificant(v, 3) }
 
-// numberTo is a value with so many significant digits.
-func numberTo(v float64, significant int) string {
+// formatSignificant is a value with so many significant digits.
+func formatSignificant(v float64, significant int) string {
 	if v == 0 || math.IsInf(v, 0) || math.IsNaN(v) {
 		return strconv.FormatFloat(v, 'g', -1, 64)
 	}
@@ -23,11 +23,11 @@
 	if strings.Contains(text, ".") {
 		text = strings.TrimRight(strings.TrimRight(text, "0"), ".")
 	}
-	return thousands(text)
+	return groupThousands(text)
 }
 
-// thousands puts commas into the whole part.
-func thousands(text string) string {
+// groupThousands puts commas into the whole part.
+func groupThousands(text string) string {
 	whole, part, _ := strings.Cut(text, ".")
 	sign := ""
 	if strings.HasPrefix(whole, "-") {
@@ -42,8 +42,8 @@
 	return sign + whole
 }
 
-// prefixes are the steps of units that take them, the largest first.
-var prefixes = map[string][]struct {
+// unitPrefixes are the steps of units that take them, the largest first.
+var unitPrefixes = map[string][]struct {
 	from float64
 	text string
 }{
@@ -52,39 +52,39 @@
 	"s":   {{1, " s"}, {1e-3, " ms"}, {1e-6, " µs"}},
 }
 
-// quantity is a value with its unit.
-func quantity(v float64, unit string) string {
-	for _, p := range prefixes[unit] {
+// formatQuantity is a value with its unit.
+func formatQuantity(v float64, unit string) string {
+	for _, p := range unitPrefixes[unit] {
 		if abs(v) >= p.from && p.from > 0 {
-			return number(v/p.from) + p.text
+			return formatNumber(v/p.from) + p.text
 		}
 	}
 	switch unit {
 	case "", "1":
-		return numberTo(v, 4)
+		return formatSignificant(v, 4)
 	case "1/s":
-		return number(v) + "/s"
+		return formatNumber(v) + "/s"
 	case "core":
-		return number(v) + " core"
+		return formatNumber(v) + " core"
 	}
-	return number(v) + " " + unit
+	return formatNumber(v) + " " + unit
 }
 
 // table is Markdown's.
 type table struct {
-	head []string
-	rows [][]string
+	header []string
+	rows   [][]string
 }
 
-func (t *table) add(cells ...string) { t.rows = append(t.rows, cells) }
+func (t *table) addRow(cells ...string) { t.rows = append(t.rows, cells) }
 
 func (t *table) String() string {
 	var b strings.Builder
 	line := func(cells []string) {
 		b.WriteString("| " + strings.Join(cells, " | ") + " |\n")
 	}
-	line(t.head)
-	rule := make([]string, len(t.head))
+	line(t.header)
+	rule := make([]string, len(t.header))
 	for i := range rule {
 		rule[i] = "---"
 	}
--- a/internal/experiment/capacity/page.go
+++ b/internal/experiment/capacity/page.go
@@ -24,22 +24,22 @@
 
 // sections are the parts of the page that are made, by the names of their markers.
 func sections(runs *Runs) (map[string]string, error) {
-	plots, err := plotList(runs)
+	plots, err := plotSection(runs)
 	if err != nil {
 		return nil, err
 	}
 	return map[string]string{
 		"target":  targetTable().String(),
-		"ranked":  rankedTable(runs, needs()).String(),
-		"before":  rankedTable(runs, needsBefore()).String(),
+		"ranked":  rankedTable(runs, requirements()).String(),
+		"before":  rankedTable(runs, requirementsBeforeSubscription()).String(),
 		"roles":   roleTables(runs),
-		"losses":  lossTable(runs).String(),
+		"losses":  failureTable(runs).String(),
 		"events":  eventTable(runs).String(),
 		"checks":  checkTable(runs).String(),
-		"claims":  claimTable(runs).String(),
+		"claims":  referenceTable(runs).String(),
 		"runs":    runTable(runs).String() + references(runs),
 		"repeats": repeatTable(runs).String(),
-		"slopes":  slopeTable(runs).String(),
+		"slopes":  seriesTable(runs).String(),
 		"plots":   plots,
 		"summary": summary(runs),
 	}, nil
@@ -105,7 +105,7 @@
 }
 
 func targetTable() *table {
-	t := &table{head: []string{"what follows from the operators' figures", ""}}
+	t := &table{header: []string{"what follows from the operators' figures", ""}}
 	for _, x := range []struct {
 		what  string
 		value float64
@@ -121,7 +121,7 @@
 		{"changes of configuration a second", target.ChangesPerSecond()},
 		{"restarts and replacements of machines a second", target.RestartsPerSecond()},
 	} {
-		t.add(x.what, numberTo(x.value, 4))
+		t.addRow(x.what, formatSignificant(x.value, 4))
 	}
 	return t
 }
@@ -138,12 +138,12 @@
 }
 
 func runTable(runs *Runs) *table {
-	t := &table{head: []string{"run", "began", "took", "machine", "command", "notes"}}
+	t := &table{header: []string{"run", "began", "took", "machine", "command", "notes"}}
 	for _, r := range runs.All {
-		t.add(r.reference(), r.Started.Format("2006-01-02 15:04"), quantity(r.Seconds, "s"), r.Machine, "`"+r.Command+"`", strings.Join(r.Notes, "; "))
+		t.addRow(r.reference(), r.Started.Format("2006-01-02 15:04"), formatQuantity(r.Seconds, "s"), r.Machine, "`"+r.Command+"`", strings.Join(r.Notes, "; "))
 	}
 	if len(t.rows) == 0 {
-		t.add("none yet", "", "", "", "", "")
+		t.addRow("none yet", "", "", "", "", "")
 	}
 	return t
 }
@@ -157,18 +157,18 @@
 	return b.String() + "\n"
 }
 
-func slopeTable(runs *Runs) *table {
-	t := &table{head: []string{"series", "quantity", "by", "slope", "intercept", "R²", "largest residual", "points", "held still", "run"}}
-	for _, s := range runs.Slopes() {
+func seriesTable(runs *Runs) *table {
+	t := &table{header: []string{"series", "quantity", "by", "slope", "intercept", "R²", "largest residual", "points", "held still", "run"}}
+	for _, s := range runs.AllSeries() {
 		least, most := s.Points[0].X, s.Points[0].X
 		for _, p := range s.Points {
 			least, most = min(least, p.X), max(most, p.X)
 		}
-		t.add("`"+s.Name+"`", s.Y, s.X, quantity(s.Fit.Slope, s.YUnit), quantity(s.Fit.Intercept, s.YUnit), number(s.Fit.R2), quantity(s.Fit.MaxResidual, s.YUnit),
-			fmt.Sprintf("%d, %s to %s", len(s.Points), number(least), number(most)), s.Conditions, s.Source())
+		t.addRow("`"+s.Name+"`", s.Y, s.X, formatQuantity(s.Fit.Slope, s.YUnit), formatQuantity(s.Fit.Intercept, s.YUnit), formatNumber(s.Fit.R2), formatQuantity(s.Fit.MaxResidual, s.YUnit),
+			fmt.Sprintf("%d, %s to %s", len(s.Points), formatNumber(least), formatNumber(most)), s.Conditions, s.Source())
 	}
 	if len(t.rows) == 0 {
-		t.add("none yet", "", "", "", "", "", "", "", "", "")
+		t.addRow("none yet", "", "", "", "", "", "", "", "", "")
 	}
 	return t
 }
@@ -176,8 +176,8 @@
 // summary counts what holds.
 func summary(runs *Runs) string {
 	short, holds, missing := 0, 0, 0
-	for _, n := range needs() {
-		switch v := evaluate(runs, n.value, n.unit, n.plain); {
+	for _, n := range requirements() {
+		switch v := evaluate(runs, n.value, n.unit, n.singleSeries); {
 		case v.Kind == Missing:
 			missing++
 		case n.bound.factor(v) > 1:
@@ -186,5 +186,5 @@
 			holds++
 		}
 	}
-	return fmt.Sprintf("Of %d needs below %d fall short, %d hold, %d are not measured yet.\n", len(needs()), short, holds, missing)
+	return fmt.Sprintf("Of %d needs below %d fall short, %d hold, %d are not measured yet.\n", len(requirements()), short, holds, missing)
 }
--- a/internal/experiment/capacity/page_test.go
+++ b/internal/experiment/capacity/page_test.go
@@ -12,7 +12,7 @@
 const root = "../../.."
 
 // Guards the page against runs that it was not made of: "go run ./internal/experiment/capacity/cmd/capacity" mends it.
-func TestPageAndPlotsAreThoseOfTheRuns(t *testing.T) {
+func TestPageAndPlotsMatchRuns(t *testing.T) {
 	runs, err := ReadRuns(filepath.Join(root, RunsPath))
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 }
 
 // Guards the daemon's size: the plots' packages are this command's alone.
-func TestTheProgramsDoNotImportPlots(t *testing.T) {
+func TestProgramsDoNotImportPlots(t *testing.T) {
 	cmd := exec.Command("go", "list", "-deps", "./cmd/...")
 	cmd.Dir = root
 	out, err := cmd.Output()
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestRewriteKeepsWhatIsWrittenByHand(t *testing.T) {
+func TestRewriteKeepsHandwrittenText(t *testing.T) {
 	runs, err := NewRuns(nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/experiment/capacity/plot.go
+++ b/internal/experiment/capacity/plot.go
@@ -29,8 +29,8 @@
 func Plots(runs *Runs) (map[string][]byte, error) {
 	out := map[string][]byte{}
 	for _, r := range roles() {
-		var slopes []Slope
-		for _, s := range runs.Slopes() {
+		var slopes []FittedSeries
+		for _, s := range runs.AllSeries() {
 			if strings.HasPrefix(s.Name, r.prefix) {
 				slopes = append(slopes, s)
 			}
@@ -38,7 +38,7 @@
 		if len(slopes) == 0 {
 			continue
 		}
-		svg, err := drawSlopes(slopes)
+		svg, err := drawSeries(slopes)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", r.name, err)
 		}
@@ -49,8 +49,8 @@
 
 func (r role) plotFile() string { return strings.TrimSuffix(r.prefix, ".") + ".svg" }
 
-// plotList is the section of the page that shows them.
-func plotList(runs *Runs) (string, error) {
+// plotSection is the section of the page that shows them.
+func plotSection(runs *Runs) (string, error) {
 	plots, err := Plots(runs)
 	if err != nil {
 		return "", err
@@ -67,13 +67,13 @@
 	return b.String(), nil
 }
 
-func drawSlopes(slopes []Slope) ([]byte, error) {
+func drawSeries(slopes []FittedSeries) ([]byte, error) {
 	rows := (len(slopes) + plotColumns - 1) / plotColumns
 	canvas := vgsvg.New(plotColumns*plotWidth, vg.Length(rows)*plotHeight)
 	tiles := draw.Tiles{Rows: rows, Cols: plotColumns, PadX: plotPad, PadY: plotPad, PadTop: plotPad, PadBottom: plotPad, PadLeft: plotPad, PadRight: plotPad}
 	page := draw.New(canvas)
 	for i, s := range slopes {
-		p, err := slopePlot(s)
+		p, err := seriesPlot(s)
 		if err != nil {
 			return nil, err
 		}
@@ -84,8 +84,8 @@
 	return b.Bytes(), err
 }
 
-// slopePlot is points and line of one series.
-func slopePlot(s Slope) (*plot.Plot, error) {
+// seriesPlot is points and line of one series.
+func seriesPlot(s FittedSeries) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = s.Name
 	p.X.Label.Text, p.Y.Label.Text = s.X, s.YUnit
--- a/internal/experiment/capacity/projection.go
+++ b/internal/experiment/capacity/projection.go
@@ -8,8 +8,8 @@
 	"aspenshed/internal/experiment/target"
 )
 
-// axes are the values at the target of what is varied, by the first words of its name.
-var axes = []struct {
+// axisTargets are the values at the target of what is varied, by the first words of its name.
+var axisTargets = []struct {
 	name string
 	at   float64
 }{
@@ -27,12 +27,12 @@
 // requestsInFlight of a gateway is as in issue 29: what it has within a second of its statements.
 const requestsInFlight = 1200
 
-// sameX is how near a measured point must lie to count as measured at the target.
-const sameX = 0.02
+// targetTolerance is how near a measured point must lie to count as measured at the target.
+const targetTolerance = 0.02
 
 // Projection is a slope's value at the target.
 type Projection struct {
-	Slope    Slope
+	Series   FittedSeries
 	At       float64
 	Value    float64
 	Measured bool    // there are points at the target itself: the value is their mean, and no line's
@@ -40,8 +40,8 @@
 }
 
 // Project takes a slope to the target of its axis; false: the axis has none.
-func Project(s Slope) (Projection, bool) {
-	for _, a := range axes {
+func Project(s FittedSeries) (Projection, bool) {
+	for _, a := range axisTargets {
 		if strings.HasPrefix(s.X, a.name) {
 			return projectTo(s, a.at), true
 		}
@@ -49,12 +49,12 @@
 	return Projection{}, false
 }
 
-func projectTo(s Slope, at float64) Projection {
-	p := Projection{Slope: s, At: at, Value: s.Fit.At(at)}
+func projectTo(s FittedSeries, at float64) Projection {
+	p := Projection{Series: s, At: at, Value: s.Fit.At(at)}
 	most, sum, n := 0.0, 0.0, 0.0
 	for _, x := range s.Points {
 		most = max(most, x.X)
-		if math.Abs(x.X-at) <= sameX*at {
+		if math.Abs(x.X-at) <= targetTolerance*at {
 			sum, n = sum+x.Y, n+1
 		}
 	}
@@ -67,21 +67,21 @@
 
 // Range is what was measured, and how far the target lies beyond.
 func (p Projection) Range() string {
-	least, most := p.Slope.Points[0].X, p.Slope.Points[0].X
-	for _, x := range p.Slope.Points {
+	least, most := p.Series.Points[0].X, p.Series.Points[0].X
+	for _, x := range p.Series.Points {
 		least, most = min(least, x.X), max(most, x.X)
 	}
-	text := fmt.Sprintf("%s to %s %s", number(least), number(most), p.Slope.X)
+	text := fmt.Sprintf("%s to %s %s", formatNumber(least), formatNumber(most), p.Series.X)
 	if p.Measured {
 		return text + ", measured there"
 	}
-	return text + ", " + p.beyond()
+	return text + ", " + p.extrapolation()
 }
 
-// beyond is how far the target lies from what was measured.
-func (p Projection) beyond() string {
+// extrapolation is how far the target lies from what was measured.
+func (p Projection) extrapolation() string {
 	if p.Factor > 1 {
-		return fmt.Sprintf("extrapolated %s times", number(p.Factor))
+		return fmt.Sprintf("extrapolated %s times", formatNumber(p.Factor))
 	}
 	return "by the line"
 }
--- a/internal/experiment/capacity/repeats.go
+++ b/internal/experiment/capacity/repeats.go
@@ -5,37 +5,37 @@
 	"strings"
 )
 
-// repeatsApart is by what part two runs must differ at the target for the page to say so.
-const repeatsApart = 0.1
+// minRepeatSpread is by what part two runs must differ at the target for the page to say so.
+const minRepeatSpread = 0.1
 
-// repeat is a series that several runs hold.
-type repeat struct {
+// repeatedSeries is a series that several runs hold.
+type repeatedSeries struct {
 	name   string
 	values []Projection // the oldest run first
 }
 
 // repeats are the series that several runs hold and whose axis has a target.
-func (r *Runs) repeats() []repeat {
+func (r *Runs) repeats() []repeatedSeries {
 	byName := map[string][]Projection{}
 	for _, run := range r.All {
 		for _, s := range run.Series {
-			if p, ok := Project(Slope{s, run}); ok {
+			if p, ok := Project(FittedSeries{s, run}); ok {
 				byName[s.Name] = append(byName[s.Name], p)
 			}
 		}
 	}
-	var out []repeat
+	var out []repeatedSeries
 	for name, values := range byName {
 		if len(values) > 1 {
-			out = append(out, repeat{name, values})
+			out = append(out, repeatedSeries{name, values})
 		}
 	}
-	slices.SortFunc(out, func(a, b repeat) int { return strings.Compare(a.name, b.name) })
+	slices.SortFunc(out, func(a, b repeatedSeries) int { return strings.Compare(a.name, b.name) })
 	return out
 }
 
 // spread is the largest value at the target over the least.
-func (x repeat) spread() float64 {
+func (x repeatedSeries) spread() float64 {
 	least, most := x.values[0].Value, x.values[0].Value
 	for _, p := range x.values {
 		least, most = min(least, p.Value), max(most, p.Value)
@@ -48,19 +48,19 @@
 
 // repeatTable shows how far runs of the same series lie apart.
 func repeatTable(runs *Runs) *table {
-	t := &table{head: []string{"series", "at the target, by run", "largest over least"}}
+	t := &table{header: []string{"series", "at the target, by run", "largest over least"}}
 	for _, x := range runs.repeats() {
-		if s := x.spread(); s >= 0 && s < 1+repeatsApart {
+		if s := x.spread(); s >= 0 && s < 1+minRepeatSpread {
 			continue
 		}
 		var values []string
 		for _, p := range x.values {
-			values = append(values, quantity(p.Value, p.Slope.YUnit)+" "+p.Slope.Source())
+			values = append(values, formatQuantity(p.Value, p.Series.YUnit)+" "+p.Series.Source())
 		}
-		t.add("`"+x.name+"`", strings.Join(values, ", "), number(x.spread()))
+		t.addRow("`"+x.name+"`", strings.Join(values, ", "), formatNumber(x.spread()))
 	}
 	if len(t.rows) == 0 {
-		t.add("none", "", "")
+		t.addRow("none", "", "")
 	}
 	return t
 }
--- a/internal/experiment/capacity/roles.go
+++ b/internal/experiment/capacity/roles.go
@@ -10,28 +10,28 @@
 // role is a part of the installation, as the page lists them.
 type role struct {
 	name, prefix string // prefix of the series that belong to it
-	whole        bool   // lines are all that is to be listed: other series are of events, or of another axis
-	lines        []line
+	listedOnly   bool   // lines are all that is to be listed: other series are of events, or of another axis
+	quantities   []roleQuantity
 }
 
-// line is one quantity of a role at the target, in steady state.
-type line struct {
-	what      string // state, messages, bytes, processor or memory, and of what
-	unit      string
-	value     formula
-	plain     bool // value is one series and nothing else
-	bound     bound
-	mechanism string // by package
+// roleQuantity is one quantity of a role at the target, in steady state.
+type roleQuantity struct {
+	description  string // state, messages, bytes, processor or memory, and of what
+	unit         string
+	value        formula
+	singleSeries bool // value is one series and nothing else
+	bound        bound
+	mechanism    string // by package
 }
 
-// series is a line that one series gives.
-func series(what, unit, name string, b bound, mechanism string) line {
-	return line{what, unit, at(name), true, b, mechanism}
+// seriesQuantity is a line that one seriesQuantity gives.
+func seriesQuantity(what, unit, name string, b bound, mechanism string) roleQuantity {
+	return roleQuantity{what, unit, atTarget(name), true, b, mechanism}
 }
 
-// derived is a line that is worked out.
-func derived(what, unit string, f formula, b bound, mechanism string) line {
-	return line{what, unit, f, false, b, mechanism}
+// derivedQuantity is a line that is worked out.
+func derivedQuantity(what, unit string, f formula, b bound, mechanism string) roleQuantity {
+	return roleQuantity{what, unit, f, false, b, mechanism}
 }
 
 // noBound is for what nobody limits.
@@ -39,103 +39,103 @@
 
 // Bounds that the operators have not given, and why these.
 const (
-	halfLoaded        = 0.5    // core: the loop is one goroutine, and a machine is to be no more than half loaded
-	stepCores         = 0.05   // core: issue 29 names it as too much for walking alone
-	databaseConns     = 1000.0 // what a stand-in database takes
-	gatewayConns      = 4000.0 // descriptors for databases in the measured gateway's file
-	clientDescriptors = 9200.0 // and for clients
-	sideWorkShare     = 0.1    // handshakes or probes for each statement at a database
-	primaryProbeBound = target.DatabaseCapacity * sideWorkShare
-	halfMachine       = 4.0 // core: half of a machine like the one that measured
-	sideWork          = target.StatementsPerSecond / target.Databases * sideWorkShare
+	halfLoadedCores        = 0.5    // core: the loop is one goroutine, and a machine is to be no more than half loaded
+	maxStepCores           = 0.05   // core: issue 29 names it as too much for walking alone
+	maxDatabaseConnections = 1000.0 // what a stand-in database takes
+	maxGatewayConnections  = 4000.0 // descriptors for databases in the measured gateway's file
+	maxClientDescriptors   = 9200.0 // and for clients
+	overheadShare          = 0.1    // handshakes or probes for each statement at a database
+	maxPrimaryProbeRate    = target.DatabaseCapacity * overheadShare
+	halfMachineCores       = 4.0 // core: half of a machine like the one that measured
+	maxOverheadRate        = target.StatementsPerSecond / target.Databases * overheadShare
 )
 
 func roles() []role {
 	return []role{
-		{"client connection", "client.", true, []line{
-			series("state: descriptors of a gateway", "1", "client.descriptors-by-clients", bound{clientDescriptors, assumed}, "netio, frontend/session"),
-			derived("memory: of one idle connection", "B", perClient("client.memory-by-clients"), noBound, "netio, frontend/session, frontend/postgres"),
-			series("memory: resident, of a gateway with all its clients", "B", "client.memory-by-clients", noBound, "netio, frontend/session"),
-			series("processor: of a gateway whose clients are all idle", "core", "client.idle-cores-by-clients", bound{halfLoaded, assumed}, "frontend/session (sweep)"),
-			derived("processor: of a gateway for a new connection and its first statement", "s", perClient("client.connect-time-by-clients"), noBound, "netio, frontend"),
-			derived("messages: statements of one connection", "1/s", fixed(target.StatementsPerSecond/target.ClientConnections), noBound, "frontend"),
-			derived("bytes: of one connection, both directions", "B/s", shared("client.bytes-by-statements", target.ClientsPerGateway()), noBound, "frontend/postgres, protocol/pgwire"),
+		{"client connection", "client.", true, []roleQuantity{
+			seriesQuantity("state: descriptors of a gateway", "1", "client.descriptors-by-clients", bound{maxClientDescriptors, assumed}, "netio, frontend/session"),
+			derivedQuantity("memory: of one idle connection", "B", perClient("client.memory-by-clients"), noBound, "netio, frontend/session, frontend/postgres"),
+			seriesQuantity("memory: resident, of a gateway with all its clients", "B", "client.memory-by-clients", noBound, "netio, frontend/session"),
+			seriesQuantity("processor: of a gateway whose clients are all idle", "core", "client.idle-cores-by-clients", bound{halfLoadedCores, assumed}, "frontend/session (sweep)"),
+			derivedQuantity("processor: of a gateway for a new connection and its first statement", "s", perClient("client.connect-time-by-clients"), noBound, "netio, frontend"),
+			derivedQuantity("messages: statements of one connection", "1/s", constant(target.StatementsPerSecond/target.ClientConnections), noBound, "frontend"),
+			derivedQuantity("bytes: of one connection, both directions", "B/s", dividedBy("client.bytes-by-statements", target.ClientsPerGateway()), noBound, "frontend/postgres, protocol/pgwire"),
 		}},
-		{"gateway, data path", "datapath.", true, []line{
-			series("state: connections to databases", "1", "datapath.connections-by-members", bound{gatewayConns, assumed}, "dataplane/dispatch (pools)"),
-			series("messages: probes", "1/s", "datapath.probes-by-members", noBound, "routing module (refreshPositions)"),
-			series("messages: handshakes with databases", "1/s", "datapath.handshakes-by-members", noBound, "dataplane/dispatch"),
-			series("messages: calls of Router.Step", "1/s", "datapath.steps-by-members", noBound, "dataplane/eventloop, dataplane/routing"),
-			series("messages: reads and writes of sockets", "1/s", "datapath.calls-by-statements", noBound, "netio"),
-			series("bytes: at all sockets, both directions", "B/s", "datapath.bytes-by-statements", noBound, "netio, frontend"),
-			series("processor: of a real gateway before 6 databases", "core", "datapath.cores-by-statements", bound{halfLoaded, assumed}, "all of the data path"),
-			series("processor: of Router.Step before 21,000 databases", "core", "datapath.router-cores-by-members", bound{stepCores, assumed}, "routing module (sweep, fade, earn)"),
-			series("processor: of one Router.Step, 100 requests in flight", "s", "datapath.step-by-members-100", noBound, "routing module"),
-			series("processor: of one Router.Step, 1,200 requests in flight", "s", "datapath.step-by-members-1200", noBound, "routing module (watchFlights)"),
-			series("memory: routing and connection state, without sockets", "B", "datapath.heap-by-members", noBound, "routing module, dataplane/routing, dataplane/dispatch"),
-			derived("memory: all of a gateway", "B", gatewayMemory, noBound, "all of the data path"),
+		{"gateway, data path", "datapath.", true, []roleQuantity{
+			seriesQuantity("state: connections to databases", "1", "datapath.connections-by-members", bound{maxGatewayConnections, assumed}, "dataplane/dispatch (pools)"),
+			seriesQuantity("messages: probes", "1/s", "datapath.probes-by-members", noBound, "routing module (refreshPositions)"),
+			seriesQuantity("messages: handshakes with databases", "1/s", "datapath.handshakes-by-members", noBound, "dataplane/dispatch"),
+			seriesQuantity("messages: calls of Router.Step", "1/s", "datapath.steps-by-members", noBound, "dataplane/eventloop, dataplane/routing"),
+			seriesQuantity("messages: reads and writes of sockets", "1/s", "datapath.calls-by-statements", noBound, "netio"),
+			seriesQuantity("bytes: at all sockets, both directions", "B/s", "datapath.bytes-by-statements", noBound, "netio, frontend"),
+			seriesQuantity("processor: of a real gateway before 6 databases", "core", "datapath.cores-by-statements", bound{halfLoadedCores, assumed}, "all of the data path"),
+			seriesQuantity("processor: of Router.Step before 21,000 databases", "core", "datapath.router-cores-by-members", bound{maxStepCores, assumed}, "routing module (sweep, fade, earn)"),
+			seriesQuantity("processor: of one Router.Step, 100 requests in flight", "s", "datapath.step-by-members-100", noBound, "routing module"),
+			seriesQuantity("processor: of one Router.Step, 1,200 requests in flight", "s", "datapath.step-by-members-1200", noBound, "routing module (watchFlights)"),
+			seriesQuantity("memory: routing and connection state, without sockets", "B", "datapath.heap-by-members", noBound, "routing module, dataplane/routing, dataplane/dispatch"),
+			derivedQuantity("memory: all of a gateway", "B", gatewayMemoryBytes, noBound, "all of the data path"),
 		}},
-		{"gateway, control side", "gateway.", false, []line{
-			series("bytes: control stream, both directions", "B/s", "gateway.bytes-by-gateways", bound{target.ControlBytesPerSecond, operators}, controlSide),
-			series("messages: control stream", "1/s", "gateway.messages-by-gateways", noBound, controlSide),
-			series("processor", "core", "gateway.cpu-by-gateways", bound{target.ControlCores, operators}, controlSide),
-			series("memory", "B", "gateway.memory-by-gateways", bound{target.ControlMemoryBytes, operators}, controlSide),
-			series("state: memory with all databases", "B", "gateway.memory-by-members", bound{target.ControlMemoryBytes, operators}, "controlplane/revision"),
-			series("in force after a commit, slowest gateway", "s", "gateway.in-force-max-by-gateways", bound{target.MaxApplySeconds, operators}, controlSide),
+		{"gateway, control side", "gateway.", false, []roleQuantity{
+			seriesQuantity("bytes: control stream, both directions", "B/s", "gateway.bytes-by-gateways", bound{target.ControlBytesPerSecond, operators}, controlClientPackages),
+			seriesQuantity("messages: control stream", "1/s", "gateway.messages-by-gateways", noBound, controlClientPackages),
+			seriesQuantity("processor", "core", "gateway.cpu-by-gateways", bound{target.ControlCores, operators}, controlClientPackages),
+			seriesQuantity("memory", "B", "gateway.memory-by-gateways", bound{target.ControlMemoryBytes, operators}, controlClientPackages),
+			seriesQuantity("state: memory with all databases", "B", "gateway.memory-by-members", bound{target.ControlMemoryBytes, operators}, "controlplane/revision"),
+			seriesQuantity("in force after a commit, slowest gateway", "s", "gateway.in-force-max-by-gateways", bound{target.MaxApplySeconds, operators}, controlClientPackages),
 		}},
-		{"relay", "relay.", false, []line{
-			derived("state: streams, if 17 machines less 5 voters carry all gateways", "1", fixed(target.Gateways/relayMachines), noBound, "not built"),
-			derived("state: streams of a relay's machine with one lost", "1", fixed(target.Gateways/(relayMachines-1)), noBound, "not built"),
-			derived("state: streams that voters carry then", "1", fixed(relayMachines), noBound, "not built"),
-			derived("bytes: of a relay's streams to gateways", "B/s", times("gateway.bytes-by-gateways", target.Gateways/relayMachines), noBound, "not built"),
-			derived("bytes: of a voter's streams to relays", "B/s", times("gateway.bytes-by-gateways", relayMachines/voters), noBound, "not built"),
+		{"relay", "relay.", false, []roleQuantity{
+			derivedQuantity("state: streams, if 17 machines less 5 voters carry all gateways", "1", constant(target.Gateways/relayMachines), noBound, "not built"),
+			derivedQuantity("state: streams of a relay's machine with one lost", "1", constant(target.Gateways/(relayMachines-1)), noBound, "not built"),
+			derivedQuantity("state: streams that voters carry then", "1", constant(relayMachines), noBound, "not built"),
+			derivedQuantity("bytes: of a relay's streams to gateways", "B/s", multipliedBy("gateway.bytes-by-gateways", target.Gateways/relayMachines), noBound, "not built"),
+			derivedQuantity("bytes: of a voter's streams to relays", "B/s", multipliedBy("gateway.bytes-by-gateways", relayMachines/voterCount), noBound, "not built"),
 		}},
-		{"voter", "voter.", false, []line{
-			derived("state: streams, if 5 voters alone carry all gateways", "1", fixed(target.Gateways/voters), noBound, "controlplane/stream, controlplane/subscription"),
-			derived("state: streams with one voter lost", "1", fixed(target.Gateways/(voters-1)), noBound, "controlplane/stream, controlplane/subscription"),
-			derived("bytes: of a voter's streams to gateways, without relays", "B/s", times("gateway.bytes-by-gateways", target.Gateways/voters), noBound, controlServer),
-			series("processor: the busiest", "core", "voter.cpu-max-by-gateways", bound{halfMachine, assumed}, controlServer),
-			series("memory: the largest", "B", "voter.memory-max-by-gateways", noBound, controlServer),
-			series("bytes: written by all voters, sockets and log", "B/s", "voter.bytes-out-by-gateways", noBound, controlServer),
-			series("messages: writes of all voters", "1/s", "voter.writes-by-gateways", noBound, controlServer),
+		{"voter", "voter.", false, []roleQuantity{
+			derivedQuantity("state: streams, if 5 voters alone carry all gateways", "1", constant(target.Gateways/voterCount), noBound, "controlplane/stream, controlplane/subscription"),
+			derivedQuantity("state: streams with one voter lost", "1", constant(target.Gateways/(voterCount-1)), noBound, "controlplane/stream, controlplane/subscription"),
+			derivedQuantity("bytes: of a voter's streams to gateways, without relays", "B/s", multipliedBy("gateway.bytes-by-gateways", target.Gateways/voterCount), noBound, controlServerPackages),
+			seriesQuantity("processor: the busiest", "core", "voter.cpu-max-by-gateways", bound{halfMachineCores, assumed}, controlServerPackages),
+			seriesQuantity("memory: the largest", "B", "voter.memory-max-by-gateways", noBound, controlServerPackages),
+			seriesQuantity("bytes: written by all voters, sockets and log", "B/s", "voter.bytes-out-by-gateways", noBound, controlServerPackages),
+			seriesQuantity("messages: writes of all voters", "1/s", "voter.writes-by-gateways", noBound, controlServerPackages),
 		}},
-		{"database, as we load it", "database.", true, []line{
-			series("state: connections", "1", "database.connections-by-gateways", bound{databaseConns, assumed}, "dataplane/dispatch (a pool each gateway)"),
-			series("messages: statements", "1/s", "database.statements-by-gateways", bound{target.DatabaseCapacity, assumed}, "routing module"),
-			series("messages: probes", "1/s", "database.probes-by-gateways", bound{sideWork, assumed}, "routing module (refreshPositions)"),
-			series("messages: handshakes", "1/s", "database.handshakes-by-gateways", bound{sideWork, assumed}, "dataplane/dispatch"),
+		{"database, as we load it", "database.", true, []roleQuantity{
+			seriesQuantity("state: connections", "1", "database.connections-by-gateways", bound{maxDatabaseConnections, assumed}, "dataplane/dispatch (a pool each gateway)"),
+			seriesQuantity("messages: statements", "1/s", "database.statements-by-gateways", bound{target.DatabaseCapacity, assumed}, "routing module"),
+			seriesQuantity("messages: probes", "1/s", "database.probes-by-gateways", bound{maxOverheadRate, assumed}, "routing module (refreshPositions)"),
+			seriesQuantity("messages: handshakes", "1/s", "database.handshakes-by-gateways", bound{maxOverheadRate, assumed}, "dataplane/dispatch"),
 		}},
 	}
 }
 
 const (
-	controlSide   = "controlplane/subscriber, controlplane/stream, controlplane/subscription"
-	controlServer = "controlplane/store, controlplane/stream, controlplane/subscription"
+	controlClientPackages = "controlplane/subscriber, controlplane/stream, controlplane/subscription"
+	controlServerPackages = "controlplane/store, controlplane/stream, controlplane/subscription"
 )
 
 const (
-	voters        = 5.0
-	relayMachines = target.ControlMachines - voters
+	voterCount    = 5.0
+	relayMachines = target.ControlMachines - voterCount
 )
 
 // perClient is a line's slope.
 func perClient(name string) formula {
-	return func(b *book) (float64, error) { return b.slope(name) }
+	return func(b *evaluation) (float64, error) { return b.slope(name) }
 }
 
-// shared is a series' value over so many.
-func shared(name string, among float64) formula {
-	return func(b *book) (float64, error) {
+// dividedBy is a series' value over so many.
+func dividedBy(name string, among float64) formula {
+	return func(b *evaluation) (float64, error) {
 		v, err := b.at(name)
 		return v / among, err
 	}
 }
 
-// times is a series' value so often.
-func times(name string, often float64) formula { return shared(name, 1/often) }
+// multipliedBy is a series' value so often.
+func multipliedBy(name string, often float64) formula { return dividedBy(name, 1/often) }
 
-// gatewayMemory adds clients, routing state and the buffers of connections to databases, each taken for a client's.
-func gatewayMemory(b *book) (float64, error) {
+// gatewayMemoryBytes adds clients, routing state and the buffers of connections to databases, each taken for a client's.
+func gatewayMemoryBytes(b *evaluation) (float64, error) {
 	clients, err := b.at("client.memory-by-clients")
 	if err != nil {
 		return 0, err
@@ -152,37 +152,37 @@
 	return clients + state + connections*each, err
 }
 
-// wholeLists is what a gateway receives if every change of a member brings the list as the log holds it.
-func wholeLists(b *book) (float64, error) {
+// wholeListBytesPerSecond is what a gateway receives if every change of a member brings the list as the log holds it.
+func wholeListBytesPerSecond(b *evaluation) (float64, error) {
 	list, err := b.at("voter.log-bytes-by-members")
 	return list * target.ChangesPerSecond(), err
 }
 
-// baseline is the experiment that measured the program before gateways subscribed: no part of the roles as they are.
-const baseline = "scale-baseline"
+// baselineExperiment is the experiment that measured the program before gateways subscribed: no part of the roles as they are.
+const baselineExperiment = "scale-baseline"
 
 // table is the lines of a role, and whatever else the runs hold of it.
 func (r role) table(runs *Runs) *table {
-	t := &table{head: []string{"quantity", "at the target", "margin", "carried by", "from"}}
+	t := &table{header: []string{"quantity", "at the target", "margin", "carried by", "from"}}
 	listed := map[string]bool{}
-	for _, l := range r.lines {
-		v := evaluate(runs, l.value, l.unit, l.plain)
-		for _, p := range v.From {
-			listed[p.Slope.Name] = true
+	for _, l := range r.quantities {
+		v := evaluate(runs, l.value, l.unit, l.singleSeries)
+		for _, p := range v.Sources {
+			listed[p.Series.Name] = true
 		}
-		t.add(l.what, v.String(), l.bound.margin(v), l.mechanism, v.Basis())
+		t.addRow(l.description, v.String(), l.bound.margin(v), l.mechanism, v.Basis())
 	}
-	for _, s := range runs.Slopes() {
-		if r.whole || !strings.HasPrefix(s.Name, r.prefix) || listed[s.Name] || s.Run.Experiment == baseline {
+	for _, s := range runs.AllSeries() {
+		if r.listedOnly || !strings.HasPrefix(s.Name, r.prefix) || listed[s.Name] || s.Run.Experiment == baselineExperiment {
 			continue
 		}
 		if _, ok := Project(s); ok {
-			v := evaluate(runs, at(s.Name), s.YUnit, true)
-			t.add(s.Y, v.String(), boundOf(s.Name).margin(v), mechanismOf(s.Name), v.Basis())
+			v := evaluate(runs, atTarget(s.Name), s.YUnit, true)
+			t.addRow(s.Y, v.String(), boundOf(s.Name).margin(v), mechanismOf(s.Name), v.Basis())
 		}
 	}
 	if len(t.rows) == 0 {
-		t.add("nothing", "not measured yet", "", "", "")
+		t.addRow("nothing", "not measured yet", "", "", "")
 	}
 	return t
 }
@@ -214,9 +214,9 @@
 	role, _, _ := strings.Cut(name, ".")
 	switch role {
 	case "gateway":
-		return controlSide
+		return controlClientPackages
 	case "voter":
-		return controlServer
+		return controlServerPackages
 	case "database", "datapath":
 		return "routing module, dataplane"
 	}
--- a/internal/experiment/capacity/value.go
+++ b/internal/experiment/capacity/value.go
@@ -12,32 +12,32 @@
 
 // The kinds.
 const (
-	Missing   Kind = iota // its series are in no run
-	WorkedOut             // arithmetic over the operators' figures, or over measured ones
-	Extended              // a line's value at the target
-	Measured              // at the target itself
+	Missing      Kind = iota // its series are in no run
+	Derived                  // arithmetic over the operators' figures, or over measured ones
+	Extrapolated             // a line's value at the target
+	Measured                 // at the target itself
 )
 
 // Value is an amount at the target and where it is from.
 type Value struct {
-	Amount float64
-	Unit   string
-	Kind   Kind
-	From   []Projection
+	Amount  float64
+	Unit    string
+	Kind    Kind
+	Sources []Projection
 }
 
 // errMissing says that no run holds the series.
 var errMissing = errors.New("not measured yet")
 
-// book reads projections and remembers them as the sources of a value.
-type book struct {
-	runs *Runs
-	from []Projection
+// evaluation reads projections and remembers them as the sources of a value.
+type evaluation struct {
+	runs    *Runs
+	sources []Projection
 }
 
 // at is the series' value at the target of its axis.
-func (b *book) at(name string) (float64, error) {
-	s, ok := b.runs.Slope(name)
+func (b *evaluation) at(name string) (float64, error) {
+	s, ok := b.runs.SeriesNamed(name)
 	if !ok {
 		return 0, fmt.Errorf("%s: %w", name, errMissing)
 	}
@@ -45,92 +45,92 @@
 	if !ok {
 		return 0, fmt.Errorf("%s: axis %q has no target", name, s.X)
 	}
-	b.from = append(b.from, p)
+	b.sources = append(b.sources, p)
 	return p.Value, nil
 }
 
 // slope is the line's slope: what one more of the axis adds.
-func (b *book) slope(name string) (float64, error) {
+func (b *evaluation) slope(name string) (float64, error) {
 	_, err := b.at(name)
 	if err != nil {
 		return 0, err
 	}
-	return b.from[len(b.from)-1].Slope.Fit.Slope, nil
+	return b.sources[len(b.sources)-1].Series.Fit.Slope, nil
 }
 
-// interceptOf is the line's value at 0, whether or not its axis has a target.
-func (b *book) interceptOf(name string) (float64, error) {
-	s, ok := b.runs.Slope(name)
+// intercept is the line's value at 0, whether or not its axis has a target.
+func (b *evaluation) intercept(name string) (float64, error) {
+	s, ok := b.runs.SeriesNamed(name)
 	if !ok {
 		return 0, fmt.Errorf("%s: %w", name, errMissing)
 	}
 	p := projectTo(s, 0)
-	b.from = append(b.from, p)
+	b.sources = append(b.sources, p)
 	return s.Fit.Intercept, nil
 }
 
-// worstOf is the largest value of any point, whatever its x: what is promised for each single event is no mean.
-func (b *book) worstOf(name string) (float64, error) {
-	s, ok := b.runs.Slope(name)
+// largest is the largest value of any point, whatever its x: what is promised for each single event is no mean.
+func (b *evaluation) largest(name string) (float64, error) {
+	s, ok := b.runs.SeriesNamed(name)
 	if !ok {
 		return 0, fmt.Errorf("%s: %w", name, errMissing)
 	}
-	p := Projection{Slope: s, Measured: true, Factor: 1}
+	p := Projection{Series: s, Measured: true, Factor: 1}
 	for _, x := range s.Points {
 		p.Value = max(p.Value, x.Y)
 	}
-	b.from = append(b.from, p)
+	b.sources = append(b.sources, p)
 	return p.Value, nil
 }
 
 // formula works an amount out.
-type formula func(*book) (float64, error)
+type formula func(*evaluation) (float64, error)
 
-// at is the formula of a series by itself.
-func at(name string) formula {
-	return func(b *book) (float64, error) { return b.at(name) }
+// atTarget is the formula of a series by itself.
+func atTarget(name string) formula {
+	return func(b *evaluation) (float64, error) { return b.at(name) }
 }
 
-// worst is the formula of a series' largest point.
-func worst(name string) formula {
-	return func(b *book) (float64, error) { return b.worstOf(name) }
+// largestPoint is the formula of a series' largest point.
+func largestPoint(name string) formula {
+	return func(b *evaluation) (float64, error) { return b.largest(name) }
 }
 
 // intercept is the formula of a line's value at 0.
 func intercept(name string) formula {
-	return func(b *book) (float64, error) { return b.interceptOf(name) }
+	return func(b *evaluation) (float64, error) { return b.intercept(name) }
 }
 
-// fixed is a formula of the operators' figures alone.
-func fixed(v float64) formula {
-	return func(*book) (float64, error) { return v, nil }
+// constant is a formula of the operators' figures alone.
+func constant(v float64) formula {
+	return func(*evaluation) (float64, error) { return v, nil }
 }
 
 // evaluate takes a formula. plain: it is one series' value and nothing else.
 func evaluate(runs *Runs, f formula, unit string, plain bool) Value {
-	b := &book{runs: runs}
+	b := &evaluation{runs: runs}
 	amount, err := f(b)
 	switch {
 	case err != nil:
 		return Value{Unit: unit, Kind: Missing}
 	case !plain:
-		return Value{amount, unit, WorkedOut, b.from}
-	case slices.ContainsFunc(b.from, func(p Projection) bool { return !p.Measured }):
-		return Value{amount, unit, Extended, b.from}
+		return Value{amount, unit, Derived, b.sources}
+	case slices.ContainsFunc(b.sources, func(p Projection) bool { return !p.Measured }):
+		return Value{amount, unit, Extrapolated, b.sources}
 	}
-	return Value{amount, unit, Measured, b.from}
+	return Value{amount, unit, Measured, b.sources}
 }
 
 // String is the amount, marked where it is not measured.
 func (v Value) String() string {
-	text := quantity(v.Amount, v.Unit)
+	text := formatQuantity(v.Amount, v.Unit)
 	switch v.Kind {
 	case Missing:
 		return "not measured yet"
-	case WorkedOut:
+	case Derived:
 		return text + " (worked out)"
-	case Extended:
-		return text + " (" + v.From[0].beyond() + ")"
+	case Extrapolated:
+		return text + " (" + v.Sources[0].extrapolation() + ")"
 	}
 	return text
 }
@@ -138,8 +138,8 @@
 // Basis is the series' ranges and files.
 func (v Value) Basis() string {
 	var parts []string
-	for _, p := range v.From {
-		part := fmt.Sprintf("`%s`, %s (%s; R² %s)", p.Slope.Name, p.Slope.Source(), p.Range(), number(p.Slope.Fit.R2))
+	for _, p := range v.Sources {
+		part := fmt.Sprintf("`%s`, %s (%s; R² %s)", p.Series.Name, p.Series.Source(), p.Range(), formatNumber(p.Series.Fit.R2))
 		if !slices.Contains(parts, part) {
 			parts = append(parts, part)
 		}
@@ -155,8 +155,8 @@
 
 // bound is what an amount may reach, and who says so.
 type bound struct {
-	limit float64
-	by    string // operators, or assumed: ours, where they have given none
+	limit  float64
+	source string // operators, or assumed: ours, where they have given none
 }
 
 const (
@@ -174,9 +174,9 @@
 	case b.limit == 0 || v.Kind == Missing:
 		return ""
 	case b.factor(v) > 1:
-		return fmt.Sprintf("**short by %s** (bound %s, %s)", number(b.factor(v)), quantity(b.limit, v.Unit), b.by)
+		return fmt.Sprintf("**short by %s** (bound %s, %s)", formatNumber(b.factor(v)), formatQuantity(b.limit, v.Unit), b.source)
 	case v.Amount <= 0:
-		return fmt.Sprintf("holds (bound %s, %s)", quantity(b.limit, v.Unit), b.by)
+		return fmt.Sprintf("holds (bound %s, %s)", formatQuantity(b.limit, v.Unit), b.source)
 	}
-	return fmt.Sprintf("holds %s times over (bound %s, %s)", number(1/b.factor(v)), quantity(b.limit, v.Unit), b.by)
+	return fmt.Sprintf("holds %s times over (bound %s, %s)", formatNumber(1/b.factor(v)), formatQuantity(b.limit, v.Unit), b.source)
 }
