--- a/internal/experiment/capacity/arithmetic_test.go
+++ b/internal/experiment/capacity/arithmetic_test.go
@@ -9,7 +9,7 @@
 	"aspenshed/internal/experiment/measure"
 )
 
-// line is a run whose series go through y = intercept + slope x at these x.
+// runOnLine returns a run with one series whose points lie on y = intercept + slope x at the given x.
 func runOnLine(t *testing.T, name, x string, intercept, slope float64, xs ...float64) *Run {
 	t.Helper()
 	s := measure.Series{Name: name, X: x, YUnit: "B"}
@@ -45,38 +45,38 @@
 	return runs
 }
 
-// A line for each quantity that is worked out, with figures worked by hand from testRuns.
+// Every derived quantity, compared with values calculated by hand from testRuns.
 func TestDerivedQuantities(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		value formula
 		want  float64
 	}{
-		{"a series at its target: 100 + 63 x 21,000", atTarget("voter.log-bytes-by-members"), 1323100},
-		{"learned by all: 2,400 x 86 B x 3,500", learnedCatalogBytes, 722400000},
+		{"series at its target: 100 + 63 x 21,000", atTarget("voter.log-bytes-by-members"), 1323100},
+		{"learned state of all instances: 2,400 x 86 B x 3,500", learnedCatalogBytes, 722400000},
 		{"whole lists: 1,323,100 x 63,000 / 86,400", wholeListBytesPerSecond, 964760.4},
-		{"a zone's changes, whole lists: 1,323,100 x 21,000 / 19", zoneWholeListBytes, 1462373684},
-		{"a zone's changes, members alone: 63 x 1,105.26", zoneChangeBytes, 69631.6},
-		{"snapshots of all: 1,323,100 x 2,400", allSnapshotBytes, 3175440000},
-		{"a zone's gateways back: 1,323,100 x 2,400 / 19", zoneSnapshotBytes, 167128421},
-		{"each voter of 5, within 11 s", zoneSnapshotBytesPerSecond, 3038698.6},
-		{"a lost gateway's clients: 6,666.67 x 0.5 ms", reconnectTime, 3.33333},
+		{"changes of a whole zone, whole lists: 1,323,100 x 21,000 / 19", zoneWholeListBytes, 1462373684},
+		{"changes of a whole zone, members alone: 63 x 1,105.26", zoneChangeBytes, 69631.6},
+		{"snapshots of all gateways: 1,323,100 x 2,400", allSnapshotBytes, 3175440000},
+		{"snapshots of a zone's gateways: 1,323,100 x 2,400 / 19", zoneSnapshotBytes, 167128421},
+		{"snapshot rate of each of 5 voters, within 11 s", zoneSnapshotBytesPerSecond, 3038698.6},
+		{"reconnecting a lost gateway's clients: 6,666.67 x 0.5 ms", reconnectTime, 3.33333},
 		{"streams: 200 times 400 B/s", multipliedBy("gateway.bytes-by-gateways", 200), 80000},
 		{"the largest point: 10 + 0.9 x 2,400", largestPoint("database.connections-by-gateways"), 2170},
-		{"a line at 0", intercept("client.memory-by-clients"), 20e6},
+		{"intercept of the line", intercept("client.memory-by-clients"), 20e6},
 		{"one client: the slope", perClient("client.memory-by-clients"), 10000},
 		{"bytes of one client: 400 x 1,208.33 / 6,666.67", dividedBy("client.bytes-by-statements", 6666.667), 72.5},
 		{"memory: 86.67 MB of clients, 22 MB of state, 10,500 connections of 10 kB", gatewayMemoryBytes, 213666667},
 		{"cores: 0.1 + 0.1208 + 0.21", gatewayCores, 0.43083},
-		{"saved-up requests: 2,400 x 1.2 / (0.1 x 2.5 x 60 x 1.5)", constant(burstTerm(2400)), 128},
-		{"two gateways fit: 2 x 1.2 / 22.5", constant(burstTerm(2)), 0.10667},
-		{"round of the daemon: 250 ms", constant(probeRoundSeconds(1)), 0.25},
-		{"round told 80 gateways: 0.25 x 80 / 40", constant(probeRoundSeconds(80)), 0.5},
-		{"round told 2,400: the longest", constant(probeRoundSeconds(2400)), 4},
+		{"burst of saved requests: 2,400 x 1.2 / (0.1 x 2.5 x 60 x 1.5)", constant(burstTerm(2400)), 128},
+		{"burst of two gateways: 2 x 1.2 / 22.5", constant(burstTerm(2)), 0.10667},
+		{"probe round of the daemon: 250 ms", constant(probeRoundSeconds(1)), 0.25},
+		{"probe round with 80 gateways configured: 0.25 x 80 / 40", constant(probeRoundSeconds(80)), 0.5},
+		{"probe round with 2,400 gateways configured: the maximum", constant(probeRoundSeconds(2400)), 4},
 	} {
 		got, err := c.value(&evaluation{runs: testRuns(t)})
 		if err != nil || math.Abs(got-c.want) > 1e-4*math.Abs(c.want) {
-			t.Errorf("%s: %v (%v), by hand %v", c.name, got, err, c.want)
+			t.Errorf("%s: %v (%v), want %v", c.name, got, err, c.want)
 		}
 	}
 }
@@ -84,18 +84,18 @@
 func TestValueKinds(t *testing.T) {
 	runs := testRuns(t)
 	for _, c := range []struct {
-		name  string
-		value formula
-		plain bool
-		want  Kind
+		name         string
+		value        formula
+		singleSeries bool
+		want         Kind
 	}{
-		{"no run", atTarget("database.nothing"), true, Missing},
+		{"series in no run", atTarget("database.nothing"), true, Missing},
 		{"beyond the range", atTarget("voter.log-bytes-by-members"), true, Extrapolated},
 		{"at the target", atTarget("database.connections-by-gateways"), true, Measured},
 		{"arithmetic", wholeListBytesPerSecond, false, Derived},
 		{"arithmetic over what is missing", dividedBy("database.nothing", 2), false, Missing},
 	} {
-		if v := evaluate(runs, c.value, "B", c.plain); v.Kind != c.want {
+		if v := evaluate(runs, c.value, "B", c.singleSeries); v.Kind != c.want {
 			t.Errorf("%s: kind %d, want %d", c.name, v.Kind, c.want)
 		}
 	}
@@ -107,7 +107,7 @@
 	}
 }
 
-// A point at the target counts for more than the line: what grows in steps has none.
+// Points measured at the target take precedence over the line, as a quantity that grows in steps has no fitting line.
 func TestProjectionPrefersPointsAtTarget(t *testing.T) {
 	s := measure.Series{Name: "x", X: "gateways", Points: []measure.Point{{X: 150, Y: 1}, {X: 1200, Y: 1}, {X: 2400, Y: 5}, {X: 2400, Y: 7}}}
 	s.Fit, _ = measure.LeastSquares(s.Points)
@@ -149,11 +149,11 @@
 	}
 }
 
-// The worst comes first, what is not measured last.
+// The requirement with the largest factor comes first, unmeasured ones last.
 func TestRanking(t *testing.T) {
 	rows := rankedTable(testRuns(t), requirements()).rows
 	if len(rows) != len(requirements()) {
-		t.Fatalf("%d rows of %d needs", len(rows), len(requirements()))
+		t.Fatalf("%d rows of %d requirements", len(rows), len(requirements()))
 	}
 	if !strings.HasPrefix(rows[0][1], "cold database, what could") || rows[0][4] != "**short by 128**" {
 		t.Errorf("first: %q", rows[0])
@@ -166,7 +166,7 @@
 	}
 }
 
-// Two runs of a series: only what differs by a tenth and more at the target is shown, with both values.
+// A series in two runs is listed, with both values, only if they differ by at least a tenth at the target.
 func TestRepeats(t *testing.T) {
 	older, newer := runOnLine(t, "x", "gateways", 0, 2, 1200, 2400), runOnLine(t, "x", "gateways", 0, 5, 1200, 2400)
 	same, again := runOnLine(t, "y", "gateways", 0, 2, 1200, 2400), runOnLine(t, "y", "gateways", 0, 2.1, 1200, 2400)
@@ -185,7 +185,7 @@
 	r := runOnLine(t, "x", "gateways", 1, 2, 10, 20)
 	r.Series[0].Fit.Slope = 3
 	if _, err := NewRuns([]*Run{r}); err == nil {
-		t.Error("taken")
+		t.Error("no error")
 	}
 }
 
--- a/internal/experiment/capacity/cmd/capacity/main.go
+++ b/internal/experiment/capacity/cmd/capacity/main.go
@@ -1,5 +1,5 @@
-// Command capacity makes docs/CAPACITY.md's tables and plots of the runs in docs/capacity. It is run from the module's
-// root.
+// Command capacity generates the tables and plots of docs/CAPACITY.md from the runs in docs/capacity. Run it in the
+// module's root directory.
 package main
 
 import (
--- a/internal/experiment/capacity/crosscheck.go
+++ b/internal/experiment/capacity/crosscheck.go
@@ -1,12 +1,12 @@
 package capacity
 
-// referenceFigure is a figure of issue 29's "What stands", which was measured elsewhere.
+// referenceFigure is a figure of issue 29's section "What stands", which was measured independently.
 type referenceFigure struct {
 	description, unit string
-	x                 float64 // of the axis
+	x                 float64 // value of the axis
 	reference         float64
 	series            string
-	slope             bool // theirs is of one more of the axis
+	slope             bool // reference is a slope: the increase per unit of the axis
 }
 
 func referenceFigures() []referenceFigure {
@@ -25,7 +25,7 @@
 	}
 }
 
-// referenceTable sets ours beside theirs.
+// referenceTable compares our measurements with the reference figures.
 func referenceTable(runs *Runs) *table {
 	t := &table{header: []string{"figure", "issue 29", "ours", "ours over theirs", "from"}}
 	for _, c := range referenceFigures() {
--- a/internal/experiment/capacity/events.go
+++ b/internal/experiment/capacity/events.go
@@ -8,13 +8,13 @@
 	"aspenshed/internal/experiment/target"
 )
 
-// failureEvent is one of the operators' events and what it does by arithmetic.
-type failureEvent struct {
+// disruption is an event of the operators' requirements and its effects.
+type disruption struct {
 	event, frequency string
 	effects          []effect
 }
 
-// effect is one consequence.
+// effect is one effect of an event at the target.
 type effect struct {
 	description  string
 	unit         string
@@ -23,12 +23,12 @@
 	bound        bound
 }
 
-const gatewaysPerRack = 20.0 // assumed: of one rack or switch
+const gatewaysPerRack = 20.0 // assumed number of gateways on one rack or switch
 
-func failureEvents() []failureEvent {
+func disruptions() []disruption {
 	zoneShare := target.GatewaysPerZone()
 	left := target.Gateways - zoneShare
-	return []failureEvent{
+	return []disruption{
 		{"machine of a gateway", fmt.Sprintf("%s a day, all roles", formatNumber(target.MachineFailuresPerDay)), []effect{
 			{"clients that come to each other gateway", "1", constant(target.ClientsPerGateway() / (target.Gateways - 1)), false, noBound},
 			{"processor time of all others to take them", "s", reconnectTime, false, noBound},
@@ -89,11 +89,11 @@
 	}
 }
 
-// probeRoundSeconds is the mean time between two probe rounds of a gateway that is told how many there are: roundWait of the
-// routing module, with its constants.
+// probeRoundSeconds is the mean time between two probe rounds of a gateway that is configured with the number of
+// gateways. It repeats Router.roundInterval of the routing module, with its constants.
 func probeRoundSeconds(gateways float64) float64 {
-	const every, longest, smallFleet, asOften = 0.25, 4.0, 8.0, 40.0
-	return min(every*max(1, (smallFleet+max(gateways-smallFleet, 0))/asOften), longest)
+	const minInterval, maxInterval, smallFleet, roundFleetSize = 0.25, 4.0, 8.0, 40.0
+	return min(minInterval*max(1, (smallFleet+max(gateways-smallFleet, 0))/roundFleetSize), maxInterval)
 }
 
 func zoneWholeListBytes(b *evaluation) (float64, error) {
@@ -106,7 +106,7 @@
 	return each * target.DatabasesPerZone(), err
 }
 
-// reconnectTime is what a lost gateway's clients cost the others.
+// reconnectTime is the processor time that the other gateways need to accept a lost gateway's clients.
 func reconnectTime(b *evaluation) (float64, error) {
 	each, err := b.slope("client.connect-time-by-clients")
 	return each * target.ClientsPerGateway(), err
@@ -127,21 +127,21 @@
 	return list * target.Gateways, err
 }
 
-// failureTable is what each event does at the target.
-func failureTable(runs *Runs) *table {
+// disruptionTable lists the effects of each event at the target.
+func disruptionTable(runs *Runs) *table {
 	t := &table{header: []string{"event", "how often", "what it does", "at the target", "margin", "from"}}
-	for _, l := range failureEvents() {
-		event, often := l.event, l.frequency
+	for _, l := range disruptions() {
+		event, frequency := l.event, l.frequency
 		for _, e := range l.effects {
 			v := evaluate(runs, e.value, e.unit, e.singleSeries)
-			t.addRow(event, often, e.description, v.String(), e.bound.margin(v), v.Basis())
-			event, often = "", ""
+			t.addRow(event, frequency, e.description, v.String(), e.bound.margin(v), v.Basis())
+			event, frequency = "", ""
 		}
 	}
 	return t
 }
 
-// eventTable is the events that were played to running installations.
+// eventTable lists the events that were induced in running installations.
 func eventTable(runs *Runs) *table {
 	t := &table{header: []string{"event", "run", "gateways", "members", "watched", "in force p50 / p99 / last", "bytes a gateway, mean", "worst minute", "processes (cores, memory)"}}
 	for _, r := range runs.All {
@@ -164,7 +164,7 @@
 	return t
 }
 
-// checkTable is what the runs asserted, what failed first.
+// checkTable lists the checks of each run, failed ones first.
 func checkTable(runs *Runs) *table {
 	t := &table{header: []string{"check", "run", "bound", "seen", "result"}}
 	for _, r := range runs.All {
--- a/internal/experiment/capacity/format.go
+++ b/internal/experiment/capacity/format.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// formatNumber is a value with three significant digits.
+// formatNumber formats a value with three significant digits.
 func formatNumber(v float64) string { return formatSignificant(v, 3) }
 
-// formatSignificant is a value with so many significant digits.
+// formatSignificant formats a value with the given number of significant digits.
 func formatSignificant(v float64, significant int) string {
 	if v == 0 || math.IsInf(v, 0) || math.IsNaN(v) {
 		return strconv.FormatFloat(v, 'g', -1, 64)
@@ -26,7 +26,7 @@
 	return groupThousands(text)
 }
 
-// groupThousands puts commas into the whole part.
+// groupThousands groups the digits of the integer part by commas.
 func groupThousands(text string) string {
 	whole, part, _ := strings.Cut(text, ".")
 	sign := ""
@@ -42,7 +42,7 @@
 	return sign + whole
 }
 
-// unitPrefixes are the steps of units that take them, the largest first.
+// unitPrefixes are the prefixed forms of units that take prefixes, largest first.
 var unitPrefixes = map[string][]struct {
 	from float64
 	text string
@@ -52,7 +52,7 @@
 	"s":   {{1, " s"}, {1e-3, " ms"}, {1e-6, " µs"}},
 }
 
-// formatQuantity is a value with its unit.
+// formatQuantity formats a value with its unit.
 func formatQuantity(v float64, unit string) string {
 	for _, p := range unitPrefixes[unit] {
 		if abs(v) >= p.from && p.from > 0 {
@@ -70,7 +70,7 @@
 	return formatNumber(v) + " " + unit
 }
 
-// table is Markdown's.
+// table is a Markdown table.
 type table struct {
 	header []string
 	rows   [][]string
@@ -80,17 +80,17 @@
 
 func (t *table) String() string {
 	var b strings.Builder
-	line := func(cells []string) {
+	writeRow := func(cells []string) {
 		b.WriteString("| " + strings.Join(cells, " | ") + " |\n")
 	}
-	line(t.header)
-	rule := make([]string, len(t.header))
-	for i := range rule {
-		rule[i] = "---"
+	writeRow(t.header)
+	separator := make([]string, len(t.header))
+	for i := range separator {
+		separator[i] = "---"
 	}
-	line(rule)
+	writeRow(separator)
 	for _, r := range t.rows {
-		line(r)
+		writeRow(r)
 	}
 	return b.String()
 }
--- a/internal/experiment/capacity/page.go
+++ b/internal/experiment/capacity/page.go
@@ -9,7 +9,7 @@
 	"aspenshed/internal/experiment/target"
 )
 
-// Where the page and what it is made of lie, from the module's root.
+// Paths of the page, the runs that it is generated from and its plots, relative to the module's root.
 const (
 	PagePath = "docs/CAPACITY.md"
 	RunsPath = "docs/capacity"
@@ -22,7 +22,7 @@
 	closeMark = " -->\n"
 )
 
-// sections are the parts of the page that are made, by the names of their markers.
+// sections returns the generated sections of the page by marker name.
 func sections(runs *Runs) (map[string]string, error) {
 	plots, err := plotSection(runs)
 	if err != nil {
@@ -33,7 +33,7 @@
 		"ranked":  rankedTable(runs, requirements()).String(),
 		"before":  rankedTable(runs, requirementsBeforeSubscription()).String(),
 		"roles":   roleTables(runs),
-		"losses":  failureTable(runs).String(),
+		"losses":  disruptionTable(runs).String(),
 		"events":  eventTable(runs).String(),
 		"checks":  checkTable(runs).String(),
 		"claims":  referenceTable(runs).String(),
@@ -45,9 +45,10 @@
 	}, nil
 }
 
-// Rewrite puts the sections into the page between their markers; what is written by hand stays.
+// Rewrite replaces the text between the section markers of the page with the generated sections and keeps all other
+// text.
 func Rewrite(page string, runs *Runs) (string, error) {
-	made, err := sections(runs)
+	generated, err := sections(runs)
 	if err != nil {
 		return "", err
 	}
@@ -59,22 +60,22 @@
 			break
 		}
 		name, after, ok := strings.Cut(after, closeMark)
-		text, known := made[name]
+		text, known := generated[name]
 		_, after, ended := strings.Cut(after, endMark+name+closeMark)
 		if !ok || !known || !ended {
-			return "", fmt.Errorf("section %q: unknown, or without an end", name)
+			return "", fmt.Errorf("section %q is unknown, repeated or has no end marker", name)
 		}
-		delete(made, name)
+		delete(generated, name)
 		out.WriteString(beginMark + name + closeMark + "\n" + text + "\n" + endMark + name + closeMark)
 		rest = after
 	}
-	for name := range made {
-		return "", fmt.Errorf("the page has no section %q", name)
+	for name := range generated {
+		return "", fmt.Errorf("section %q is missing from the page", name)
 	}
 	return out.String(), nil
 }
 
-// Write makes page and plots of the committed runs; root is the module's.
+// Write generates the page and the plots from the committed runs. root is the module's root directory.
 func Write(root string) error {
 	runs, err := ReadRuns(filepath.Join(root, RunsPath))
 	if err != nil {
@@ -148,7 +149,7 @@
 	return t
 }
 
-// references say where the files lie that the tables name.
+// references lists the link targets of the runs that the tables refer to.
 func references(runs *Runs) string {
 	var b strings.Builder
 	for _, r := range runs.All {
@@ -160,12 +161,12 @@
 func seriesTable(runs *Runs) *table {
 	t := &table{header: []string{"series", "quantity", "by", "slope", "intercept", "R²", "largest residual", "points", "held still", "run"}}
 	for _, s := range runs.AllSeries() {
-		least, most := s.Points[0].X, s.Points[0].X
+		minX, maxX := s.Points[0].X, s.Points[0].X
 		for _, p := range s.Points {
-			least, most = min(least, p.X), max(most, p.X)
+			minX, maxX = min(minX, p.X), max(maxX, p.X)
 		}
 		t.addRow("`"+s.Name+"`", s.Y, s.X, formatQuantity(s.Fit.Slope, s.YUnit), formatQuantity(s.Fit.Intercept, s.YUnit), formatNumber(s.Fit.R2), formatQuantity(s.Fit.MaxResidual, s.YUnit),
-			fmt.Sprintf("%d, %s to %s", len(s.Points), formatNumber(least), formatNumber(most)), s.Conditions, s.Source())
+			fmt.Sprintf("%d, %s to %s", len(s.Points), formatNumber(minX), formatNumber(maxX)), s.Conditions, s.Source())
 	}
 	if len(t.rows) == 0 {
 		t.addRow("none yet", "", "", "", "", "", "", "", "", "")
@@ -173,9 +174,9 @@
 	return t
 }
 
-// summary counts what holds.
+// summary counts the requirements that hold, fall short or are not measured.
 func summary(runs *Runs) string {
-	short, holds, missing := 0, 0, 0
+	short, met, missing := 0, 0, 0
 	for _, n := range requirements() {
 		switch v := evaluate(runs, n.value, n.unit, n.singleSeries); {
 		case v.Kind == Missing:
@@ -183,8 +184,8 @@
 		case n.bound.factor(v) > 1:
 			short++
 		default:
-			holds++
+			met++
 		}
 	}
-	return fmt.Sprintf("Of %d needs below %d fall short, %d hold, %d are not measured yet.\n", len(requirements()), short, holds, missing)
+	return fmt.Sprintf("Of %d needs below %d fall short, %d hold, %d are not measured yet.\n", len(requirements()), short, met, missing)
 }
--- a/internal/experiment/capacity/page_test.go
+++ b/internal/experiment/capacity/page_test.go
@@ -11,7 +11,8 @@
 
 const root = "../../.."
 
-// Guards the page against runs that it was not made of: "go run ./internal/experiment/capacity/cmd/capacity" mends it.
+// Guards against a page or plots that are out of date with the committed runs. The command
+// "go run ./internal/experiment/capacity/cmd/capacity" regenerates them.
 func TestPageAndPlotsMatchRuns(t *testing.T) {
 	runs, err := ReadRuns(filepath.Join(root, RunsPath))
 	if err != nil {
@@ -26,7 +27,7 @@
 		t.Fatal(err)
 	}
 	if want != string(page) {
-		t.Errorf("%s is not what its runs give; first difference at line %d", PagePath, firstDifference(want, string(page)))
+		t.Errorf("%s is out of date with its runs; first difference at line %d", PagePath, firstDifference(want, string(page)))
 	}
 	plots, err := Plots(runs)
 	if err != nil {
@@ -35,12 +36,12 @@
 	for name, svg := range plots {
 		got, err := os.ReadFile(filepath.Join(root, PlotPath, name))
 		if err != nil || !bytes.Equal(got, svg) {
-			t.Errorf("%s/%s is not what its runs give (%v)", PlotPath, name, err)
+			t.Errorf("%s/%s is out of date with its runs (%v)", PlotPath, name, err)
 		}
 	}
 	committed, err := filepath.Glob(filepath.Join(root, PlotPath, "*"))
 	if err != nil || len(committed) != len(plots) {
-		t.Errorf("%d plots are there, %d are made (%v)", len(committed), len(plots), err)
+		t.Errorf("%d plots committed, %d generated (%v)", len(committed), len(plots), err)
 	}
 }
 
@@ -54,7 +55,7 @@
 	return min(len(x), len(y)) + 1
 }
 
-// Guards the daemon's size: the plots' packages are this command's alone.
+// Guards the size of the programs: only the capacity command imports the plot packages.
 func TestProgramsDoNotImportPlots(t *testing.T) {
 	cmd := exec.Command("go", "list", "-deps", "./cmd/...")
 	cmd.Dir = root
@@ -74,23 +75,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	made, err := sections(runs)
+	generated, err := sections(runs)
 	if err != nil {
 		t.Fatal(err)
 	}
 	page := "prose\n"
-	for name := range made {
+	for name := range generated {
 		page += beginMark + name + closeMark + "stale\n" + endMark + name + closeMark + "more prose\n"
 	}
 	got, err := Rewrite(page, runs)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if strings.Contains(got, "stale") || !strings.HasPrefix(got, "prose\n") || strings.Count(got, "more prose\n") != len(made) {
+	if strings.Contains(got, "stale") || !strings.HasPrefix(got, "prose\n") || strings.Count(got, "more prose\n") != len(generated) {
 		t.Error(got)
 	}
 	if again, err := Rewrite(got, runs); err != nil || again != got {
-		t.Errorf("a second time gives another page (%v)", err)
+		t.Errorf("rewriting again changes the page (%v)", err)
 	}
 	for name, bad := range map[string]string{
 		"missing section": "prose\n",
--- a/internal/experiment/capacity/plot.go
+++ b/internal/experiment/capacity/plot.go
@@ -24,21 +24,21 @@
 	smallText   = font.Length(7)
 )
 
-// Plots draws a page of plots for each role that has slopes: the points and the line through them. Equal runs give equal
-// bytes.
+// Plots returns an SVG file for each role that has series, by file name. It shows the points and the fitted line of
+// each series. Equal runs give equal bytes.
 func Plots(runs *Runs) (map[string][]byte, error) {
 	out := map[string][]byte{}
 	for _, r := range roles() {
-		var slopes []FittedSeries
+		var fitted []FittedSeries
 		for _, s := range runs.AllSeries() {
 			if strings.HasPrefix(s.Name, r.prefix) {
-				slopes = append(slopes, s)
+				fitted = append(fitted, s)
 			}
 		}
-		if len(slopes) == 0 {
+		if len(fitted) == 0 {
 			continue
 		}
-		svg, err := drawSeries(slopes)
+		svg, err := drawSeries(fitted)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", r.name, err)
 		}
@@ -49,7 +49,7 @@
 
 func (r role) plotFile() string { return strings.TrimSuffix(r.prefix, ".") + ".svg" }
 
-// plotSection is the section of the page that shows them.
+// plotSection returns the section of the page that shows the plots.
 func plotSection(runs *Runs) (string, error) {
 	plots, err := Plots(runs)
 	if err != nil {
@@ -67,12 +67,12 @@
 	return b.String(), nil
 }
 
-func drawSeries(slopes []FittedSeries) ([]byte, error) {
-	rows := (len(slopes) + plotColumns - 1) / plotColumns
+func drawSeries(fitted []FittedSeries) ([]byte, error) {
+	rows := (len(fitted) + plotColumns - 1) / plotColumns
 	canvas := vgsvg.New(plotColumns*plotWidth, vg.Length(rows)*plotHeight)
 	tiles := draw.Tiles{Rows: rows, Cols: plotColumns, PadX: plotPad, PadY: plotPad, PadTop: plotPad, PadBottom: plotPad, PadLeft: plotPad, PadRight: plotPad}
 	page := draw.New(canvas)
-	for i, s := range slopes {
+	for i, s := range fitted {
 		p, err := seriesPlot(s)
 		if err != nil {
 			return nil, err
@@ -84,7 +84,7 @@
 	return b.Bytes(), err
 }
 
-// seriesPlot is points and line of one series.
+// seriesPlot plots the points and the fitted line of one series.
 func seriesPlot(s FittedSeries) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = s.Name
--- a/internal/experiment/capacity/ranked.go
+++ b/internal/experiment/capacity/ranked.go
@@ -8,7 +8,7 @@
 	"aspenshed/internal/experiment/target"
 )
 
-// requirement is something that the target asks for and a measurement stands against.
+// requirement is a bound of the target and the quantity that is measured against it.
 type requirement struct {
 	description  string
 	unit         string
@@ -18,7 +18,7 @@
 	reason       string
 }
 
-// requirements are of the program as it is.
+// requirements lists the requirements of the current program.
 func requirements() []requirement {
 	const ownPart = "1 s of it is taken for the databases' own; what they need more comes on top"
 	return []requirement{
@@ -50,7 +50,8 @@
 	}
 }
 
-// requirementsBeforeSubscription are of the program before gateways subscribed: every instance votes, and a list is replicated whole.
+// requirementsBeforeSubscription lists the requirements of the program before gateways subscribed, when every instance
+// voted and the whole member list was replicated.
 func requirementsBeforeSubscription() []requirement {
 	return []requirement{
 		{"control bytes of a gateway: the whole list for each change", "B/s", wholeListBytesPerSecond, false, bound{target.ControlBytesPerSecond, operators}, "PutInventory"},
@@ -60,20 +61,20 @@
 	}
 }
 
-// learnedCatalogBytes is what every instance holds of what all have learned.
+// learnedCatalogBytes is the memory that every instance needs for the learned state of all instances.
 func learnedCatalogBytes(b *evaluation) (float64, error) {
 	each, err := b.at("voter.catalog-bytes-by-groups")
 	return each * target.Gateways, err
 }
 
-// burstTerm is what all gateways' saved-up requests are of a cold database's budget: 1.2 requests each against 0.1 M c W,
-// the budget's rest. c is what a database can do at its start.
+// burstTerm is the ratio of the requests that all gateways can have saved, 1.2 each, to the remaining budget of a cold
+// database, 0.1 M c W. c is the database's capacity at its start.
 func burstTerm(gateways float64) float64 {
-	const saved, rest, multiple, share, window = 1.2, 0.1, 2.5, 0.15, 1.5
-	return gateways * saved / (rest * multiple * share * target.DatabaseCapacity * window)
+	const saved, remaining, multiple, share, window = 1.2, 0.1, 2.5, 0.15, 1.5
+	return gateways * saved / (remaining * multiple * share * target.DatabaseCapacity * window)
 }
 
-// gatewayCores adds Router.Step before all databases to a real gateway before a few.
+// gatewayCores adds the cost of Router.Step with all databases to that of a real gateway with a few.
 func gatewayCores(b *evaluation) (float64, error) {
 	real, err := b.at("datapath.cores-by-statements")
 	if err != nil {
@@ -83,7 +84,8 @@
 	return real + step, err
 }
 
-// rankedTable lists what does not hold by its factor, the worst first, then what holds, then what was not measured.
+// rankedTable lists the requirements by factor, largest first: those that fall short, those that hold, and last those
+// that were not measured.
 func rankedTable(runs *Runs, needs []requirement) *table {
 	type ranked struct {
 		requirement
--- a/internal/experiment/capacity/repeats.go
+++ b/internal/experiment/capacity/repeats.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// minRepeatSpread is by what part two runs must differ at the target for the page to say so.
+// minRepeatSpread is the relative difference at the target from which the page lists a repeated series.
 const minRepeatSpread = 0.1
 
-// repeatedSeries is a series that several runs hold.
+// repeatedSeries is a series that several runs contain.
 type repeatedSeries struct {
 	name   string
-	values []Projection // the oldest run first
+	values []Projection // oldest run first
 }
 
-// repeats are the series that several runs hold and whose axis has a target.
+// repeats returns the series that several runs contain and whose axis has a target.
 func (r *Runs) repeats() []repeatedSeries {
 	byName := map[string][]Projection{}
 	for _, run := range r.All {
@@ -34,19 +34,19 @@
 	return out
 }
 
-// spread is the largest value at the target over the least.
+// spread is the ratio of the largest to the smallest value at the target.
 func (x repeatedSeries) spread() float64 {
-	least, most := x.values[0].Value, x.values[0].Value
+	smallest, largest := x.values[0].Value, x.values[0].Value
 	for _, p := range x.values {
-		least, most = min(least, p.Value), max(most, p.Value)
+		smallest, largest = min(smallest, p.Value), max(largest, p.Value)
 	}
-	if least == most {
+	if smallest == largest {
 		return 1
 	}
-	return most / least
+	return largest / smallest
 }
 
-// repeatTable shows how far runs of the same series lie apart.
+// repeatTable lists how much runs of the same series differ.
 func repeatTable(runs *Runs) *table {
 	t := &table{header: []string{"series", "at the target, by run", "largest over least"}}
 	for _, x := range runs.repeats() {
--- a/internal/experiment/capacity/roles.go
+++ b/internal/experiment/capacity/roles.go
@@ -7,46 +7,46 @@
 	"aspenshed/internal/experiment/target"
 )
 
-// role is a part of the installation, as the page lists them.
+// role is a part of the installation that the page describes in a section of its own.
 type role struct {
-	name, prefix string // prefix of the series that belong to it
-	listedOnly   bool   // lines are all that is to be listed: other series are of events, or of another axis
+	name, prefix string // prefix is that of the names of its series
+	listedOnly   bool   // list quantities only: the role's other series are of events or of another axis
 	quantities   []roleQuantity
 }
 
-// roleQuantity is one quantity of a role at the target, in steady state.
+// roleQuantity is a quantity of a role at the target, in steady state.
 type roleQuantity struct {
 	description  string // state, messages, bytes, processor or memory, and of what
 	unit         string
 	value        formula
-	singleSeries bool // value is one series and nothing else
+	singleSeries bool // value is that of one series alone
 	bound        bound
-	mechanism    string // by package
+	mechanism    string // packages that carry it
 }
 
-// seriesQuantity is a line that one seriesQuantity gives.
-func seriesQuantity(what, unit, name string, b bound, mechanism string) roleQuantity {
-	return roleQuantity{what, unit, atTarget(name), true, b, mechanism}
+// seriesQuantity returns a quantity that one series measures.
+func seriesQuantity(description, unit, name string, b bound, mechanism string) roleQuantity {
+	return roleQuantity{description, unit, atTarget(name), true, b, mechanism}
 }
 
-// derivedQuantity is a line that is worked out.
-func derivedQuantity(what, unit string, f formula, b bound, mechanism string) roleQuantity {
-	return roleQuantity{what, unit, f, false, b, mechanism}
+// derivedQuantity returns a quantity that a formula derives.
+func derivedQuantity(description, unit string, f formula, b bound, mechanism string) roleQuantity {
+	return roleQuantity{description, unit, f, false, b, mechanism}
 }
 
-// noBound is for what nobody limits.
+// noBound marks a quantity without a bound.
 var noBound = bound{}
 
-// Bounds that the operators have not given, and why these.
+// Assumed bounds, where the operators have not given any, and their reasons.
 const (
-	halfLoadedCores        = 0.5    // core: the loop is one goroutine, and a machine is to be no more than half loaded
-	maxStepCores           = 0.05   // core: issue 29 names it as too much for walking alone
-	maxDatabaseConnections = 1000.0 // what a stand-in database takes
-	maxGatewayConnections  = 4000.0 // descriptors for databases in the measured gateway's file
-	maxClientDescriptors   = 9200.0 // and for clients
-	overheadShare          = 0.1    // handshakes or probes for each statement at a database
+	halfLoadedCores        = 0.5    // core: the event loop is one goroutine, and a machine is to be at most half loaded
+	maxStepCores           = 0.05   // core: issue 29 names it as too much for iterating over members alone
+	maxDatabaseConnections = 1000.0 // connection limit of a stand-in database
+	maxGatewayConnections  = 4000.0 // backend connection limit in the measured gateway's configuration
+	maxClientDescriptors   = 9200.0 // client limit in the same configuration
+	overheadShare          = 0.1    // handshakes or probes per statement at a database
 	maxPrimaryProbeRate    = target.DatabaseCapacity * overheadShare
-	halfMachineCores       = 4.0 // core: half of a machine like the one that measured
+	halfMachineCores       = 4.0 // core: half of a machine like the measuring one
 	maxOverheadRate        = target.StatementsPerSecond / target.Databases * overheadShare
 )
 
@@ -118,23 +118,24 @@
 	relayMachines = target.ControlMachines - voterCount
 )
 
-// perClient is a line's slope.
+// perClient returns the slope of a series: the increase per client.
 func perClient(name string) formula {
 	return func(b *evaluation) (float64, error) { return b.slope(name) }
 }
 
-// dividedBy is a series' value over so many.
-func dividedBy(name string, among float64) formula {
+// dividedBy returns the value of a series at the target divided by a count.
+func dividedBy(name string, count float64) formula {
 	return func(b *evaluation) (float64, error) {
 		v, err := b.at(name)
-		return v / among, err
+		return v / count, err
 	}
 }
 
-// multipliedBy is a series' value so often.
-func multipliedBy(name string, often float64) formula { return dividedBy(name, 1/often) }
+// multipliedBy returns the value of a series at the target multiplied by a factor.
+func multipliedBy(name string, factor float64) formula { return dividedBy(name, 1/factor) }
 
-// gatewayMemoryBytes adds clients, routing state and the buffers of connections to databases, each taken for a client's.
+// gatewayMemoryBytes adds the memory of clients, of routing state and of connections to databases, each of which is
+// assumed to need as much as a client's.
 func gatewayMemoryBytes(b *evaluation) (float64, error) {
 	clients, err := b.at("client.memory-by-clients")
 	if err != nil {
@@ -152,16 +153,18 @@
 	return clients + state + connections*each, err
 }
 
-// wholeListBytesPerSecond is what a gateway receives if every change of a member brings the list as the log holds it.
+// wholeListBytesPerSecond is the rate at which a gateway receives data if every change of a member sends the whole list
+// as the log holds it.
 func wholeListBytesPerSecond(b *evaluation) (float64, error) {
 	list, err := b.at("voter.log-bytes-by-members")
 	return list * target.ChangesPerSecond(), err
 }
 
-// baselineExperiment is the experiment that measured the program before gateways subscribed: no part of the roles as they are.
+// baselineExperiment is the experiment that measured the program before gateways subscribed. Its series are not listed
+// with the current roles.
 const baselineExperiment = "scale-baseline"
 
-// table is the lines of a role, and whatever else the runs hold of it.
+// table lists the quantities of a role and, unless listedOnly, the other series of the role that the runs contain.
 func (r role) table(runs *Runs) *table {
 	t := &table{header: []string{"quantity", "at the target", "margin", "carried by", "from"}}
 	listed := map[string]bool{}
@@ -187,8 +190,8 @@
 	return t
 }
 
-// controlBounds are the operators' bounds of series that the runs name themselves, by the start of their names. A real
-// gateway's processor time has none here, as its data path is part of it; nor has a snapshot, which is no rate.
+// controlBounds are the operators' bounds of series whose names are determined by the runs, by name prefix. A real
+// gateway's processor time has no bound here, as it includes the data path; nor has a snapshot, which is not a rate.
 var controlBounds = []struct {
 	prefix string
 	bound  bound
@@ -209,7 +212,7 @@
 	return noBound
 }
 
-// mechanismOf is the packages of a role's series that have no line of their own.
+// mechanismOf returns the packages for a series that is not among the role's quantities.
 func mechanismOf(name string) string {
 	role, _, _ := strings.Cut(name, ".")
 	switch role {
--- a/internal/experiment/capacity/runs.go
+++ b/internal/experiment/capacity/runs.go
@@ -1,5 +1,6 @@
-// Package capacity turns the committed runs of docs/capacity into the tables and plots of docs/CAPACITY.md: what each
-// role carries at the operators' target, from which slope, and by what factor that falls short.
+// Package capacity generates the tables and plots of docs/CAPACITY.md from the committed runs in docs/capacity: the
+// load of each role at the operators' target, the series it is projected from, and the factor by which it misses its
+// bound.
 package capacity
 
 import (
@@ -14,30 +15,31 @@
 	"aspenshed/internal/experiment/measure"
 )
 
-// Run is a committed run.
+// Run is a committed run of an experiment.
 type Run struct {
 	measure.Run
-	File string // its name within docs/capacity
+	File string // file name within docs/capacity
 }
 
-// FittedSeries is a series and the run that it is of.
+// FittedSeries is a series and the run that it belongs to.
 type FittedSeries struct {
 	measure.Series
 	Run *Run
 }
 
-// Source names experiment and commit; the page's end says where that file lies.
+// Source returns a reference to the experiment and commit; the end of the page links it to the run's file.
 func (s FittedSeries) Source() string { return s.Run.reference() }
 
 func (r *Run) reference() string { return fmt.Sprintf("[%s %s]", r.Experiment, r.Commit) }
 
-// Runs are all of them, the oldest first. Where two hold a series of the same name the newer one counts.
+// Runs holds all runs, oldest first. If two runs contain a series of the same name, the newer one is used.
 type Runs struct {
 	All    []*Run
 	series map[string]FittedSeries
 }
 
-// ReadRuns reads a folder. Files that are no runs are an error: nothing is left out unseen.
+// ReadRuns reads the runs of a directory. A JSON file that can't be decoded is an error, so that no run is left out
+// silently.
 func ReadRuns(dir string) (*Runs, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
@@ -58,7 +60,7 @@
 	return NewRuns(all)
 }
 
-// NewRuns puts runs together. Each fit must be that of its points.
+// NewRuns sorts runs and indexes their series. The recorded fit of each series must match its points.
 func NewRuns(all []*Run) (*Runs, error) {
 	slices.SortFunc(all, func(a, b *Run) int {
 		return cmp.Or(a.Started.Compare(b.Started), strings.Compare(a.File, b.File))
@@ -71,7 +73,7 @@
 				return nil, fmt.Errorf("%s: %s: %w", r.File, s.Name, err)
 			}
 			if !nearlyEqual(fit, s.Fit) {
-				return nil, fmt.Errorf("%s: %s: the fit %+v is not that of its points, %+v", r.File, s.Name, s.Fit, fit)
+				return nil, fmt.Errorf("%s: %s: recorded fit %+v differs from the fit of its points %+v", r.File, s.Name, s.Fit, fit)
 			}
 			runs.series[s.Name] = FittedSeries{s, r}
 		}
@@ -79,7 +81,7 @@
 	return runs, nil
 }
 
-// nearlyEqual allows for the order of additions.
+// nearlyEqual compares fits with a tolerance for the rounding of differently ordered sums.
 func nearlyEqual(a, b measure.Fit) bool {
 	close := func(x, y, scale float64) bool { return abs(x-y) <= 1e-9*max(abs(x), abs(y), scale) }
 	return close(a.Slope, b.Slope, 0) && close(a.Intercept, b.Intercept, abs(a.Slope))
@@ -87,13 +89,13 @@
 
 func abs(x float64) float64 { return max(x, -x) }
 
-// SeriesNamed is the series of that name.
+// SeriesNamed returns the series of the given name.
 func (r *Runs) SeriesNamed(name string) (FittedSeries, bool) {
 	s, ok := r.series[name]
 	return s, ok
 }
 
-// AllSeries are all that count, by name.
+// AllSeries returns the series in use, sorted by name.
 func (r *Runs) AllSeries() (out []FittedSeries) {
 	for _, s := range r.series {
 		out = append(out, s)
--- a/internal/experiment/capacity/value.go
+++ b/internal/experiment/capacity/value.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// Kind says how far a value is to be trusted.
+// Kind tells how a value was obtained, and so how far it can be relied on.
 type Kind int
 
-// The kinds.
+// Kinds of values.
 const (
-	Missing      Kind = iota // its series are in no run
-	Derived                  // arithmetic over the operators' figures, or over measured ones
-	Extrapolated             // a line's value at the target
-	Measured                 // at the target itself
+	Missing      Kind = iota // a series of it is in no run
+	Derived                  // calculated from the operators' figures or from measured values
+	Extrapolated             // value of the fitted line at the target
+	Measured                 // measured at the target itself
 )
 
-// Value is an amount at the target and where it is from.
+// Value is an amount at the target and its sources.
 type Value struct {
 	Amount  float64
 	Unit    string
@@ -26,16 +26,16 @@
 	Sources []Projection
 }
 
-// errMissing says that no run holds the series.
+// errMissing reports that no run contains the series.
 var errMissing = errors.New("not measured yet")
 
-// evaluation reads projections and remembers them as the sources of a value.
+// evaluation reads projections for a formula and records them as the sources of its value.
 type evaluation struct {
 	runs    *Runs
 	sources []Projection
 }
 
-// at is the series' value at the target of its axis.
+// at returns the value of a series at the target of its axis.
 func (b *evaluation) at(name string) (float64, error) {
 	s, ok := b.runs.SeriesNamed(name)
 	if !ok {
@@ -49,7 +49,7 @@
 	return p.Value, nil
 }
 
-// slope is the line's slope: what one more of the axis adds.
+// slope returns the slope of the fitted line: the increase per unit of the axis.
 func (b *evaluation) slope(name string) (float64, error) {
 	_, err := b.at(name)
 	if err != nil {
@@ -58,7 +58,7 @@
 	return b.sources[len(b.sources)-1].Series.Fit.Slope, nil
 }
 
-// intercept is the line's value at 0, whether or not its axis has a target.
+// intercept returns the value of the fitted line at 0, whether or not its axis has a target.
 func (b *evaluation) intercept(name string) (float64, error) {
 	s, ok := b.runs.SeriesNamed(name)
 	if !ok {
@@ -69,7 +69,8 @@
 	return s.Fit.Intercept, nil
 }
 
-// largest is the largest value of any point, whatever its x: what is promised for each single event is no mean.
+// largest returns the largest value of any point, whatever its x: a bound that holds for each single event can't be
+// checked against a mean.
 func (b *evaluation) largest(name string) (float64, error) {
 	s, ok := b.runs.SeriesNamed(name)
 	if !ok {
@@ -83,37 +84,37 @@
 	return p.Value, nil
 }
 
-// formula works an amount out.
+// formula calculates an amount.
 type formula func(*evaluation) (float64, error)
 
-// atTarget is the formula of a series by itself.
+// atTarget is the formula for the value of a series at its target.
 func atTarget(name string) formula {
 	return func(b *evaluation) (float64, error) { return b.at(name) }
 }
 
-// largestPoint is the formula of a series' largest point.
+// largestPoint is the formula for the largest point of a series.
 func largestPoint(name string) formula {
 	return func(b *evaluation) (float64, error) { return b.largest(name) }
 }
 
-// intercept is the formula of a line's value at 0.
+// intercept is the formula for the value of the fitted line at 0.
 func intercept(name string) formula {
 	return func(b *evaluation) (float64, error) { return b.intercept(name) }
 }
 
-// constant is a formula of the operators' figures alone.
+// constant is a formula that uses the operators' figures alone.
 func constant(v float64) formula {
 	return func(*evaluation) (float64, error) { return v, nil }
 }
 
-// evaluate takes a formula. plain: it is one series' value and nothing else.
-func evaluate(runs *Runs, f formula, unit string, plain bool) Value {
+// evaluate evaluates a formula. singleSeries tells that it is the value of one series alone.
+func evaluate(runs *Runs, f formula, unit string, singleSeries bool) Value {
 	b := &evaluation{runs: runs}
 	amount, err := f(b)
 	switch {
 	case err != nil:
 		return Value{Unit: unit, Kind: Missing}
-	case !plain:
+	case !singleSeries:
 		return Value{amount, unit, Derived, b.sources}
 	case slices.ContainsFunc(b.sources, func(p Projection) bool { return !p.Measured }):
 		return Value{amount, unit, Extrapolated, b.sources}
@@ -121,7 +122,7 @@
 	return Value{amount, unit, Measured, b.sources}
 }
 
-// String is the amount, marked where it is not measured.
+// String formats the amount, marked if it is not measured.
 func (v Value) String() string {
 	text := formatQuantity(v.Amount, v.Unit)
 	switch v.Kind {
@@ -135,7 +136,7 @@
 	return text
 }
 
-// Basis is the series' ranges and files.
+// Basis describes the measured ranges and sources of the series used.
 func (v Value) Basis() string {
 	var parts []string
 	for _, p := range v.Sources {
@@ -153,22 +154,22 @@
 	return strings.Join(parts, "; ")
 }
 
-// bound is what an amount may reach, and who says so.
+// bound is the limit of an amount and the source of the limit.
 type bound struct {
 	limit  float64
-	source string // operators, or assumed: ours, where they have given none
+	source string // operators; settings; or assumed, where the operators have given none
 }
 
 const (
 	operators = "operators"
-	settings  = "settings" // a database's, as the classes' file has them
+	settings  = "settings" // a database's limits, as configured with the classes
 	assumed   = "assumed"
 )
 
-// Factor is the amount over the bound: above 1 it falls short by that.
+// factor is the ratio of the amount to the bound; above 1 the amount exceeds the bound by that factor.
 func (b bound) factor(v Value) float64 { return v.Amount / b.limit }
 
-// margin says how an amount stands to its bound.
+// margin describes how an amount compares with its bound.
 func (b bound) margin(v Value) string {
 	switch {
 	case b.limit == 0 || v.Kind == Missing:
