--- a/internal/experiment/datapath/steady.go
+++ b/internal/experiment/datapath/steady.go
@@ -20,7 +20,7 @@
 	if o.Short {
 		members, rates, w = []int{60, 120}, []float64{20, 40}, measureWindow{2 * second, 2 * second}
 	}
-	rate, most := rates[len(rates)-1], members[len(members)-1]
+	rate, maxMembers := rates[len(rates)-1], members[len(members)-1]
 	byMembers := newSeriesSet("members", "1", fmt.Sprintf("one gateway, %.0f statements/s (40%% bounded, 40%% any, 20%% writes), virtual time", rate))
 	for _, m := range members {
 		if err := measureSteadyPoint(byMembers, "members", m, rate, float64(m), w, o.Seed); err != nil {
@@ -28,9 +28,9 @@
 		}
 		r.progress("steady: %d members", m)
 	}
-	byRate := newSeriesSet("statements a second", "1/s", fmt.Sprintf("one gateway, %d members, virtual time", most))
+	byRate := newSeriesSet("statements a second", "1/s", fmt.Sprintf("one gateway, %d members, virtual time", maxMembers))
 	for _, x := range rates {
-		if err := measureSteadyPoint(byRate, "statements", most, x, x, w, o.Seed); err != nil {
+		if err := measureSteadyPoint(byRate, "statements", maxMembers, x, x, w, o.Seed); err != nil {
 			return err
 		}
 		r.progress("steady: %.0f statements/s", x)
@@ -56,7 +56,7 @@
 	}
 	g := w.gateways[0]
 	w.run(simulationStart + span.settle)
-	from, steps, answers := totalLoadOf(w), g.steps, g.responses
+	from, steps, responses := totalLoadOf(w), g.steps, g.responses
 	w.run(simulationStart + span.settle + span.measure)
 	to, seconds := totalLoadOf(w), float64(span.measure)/1e9
 	_, connections := w.totalLoad()
@@ -67,7 +67,7 @@
 	c.add("data path", "datapath.handshakes-by-"+axis, "handshakes with databases", "1/s", x, per(to.handshakes-from.handshakes))
 	c.add("data path", "datapath.probes-by-"+axis, "probes of databases", "1/s", x, per(to.probes-from.probes))
 	c.add("data path", "datapath.unserved-by-"+axis, "statements refused or failed", "1/s", x,
-		per(g.responses.refused+g.responses.failed-answers.refused-answers.failed))
+		per(g.responses.refused+g.responses.failed-responses.refused-responses.failed))
 	if axis == "members" {
 		c.add("data path", "datapath.heap-by-members", "heap of routing and connection state", "B", x, heapInUse()-databases-(databases-before))
 	}
--- a/internal/experiment/datapath/step.go
+++ b/internal/experiment/datapath/step.go
@@ -23,7 +23,7 @@
 	if o.Short {
 		members, inFlight, steps = []int{20, 200, 400}, []int{10, 20}, 50
 	}
-	most := members[len(members)-1]
+	maxMembers := members[len(members)-1]
 	for _, count := range []int{inFlight[0], inFlight[len(inFlight)-1]} {
 		if count > inFlight[0] { // the windows of few members admit fewer requests in flight
 			members = members[1:]
@@ -42,9 +42,9 @@
 		}
 	}
 	s := measure.Series{Name: "datapath.step-by-in-flight", Role: "data path", X: "requests in flight", XUnit: "1",
-		Y: "processor time of one Router.Step", YUnit: "s", Conditions: fmt.Sprintf("%d members, one request and one answer a step", most)}
+		Y: "processor time of one Router.Step", YUnit: "s", Conditions: fmt.Sprintf("%d members, one request and one answer a step", maxMembers)}
 	for _, count := range inFlight {
-		took, err := stepTime(most, count, steps, o.Seed)
+		took, err := stepTime(maxMembers, count, steps, o.Seed)
 		if err != nil {
 			return err
 		}
--- a/internal/experiment/datapath/worst.go
+++ b/internal/experiment/datapath/worst.go
@@ -8,18 +8,18 @@
 type peakLoad struct{ handshakes, probes float64 }
 
 // runAndFindPeak runs second by second until the given time and returns the peak load.
-func (w *simulation) runAndFindPeak(until aspenshed.Nanos) (most peakLoad) {
+func (w *simulation) runAndFindPeak(until aspenshed.Nanos) (peak peakLoad) {
 	before := w.loadPerDatabase()
 	for w.clock.now < until {
 		w.run(w.clock.now + second)
 		now := w.loadPerDatabase()
 		for i := range now {
-			most.handshakes = max(most.handshakes, float64(now[i].handshakes-before[i].handshakes))
-			most.probes = max(most.probes, float64(now[i].probes-before[i].probes))
+			peak.handshakes = max(peak.handshakes, float64(now[i].handshakes-before[i].handshakes))
+			peak.probes = max(peak.probes, float64(now[i].probes-before[i].probes))
 		}
 		before = now
 	}
-	return most
+	return peak
 }
 
 func (w *simulation) loadPerDatabase() (counts []loadCounts) {
--- a/internal/experiment/loganalysis/loganalysis_test.go
+++ b/internal/experiment/loganalysis/loganalysis_test.go
@@ -26,15 +26,15 @@
 	var out strings.Builder
 	log := &logrus.Logger{Out: &out, Formatter: f, Level: logrus.DebugLevel, Hooks: logrus.LevelHooks{}}
 	b := accounting.New(eventloop.NewLoop(fixedClock(80e6)), log.WithTime(time.Date(2026, 12, 1, 10, 0, 1, 4e8, time.UTC)))
-	ask := func(id string, class, attempts int, arrived aspenshed.Nanos) *request.Request {
+	newRequest := func(id string, class, attempts int, arrived aspenshed.Nanos) *request.Request {
 		return &request.Request{Query: request.Query{ExternalID: id, Class: class}, Attempts: attempts, ArrivedAt: arrived, Deadline: 160e6}
 	}
-	q := ask("q1", 1, 2, 35e6)
+	q := newRequest("q1", 1, 2, 35e6)
 	b.CountAttempt(q, "s-1", request.Result{Outcome: aspenshed.Overloaded, Detail: `53300 no "room"`})
 	b.CountAttempt(q, "s-2", request.Result{Outcome: aspenshed.Served, Elapsed: 40e6})
 	b.CountResponse(q, request.Response{Status: request.Served})
-	b.CountResponse(ask("q2", 0, 0, 0), request.Response{Status: request.Refused, Reason: "try again"})
-	b.CountResponse(ask("q4", 0, 0, 80e6), request.Response{Status: request.Refused})
+	b.CountResponse(newRequest("q2", 0, 0, 0), request.Response{Status: request.Refused, Reason: "try again"})
+	b.CountResponse(newRequest("q4", 0, 0, 80e6), request.Response{Status: request.Refused})
 	return "0.2 " + strings.ReplaceAll(out.String(), "\n", "\n0.3 ") + `time="10:00:03.100" level=debug msg="request en`
 }
 
