--- a/internal/experiment/capacity/value.go
+++ b/internal/experiment/capacity/value.go
@@ -7,37 +7,37 @@
 	"strings"
 )
 
-// Kind says how far a value is to be trusted.
+// Kind tells how a value was obtained, and so how far it can be relied on.
 type Kind int
 
-// The kinds.
+// Kinds of values.
 const (
-	Missing   Kind = iota // its series are in no run
-	WorkedOut             // arithmetic over the operators' figures, or over measured ones
-	Extended              // a line's value at the target
-	Measured              // at the target itself
+	Missing      Kind = iota // a series of it is in no run
+	Derived                  // calculated from the operators' figures or from measured values
+	Extrapolated             // value of the fitted line at the target
+	Measured                 // measured at the target itself
 )
 
-// Value is an amount at the target and where it is from.
+// Value is an amount at the target and its sources.
 type Value struct {
-	Amount float64
-	Unit   string
-	Kind   Kind
-	From   []Projection
+	Amount  float64
+	Unit    string
+	Kind    Kind
+	Sources []Projection
 }
 
-// errMissing says that no run holds the series.
+// errMissing reports that no run contains the series.
 var errMissing = errors.New("not measured yet")
 
-// book reads projections and remembers them as the sources of a value.
-type book struct {
-	runs *Runs
-	from []Projection
+// evaluation reads projections for a formula and records them as the sources of its value.
+type evaluation struct {
+	runs    *Runs
+	sources []Projection
 }
 
-// at is the series' value at the target of its axis.
-func (b *book) at(name string) (float64, error) {
-	s, ok := b.runs.Slope(name)
+// at returns the value of a series at the target of its axis.
+func (b *evaluation) at(name string) (float64, error) {
+	s, ok := b.runs.SeriesNamed(name)
 	if !ok {
 		return 0, fmt.Errorf("%s: %w", name, errMissing)
 	}
@@ -45,101 +45,102 @@
 	if !ok {
 		return 0, fmt.Errorf("%s: axis %q has no target", name, s.X)
 	}
-	b.from = append(b.from, p)
+	b.sources = append(b.sources, p)
 	return p.Value, nil
 }
 
-// slope is the line's slope: what one more of the axis adds.
-func (b *book) slope(name string) (float64, error) {
+// slope returns the slope of the fitted line: the increase per unit of the axis.
+func (b *evaluation) slope(name string) (float64, error) {
 	_, err := b.at(name)
 	if err != nil {
 		return 0, err
 	}
-	return b.from[len(b.from)-1].Slope.Fit.Slope, nil
+	return b.sources[len(b.sources)-1].Series.Fit.Slope, nil
 }
 
-// interceptOf is the line's value at 0, whether or not its axis has a target.
-func (b *book) interceptOf(name string) (float64, error) {
-	s, ok := b.runs.Slope(name)
+// intercept returns the value of the fitted line at 0, whether or not its axis has a target.
+func (b *evaluation) intercept(name string) (float64, error) {
+	s, ok := b.runs.SeriesNamed(name)
 	if !ok {
 		return 0, fmt.Errorf("%s: %w", name, errMissing)
 	}
 	p := projectTo(s, 0)
-	b.from = append(b.from, p)
+	b.sources = append(b.sources, p)
 	return s.Fit.Intercept, nil
 }
 
-// worstOf is the largest value of any point, whatever its x: what is promised for each single event is no mean.
-func (b *book) worstOf(name string) (float64, error) {
-	s, ok := b.runs.Slope(name)
+// largest returns the largest value of any point, whatever its x: a bound that holds for each single event can't be
+// checked against a mean.
+func (b *evaluation) largest(name string) (float64, error) {
+	s, ok := b.runs.SeriesNamed(name)
 	if !ok {
 		return 0, fmt.Errorf("%s: %w", name, errMissing)
 	}
-	p := Projection{Slope: s, Measured: true, Factor: 1}
+	p := Projection{Series: s, Measured: true, Factor: 1}
 	for _, x := range s.Points {
 		p.Value = max(p.Value, x.Y)
 	}
-	b.from = append(b.from, p)
+	b.sources = append(b.sources, p)
 	return p.Value, nil
 }
 
-// formula works an amount out.
-type formula func(*book) (float64, error)
+// formula calculates an amount.
+type formula func(*evaluation) (float64, error)
 
-// at is the formula of a series by itself.
-func at(name string) formula {
-	return func(b *book) (float64, error) { return b.at(name) }
+// atTarget is the formula for the value of a series at its target.
+func atTarget(name string) formula {
+	return func(b *evaluation) (float64, error) { return b.at(name) }
 }
 
-// worst is the formula of a series' largest point.
-func worst(name string) formula {
-	return func(b *book) (float64, error) { return b.worstOf(name) }
+// largestPoint is the formula for the largest point of a series.
+func largestPoint(name string) formula {
+	return func(b *evaluation) (float64, error) { return b.largest(name) }
 }
 
-// intercept is the formula of a line's value at 0.
+// intercept is the formula for the value of the fitted line at 0.
 func intercept(name string) formula {
-	return func(b *book) (float64, error) { return b.interceptOf(name) }
+	return func(b *evaluation) (float64, error) { return b.intercept(name) }
 }
 
-// fixed is a formula of the operators' figures alone.
-func fixed(v float64) formula {
-	return func(*book) (float64, error) { return v, nil }
+// constant is a formula that uses the operators' figures alone.
+func constant(v float64) formula {
+	return func(*evaluation) (float64, error) { return v, nil }
 }
 
-// evaluate takes a formula. plain: it is one series' value and nothing else.
-func evaluate(runs *Runs, f formula, unit string, plain bool) Value {
-	b := &book{runs: runs}
+// evaluate evaluates a formula. singleSeries tells that it is the value of one series alone.
+func evaluate(runs *Runs, f formula, unit string, singleSeries bool) Value {
+	b := &evaluation{runs: runs}
 	amount, err := f(b)
 	switch {
 	case err != nil:
 		return Value{Unit: unit, Kind: Missing}
-	case !plain:
-		return Value{amount, unit, WorkedOut, b.from}
-	case slices.ContainsFunc(b.from, func(p Projection) bool { return !p.Measured }):
-		return Value{amount, unit, Extended, b.from}
+	case !singleSeries:
+		return Value{amount, unit, Derived, b.sources}
+	case slices.ContainsFunc(b.sources, func(p Projection) bool { return !p.Measured }):
+		return Value{amount, unit, Extrapolated, b.sources}
 	}
-	return Value{amount, unit, Measured, b.from}
+	return Value{amount, unit, Measured, b.sources}
 }
 
-// String is the amount, marked where it is not measured.
+// String formats the amount, marked if it is not measured.
 func (v Value) String() string {
-	text := quantity(v.Amount, v.Unit)
+	text := formatQuantity(v.Amount, v.Unit)
 	switch v.Kind {
 	case Missing:
 		return "not measured yet"
-	case WorkedOut:
+	case Derived:
 		return text + " (worked out)"
-	case Extended:
-		return text + " (" + v.From[0].beyond() + ")"
+	case Extrapolated:
+		return text + " (" + v.Sources[0].extrapolation() + ")"
 	}
 	return text
 }
 
-// Basis is the series' ranges and files.
+// Basis describes the measured ranges and sources of the series used.
 func (v Value) Basis() string {
 	var parts []string
-	for _, p := range v.From {
-		part := fmt.Sprintf("`%s`, %s (%s; R² %s)", p.Slope.Name, p.Slope.Source(), p.Range(), number(p.Slope.Fit.R2))
+	for _, p := range v.Sources {
+		part := fmt.Sprintf("`%s`, %s (%s; R² %s)", p.Series.Name, p.Series.Source(), p.Range(), formatNumber(p.Series.Fit.R2))
 		if !slices.Contains(parts, part) {
 			parts = append(parts, part)
 		}
@@ -153,30 +154,30 @@
 	return strings.Join(parts, "; ")
 }
 
-// bound is what an amount may reach, and who says so.
+// bound is the limit of an amount and the source of the limit.
 type bound struct {
-	limit float64
-	by    string // operators, or assumed: ours, where they have given none
+	limit  float64
+	source string // operators; settings; or assumed, where the operators have given none
 }
 
 const (
 	operators = "operators"
-	settings  = "settings" // a database's, as the classes' file has them
+	settings  = "settings" // a database's limits, as configured with the classes
 	assumed   = "assumed"
 )
 
-// Factor is the amount over the bound: above 1 it falls short by that.
+// factor is the ratio of the amount to the bound; above 1 the amount exceeds the bound by that factor.
 func (b bound) factor(v Value) float64 { return v.Amount / b.limit }
 
-// margin says how an amount stands to its bound.
+// margin describes how an amount compares with its bound.
 func (b bound) margin(v Value) string {
 	switch {
 	case b.limit == 0 || v.Kind == Missing:
 		return ""
 	case b.factor(v) > 1:
-		return fmt.Sprintf("**short by %s** (bound %s, %s)", number(b.factor(v)), quantity(b.limit, v.Unit), b.by)
+		return fmt.Sprintf("**short by %s** (bound %s, %s)", formatNumber(b.factor(v)), formatQuantity(b.limit, v.Unit), b.source)
 	case v.Amount <= 0:
-		return fmt.Sprintf("holds (bound %s, %s)", quantity(b.limit, v.Unit), b.by)
+		return fmt.Sprintf("holds (bound %s, %s)", formatQuantity(b.limit, v.Unit), b.source)
 	}
-	return fmt.Sprintf("holds %s times over (bound %s, %s)", number(1/b.factor(v)), quantity(b.limit, v.Unit), b.by)
+	return fmt.Sprintf("holds %s times over (bound %s, %s)", formatNumber(1/b.factor(v)), formatQuantity(b.limit, v.Unit), b.source)
 }
--- a/internal/experiment/datapath/datapath.go
+++ b/internal/experiment/datapath/datapath.go
@@ -1,7 +1,7 @@
-// Package datapath measures what the data path costs as the fleet grows: the routing module by members and requests in
-// flight, connections, handshakes and probes of a gateway and at a database, clients that are idle, a change of primary
-// and a cold start. Gateways are either real processes on loopback or real pipelines in virtual time over simulated
-// databases; each series says which.
+// Package datapath measures how the cost of the data path grows with the fleet: the routing module by members and by
+// requests in flight; connections, handshakes and probes of a gateway and at a database; idle clients; a change of
+// primary and a cold start. Gateways are either real processes on loopback or real pipelines in virtual time with
+// simulated databases; the conditions of each series say which.
 package datapath
 
 import (
@@ -12,15 +12,15 @@
 	"aspenshed/internal/experiment/measure"
 )
 
-// Options say what is measured, and how much of it.
+// Options select the experiments and their extent.
 type Options struct {
-	Only  string // the one experiment to run; empty: all
-	Short bool   // a fraction of each, for tests: its figures are not for the page
+	Only  string // name of the only experiment to run; empty: all
+	Short bool   // a reduced form for tests, whose figures are not for the page
 	Seed  uint64
-	Out   io.Writer // progress
+	Out   io.Writer // receives progress messages
 }
 
-// experiment adds its series to a run.
+// experiment is a named measurement that adds its series to a run.
 type experiment struct {
 	name string
 	run  func(*recorder, Options) error
@@ -40,7 +40,7 @@
 	}
 }
 
-// Names are the experiments that Options.Only may name.
+// Names returns the valid values of Options.Only.
 func Names() (names []string) {
 	for _, e := range experiments() {
 		names = append(names, e.name)
@@ -50,8 +50,8 @@
 
 // Run runs the experiments one after another.
 func Run(o Options) (measure.Run, error) {
-	r := &recorder{begun: time.Now(), out: o.Out}
-	r.run.Experiment, r.run.Started = "datapath", r.begun.UTC().Truncate(time.Second)
+	r := &recorder{startedAt: time.Now(), out: o.Out}
+	r.run.Experiment, r.run.Started = "datapath", r.startedAt.UTC().Truncate(time.Second)
 	r.note("seed %d", o.Seed)
 	known := false
 	for _, e := range experiments() {
@@ -59,25 +59,25 @@
 			continue
 		}
 		known = true
-		begun := time.Now()
+		startedAt := time.Now()
 		r.note("%s: load average %s at its start", e.name, loadAverage())
-		if err := onOneThread(func() error { return e.run(r, o) }); err != nil {
+		if err := runOnOneThread(func() error { return e.run(r, o) }); err != nil {
 			return r.run, fmt.Errorf("%s: %w", e.name, err)
 		}
-		r.progress("%s done in %s", e.name, time.Since(begun).Round(time.Second))
+		r.progress("%s done in %s", e.name, time.Since(startedAt).Round(time.Second))
 	}
 	if !known {
-		return r.run, fmt.Errorf("unknown experiment %q: it is one of %v", o.Only, Names())
+		return r.run, fmt.Errorf("unknown experiment %q, want one of %v", o.Only, Names())
 	}
-	r.run.Seconds = time.Since(r.begun).Seconds()
+	r.run.Seconds = time.Since(r.startedAt).Seconds()
 	return r.run, nil
 }
 
-// recorder gathers a run.
+// recorder collects the results of a run.
 type recorder struct {
-	run   measure.Run
-	begun time.Time
-	out   io.Writer
+	run       measure.Run
+	startedAt time.Time
+	out       io.Writer
 }
 
 func (r *recorder) note(format string, args ...any) {
@@ -85,11 +85,11 @@
 }
 
 func (r *recorder) progress(format string, args ...any) {
-	_, _ = fmt.Fprintf(r.out, "%6.1f s  %s\n", time.Since(r.begun).Seconds(), fmt.Sprintf(format, args...))
+	_, _ = fmt.Fprintf(r.out, "%6.1f s  %s\n", time.Since(r.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// series fits a line through the points and keeps them.
-func (r *recorder) series(s measure.Series) error {
+// addSeries fits a line to the points of a series and adds the series to the run.
+func (r *recorder) addSeries(s measure.Series) error {
 	fit, err := measure.LeastSquares(s.Points)
 	if err != nil {
 		return fmt.Errorf("%s: %w", s.Name, err)
@@ -100,31 +100,31 @@
 	return nil
 }
 
-// curves are several quantities that are measured at the same values of one axis.
-type curves struct {
-	x, unit, held string
-	all           []measure.Series
-	index         map[string]int
+// seriesSet is a set of series measured at the same values of one axis.
+type seriesSet struct {
+	x, unit, conditions string
+	list                []measure.Series
+	index               map[string]int
 }
 
-func newCurves(x, unit, held string) *curves {
-	return &curves{x: x, unit: unit, held: held, index: map[string]int{}}
+func newSeriesSet(x, unit, held string) *seriesSet {
+	return &seriesSet{x: x, unit: unit, conditions: held, index: map[string]int{}}
 }
 
-// add puts one point to the quantity of that name.
-func (c *curves) add(role, name, what, unit string, x, y float64) {
-	at, known := c.index[name]
+// add appends a point to the series of that name.
+func (c *seriesSet) add(role, name, quantity, unit string, x, y float64) {
+	i, known := c.index[name]
 	if !known {
-		at = len(c.all)
-		c.index[name] = at
-		c.all = append(c.all, measure.Series{Name: name, Role: role, X: c.x, XUnit: c.unit, Y: what, YUnit: unit, Held: c.held})
+		i = len(c.list)
+		c.index[name] = i
+		c.list = append(c.list, measure.Series{Name: name, Role: role, X: c.x, XUnit: c.unit, Y: quantity, YUnit: unit, Conditions: c.conditions})
 	}
-	c.all[at].Points = append(c.all[at].Points, measure.Point{X: x, Y: y})
+	c.list[i].Points = append(c.list[i].Points, measure.Point{X: x, Y: y})
 }
 
-func (c *curves) record(r *recorder) error {
-	for _, s := range c.all {
-		if err := r.series(s); err != nil {
+func (c *seriesSet) record(r *recorder) error {
+	for _, s := range c.list {
+		if err := r.addSeries(s); err != nil {
 			return err
 		}
 	}
--- a/internal/experiment/scale/window.go
+++ b/internal/experiment/scale/window.go
@@ -194,7 +194,7 @@
 		r.logEntryRate = float64(after.commitIndex-before.commitIndex) / after.at.Sub(before.at).Seconds()
 	}
 	r.messageRate = float64(t.Messages) / gateways / seconds
-	r.event = measure.Event{Name: p.name, Gateways: t.Gateways, Members: x.changes.memberCount, Seconds: seconds, InForce: quantilesOf(t.applyLatency),
+	r.event = measure.Event{Name: p.name, Gateways: t.Gateways, Members: x.changes.memberCount, Seconds: seconds, ApplyDelay: quantilesOf(t.applyLatency),
 		GatewayBytes: float64(t.Bytes) / gateways / seconds, WorstMinuteBytes: float64(t.MaxGatewayBytes) / max(seconds, 1)}
 	for _, n := range x.voters {
 		r.event.Roles = append(r.event.Roles, daemonUsage(RoleVoter, n.ID, 0, r.voters[n.ID]))
@@ -207,12 +207,12 @@
 	}
 	r.checks = append(r.checks,
 		atMost(p.name+": gateways without all changes in force in time", float64(r.lateGateways), 0, "1", fmt.Sprintf("of %d, after %.1f s", t.Gateways, r.convergeTime.Seconds())),
-		atMost(p.name+": slowest from commit to in force", r.event.InForce.Max, MaxApplyDelay.Seconds(), "s", fmt.Sprintf("%d changes taken", r.event.InForce.Count)),
+		atMost(p.name+": slowest from commit to in force", r.event.ApplyDelay.Max, MaxApplyDelay.Seconds(), "s", fmt.Sprintf("%d changes taken", r.event.ApplyDelay.Count)),
 		atMost(p.name+": drains undone", float64(t.UndoneDrains), 0, "1", ""),
 		atMost(p.name+": updates that led backward", float64(t.RevisionRegressions), 0, "1", ""))
 	x.options.Progress("%s: %d gateways, applied p50 %.3f s, p99 %.3f s, max %.3f s; %.0f B/s per gateway, max %.0f; "+
 		"%d snapshots (max %.1f s), %d reconnects; converged %.1f s after the last commit; %d late",
-		p.name, t.Gateways, r.event.InForce.P50, r.event.InForce.P99, r.event.InForce.Max, r.event.GatewayBytes, r.event.WorstMinuteBytes, t.Snapshots, quantilesOf(t.snapshotLatency).Max,
+		p.name, t.Gateways, r.event.ApplyDelay.P50, r.event.ApplyDelay.P99, r.event.ApplyDelay.Max, r.event.GatewayBytes, r.event.WorstMinuteBytes, t.Snapshots, quantilesOf(t.snapshotLatency).Max,
 		t.Reconnects, r.convergeTime.Seconds(), r.lateGateways)
 }
 
@@ -228,7 +228,7 @@
 }
 
 func daemonUsage(role, process string, hosts int, r Rates) measure.Usage {
-	return measure.Usage{Role: role, Process: process, Hosts: hosts, Cores: r.Cores, Memory: r.Memory, BytesIn: r.Read, BytesOut: r.Written}
+	return measure.Usage{Role: role, Process: process, Gateways: hosts, Cores: r.Cores, Memory: r.Memory, BytesIn: r.Read, BytesOut: r.Written}
 }
 
 // MemoryError ends a run that takes more than its share of the machine's memory.
