--- a/internal/experiment/datapath/firstwrite.go
+++ b/internal/experiment/datapath/firstwrite.go
@@ -19,8 +19,8 @@
 	redialDelay       = 20 * time.Millisecond
 )
 
-// measureFirstWrite loses a real group's primary behind a real gateway and takes the time to the first served write, by
-// the time that the databases take to make another one primary.
+// measureFirstWrite stops the primary of a group of stand-in databases behind a real gateway and measures the time to
+// the first served write, by the time until another database is promoted.
 func measureFirstWrite(r *recorder, o Options) error {
 	delays, runs := []time.Duration{0, time.Second, 3 * time.Second}, 8
 	if o.Short {
@@ -61,7 +61,7 @@
 
 var errNoWriteServed = errors.New("no write was served after the loss of the primary")
 
-// firstWrite ends the primary and waits for a write to be served.
+// timeToFirstWrite stops the primary and returns the time until a write is served.
 func timeToFirstWrite(p *gatewayProcess, delay time.Duration) (time.Duration, error) {
 	served := make(chan time.Time, writeClients)
 	quit := make(chan struct{})
@@ -93,7 +93,7 @@
 	}
 }
 
-// writeOn writes, one statement after another, and tells when each served one was asked and answered.
+// writeContinuously sends one write after another and reports when each served write was completed.
 func writeContinuously(address string, number int64, served chan<- time.Time, quit <-chan struct{}) {
 	var x *clientConn
 	for id := number; ; id += writeClients {
--- a/internal/experiment/datapath/link.go
+++ b/internal/experiment/datapath/link.go
@@ -13,19 +13,19 @@
 
 var errConnectionLost = errors.New("connection refused or lost")
 
-// link is one simulated connection from a gateway to a database. It takes the same steps as the PostgreSQL backend's:
-// connect, greeting, an empty query before each statement, the statement's last byte.
+// dbConnection is one simulated connection from a gateway to a database. It takes the same steps as the PostgreSQL
+// backend: connect, startup handshake, an empty query before each statement, the statement.
 type dbConnection struct {
 	gateway      *gateway
 	database     *database
 	events       request.ConnectionEvents
-	index        int // in database.links; -1: not there
+	index        int // in database.connections; -1: not listed
 	closed       bool
 	mayHaveSent  bool
 	connectTimer *eventloop.Timer
 }
 
-// Open connects.
+// Open starts connecting to a database.
 func (g *gateway) Open(address string, limit aspenshed.Nanos, _ bool, events request.ConnectionEvents) (request.Connection, error) {
 	l := &dbConnection{gateway: g, database: g.databaseByID[address], events: events, index: -1}
 	l.connectTimer = g.after(limit, func() { l.reportLoss(request.ConnectFailed) })
@@ -41,7 +41,7 @@
 	return l, nil
 }
 
-// establish counts the connection and goes through the greeting: a round trip after that of TCP.
+// establish lists the connection and completes the startup handshake, one round trip after that of TCP.
 func (l *dbConnection) establish() {
 	if l.closed {
 		return
@@ -58,7 +58,7 @@
 	})
 }
 
-// Send shows by an empty query's round trip that the connection is alive, then lets the statement go.
+// Send checks that the connection is alive by the round trip of an empty query, then sends the statement.
 func (l *dbConnection) Send(statement any, _ aspenshed.Nanos) bool {
 	l.gateway.after(2*oneWayDelay, func() {
 		if l.closed || l.database.state != running || !l.events.AllowSend() {
@@ -70,7 +70,7 @@
 	return !l.closed
 }
 
-// arrive has the database take a statement.
+// deliverStatement passes a statement to the database.
 func (l *dbConnection) deliverStatement(isWrite bool) {
 	d := l.database
 	if d.state != running || l.index < 0 {
@@ -91,7 +91,7 @@
 var outcomes = map[standin.Result]aspenshed.Outcome{standin.Served: aspenshed.Served, standin.Overloaded: aspenshed.Overloaded,
 	standin.NotPrimary: aspenshed.Ineligible}
 
-// Probe asks for role, position and load.
+// Probe queries role, position and load.
 func (l *dbConnection) Probe() bool {
 	l.mayHaveSent = true
 	l.gateway.after(oneWayDelay, func() {
@@ -106,7 +106,7 @@
 	return !l.closed
 }
 
-// answer travels back with role and position, as every answer does.
+// respond sends a response, which always carries role and position.
 func (l *dbConnection) respond(r request.Result) {
 	now := int64(l.gateway.loop.Now())
 	r.Role, r.Position = aspenshed.RoleReplica, toMilliseconds(l.database.model.Position(now))
@@ -127,10 +127,10 @@
 
 func nanos(d time.Duration) aspenshed.Nanos { return aspenshed.Nanos(d) }
 
-// MayHaveSent tells whether a statement may have left.
+// MayHaveSent reports whether a statement or probe may have been sent.
 func (l *dbConnection) MayHaveSent() bool { return l.mayHaveSent }
 
-// Close ends the connection without another event.
+// Close closes the connection without a further event.
 func (l *dbConnection) Close() {
 	if l.closed {
 		return
@@ -140,7 +140,7 @@
 	l.removeFromDatabase()
 }
 
-// leave takes the connection off the database's list.
+// removeFromDatabase removes the connection from the database's list.
 func (l *dbConnection) removeFromDatabase() {
 	if l.index < 0 {
 		return
@@ -151,7 +151,7 @@
 	l.database.connections, l.index = links[:len(links)-1], -1
 }
 
-// broke tells the gateway that the connection has ended by itself.
+// connectionBroken notifies the gateway that the connection was lost.
 func (l *dbConnection) connectionBroken() { l.reportLoss(request.ClassifyLoss(l.mayHaveSent, false)) }
 
 func (l *dbConnection) reportLoss(how request.ConnectionLoss) {
