--- a/internal/controlplane/rollout/rollout.go
+++ b/internal/controlplane/rollout/rollout.go
@@ -22,19 +22,19 @@
 
 // Tracker holds the progress of one server's subscribers. The zero value is not usable; use NewTracker.
 type Tracker struct {
-	inForce  map[string]uint64
+	applied  map[string]uint64
 	refusals []*pb.Refusal // a ring buffer once it is full
 	oldest   int           // the index that the next refusal overwrites then
 }
 
 // NewTracker returns a Tracker without subscribers.
-func NewTracker() *Tracker { return &Tracker{inForce: map[string]uint64{}} }
+func NewTracker() *Tracker { return &Tracker{applied: map[string]uint64{}} }
 
-// SetInForce records the revision that a subscriber has in force.
-func (t *Tracker) SetInForce(subscriber string, revision uint64) { t.inForce[subscriber] = revision }
+// SetApplied records the revision that a subscriber has in force.
+func (t *Tracker) SetApplied(subscriber string, revision uint64) { t.applied[subscriber] = revision }
 
 // Remove drops a subscriber that has left this server; its refusals are kept.
-func (t *Tracker) Remove(subscriber string) { delete(t.inForce, subscriber) }
+func (t *Tracker) Remove(subscriber string) { delete(t.applied, subscriber) }
 
 // AddRefusal records a change that a subscriber has refused.
 func (t *Tracker) AddRefusal(subscriber string, revision uint64, key, reason string) {
@@ -50,9 +50,9 @@
 // Status returns the progress of the subscribers with a revision. from is the revision of the newest change up to it: a
 // subscriber that has from in force has all changes of the revision.
 func (t *Tracker) Status(revision, from uint64) *pb.RolloutStatus {
-	status := &pb.RolloutStatus{Revision: revision, Subscribers: uint64(len(t.inForce))}
+	status := &pb.RolloutStatus{Revision: revision, Subscribers: uint64(len(t.applied))}
 	var lagging []*pb.Lagging
-	for subscriber, has := range t.inForce {
+	for subscriber, has := range t.applied {
 		if has >= from {
 			status.InForce++
 			continue
--- a/internal/controlplane/rollout/rollout_test.go
+++ b/internal/controlplane/rollout/rollout_test.go
@@ -8,7 +8,7 @@
 func TestStatusCountsAndListsMostLagging(t *testing.T) {
 	tracker := NewTracker()
 	for i := range 100 {
-		tracker.SetInForce(fmt.Sprintf("g%03d", i), uint64(i))
+		tracker.SetApplied(fmt.Sprintf("g%03d", i), uint64(i))
 	}
 	tracker.Remove("g000")
 	s := tracker.Status(60, 60)
@@ -41,13 +41,13 @@
 	}
 }
 
-func BenchmarkInForce(b *testing.B) {
+func BenchmarkSetApplied(b *testing.B) {
 	tracker := NewTracker()
 	names := make([]string, 2400)
 	for i := range names {
 		names[i] = fmt.Sprint("gateway-", i)
 	}
 	for i := range b.N {
-		tracker.SetInForce(names[i%len(names)], uint64(i))
+		tracker.SetApplied(names[i%len(names)], uint64(i))
 	}
 }
--- a/internal/controlplane/stream/client.go
+++ b/internal/controlplane/stream/client.go
@@ -90,7 +90,7 @@
 // InForce reports to the server which revision the data plane has in force, and which changes it refused since the last
 // call.
 func (c *Client) InForce(rev uint64, refused []*pb.RefusedChange) {
-	c.loop.Post(func() { c.step(subscription.InForce{Revision: rev, Refused: refused}) })
+	c.loop.Post(func() { c.step(subscription.Applied{Revision: rev, Refused: refused}) })
 }
 
 // SetServers replaces the servers.
--- a/internal/controlplane/stream/server_conn.go
+++ b/internal/controlplane/stream/server_conn.go
@@ -85,9 +85,9 @@
 	switch {
 	case s.connections[c.id] != c:
 		return // it has ended already
-	case !c.socket.Unsent():
+	case !c.socket.HasUnsent():
 		delete(s.connections, c.id)
-		c.socket.Shut(func() bool { return true })
+		c.socket.Shutdown(func() bool { return true })
 	case s.loop.Now() >= deadline:
 		delete(s.connections, c.id)
 		c.socket.Close()
--- a/internal/controlplane/subscriber/inforce.go
+++ b/internal/controlplane/subscriber/applied.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// inForceTracker determines the revision that all pipelines have in force.
-type inForceTracker struct {
+// appliedTracker determines the revision that all pipelines have in force.
+type appliedTracker struct {
 	mu           sync.Mutex
 	pipelines    map[string]uint64 // the revision that each has reported
 	lastReported uint64
 }
 
-func newInForceTracker(pipelines []string) *inForceTracker {
-	f := &inForceTracker{pipelines: map[string]uint64{}}
+func newAppliedTracker(pipelines []string) *appliedTracker {
+	f := &appliedTracker{pipelines: map[string]uint64{}}
 	for _, name := range pipelines {
 		f.pipelines[name] = 0
 	}
@@ -18,7 +18,7 @@
 }
 
 // catalogApplied records a revision that the catalog has reached. Without pipelines it is in force.
-func (f *inForceTracker) catalogApplied(rev uint64) (uint64, bool) {
+func (f *appliedTracker) catalogApplied(rev uint64) (uint64, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.pipelines) > 0 {
@@ -28,7 +28,7 @@
 }
 
 // pipelineApplied records a revision that one pipeline has in force.
-func (f *inForceTracker) pipelineApplied(pipeline string, rev uint64) (uint64, bool) {
+func (f *appliedTracker) pipelineApplied(pipeline string, rev uint64) (uint64, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.pipelines[pipeline] = max(f.pipelines[pipeline], rev)
@@ -40,16 +40,16 @@
 }
 
 // advance reports whether the revision is new and has to be reported to the server.
-func (f *inForceTracker) advance(rev uint64) (uint64, bool) {
+func (f *appliedTracker) advance(rev uint64) (uint64, bool) {
 	advanced := rev > f.lastReported
 	f.lastReported = max(f.lastReported, rev)
 	return rev, advanced
 }
 
-// InForce records that a pipeline has a revision in force, and reports it to the server once all pipelines have. It
+// PipelineApplied records that a pipeline has a revision in force, and reports it to the server once all pipelines have. It
 // does not block.
-func (s *Subscriber) InForce(pipeline string, rev uint64) {
-	if rev, advanced := s.inForce.pipelineApplied(pipeline, rev); advanced {
+func (s *Subscriber) PipelineApplied(pipeline string, rev uint64) {
+	if rev, advanced := s.applied.pipelineApplied(pipeline, rev); advanced {
 		s.client.InForce(rev, nil)
 	}
 }
--- a/internal/controlplane/subscriber/apply.go
+++ b/internal/controlplane/subscriber/apply.go
@@ -32,7 +32,7 @@
 	s.catalog.SetIndex(u.Revision)
 	s.mu.Unlock()
 	s.reportRefused(u.Revision, refused)
-	if rev, advanced := s.inForce.catalogApplied(u.Revision); advanced {
+	if rev, advanced := s.applied.catalogApplied(u.Revision); advanced {
 		s.client.InForce(rev, nil)
 	}
 	s.config.OnChange()
--- a/internal/controlplane/subscriber/subscriber.go
+++ b/internal/controlplane/subscriber/subscriber.go
@@ -65,7 +65,7 @@
 	catalog *catalog.Catalog
 
 	changed changedMembers
-	inForce *inForceTracker
+	applied *appliedTracker
 }
 
 // Open starts a subscriber. It does not wait for a connection.
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	s := &Subscriber{config: c, boot: hex.EncodeToString(boot), closing: make(chan struct{}), catalog: catalog.New(c.Cluster),
-		inForce: newInForceTracker(c.Pipelines)}
+		applied: newAppliedTracker(c.Pipelines)}
 	if s.config.OnChange == nil {
 		s.config.OnChange = func() {}
 	}
--- a/internal/controlplane/subscriber/subscriber_test.go
+++ b/internal/controlplane/subscriber/subscriber_test.go
@@ -245,8 +245,8 @@
 }
 
 // A revision is in force once every pipeline has reported it.
-func TestInForceOnceAllPipelinesReported(t *testing.T) {
-	f := newInForceTracker([]string{"mysql", "postgres"})
+func TestAppliedOnceAllPipelinesReported(t *testing.T) {
+	f := newAppliedTracker([]string{"mysql", "postgres"})
 	type report struct {
 		pipeline string
 		rev      uint64
@@ -261,7 +261,7 @@
 	if _, advanced := f.catalogApplied(100); advanced {
 		t.Error("in force although the pipelines have not reported it")
 	}
-	if rev, advanced := newInForceTracker(nil).catalogApplied(3); rev != 3 || !advanced {
+	if rev, advanced := newAppliedTracker(nil).catalogApplied(3); rev != 3 || !advanced {
 		t.Error("without pipelines the catalog's revision is not in force")
 	}
 }
--- a/internal/controlplane/subscription/acknowledge.go
+++ b/internal/controlplane/subscription/acknowledge.go
@@ -5,10 +5,10 @@
 	pb "aspenshed/internal/controlplane/controlpb"
 )
 
-// recordInForce records which revision the data plane has in force and which changes it refused, and schedules an
+// recordApplied records which revision the data plane has in force and which changes it refused, and schedules an
 // acknowledgement.
-func (c *Client) recordInForce(now aspenshed.Nanos, e InForce) {
-	c.inForce = max(c.inForce, e.Revision)
+func (c *Client) recordApplied(now aspenshed.Nanos, e Applied) {
+	c.appliedRevision = max(c.appliedRevision, e.Revision)
 	c.pendingRefusals = append(c.pendingRefusals, e.Refused...)
 	if excess := len(c.pendingRefusals) - maxPendingRefusals; excess > 0 {
 		c.pendingRefusals = c.pendingRefusals[excess:]
@@ -30,7 +30,7 @@
 // sendAck acknowledges the received frames, and reports the revision in force as far as this connection has delivered
 // it.
 func (c *Client) sendAck() {
-	ack := &pb.Ack{Received: c.receivedFrames, InForce: min(c.inForce, c.streamRevision), Refused: c.pendingRefusals}
+	ack := &pb.Ack{Received: c.receivedFrames, InForce: min(c.appliedRevision, c.streamRevision), Refused: c.pendingRefusals}
 	c.pendingRefusals, c.unackedBytes, c.ackAt = nil, 0, never
 	c.emit(Send{Frame: &pb.SubscriberFrame{Body: &pb.SubscriberFrame_Ack{Ack: ack}}})
 }
--- a/internal/controlplane/subscription/client.go
+++ b/internal/controlplane/subscription/client.go
@@ -65,7 +65,7 @@
 	snapshot           *partialSnapshot
 	unackedBytes       int // bytes received since the last acknowledgement
 	ackAt              aspenshed.Nanos
-	inForce            uint64
+	appliedRevision    uint64
 	pendingRefusals    []*pb.RefusedChange
 	pendingSubmissions map[uint64]bool
 }
@@ -112,8 +112,8 @@
 		c.onFrame(now, e)
 	case BadFrame:
 		c.rejectInput(now, e.Err)
-	case InForce:
-		c.recordInForce(now, e)
+	case Applied:
+		c.recordApplied(now, e)
 	case SubmitCommands:
 		c.submit(e)
 	case SetServers:
--- a/internal/controlplane/subscription/badinput_test.go
+++ b/internal/controlplane/subscription/invalid_frames_test.go
@@ -220,7 +220,7 @@
 	p := newTestPair(t, ServerConfig{}, ClientConfig{})
 	p.server.Reset(10, records(5))
 	p.run(second)
-	actions, _ := p.client.Step(p.now, InForce{Revision: 10, Refused: []*pb.RefusedChange{{Revision: 10, Key: "config", Reason: "no such group"}}})
+	actions, _ := p.client.Step(p.now, Applied{Revision: 10, Refused: []*pb.RefusedChange{{Revision: 10, Key: "config", Reason: "no such group"}}})
 	p.perform(actions)
 	p.run(second)
 	r := p.server.Rollout(10)
--- a/internal/controlplane/subscription/messages.go
+++ b/internal/controlplane/subscription/messages.go
@@ -29,7 +29,7 @@
 	Zone               string
 	Release            string
 	SentRevision       uint64 // through which it was sent all changes
-	InForce            uint64
+	AppliedRevision    uint64
 	UnackedBytes       int  // sent and not acknowledged
 	SnapshotInProgress bool // a snapshot is being sent
 }
@@ -50,9 +50,9 @@
 	}
 	// BadFrame reports input that can't be decoded as a frame.
 	BadFrame struct{ Err error }
-	// InForce reports the revision that the data plane has in force, and the changes that it refused since the last
-	// InForce.
-	InForce struct {
+	// Applied reports the revision that the data plane has in force, and the changes that it refused since the last
+	// Applied.
+	Applied struct {
 		Revision uint64
 		Refused  []*pb.RefusedChange
 	}
@@ -71,7 +71,7 @@
 func (Disconnected) event()   {}
 func (Received) event()       {}
 func (BadFrame) event()       {}
-func (InForce) event()        {}
+func (Applied) event()        {}
 func (SubmitCommands) event() {}
 func (SetServers) event()     {}
 func (Stop) event()           {}
--- a/internal/controlplane/subscription/session.go
+++ b/internal/controlplane/subscription/session.go
@@ -35,7 +35,7 @@
 	unackedSizes       []int  // of each unacknowledged frame, in bytes
 	unackedBytes       int    // their sum
 	pendingSubmissions int    // not answered yet
-	inForce            uint64
+	appliedRevision    uint64
 
 	heartbeatAt  aspenshed.Nanos // when the next frame has to be sent at the latest
 	lastProgress aspenshed.Nanos // time of the last acknowledgement, or of the first unacknowledged frame
@@ -65,10 +65,10 @@
 		sess.snapshot = s.encoder.snapshot(now, scope)
 	}
 	s.replaceSession(m.Subscriber, sess)
-	sess.subscriber, sess.scope, sess.cursor, sess.inForce = m.Subscriber, scope, m.Revision, 0
+	sess.subscriber, sess.scope, sess.cursor, sess.appliedRevision = m.Subscriber, scope, m.Revision, 0
 	sess.heartbeatAt = now // the first frame confirms the subscription
 	sess.attributes = &pb.Subscribe{Boot: m.Boot, Region: m.Region, Zone: m.Zone, Release: m.Release}
-	s.tracker.SetInForce(m.Subscriber, 0)
+	s.tracker.SetApplied(m.Subscriber, 0)
 	return nil
 }
 
@@ -154,9 +154,9 @@
 	case m.Received > sess.sentFrames || m.Received < sess.ackedFrames:
 		return &InvalidMessageError{Message: "Ack",
 			Problem: fmt.Sprintf("received %d of frames %d to %d", m.Received, sess.ackedFrames, sess.sentFrames)}
-	case m.InForce > sess.cursor || m.InForce < sess.inForce:
+	case m.InForce > sess.cursor || m.InForce < sess.appliedRevision:
 		return &InvalidMessageError{Message: "Ack",
-			Problem: fmt.Sprintf("revision %d in force, of %d to %d", m.InForce, sess.inForce, sess.cursor)}
+			Problem: fmt.Sprintf("revision %d in force, of %d to %d", m.InForce, sess.appliedRevision, sess.cursor)}
 	}
 	if acknowledged := int(m.Received - sess.ackedFrames); acknowledged > 0 {
 		for _, bytes := range sess.unackedSizes[:acknowledged] {
@@ -167,9 +167,9 @@
 		sess.lastProgress = now
 		sess.windowFull = false
 	}
-	if m.InForce > sess.inForce {
-		sess.inForce = m.InForce
-		s.tracker.SetInForce(sess.subscriber, m.InForce)
+	if m.InForce > sess.appliedRevision {
+		sess.appliedRevision = m.InForce
+		s.tracker.SetApplied(sess.subscriber, m.InForce)
 	}
 	for _, r := range m.Refused {
 		s.tracker.AddRefusal(sess.subscriber, r.Revision, r.Key, r.Reason)
@@ -199,7 +199,7 @@
 func (sess *session) status() SubscriberStatus {
 	return SubscriberStatus{Session: sess.id, Subscriber: sess.subscriber, Boot: sess.attributes.Boot,
 		Region: sess.attributes.Region, Zone: sess.attributes.Zone, Release: sess.attributes.Release,
-		SentRevision: sess.cursor, InForce: sess.inForce, UnackedBytes: sess.unackedBytes,
+		SentRevision: sess.cursor, AppliedRevision: sess.appliedRevision, UnackedBytes: sess.unackedBytes,
 		SnapshotInProgress: sess.snapshot != nil}
 }
 
--- a/internal/controlplane/subscription/sim_test.go
+++ b/internal/controlplane/subscription/sim_test.go
@@ -267,7 +267,7 @@
 		x.conn, x.undisturbedSince = nil, never
 	case Apply:
 		s.checkApply(x, a)
-		s.stepSubscriber(x, InForce{Revision: a.Revision})
+		s.stepSubscriber(x, Applied{Revision: a.Revision})
 	case Log:
 		if (a.Message == messageDiverged || a.Message == messageInvalidInput) && s.corruptions == 0 {
 			s.fail("%s: %s: %v", x.name, a.Message, a.Err)
--- a/internal/controlplane/subscription/stream_test.go
+++ b/internal/controlplane/subscription/stream_test.go
@@ -138,7 +138,7 @@
 			p.session = 0
 		case Apply:
 			p.applied = append(p.applied, a)
-			more, _ := p.client.Step(p.now, InForce{Revision: a.Revision})
+			more, _ := p.client.Step(p.now, Applied{Revision: a.Revision})
 			p.perform(more)
 		case Log:
 			p.logLines = append(p.logLines, a.LogLine)
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -25,9 +25,9 @@
 	Lease time.Duration // duration of a lease on the capacity of warming members; 0: no leases
 	// Subscriber is set where the instance has no vote: it publishes no inventory and no learned rates.
 	Subscriber bool
-	// InForce is called on the loop with each revision that the pipeline of a wire protocol has applied; nil: not
+	// Applied is called on the loop with each revision that the pipeline of a wire protocol has applied; nil: not
 	// called.
-	InForce func(wire string, rev uint64)
+	Applied func(wire string, rev uint64)
 }
 
 // openControl opens the store or the subscription to one.
@@ -105,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	d.control = &Control{Store: d.Subscriber, Subscriber: true, InForce: d.Subscriber.InForce}
+	d.control = &Control{Store: d.Subscriber, Subscriber: true, Applied: d.Subscriber.PipelineApplied}
 	return nil
 }
 
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -122,8 +122,8 @@
 func (f *Front) startAgent(loop *eventloop.Loop, own []inventory.Member) {
 	c := agent.Config{Store: f.control.Store, Loop: loop, Log: f.log, Pipeline: f.Pipeline, Wire: f.Wire,
 		Classes: f.cfg.Settings.Classes, LeaseDuration: aspenshed.Nanos(f.control.Lease), KeepLearnedLocal: f.control.Subscriber}
-	if f.control.InForce != nil {
-		c.OnApplied = func(rev uint64) { f.control.InForce(f.Wire, rev) }
+	if f.control.Applied != nil {
+		c.OnApplied = func(rev uint64) { f.control.Applied(f.Wire, rev) }
 	}
 	f.agent = agent.Start(c, f.rosterMembers(own))
 	if len(own) > 0 && !f.control.Subscriber {
--- a/internal/daemon/subscriber_test.go
+++ b/internal/daemon/subscriber_test.go
@@ -178,8 +178,8 @@
 	return rev
 }
 
-// inForce waits until the voters know that the gateway has applied a revision.
-func (f *fleet) inForce(rev uint64) {
+// awaitApplied waits until the voters know that the gateway has applied a revision.
+func (f *fleet) awaitApplied(rev uint64) {
 	f.t.Helper()
 	eventually(f.t, fmt.Sprintf("revision %d applied by the gateway", rev), func() bool {
 		b, err := f.voter(AdminRequest{Command: "rollout", Revision: rev})
@@ -221,7 +221,7 @@
 func TestSubscribingGateway(t *testing.T) {
 	f := newFleet(t)
 	f.serves("whole")
-	f.inForce(f.drain("po-b"))
+	f.awaitApplied(f.drain("po-b"))
 	if got := f.serves("drained"); got["po-b"] != 0 {
 		t.Errorf("a drained database got queries: %v", got)
 	}
@@ -233,7 +233,7 @@
 		t.Errorf("during the partition, a drained database got queries: %v", got)
 	}
 	f.network.set(false)
-	f.inForce(missed)
+	f.awaitApplied(missed)
 	if got := f.serves("healed"); got["po-b"]+got["po-c"] != 0 {
 		t.Errorf("after the partition, drained databases got queries: %v", got)
 	}
--- a/internal/dataplane/dispatch/dispatch.go
+++ b/internal/dataplane/dispatch/dispatch.go
@@ -26,8 +26,8 @@
 	Log               *logrus.Entry
 	Backend           request.Backend
 	ConnectTimeout    aspenshed.Nanos
-	IdleClose         aspenshed.Nanos // after which members close idle connections; 0 for never
-	RemovalNotBinding bool            // a member absent from a complete list still gets the attempts that have started
+	IdleTimeout       aspenshed.Nanos // after which members close idle connections; 0 for never
+	RemovalIsAdvisory bool            // a member absent from a complete list still gets the attempts that have started
 	FindRequest       func(id string) *request.Request
 	Emit              func(aspenshed.Event)
 	// OnAnswer is called with a result that answers its request. OnSettled is called when the last attempt of a request
--- a/internal/dataplane/dispatch/dispatch_test.go
+++ b/internal/dataplane/dispatch/dispatch_test.go
@@ -76,7 +76,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	noop := func(string, request.Result) {}
-	h.Stage = &Stage{Loop: eventloop.NewLoop(h.clock), Log: logrus.NewEntry(log), Backend: h, ConnectTimeout: 250 * ms, IdleClose: 15000 * ms,
+	h.Stage = &Stage{Loop: eventloop.NewLoop(h.clock), Log: logrus.NewEntry(log), Backend: h, ConnectTimeout: 250 * ms, IdleTimeout: 15000 * ms,
 		FindRequest: func(id string) *request.Request { return h.requests[id] }, OnAnswer: func(*request.Request, request.Result) {}, OnSettled: func(*request.Request) {}, OnAttemptEnd: func(*request.Request, string, request.Result) {}, OnProbeEnd: noop,
 		Emit: func(e aspenshed.Event) {
 			if a, ok := e.(aspenshed.AttemptResult); ok {
@@ -232,7 +232,7 @@
 		"still up":    {aspenshed.MemberList{Members: []aspenshed.Member{{ID: "a", State: aspenshed.Up}}}, false, 0},
 	} {
 		h := newHarness(t)
-		h.RemovalNotBinding = c.soft
+		h.RemovalIsAdvisory = c.soft
 		f := h.startAttempt("q")
 		h.UpdateMembers(c.list, nil)
 		f.ready()
--- a/internal/dataplane/dispatch/pool.go
+++ b/internal/dataplane/dispatch/pool.go
@@ -45,7 +45,7 @@
 		if !listed[p.memberID] {
 			p.memberUp = false
 			s.ClosePool(p.memberID)
-			if !s.RemovalNotBinding {
+			if !s.RemovalIsAdvisory {
 				p.draining = true
 				delete(s.pools, p.memberID)
 			}
@@ -66,7 +66,7 @@
 }
 
 func (s *Stage) idleExpired(c *connection) bool {
-	return s.IdleClose > 0 && s.Loop.Now() >= c.idleSince+max(s.IdleClose-idleCloseMargin, s.IdleClose/2)
+	return s.IdleTimeout > 0 && s.Loop.Now() >= c.idleSince+max(s.IdleTimeout-idleCloseMargin, s.IdleTimeout/2)
 }
 
 // closeOldestIdle closes the connection of any member that has been idle the longest; false if there is none.
--- a/internal/frontend/session/memory_test.go
+++ b/internal/frontend/session/memory_test.go
@@ -10,9 +10,9 @@
 type countingConn struct{ responses, closed int }
 
 func (c *countingConn) Write([]byte) error { c.responses++; return nil }
-func (c *countingConn) Unsent() bool       { return false }
+func (c *countingConn) HasUnsent() bool    { return false }
 func (c *countingConn) Close()             { c.closed++ }
-func (c *countingConn) Shut(idle func() bool) bool {
+func (c *countingConn) Shutdown(idle func() bool) bool {
 	if !idle() {
 		return false
 	}
--- a/internal/frontend/session/session.go
+++ b/internal/frontend/session/session.go
@@ -43,10 +43,10 @@
 // Conn is a client connection, independent of its wire protocol.
 type Conn interface {
 	Write([]byte) error
-	// Unsent reports whether written bytes have not been sent yet: Close would drop them.
-	Unsent() bool
-	// Shut closes the connection gracefully, unless idle reports false once all received bytes have been read.
-	Shut(idle func() bool) bool
+	// HasUnsent reports whether written bytes have not been sent yet: Close would drop them.
+	HasUnsent() bool
+	// Shutdown closes the connection gracefully, unless idle reports false once all received bytes have been read.
+	Shutdown(idle func() bool) bool
 	Close()
 }
 
@@ -215,7 +215,7 @@
 		s.closeNow()
 		return
 	}
-	if (s.ending || s.manager.closing) && len(s.slots) == 0 && !s.conn.Unsent() { // else sweep closes it
+	if (s.ending || s.manager.closing) && len(s.slots) == 0 && !s.conn.HasUnsent() { // else sweep closes it
 		s.closeGracefully(!s.ending)
 	}
 }
@@ -224,7 +224,7 @@
 // sending then was not read; a command that has been read gets its response first. keepPartial: so does a command of
 // which a part has been received.
 func (s *Session) closeGracefully(keepPartial bool) {
-	if s.conn.Shut(func() bool {
+	if s.conn.Shutdown(func() bool {
 		return s.ending || s.commandsRead.Load() == s.commandsSeen && !(keepPartial && s.partialSince.Load() > 0)
 	}) {
 		s.closed = true
@@ -258,11 +258,11 @@
 	for s := range m.sessions {
 		switch {
 		case len(s.slots) > 0:
-		case now >= s.deadline(crowded) && s.conn.Unsent(): // the client reads nothing
+		case now >= s.deadline(crowded) && s.conn.HasUnsent(): // the client reads nothing
 			s.closeNow()
 		case now >= s.deadline(crowded):
 			s.closeGracefully(false)
-		case crowded && s.sentCommand && s.partialSince.Load() == 0 && !s.conn.Unsent() &&
+		case crowded && s.sentCommand && s.partialSince.Load() == 0 && !s.conn.HasUnsent() &&
 			now >= s.idleSince+m.Limits.ReclaimMinIdle:
 			reclaimable = append(reclaimable, s)
 		}
@@ -281,7 +281,7 @@
 func (s *Session) deadline(crowded bool) aspenshed.Nanos {
 	partialSince := aspenshed.Nanos(s.partialSince.Load())
 	switch {
-	case s.conn.Unsent(): // a slow reader gets the rest; one that reads nothing is cut off
+	case s.conn.HasUnsent(): // a slow reader gets the rest; one that reads nothing is cut off
 		return s.idleSince + unreadTimeout
 	case s.ending:
 		return 0
@@ -313,7 +313,7 @@
 func (m *Manager) CloseIdle() (remaining int) {
 	m.closing = true
 	for s := range m.sessions {
-		if len(s.slots) == 0 && !s.conn.Unsent() {
+		if len(s.slots) == 0 && !s.conn.HasUnsent() {
 			s.closeGracefully(true)
 		}
 	}
--- a/internal/frontend/session/session_test.go
+++ b/internal/frontend/session/session_test.go
@@ -18,9 +18,9 @@
 type slowConn struct{ unsent, closed bool }
 
 func (s *slowConn) Write([]byte) error { return nil }
-func (s *slowConn) Unsent() bool       { return s.unsent }
+func (s *slowConn) HasUnsent() bool    { return s.unsent }
 func (s *slowConn) Close()             { s.closed = true }
-func (s *slowConn) Shut(idle func() bool) bool {
+func (s *slowConn) Shutdown(idle func() bool) bool {
 	s.closed = idle()
 	return s.closed
 }
--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -52,8 +52,8 @@
 	return c.nbConn
 }
 
-// Unsent reports whether written data is still queued. Close would drop it.
-func (c *Conn) Unsent() bool { return c.unsentBytes.Load() > 0 }
+// HasUnsent reports whether written data is still queued. Close would drop it.
+func (c *Conn) HasUnsent() bool { return c.unsentBytes.Load() > 0 }
 
 // read passes received data to the handler. The caller holds readMu. If drain is set, it reads until the kernel has no
 // more data, which costs an extra system call. An error means that no more data will come.
@@ -80,14 +80,14 @@
 	return nil
 }
 
-// Shut closes the connection gracefully: it shuts down the sending side, discards what is still received, and closes
+// Shutdown closes the connection gracefully: it shuts down the sending side, discards what is still received, and closes
 // once the peer has closed, after LingerTimeout at the latest. A close with unread data would reset the connection and
 // lose what the peer has not read yet.
 //
 // All data received so far is passed to the handler first. If idle then returns false, Shut does nothing and returns
 // false. Data received later is never read, which the peer can detect.
 // After Shut, as after Close, Closed is not called.
-func (c *Conn) Shut(idle func() bool) bool {
+func (c *Conn) Shutdown(idle func() bool) bool {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
 	nb := c.loadConn()
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -220,7 +220,7 @@
 	defer release()
 	_, _ = raw.Write([]byte("request"))
 	waitUnread(t, in.conn, len("request"))
-	if in.conn.Shut(func() bool { return len(in.data) == 0 }) {
+	if in.conn.Shutdown(func() bool { return len(in.data) == 0 }) {
 		t.Fatal("shut despite an unread request")
 	}
 	if got := receive(t, "data", in.data); got != "request" {
@@ -229,7 +229,7 @@
 	if err := in.conn.Write([]byte("answer")); err != nil {
 		t.Error(err)
 	}
-	if !in.conn.Shut(idle) {
+	if !in.conn.Shutdown(idle) {
 		t.Error("not shut although idle")
 	}
 	if got, err := io.ReadAll(raw); string(got) != "answer" || err != nil {
@@ -247,7 +247,7 @@
 		if err := in.conn.Write([]byte("answer")); err != nil {
 			t.Fatal(err)
 		}
-		in.conn.Shut(idle)
+		in.conn.Shutdown(idle)
 		for range 3 {
 			if _, err := raw.Write([]byte("crossing")); err != nil {
 				t.Fatalf("the connection was reset: %v", err)
@@ -436,7 +436,7 @@
 	if err := in.conn.Write(make([]byte, defaultMaxWriteBuffer)); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(testTimeout); !in.conn.Unsent(); runtime.Gosched() {
+	for end := time.Now().Add(testTimeout); !in.conn.HasUnsent(); runtime.Gosched() {
 		if err := in.conn.Write(make([]byte, 64<<10)); err != nil || time.Now().After(end) {
 			t.Fatalf("the write is not blocked: %v", err)
 		}
