--- a/internal/controlplane/agent/learned.go
+++ b/internal/controlplane/agent/learned.go
@@ -48,10 +48,10 @@
 }
 
 // reportStarts reports members that have returned, unless the catalog has that start already.
-func (a *Agent) reportStarts(c *catalog.Catalog, back []aspenshed.ObservedRestart) {
-	for _, b := range back {
-		if m := c.Member(b.Member); m != nil && m.Start < int64(b.UnreachableAt) {
-			a.cfg.Store.Offer("start "+b.Member, &pb.Command{Body: &pb.Command_Start{Start: &pb.Start{Member: b.Member, Start: int64(b.ReachableAt)}}})
+func (a *Agent) reportStarts(c *catalog.Catalog, restarts []aspenshed.ObservedRestart) {
+	for _, r := range restarts {
+		if m := c.Member(r.Member); m != nil && m.Start < int64(r.UnreachableAt) {
+			a.cfg.Store.Offer("start "+r.Member, &pb.Command{Body: &pb.Command_Start{Start: &pb.Start{Member: r.Member, Start: int64(r.ReachableAt)}}})
 		}
 	}
 }
--- a/internal/controlplane/rollout/rollout.go
+++ b/internal/controlplane/rollout/rollout.go
@@ -1,4 +1,4 @@
-// Package rollout tracks the progress of one server's subscribers: the revision that each has in force, and which
+// Package rollout tracks the progress of one server's subscribers: the revision that each has applied, and which
 // changes it refused and why. Recording an acknowledgement takes constant time in the number of subscribers and
 // changes; the status of a revision takes one pass over the subscribers.
 package rollout
@@ -30,7 +30,7 @@
 // NewTracker returns a Tracker without subscribers.
 func NewTracker() *Tracker { return &Tracker{applied: map[string]uint64{}} }
 
-// SetApplied records the revision that a subscriber has in force.
+// SetApplied records the revision that a subscriber has applied.
 func (t *Tracker) SetApplied(subscriber string, revision uint64) { t.applied[subscriber] = revision }
 
 // Remove drops a subscriber that has left this server; its refusals are kept.
@@ -48,16 +48,16 @@
 }
 
 // Status returns the progress of the subscribers with a revision. from is the revision of the newest change up to it: a
-// subscriber that has from in force has all changes of the revision.
+// subscriber that has applied from has all changes of the revision.
 func (t *Tracker) Status(revision, from uint64) *pb.RolloutStatus {
 	status := &pb.RolloutStatus{Revision: revision, Subscribers: uint64(len(t.applied))}
 	var lagging []*pb.Lagging
-	for subscriber, has := range t.applied {
-		if has >= from {
+	for subscriber, applied := range t.applied {
+		if applied >= from {
 			status.InForce++
 			continue
 		}
-		lagging = append(lagging, &pb.Lagging{Subscriber: subscriber, InForce: has})
+		lagging = append(lagging, &pb.Lagging{Subscriber: subscriber, InForce: applied})
 	}
 	slices.SortFunc(lagging, func(a, b *pb.Lagging) int {
 		return cmp.Or(cmp.Compare(a.InForce, b.InForce), cmp.Compare(a.Subscriber, b.Subscriber))
--- a/internal/controlplane/stream/client.go
+++ b/internal/controlplane/stream/client.go
@@ -87,7 +87,7 @@
 	return client
 }
 
-// InForce reports to the server which revision the data plane has in force, and which changes it refused since the last
+// InForce reports to the server which revision the data plane has applied, and which changes it refused since the last
 // call.
 func (c *Client) InForce(rev uint64, refused []*pb.RefusedChange) {
 	c.loop.Post(func() { c.step(subscription.Applied{Revision: rev, Refused: refused}) })
--- a/internal/controlplane/stream/stream_test.go
+++ b/internal/controlplane/stream/stream_test.go
@@ -19,7 +19,7 @@
 	"aspenshed/internal/protocol/frame"
 )
 
-// A client receives the state, then changes, and acknowledges the revision in force.
+// A client receives the state, then changes, and acknowledges the revision that it has applied.
 func TestSnapshotThenChanges(t *testing.T) {
 	clock := newManualClock()
 	server := startServer(t, clock, "127.0.0.1:0", nil)
@@ -38,7 +38,7 @@
 		t.Errorf("digest %x", got)
 	}
 	client.InForce(6, nil)
-	eventually(t, clock, "the revision in force at the server", func() bool {
+	eventually(t, clock, "the applied revision at the server", func() bool {
 		r := server.Rollout(6)
 		return r.GetInForce() == 1 && r.GetSubscribers() == 1
 	})
--- a/internal/controlplane/subscriber/subscriber.go
+++ b/internal/controlplane/subscriber/subscriber.go
@@ -38,7 +38,8 @@
 	Scope                              revision.Scope
 	Servers                            []string
 	Seed                               uint64
-	// Pipelines names those that report the revision in force. Without any, the catalog's revision is in force.
+	// Pipelines names those that report the revision that they have applied. Without any, a revision is applied once the
+	// catalog has it.
 	Pipelines []string
 	// CheckConfig returns an error for an invalid configuration, which is then refused; nil: every one is valid.
 	CheckConfig func(*pb.ConfigVersion) error
--- a/internal/controlplane/subscriber/subscriber_test.go
+++ b/internal/controlplane/subscriber/subscriber_test.go
@@ -244,7 +244,7 @@
 	}
 }
 
-// A revision is in force once every pipeline has reported it.
+// A revision counts as applied once every pipeline has reported it.
 func TestAppliedOnceAllPipelinesReported(t *testing.T) {
 	f := newAppliedTracker([]string{"mysql", "postgres"})
 	type report struct {
@@ -259,10 +259,10 @@
 		}
 	}
 	if _, advanced := f.catalogApplied(100); advanced {
-		t.Error("in force although the pipelines have not reported it")
+		t.Error("applied although the pipelines have not reported it")
 	}
 	if rev, advanced := newAppliedTracker(nil).catalogApplied(3); rev != 3 || !advanced {
-		t.Error("without pipelines the catalog's revision is not in force")
+		t.Error("without pipelines the catalog's revision is not applied")
 	}
 }
 
--- a/internal/controlplane/subscription/acknowledge.go
+++ b/internal/controlplane/subscription/acknowledge.go
@@ -5,7 +5,7 @@
 	pb "aspenshed/internal/controlplane/controlpb"
 )
 
-// recordApplied records which revision the data plane has in force and which changes it refused, and schedules an
+// recordApplied records which revision the data plane has applied and which changes it refused, and schedules an
 // acknowledgement.
 func (c *Client) recordApplied(now aspenshed.Nanos, e Applied) {
 	c.appliedRevision = max(c.appliedRevision, e.Revision)
@@ -27,7 +27,7 @@
 	}
 }
 
-// sendAck acknowledges the received frames, and reports the revision in force as far as this connection has delivered
+// sendAck acknowledges the received frames, and reports the applied revision as far as this connection has delivered
 // it.
 func (c *Client) sendAck() {
 	ack := &pb.Ack{Received: c.receivedFrames, InForce: min(c.appliedRevision, c.streamRevision), Refused: c.pendingRefusals}
--- a/internal/controlplane/subscription/client.go
+++ b/internal/controlplane/subscription/client.go
@@ -13,7 +13,7 @@
 
 const (
 	// ackInterval is how long an acknowledgement may be delayed to cover more frames, ns: short compared with the 11 s in
-	// which a change has to be in force, and ten acknowledgements a second at most.
+	// which a change has to be applied, and ten acknowledgements a second at most.
 	ackInterval = 100 * millisecond
 	// ackThresholdBytes is the number of unacknowledged bytes that are acknowledged at once, so that the window reopens a
 	// quarter at a time.
--- a/internal/controlplane/subscription/config.go
+++ b/internal/controlplane/subscription/config.go
@@ -32,7 +32,7 @@
 	// DefaultIdleTimeout.
 	DefaultHeartbeatInterval = 2 * second
 	// DefaultFlushDelay is how long a change that is not binding may be delayed to be batched with others, ns: a fiftieth
-	// of the 11 s in which it has to be in force, while a burst of commits becomes five frames a second instead of one for
+	// of the 11 s in which it has to be applied, while a burst of commits becomes five frames a second instead of one for
 	// each.
 	DefaultFlushDelay = 200 * millisecond
 	// DefaultStallTimeout closes a session that has unacknowledged frames and acknowledges none of them, ns. Clients
--- a/internal/controlplane/subscription/invalid_frames_test.go
+++ b/internal/controlplane/subscription/invalid_frames_test.go
@@ -165,19 +165,19 @@
 		frames []*pb.SubscriberFrame
 		reason pb.Closing_Reason
 	}{
-		"unknown kind":             {[]*pb.SubscriberFrame{{}}, pb.Closing_BAD_FRAME},
-		"wrong cluster":            {subscriberFrames(&pb.Subscribe{Cluster: "d", Subscriber: "bad"}), pb.Closing_WRONG_CLUSTER},
-		"no message":               {subscriberFrames(nil), pb.Closing_WRONG_CLUSTER},
-		"no name":                  {subscriberFrames(&pb.Subscribe{Cluster: "c"}), pb.Closing_BAD_FRAME},
-		"long name":                {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: long}), pb.Closing_BAD_FRAME},
-		"long site":                {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Scope: &pb.Scope{Sites: []string{long}}}), pb.Closing_BAD_FRAME},
-		"huge scope":               {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Scope: &pb.Scope{Sites: make([]string, maxScopeEntries+1)}}), pb.Closing_BAD_FRAME},
-		"future revision":          {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Revision: 1 << 60}), pb.Closing_FUTURE_REVISION},
-		"ack before subscribe":     {[]*pb.SubscriberFrame{ackFrame(&pb.Ack{})}, pb.Closing_BAD_FRAME},
-		"submit before subscribe":  {[]*pb.SubscriberFrame{{Body: &pb.SubscriberFrame_Submit{Submit: &pb.Submit{}}}}, pb.Closing_BAD_FRAME},
-		"subscribed twice":         {subscriberFrames(good, subscriberFrames(good)...), pb.Closing_BAD_FRAME},
-		"ack of unsent frame":      {subscriberFrames(good, ackFrame(&pb.Ack{Received: 1 << 40})), pb.Closing_BAD_FRAME},
-		"unsent revision in force": {subscriberFrames(good, ackFrame(&pb.Ack{InForce: 1 << 40})), pb.Closing_BAD_FRAME},
+		"unknown kind":            {[]*pb.SubscriberFrame{{}}, pb.Closing_BAD_FRAME},
+		"wrong cluster":           {subscriberFrames(&pb.Subscribe{Cluster: "d", Subscriber: "bad"}), pb.Closing_WRONG_CLUSTER},
+		"no message":              {subscriberFrames(nil), pb.Closing_WRONG_CLUSTER},
+		"no name":                 {subscriberFrames(&pb.Subscribe{Cluster: "c"}), pb.Closing_BAD_FRAME},
+		"long name":               {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: long}), pb.Closing_BAD_FRAME},
+		"long site":               {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Scope: &pb.Scope{Sites: []string{long}}}), pb.Closing_BAD_FRAME},
+		"huge scope":              {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Scope: &pb.Scope{Sites: make([]string, maxScopeEntries+1)}}), pb.Closing_BAD_FRAME},
+		"future revision":         {subscriberFrames(&pb.Subscribe{Cluster: "c", Subscriber: "bad", Revision: 1 << 60}), pb.Closing_FUTURE_REVISION},
+		"ack before subscribe":    {[]*pb.SubscriberFrame{ackFrame(&pb.Ack{})}, pb.Closing_BAD_FRAME},
+		"submit before subscribe": {[]*pb.SubscriberFrame{{Body: &pb.SubscriberFrame_Submit{Submit: &pb.Submit{}}}}, pb.Closing_BAD_FRAME},
+		"subscribed twice":        {subscriberFrames(good, subscriberFrames(good)...), pb.Closing_BAD_FRAME},
+		"ack of unsent frame":     {subscriberFrames(good, ackFrame(&pb.Ack{Received: 1 << 40})), pb.Closing_BAD_FRAME},
+		"unsent applied revision": {subscriberFrames(good, ackFrame(&pb.Ack{InForce: 1 << 40})), pb.Closing_BAD_FRAME},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newTestPair(t, ServerConfig{}, ClientConfig{})
--- a/internal/controlplane/subscription/messages.go
+++ b/internal/controlplane/subscription/messages.go
@@ -50,7 +50,7 @@
 	}
 	// BadFrame reports input that can't be decoded as a frame.
 	BadFrame struct{ Err error }
-	// Applied reports the revision that the data plane has in force, and the changes that it refused since the last
+	// Applied reports the revision that the data plane has applied, and the changes that it refused since the last
 	// Applied.
 	Applied struct {
 		Revision uint64
--- a/internal/controlplane/subscription/server.go
+++ b/internal/controlplane/subscription/server.go
@@ -235,7 +235,7 @@
 }
 
 // Rollout returns the progress of this server's subscribers with a revision; 0 is the newest that changed anything. A
-// commit that changed nothing is in force where the change before it is.
+// commit that changed nothing counts as applied where the change before it is.
 func (s *Server) Rollout(rev uint64) *catalogpb.RolloutStatus {
 	if rev == 0 {
 		rev = s.log.LastChange(s.log.Head())
--- a/internal/controlplane/subscription/session.go
+++ b/internal/controlplane/subscription/session.go
@@ -146,7 +146,7 @@
 	return true
 }
 
-// handleAck frees space in the window and records the revision in force and the refused changes.
+// handleAck frees space in the window and records the applied revision and the refused changes.
 func (s *Server) handleAck(now aspenshed.Nanos, sess *session, m *pb.Ack) error {
 	switch {
 	case sess.subscriber == "":
--- a/internal/controlplane/subscription/simcheck_test.go
+++ b/internal/controlplane/subscription/simcheck_test.go
@@ -118,13 +118,13 @@
 			return false
 		}
 	}
-	inForce, subscribers := uint64(0), uint64(0)
+	applied, subscribers := uint64(0), uint64(0)
 	for _, x := range s.servers {
 		r := x.machine.Rollout(s.reference.head())
-		inForce += r.InForce
+		applied += r.InForce
 		subscribers += r.Subscribers
 	}
-	return inForce == uint64(len(s.subscribers)) && subscribers == inForce
+	return applied == uint64(len(s.subscribers)) && subscribers == applied
 }
 
 func (s *simulation) reportDivergence() {
--- a/internal/frontend/session/session.go
+++ b/internal/frontend/session/session.go
@@ -159,7 +159,7 @@
 	}
 }
 
-// Fatal responds to unreadable input, and closes the connection once the preceding commands have their responses.
+// Fatal responds to malformed input, and closes the connection once the preceding commands have their responses.
 func (s *Session) Fatal(response []byte, problem string) {
 	s.Enqueue(len(response), func(x *Slot) {
 		s.manager.CountRejected(problem)
@@ -220,9 +220,9 @@
 	}
 }
 
-// closeGracefully closes a connection that has no pending response, from our side. The client knows that what it was
-// sending then was not read; a command that has been read gets its response first. keepPartial: so does a command of
-// which a part has been received.
+// closeGracefully closes a connection that has no pending response, from our side. It does nothing if a command has
+// been read that the loop has not processed, which gets its response first, or, with keepPartial, if a command has been
+// received in part. The client can detect that anything it sent later was not read.
 func (s *Session) closeGracefully(keepPartial bool) {
 	if s.conn.Shutdown(func() bool {
 		return s.ending || s.commandsRead.Load() == s.commandsSeen && !(keepPartial && s.partialSince.Load() > 0)
--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -26,7 +26,7 @@
 	flusher     *flusher
 	cancelDial  context.CancelFunc
 
-	readMu sync.Mutex // held from a read until its Data returns, so that Shut finds no data between the two
+	readMu sync.Mutex // held from a read until its Data returns, so that Shutdown finds no data between the two
 }
 
 // closeViaPoller shuts the socket down and has the poller close it. If another goroutine closed the descriptor, the
@@ -84,9 +84,9 @@
 // once the peer has closed, after LingerTimeout at the latest. A close with unread data would reset the connection and
 // lose what the peer has not read yet.
 //
-// All data received so far is passed to the handler first. If idle then returns false, Shut does nothing and returns
+// All data received so far is passed to the handler first. If idle then returns false, Shutdown does nothing and returns
 // false. Data received later is never read, which the peer can detect.
-// After Shut, as after Close, Closed is not called.
+// After Shutdown, as after Close, Closed is not called.
 func (c *Conn) Shutdown(idle func() bool) bool {
 	c.readMu.Lock()
 	defer c.readMu.Unlock()
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -27,8 +27,8 @@
 	stopTimeout      = 2 * time.Second // for an engine to stop
 	readBufferSize   = 64 << 10
 	maxReadsPerEvent = 64 // bounds what one connection reads per event to more than a receive buffer holds
-	// LingerTimeout is how long a connection is read from after Shut, so that data in flight from the client doesn't reset
-	// it. It covers a few round trips, and together with the 2 s granted to a silent client it stays below the 3 s granted
+	// LingerTimeout is how long a connection is read from after Shutdown, so that data in flight from the client doesn't
+	// reset it. It covers a few round trips, and together with the 2 s granted to a silent client it stays below the 3 s granted
 	// to a misbehaving one.
 	LingerTimeout = 500 * time.Millisecond
 )
@@ -129,7 +129,7 @@
 // Addr returns the address on which the Net listens.
 func (n *Net) Addr() string { return n.listener.Addr().String() }
 
-// ClientCount returns the number of open client connections, including those that linger after Shut.
+// ClientCount returns the number of open client connections, including those that linger after Shutdown.
 func (n *Net) ClientCount() int { return int(n.clients.Load()) }
 
 // StopListening refuses new connections. Open connections stay, including those in the backlog of the listener, which
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -211,7 +211,7 @@
 
 func idle() bool { return true }
 
-// A request may be received but unread when its connection is shut: it must be passed to the handler, which may then
+// A request may be received but unread when its connection is shut down: it must be passed to the handler, which may then
 // keep the connection open.
 func TestShutPassesOnUnreadData(t *testing.T) {
 	n, accepted := startNet(t, "127.0.0.1:0")
@@ -221,7 +221,7 @@
 	_, _ = raw.Write([]byte("request"))
 	waitUnread(t, in.conn, len("request"))
 	if in.conn.Shutdown(func() bool { return len(in.data) == 0 }) {
-		t.Fatal("shut despite an unread request")
+		t.Fatal("shut down despite an unread request")
 	}
 	if got := receive(t, "data", in.data); got != "request" {
 		t.Errorf("passed on %q", got)
@@ -230,14 +230,14 @@
 		t.Error(err)
 	}
 	if !in.conn.Shutdown(idle) {
-		t.Error("not shut although idle")
+		t.Error("not shut down although idle")
 	}
 	if got, err := io.ReadAll(raw); string(got) != "answer" || err != nil {
 		t.Errorf("the client got %q, %v", got, err)
 	}
 }
 
-// A close with unread data would reset the connection and lose a response: data that arrives after Shut must be
+// A close with unread data would reset the connection and lose a response: data that arrives after Shutdown must be
 // dropped, and the client must be able to read all that was written before. A client that never closes must not be
 // waited for forever.
 func TestDataAfterShutIsDropped(t *testing.T) {
@@ -257,7 +257,7 @@
 			t.Errorf("the client got %q, %v", got, err)
 		}
 		if in.conn.Write([]byte("more")) == nil {
-			t.Error("a write after Shut succeeded")
+			t.Error("a write after Shutdown succeeded")
 		}
 		if closes {
 			_ = raw.Close()
@@ -268,7 +268,7 @@
 			}
 		}
 		if len(in.data)+len(in.closed) > 0 {
-			t.Errorf("%d calls of Data and %d of Closed after Shut", len(in.data), len(in.closed))
+			t.Errorf("%d calls of Data and %d of Closed after Shutdown", len(in.data), len(in.closed))
 		}
 	}
 }
--- a/internal/netio/write.go
+++ b/internal/netio/write.go
@@ -79,7 +79,7 @@
 	return c.flusher.watch(c, nb.Hash())
 }
 
-// flush writes queued bytes once the kernel accepts more. Unlike its neighbors, it takes the lock itself.
+// flush writes queued bytes once the kernel accepts more. Unlike the functions around it, it takes the lock itself.
 func (c *Conn) flush() {
 	nb := c.loadConn()
 	nb.Lock()
