--- a/internal/controlplane/agent/publish_test.go
+++ b/internal/controlplane/agent/publish_test.go
@@ -96,7 +96,7 @@
 	return list
 }
 
-func (a *Agent) heldMembers() (ids []string) {
+func (a *Agent) catalogMembers() (ids []string) {
 	a.cfg.Store.Read(func(c *catalog.Catalog) {
 		for _, m := range c.Members() {
 			ids = append(ids, m.Entry.Id+"@"+m.Entry.Address)
@@ -136,7 +136,7 @@
 			t.Fatal(err)
 		}
 		after, entries := log.takeCounts()
-		if entries != 1 || after > 256 || !slices.Equal(a.heldMembers(), memberKeys(list)) {
+		if entries != 1 || after > 256 || !slices.Equal(a.catalogMembers(), memberKeys(list)) {
 			t.Errorf("%d members: %d log entries, %d bytes", members, entries, after)
 		}
 		t.Logf("%d members: initial list %d bytes of log; one changed member: %d bytes as a whole list, %d as a difference", members, first, before, after)
@@ -169,8 +169,8 @@
 	if entries < 4 || bytes/entries > maxPublishBytes+1024 {
 		t.Errorf("%d bytes in %d log entries", bytes, entries)
 	}
-	if !slices.Equal(a.heldMembers(), memberKeys(append(slices.Clone(list), foreign...))) {
-		t.Errorf("%d members are in the catalog", len(a.heldMembers()))
+	if !slices.Equal(a.catalogMembers(), memberKeys(append(slices.Clone(list), foreign...))) {
+		t.Errorf("%d members are in the catalog", len(a.catalogMembers()))
 	}
 }
 
@@ -185,8 +185,8 @@
 			t.Errorf("%d members are in slow start", n)
 		}
 	})
-	if err := a.PublishInitial(memberList(5)); err != nil || len(a.heldMembers()) != 3 {
-		t.Errorf("a second initial list: %v, %d members", err, len(a.heldMembers()))
+	if err := a.PublishInitial(memberList(5)); err != nil || len(a.catalogMembers()) != 3 {
+		t.Errorf("a second initial list: %v, %d members", err, len(a.catalogMembers()))
 	}
 	long := &Agent{cfg: Config{Store: a.cfg.Store, Wire: "postgres"}, stop: make(chan struct{})}
 	list := memberList(1000)
@@ -194,7 +194,7 @@
 		e.Id, e.Wire = e.Id+strings.Repeat("x", 5000), "postgres"
 	}
 	var tooLong *ListSizeError
-	if err := long.PublishInitial(list); !errors.As(err, &tooLong) || len(a.heldMembers()) != 3 {
+	if err := long.PublishInitial(list); !errors.As(err, &tooLong) || len(a.catalogMembers()) != 3 {
 		t.Errorf("a list that is too long: %v", err)
 	}
 }
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -128,7 +128,7 @@
 	case "put":
 		return a.submit(&pb.Command{Body: &pb.Command_Set{Set: &pb.Set{Key: q.Key, Value: []byte(q.Value), Base: q.Base, Checked: q.CheckBase}}})
 	case "drain":
-		held := a.daemon.drainHere(q.Key)
+		held := a.daemon.drainLocally(q.Key)
 		x, err := a.submit(&pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: q.Key, Reason: "the operator's word"}}})
 		if err != nil && held {
 			err = fmt.Errorf("drained on this instance only; the other instances follow once there is a majority: %w", err)
@@ -162,8 +162,8 @@
 	return nil, fmt.Errorf("unknown request %q", q.Command)
 }
 
-// drainHere drains a member on this instance before the drain is agreed on, so that a partition does not delay it.
-func (d *Daemon) drainHere(member string) (held bool) {
+// drainLocally drains a member on this instance before the drain is agreed on, so that a partition does not delay it.
+func (d *Daemon) drainLocally(member string) (held bool) {
 	wire := ""
 	d.control.Store.Read(func(c *catalog.Catalog) {
 		if m := c.Member(member); m != nil {
--- a/internal/daemon/shared_config.go
+++ b/internal/daemon/shared_config.go
@@ -76,7 +76,7 @@
 // or another instance proposed a version first.
 func (d *Daemon) tryAgree(text string, renew bool) error {
 	if d.Subscriber != nil {
-		return d.compareWithHeld(text)
+		return d.compareWithAgreed(text)
 	}
 	var agreed *pb.ConfigVersion
 	err := d.Store.ReadLatest(agreeTimeout, func(c *catalog.Catalog) { agreed = c.Config() })
@@ -102,15 +102,15 @@
 	return nil
 }
 
-// errNothingHeld reports that a subscriber has received nothing yet.
-var errNothingHeld = errors.New("no server of the control stream has been reached yet")
+// errNothingReceived reports that a subscriber has received nothing yet.
+var errNothingReceived = errors.New("no server of the control stream has been reached yet")
 
-// compareWithHeld logs that a subscriber's configuration differs from the agreed one. Only voters propose versions.
-func (d *Daemon) compareWithHeld(text string) (err error) {
+// compareWithAgreed logs that a subscriber's configuration differs from the agreed one. Only voters propose versions.
+func (d *Daemon) compareWithAgreed(text string) (err error) {
 	d.Subscriber.Read(func(c *catalog.Catalog) {
 		switch agreed := c.Config(); {
 		case c.Index() == 0:
-			err = errNothingHeld
+			err = errNothingReceived
 		case agreed != nil && agreed.Text != text:
 			d.logDiffers(agreed)
 		}
--- a/internal/daemon/subscriber_test.go
+++ b/internal/daemon/subscriber_test.go
@@ -17,56 +17,56 @@
 	"aspenshed/internal/netio"
 )
 
-// cutNetwork is a network that a test can partition.
-type cutNetwork struct {
+// partitionNetwork is a network that a test can partition.
+type partitionNetwork struct {
 	inner stream.Network
 
-	mu    sync.Mutex
-	cut   bool
-	conns map[*cutConn]bool
+	mu          sync.Mutex
+	partitioned bool
+	conns       map[*partitionConn]bool
 }
 
-// cutConn is a connection of a cutNetwork, and its handler.
-type cutConn struct {
+// partitionConn is a connection of a cutNetwork, and its handler.
+type partitionConn struct {
 	stream.Conn
 	netio.Handler
 }
 
-var errCut = errors.New("cut by the test")
+var errPartitioned = errors.New("cut by the test")
 
-func newCutNetwork(t *testing.T) *cutNetwork {
+func newPartitionNetwork(t *testing.T) *partitionNetwork {
 	t.Helper()
 	n, err := netio.New(netio.Config{Name: "test", MaxDials: 16})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(n.Stop)
-	return &cutNetwork{inner: stream.NewNetwork(n), conns: map[*cutConn]bool{}}
+	return &partitionNetwork{inner: stream.NewNetwork(n), conns: map[*partitionConn]bool{}}
 }
 
-func (n *cutNetwork) Dial(address string, h netio.Handler) (stream.Conn, error) {
+func (n *partitionNetwork) Dial(address string, h netio.Handler) (stream.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cut {
-		return nil, errCut
+	if n.partitioned {
+		return nil, errPartitioned
 	}
 	c, err := n.inner.Dial(address, h)
 	if err == nil {
-		n.conns[&cutConn{c, h}] = true
+		n.conns[&partitionConn{c, h}] = true
 	}
 	return c, err
 }
 
-// set closes all connections and rejects new ones, or ends that.
-func (n *cutNetwork) set(cut bool) {
+// setPartitioned closes all connections and rejects new ones, or ends that.
+func (n *partitionNetwork) setPartitioned(cut bool) {
 	n.mu.Lock()
-	n.cut = cut
+	n.partitioned = cut
 	ended := n.conns
-	n.conns = map[*cutConn]bool{}
+	n.conns = map[*partitionConn]bool{}
 	n.mu.Unlock()
 	for c := range ended {
 		c.Close()
-		c.Closed(errCut)
+		c.Closed(errPartitioned)
 	}
 }
 
@@ -78,14 +78,14 @@
 	gateway *Daemon
 	path    string // of the gateway's deploy file
 	socket  string
-	network *cutNetwork
+	network *partitionNetwork
 
 	inventory string // the gateway's own file for PostgreSQL; empty: none
 }
 
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
-	f := &fleet{t: t, network: newCutNetwork(t)}
+	f := &fleet{t: t, network: newPartitionNetwork(t)}
 	for range 3 {
 		address, err := FreeAddress()
 		if err != nil {
@@ -226,13 +226,13 @@
 		t.Errorf("a drained database got queries: %v", got)
 	}
 
-	f.network.set(true)
+	f.network.setPartitioned(true)
 	eventually(t, "the gateway noticing the partition", func() bool { return f.gateway.Status().Mode == modeCutOff })
 	missed := f.drain("po-c")
 	if got := f.serves("cut"); got["po-b"] != 0 {
 		t.Errorf("during the partition, a drained database got queries: %v", got)
 	}
-	f.network.set(false)
+	f.network.setPartitioned(false)
 	f.awaitApplied(missed)
 	if got := f.serves("healed"); got["po-b"]+got["po-c"] != 0 {
 		t.Errorf("after the partition, drained databases got queries: %v", got)
@@ -318,7 +318,7 @@
 func TestDrainAtAPartitionedGateway(t *testing.T) {
 	f := newFleet(t)
 	f.serves("whole")
-	f.network.set(true)
+	f.network.setPartitioned(true)
 	eventually(t, "the gateway noticing the partition", func() bool { return f.gateway.Status().Mode == modeCutOff })
 	if _, err := CallAdmin(f.socket, AdminRequest{Command: "drain", Key: "po-c"}); err == nil || !strings.Contains(err.Error(), "drained on this instance only") {
 		t.Errorf("a drain during the partition: %v", err)
@@ -326,7 +326,7 @@
 	if got := f.serves("cut"); got["po-c"] != 0 {
 		t.Errorf("a drained database got queries: %v", got)
 	}
-	f.network.set(false)
+	f.network.setPartitioned(false)
 	eventually(t, "the drain at the voters", func() bool {
 		draining := false
 		f.Instances[0].Store.Read(func(c *catalog.Catalog) { draining = c.Member("po-c").GetDrainedAt() != 0 })
@@ -348,7 +348,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleet{t: t, network: newCutNetwork(t), servers: []string{nowhere},
+	f := &fleet{t: t, network: newPartitionNetwork(t), servers: []string{nowhere},
 		Demo: &Demo{Dir: t.TempDir(), Databases: map[string]*standin.Group{WirePostgres: group}}}
 	if err := f.WriteInventory(WirePostgres, 1, ""); err != nil {
 		t.Fatal(err)
@@ -373,7 +373,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleet{t: t, network: newCutNetwork(t), servers: []string{nowhere}}
+	f := &fleet{t: t, network: newPartitionNetwork(t), servers: []string{nowhere}}
 	f.startGateway()
 	text, err := os.ReadFile(f.path)
 	if err != nil {
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -213,7 +213,7 @@
 
 // A request may be received but unread when its connection is shut down: it must be passed to the handler, which may then
 // keep the connection open.
-func TestShutPassesOnUnreadData(t *testing.T) {
+func TestShutdownPassesOnUnreadData(t *testing.T) {
 	n, accepted := startNet(t, "127.0.0.1:0")
 	raw, in := connect(t, n, accepted)
 	release := blockPoller(t, n, accepted)
@@ -240,7 +240,7 @@
 // A close with unread data would reset the connection and lose a response: data that arrives after Shutdown must be
 // dropped, and the client must be able to read all that was written before. A client that never closes must not be
 // waited for forever.
-func TestDataAfterShutIsDropped(t *testing.T) {
+func TestDataAfterShutdownIsDropped(t *testing.T) {
 	n, accepted := startNet(t, "127.0.0.1:0")
 	for _, closes := range []bool{true, false} {
 		raw, in := connect(t, n, accepted)
