--- a/internal/controlplane/stream/harness_test.go
+++ b/internal/controlplane/stream/harness_test.go
@@ -19,7 +19,7 @@
 	"aspenshed/internal/netio"
 )
 
-// testTimeout bounds the waiting of a test.
+// testTimeout bounds each wait of a test.
 const testTimeout = 20 * time.Second
 
 // manualClock is a clock that a test advances.
--- a/internal/controlplane/stream/raw_test.go
+++ b/internal/controlplane/stream/raw_test.go
@@ -91,7 +91,7 @@
 		}
 		first := make([]byte, 1)
 		if _, err := conn.Read(first); err == nil {
-			_, _ = conn.Write(answer) // the client may have gone
+			_, _ = conn.Write(answer) // the client may have closed the connection
 		}
 	}
 }
--- a/internal/controlplane/stream/server.go
+++ b/internal/controlplane/stream/server.go
@@ -149,7 +149,7 @@
 		Closed: s.closed.Load(), Submitted: s.forwardedBatches.Load(), Overflows: s.commits.overflows()}
 }
 
-// Stop tells all subscribers that the server is stopping, and stops it.
+// Stop closes all sessions with the reason SHUTTING_DOWN, and stops the server.
 func (s *Server) Stop() {
 	s.stopOnce.Do(func() {
 		s.loop.Post(func() {
--- a/internal/controlplane/subscriber/subscriber_test.go
+++ b/internal/controlplane/subscriber/subscriber_test.go
@@ -18,7 +18,7 @@
 	"aspenshed/internal/controlplane/stream"
 )
 
-// testTimeout bounds the waiting of a test.
+// testTimeout bounds each wait of a test.
 const testTimeout = 20 * time.Second
 
 // voter is a catalog with a control stream server, as in a voter.
--- a/internal/controlplane/subscription/compress.go
+++ b/internal/controlplane/subscription/compress.go
@@ -17,60 +17,60 @@
 type chunkCompressor struct{ encoder *zstd.Encoder }
 
 // encodeChunk makes a chunk of records, compressed if that is smaller.
-func (p *chunkCompressor) encodeChunk(index uint32, records []*pb.Record) *pb.SnapshotChunk {
+func (c *chunkCompressor) encodeChunk(index uint32, records []*pb.Record) *pb.SnapshotChunk {
 	plain := &pb.SnapshotChunk{Index: index, Records: records}
 	message, err := proto.Marshal(&pb.Records{Records: records})
 	if err != nil { // a key is not valid UTF-8; all keys were checked on input
 		return plain
 	}
-	compressed, err := p.compress(message)
+	compressed, err := c.compress(message)
 	if err != nil || len(compressed) >= len(message) {
 		return plain
 	}
 	return &pb.SnapshotChunk{Index: index, Packed: compressed}
 }
 
-func (p *chunkCompressor) compress(message []byte) ([]byte, error) {
-	if p.encoder == nil {
+func (c *chunkCompressor) compress(message []byte) ([]byte, error) {
+	if c.encoder == nil {
 		encoder, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1))
 		if err != nil {
 			return nil, err
 		}
-		p.encoder = encoder
+		c.encoder = encoder
 	}
-	return p.encoder.EncodeAll(message, nil), nil
+	return c.encoder.EncodeAll(message, nil), nil
 }
 
 // chunkDecompressor decompresses the chunks of one snapshot.
 type chunkDecompressor struct{ decoder *zstd.Decoder }
 
 // decodeRecords returns the records of a chunk and their decompressed size, which is 0 if they were not compressed.
-func (u *chunkDecompressor) decodeRecords(m *pb.SnapshotChunk) (records []*pb.Record, size int, err error) {
+func (d *chunkDecompressor) decodeRecords(m *pb.SnapshotChunk) (records []*pb.Record, size int, err error) {
 	if len(m.Packed) == 0 {
 		return m.Records, 0, nil
 	}
 	if len(m.Records) > 0 {
 		return nil, 0, &InvalidMessageError{Message: "SnapshotChunk", Problem: "both compressed and uncompressed records"}
 	}
-	message, err := u.decompress(m.Packed)
+	message, err := d.decompress(m.Packed)
 	if err != nil {
 		return nil, 0, &InvalidMessageError{Message: "SnapshotChunk", Problem: "the records can't be decompressed: " + err.Error()}
 	}
-	var unpacked pb.Records
-	if err := proto.Unmarshal(message, &unpacked); err != nil {
+	var decoded pb.Records
+	if err := proto.Unmarshal(message, &decoded); err != nil {
 		return nil, 0, &InvalidMessageError{Message: "SnapshotChunk", Problem: "the decompressed data are not records"}
 	}
-	return unpacked.Records, len(message), nil
+	return decoded.Records, len(message), nil
 }
 
-func (u *chunkDecompressor) decompress(compressed []byte) ([]byte, error) {
-	if u.decoder == nil {
+func (d *chunkDecompressor) decompress(compressed []byte) ([]byte, error) {
+	if d.decoder == nil {
 		decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
 			zstd.WithDecoderMaxMemory(maxDecompressedBytes))
 		if err != nil {
 			return nil, err
 		}
-		u.decoder = decoder
+		d.decoder = decoder
 	}
-	return u.decoder.DecodeAll(compressed, nil)
+	return d.decoder.DecodeAll(compressed, nil)
 }
--- a/internal/controlplane/subscription/encoder.go
+++ b/internal/controlplane/subscription/encoder.go
@@ -56,15 +56,15 @@
 	bytes   int
 }
 
-func (p *encodedUpdate) empty() bool { return p.changes == 0 }
+func (u *encodedUpdate) empty() bool { return u.changes == 0 }
 
 type cachedSnapshot struct {
 	*encodedSnapshot
 	encodedAt aspenshed.Nanos
 }
 
-func newEncoder(state *revision.State, log *revision.Log, stepBytes int, f *faults) *encoder {
-	e := &encoder{state: state, log: log, updateBytes: stepBytes, frameBytes: maxFrameBytes, cacheBytes: maxCachedSnapshotBytes, faults: f,
+func newEncoder(state *revision.State, log *revision.Log, updateBytes int, f *faults) *encoder {
+	e := &encoder{state: state, log: log, updateBytes: updateBytes, frameBytes: maxFrameBytes, cacheBytes: maxCachedSnapshotBytes, faults: f,
 		scopes: map[string]*sharedScope{}}
 	e.reset()
 	return e
@@ -130,8 +130,8 @@
 // one update.
 func (e *encoder) update(cursor uint64, scope *sharedScope) (*encodedUpdate, error) {
 	key := updateKey{cursor, scope}
-	if p := e.updates[key]; p != nil && (p.head == e.log.Head() || p.through < p.head) && cursor >= e.log.Oldest() {
-		return p, nil
+	if u := e.updates[key]; u != nil && (u.head == e.log.Head() || u.through < u.head) && cursor >= e.log.Oldest() {
+		return u, nil
 	}
 	changes, err := e.log.Since(cursor)
 	if err != nil {
@@ -149,14 +149,14 @@
 		through = changes[end-1].Revision
 	}
 	digest := e.state.Digest(scope.Scope) - digestDelta(changes[end:], scope.Scope)
-	p := &encodedUpdate{through: through, head: e.log.Head(), changes: len(visible)}
-	p.frames = e.encodeChanges(cursor, through, digest, visible)
-	p.bytes = totalSize(p.frames)
+	u := &encodedUpdate{through: through, head: e.log.Head(), changes: len(visible)}
+	u.frames = e.encodeChanges(cursor, through, digest, visible)
+	u.bytes = totalSize(u.frames)
 	if len(e.updates) >= maxCachedUpdates {
 		clear(e.updates)
 	}
-	e.updates[key] = p
-	return p, nil
+	e.updates[key] = u
+	return u, nil
 }
 
 // selectCommits selects whole commits whose changes, projected into the scope and coalesced, fit one update, but at
--- a/internal/controlplane/subscription/receive.go
+++ b/internal/controlplane/subscription/receive.go
@@ -209,11 +209,11 @@
 	case m.Index != s.chunks || m.Index >= s.begin.Chunks:
 		return &ChunkError{Got: m.Index, Want: s.chunks}
 	}
-	records, unpacked, err := s.decompressor.decodeRecords(m)
+	records, decompressed, err := s.decompressor.decodeRecords(m)
 	if err != nil {
 		return err
 	}
-	if s.bytes+bytes+unpacked > maxSnapshotBytes {
+	if s.bytes+bytes+decompressed > maxSnapshotBytes {
 		return &InvalidMessageError{Message: "SnapshotChunk", Problem: "the snapshot is too large"}
 	}
 	for _, w := range records {
@@ -226,7 +226,7 @@
 		}
 	}
 	s.chunks++
-	s.bytes += bytes + unpacked
+	s.bytes += bytes + decompressed
 	if c.faults.applyFirstChunk && s.chunks == 1 && s.begin.Chunks > 1 {
 		c.state = s.records.State(s.begin.Revision)
 		c.emit(Apply{Revision: s.begin.Revision, Full: true})
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -25,7 +25,7 @@
 	maxAdminClients = 16
 	maxAdminLine    = 256 << 10
 	adminTimeout    = 15 * time.Second
-	rolloutTimeout  = 3 * time.Second // for the other voters to respond: one that is cut off must not hide the others' counts
+	rolloutTimeout  = 3 * time.Second // for the other voters to respond: an unreachable one must not hide the others' counts
 )
 
 // AdminRequest is one request to the administration socket.
@@ -128,9 +128,9 @@
 	case "put":
 		return a.submit(&pb.Command{Body: &pb.Command_Set{Set: &pb.Set{Key: q.Key, Value: []byte(q.Value), Base: q.Base, Checked: q.CheckBase}}})
 	case "drain":
-		held := a.daemon.drainLocally(q.Key)
+		known := a.daemon.drainLocally(q.Key)
 		x, err := a.submit(&pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: q.Key, Reason: "the operator's word"}}})
-		if err != nil && held {
+		if err != nil && known {
 			err = fmt.Errorf("drained on this instance only; the other instances follow once there is a majority: %w", err)
 		}
 		return x, err
@@ -163,17 +163,17 @@
 }
 
 // drainLocally drains a member on this instance before the drain is agreed on, so that a partition does not delay it.
-func (d *Daemon) drainLocally(member string) (held bool) {
+func (d *Daemon) drainLocally(member string) (known bool) {
 	wire := ""
 	d.control.Store.Read(func(c *catalog.Catalog) {
 		if m := c.Member(member); m != nil {
-			wire, held = m.Entry.Wire, true
+			wire, known = m.Entry.Wire, true
 		}
 	})
-	if f := d.Front(wire); held && f != nil {
+	if f := d.Front(wire); known && f != nil {
 		f.agent.Drain(member)
 	}
-	return held
+	return known
 }
 
 type doneResponse struct {
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -188,7 +188,7 @@
 }
 
 // NotifyStarted reports a member's start to this front end alone, as its own list would. Experiments use it for an
-// instance that is cut off from the store.
+// instance that is partitioned from the store.
 func (f *Front) NotifyStarted(id string, start time.Time) {
 	f.agent.ObserveStart(id, aspenshed.Nanos(start.UnixNano()))
 }
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against a panic in a failed start: what has been started is stopped, and the error is returned.
-func TestAFailedStartReturnsItsError(t *testing.T) {
+func TestFailedStartReturnsItsError(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/daemon/subscriber_test.go
+++ b/internal/daemon/subscriber_test.go
@@ -26,13 +26,13 @@
 	conns       map[*partitionConn]bool
 }
 
-// partitionConn is a connection of a cutNetwork, and its handler.
+// partitionConn is a connection of a partitionNetwork, and its handler.
 type partitionConn struct {
 	stream.Conn
 	netio.Handler
 }
 
-var errPartitioned = errors.New("cut by the test")
+var errPartitioned = errors.New("partitioned by the test")
 
 func newPartitionNetwork(t *testing.T) *partitionNetwork {
 	t.Helper()
@@ -57,10 +57,10 @@
 	return c, err
 }
 
-// setPartitioned closes all connections and rejects new ones, or ends that.
-func (n *partitionNetwork) setPartitioned(cut bool) {
+// setPartitioned closes all connections and rejects new ones, or ends the partition.
+func (n *partitionNetwork) setPartitioned(partitioned bool) {
 	n.mu.Lock()
-	n.partitioned = cut
+	n.partitioned = partitioned
 	ended := n.conns
 	n.conns = map[*partitionConn]bool{}
 	n.mu.Unlock()
--- a/internal/dataplane/pipeline/pipeline.go
+++ b/internal/dataplane/pipeline/pipeline.go
@@ -27,7 +27,7 @@
 	Seed       uint64
 	MaxPending int
 	Backend    request.Backend
-	Watch      func() // requests the member list, if it must be requested
+	Watch      func() // requests the member list; does nothing where the list is not requested
 }
 
 // Pipeline is the chain of stages: accept, admission, routing, dispatch, response, accounting.
--- a/internal/frontend/session/memory_test.go
+++ b/internal/frontend/session/memory_test.go
@@ -81,7 +81,7 @@
 
 // Guards against memory exhaustion by responses that queue behind a missing one: the connection is closed and its
 // pending bytes are released.
-func TestResponsesBehindAMissingOneAreBounded(t *testing.T) {
+func TestResponsesBehindMissingOneAreBounded(t *testing.T) {
 	const limit = 64 << 20
 	clock := &fakeClock{1000 * ms}
 	m := &Manager{Loop: eventloop.NewLoop(clock), Limits: Limits{MaxPendingBytes: limit}, CountRejected: func(string) {}}
--- a/internal/frontend/session/session.go
+++ b/internal/frontend/session/session.go
@@ -281,7 +281,7 @@
 func (s *Session) deadline(crowded bool) aspenshed.Nanos {
 	partialSince := aspenshed.Nanos(s.partialSince.Load())
 	switch {
-	case s.conn.HasUnsent(): // a slow reader gets the rest; one that reads nothing is cut off
+	case s.conn.HasUnsent(): // a slow reader gets the rest; one that reads nothing is disconnected
 		return s.idleSince + unreadTimeout
 	case s.ending:
 		return 0
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -430,7 +430,7 @@
 }
 
 // The close of a client that reads nothing must be noticed even while a response to it is blocked.
-func TestCloseIsNoticedBehindABlockedWrite(t *testing.T) {
+func TestCloseIsDetectedDuringBlockedWrite(t *testing.T) {
 	n, accepted := startNet(t, "127.0.0.1:0")
 	raw, in := connect(t, n, accepted)
 	if err := in.conn.Write(make([]byte, defaultMaxWriteBuffer)); err != nil {
