--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -96,7 +96,7 @@
 		err := json.Unmarshal(line, &q)
 		if err == nil {
 			var data any
-			if data, err = x.admin.do(q); err == nil {
+			if data, err = x.admin.handle(q); err == nil {
 				out.Data, err = json.Marshal(data)
 			}
 		}
@@ -111,7 +111,7 @@
 // voterOnly lists the commands that a subscriber cannot serve.
 var voterOnly = []string{"rollout", "join", "leave", "save", "restore"}
 
-func (a *admin) do(q AdminRequest) (any, error) {
+func (a *admin) handle(q AdminRequest) (any, error) {
 	st := a.daemon.Store
 	if st == nil && slices.Contains(voterOnly, q.Command) {
 		return nil, subscriber.ErrNotVoter
@@ -203,14 +203,14 @@
 
 func (a *admin) get(q AdminRequest) (out Pair, err error) {
 	found := false
-	look := func(c *catalog.Catalog) {
+	read := func(c *catalog.Catalog) {
 		p := c.Pair(q.Key)
 		found, out = p != nil, Pair{q.Key, string(p.GetValue()), p.GetVersion()}
 	}
 	if q.Latest {
-		err = a.daemon.control.Store.ReadLatest(adminTimeout, look)
+		err = a.daemon.control.Store.ReadLatest(adminTimeout, read)
 	} else {
-		a.daemon.control.Store.Read(look)
+		a.daemon.control.Store.Read(read)
 	}
 	if err == nil && !found {
 		err = fmt.Errorf("no key %q", q.Key)
--- a/internal/daemon/control.go
+++ b/internal/daemon/control.go
@@ -40,10 +40,10 @@
 
 func (d *Daemon) openStore() (err error) {
 	sc := d.cfg.Deploy.Store.Config
-	sc.Release, sc.Log, sc.Clock, sc.OnChange = d.cfg.Release, d.log, d.cfg.Clock, d.pollAgents
+	sc.Release, sc.Log, sc.Clock, sc.OnChange = d.cfg.Release, d.log, d.cfg.Clock, d.wakeAgents
 	sc.OnCorruption = func(err error) {
 		select {
-		case d.storeDamaged <- err:
+		case d.storeCorrupted <- err:
 		default:
 		}
 	}
@@ -100,7 +100,7 @@
 	section := &d.cfg.Deploy.Store
 	d.Subscriber, err = subscriber.Open(subscriber.Config{Cluster: section.Cluster, ID: section.ID, Region: section.Region,
 		Zone: section.Zone, Release: d.cfg.Release, Scope: section.Scope.RevisionScope(), Servers: section.Subscribe,
-		Seed: d.cfg.Seed, Pipelines: enabledWires(d.cfg.Deploy), CheckConfig: checkAgreed, OnChange: d.pollAgents,
+		Seed: d.cfg.Seed, Pipelines: enabledWires(d.cfg.Deploy), CheckConfig: validateAgreed, OnChange: d.wakeAgents,
 		Log: d.log, Clock: d.cfg.Clock, Network: d.cfg.Network})
 	if err != nil {
 		return err
@@ -120,9 +120,9 @@
 	return wires
 }
 
-// checkAgreed validates a configuration that the voters have agreed on.
-func checkAgreed(v *pb.ConfigVersion) error {
-	var parts map[string]*agreedPart
+// validateAgreed validates a configuration that the voters have agreed on.
+func validateAgreed(v *pb.ConfigVersion) error {
+	var parts map[string]*agreedSettings
 	return yaml.Unmarshal([]byte(v.Text), &parts)
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -49,15 +49,15 @@
 	Subscriber *subscriber.Subscriber // nil: the instance has its own store
 	Fronts     []*Front
 
-	cfg          Config
-	control      *Control
-	loop         *eventloop.Loop
-	log          *logrus.Entry
-	admin        *admin
-	once         sync.Once
-	storeOpened  chan struct{} // closed after the attempt to open the store
-	stopped      chan struct{}
-	storeDamaged chan error
+	cfg            Config
+	control        *Control
+	loop           *eventloop.Loop
+	log            *logrus.Entry
+	admin          *admin
+	once           sync.Once
+	storeOpened    chan struct{} // closed after the attempt to open the store
+	stopped        chan struct{}
+	storeCorrupted chan error
 }
 
 // New starts an instance. It serves as soon as it knows members: immediately those of its own files, and those of the
@@ -67,7 +67,7 @@
 		c.Clock = eventloop.NewClock()
 	}
 	d := &Daemon{cfg: c, loop: eventloop.NewLoop(c.Clock), storeOpened: make(chan struct{}), stopped: make(chan struct{}),
-		storeDamaged: make(chan error, 1), log: logrus.WithField("instance", c.Deploy.Store.ID)}
+		storeCorrupted: make(chan error, 1), log: logrus.WithField("instance", c.Deploy.Store.ID)}
 	d.loop.OnPanic = func(p any) {
 		d.log.WithFields(logrus.Fields{"panic": p, "stack": string(debug.Stack())}).Error("panic in the event loop; continuing")
 	}
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// pollAgents makes the agents read the store immediately.
-func (d *Daemon) pollAgents() {
+// wakeAgents makes the agents read the store immediately.
+func (d *Daemon) wakeAgents() {
 	d.loop.Post(func() {
 		for _, f := range d.Fronts {
 			f.agent.Wake()
@@ -220,7 +220,7 @@
 	select {
 	case <-d.stopped:
 		return d.close()
-	case err := <-d.storeDamaged: // its data cannot be trusted; the other instances continue
+	case err := <-d.storeCorrupted: // its data cannot be trusted; the other instances continue
 		return errors.Join(err, d.Kill())
 	}
 }
--- a/internal/daemon/demo.go
+++ b/internal/daemon/demo.go
@@ -154,11 +154,11 @@
 	if err != nil {
 		return err
 	}
-	var seams func(*store.Config)
+	var hook func(*store.Config)
 	if d.storeHook != nil {
-		seams = func(c *store.Config) { d.storeHook(i, c) }
+		hook = func(c *store.Config) { d.storeHook(i, c) }
 	}
-	cfg := Config{Deploy: c, Path: path, Seed: uint64(i) + 1, Release: "demonstration", StoreHook: seams}
+	cfg := Config{Deploy: c, Path: path, Seed: uint64(i) + 1, Release: "demonstration", StoreHook: hook}
 	if d.clock != nil {
 		cfg.Clock = d.clock(i)
 	}
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -127,7 +127,7 @@
 	}
 	f.agent = agent.Start(c, f.rosterMembers(own))
 	if len(own) > 0 && !f.control.Subscriber {
-		go f.publishFirst(own)
+		go f.publishInitial(own)
 	}
 }
 
@@ -147,8 +147,9 @@
 	return out
 }
 
-// publishFirst publishes this instance's file as the inventory of all instances, unless there is one already.
-func (f *Front) publishFirst(own []inventory.Member) {
+// publishInitial publishes this instance's inventory file as the inventory of all instances, unless there is one
+// already.
+func (f *Front) publishInitial(own []inventory.Member) {
 	if err := f.agent.PublishInitial(catalogEntries(f.Wire, own)); err != nil {
 		f.log.WithError(err).Warn("inventory not stored")
 	}
--- a/internal/daemon/shared_config.go
+++ b/internal/daemon/shared_config.go
@@ -21,8 +21,8 @@
 	agreeTimeout       = 5 * time.Second // of one attempt
 )
 
-// agreedPart holds the settings of one front end that all instances should share.
-type agreedPart struct {
+// agreedSettings holds the settings of one front end that all instances should share.
+type agreedSettings struct {
 	Classes     []config.Class `yaml:"classes"`
 	Tenants     []string       `yaml:"tenants"`
 	Attempts    int            `yaml:"attempts"`
@@ -32,13 +32,13 @@
 
 // sharedConfig returns that part of a configuration as YAML.
 func sharedConfig(d *config.Deploy) (string, error) {
-	partOf := func(s config.Front, more any) *agreedPart {
+	partOf := func(s config.Front, more any) *agreedSettings {
 		if s.Listen == "" {
 			return nil
 		}
-		return &agreedPart{s.Classes, s.Tenants, s.Attempts, s.RetryAdvice, more}
+		return &agreedSettings{s.Classes, s.Tenants, s.Attempts, s.RetryAdvice, more}
 	}
-	b, err := yaml.Marshal(map[string]*agreedPart{"mysql": partOf(d.MySQL.Front, []any{d.MySQL.Database, d.MySQL.Probe, d.MySQL.Defaults}),
+	b, err := yaml.Marshal(map[string]*agreedSettings{"mysql": partOf(d.MySQL.Front, []any{d.MySQL.Database, d.MySQL.Probe, d.MySQL.Defaults}),
 		"postgres": partOf(d.Postgres.Front, nil)})
 	return string(b), err
 }
--- a/internal/daemon/status.go
+++ b/internal/daemon/status.go
@@ -17,8 +17,8 @@
 
 // The modes of a subscriber, in addition to those of a store.
 const (
-	modeSubscribed = "subscribed"
-	modeCutOff     = "cut_off"
+	modeSubscribed   = "subscribed"
+	modeDisconnected = "cut_off"
 )
 
 // Status returns the instance's state in the control plane.
@@ -39,7 +39,7 @@
 	out := Status{Client: &stats}
 	out.Cluster, out.ID, out.Queued = d.cfg.Deploy.Store.Cluster, d.Subscriber.ID(), d.Subscriber.Waiting()
 	out.Leader, out.Commit, out.Digest = stats.Server, stats.Revision, fmt.Sprintf("%016x", uint64(stats.Digest))
-	if out.Mode = modeCutOff; stats.Subscribed {
+	if out.Mode = modeDisconnected; stats.Subscribed {
 		out.Mode = modeSubscribed
 	}
 	d.Subscriber.Read(func(c *catalog.Catalog) {
--- a/internal/daemon/subscriber_test.go
+++ b/internal/daemon/subscriber_test.go
@@ -144,8 +144,8 @@
 	})
 }
 
-// voter sends a request to the voters until one succeeds.
-func (f *fleet) voter(q AdminRequest) (json.RawMessage, error) {
+// callVoter sends a request to the voters until one succeeds.
+func (f *fleet) callVoter(q AdminRequest) (json.RawMessage, error) {
 	var out json.RawMessage
 	err := errors.New("no voter is up")
 	for i, d := range f.Instances {
@@ -159,11 +159,11 @@
 	return out, err
 }
 
-// drain drains a database at a voter and returns the revision of the voters after it.
-func (f *fleet) drain(id string) (rev uint64) {
+// drainAtVoter drains a database at a voter and returns the revision of the voters after it.
+func (f *fleet) drainAtVoter(id string) (rev uint64) {
 	f.t.Helper()
 	eventually(f.t, "a drain at a voter", func() bool {
-		_, err := f.voter(AdminRequest{Command: "drain", Key: id})
+		_, err := f.callVoter(AdminRequest{Command: "drain", Key: id})
 		return err == nil
 	})
 	for _, d := range f.Instances {
@@ -182,33 +182,33 @@
 func (f *fleet) awaitApplied(rev uint64) {
 	f.t.Helper()
 	eventually(f.t, fmt.Sprintf("revision %d applied by the gateway", rev), func() bool {
-		b, err := f.voter(AdminRequest{Command: "rollout", Revision: rev})
+		b, err := f.callVoter(AdminRequest{Command: "rollout", Revision: rev})
 		var r struct {
 			Subscribers uint64 `json:"subscribers"`
-			InForce     uint64 `json:"in_force"`
+			Applied     uint64 `json:"in_force"`
 		}
-		return err == nil && json.Unmarshal(b, &r) == nil && r.Subscribers == 1 && r.InForce == 1
+		return err == nil && json.Unmarshal(b, &r) == nil && r.Subscribers == 1 && r.Applied == 1
 	})
 }
 
-// serves sends some queries to the gateway and returns how many of them each PostgreSQL database got.
-func (f *fleet) serves(what string) map[string]int {
+// queryAndCount sends some queries to the gateway and returns how many of them each PostgreSQL database got.
+func (f *fleet) queryAndCount(what string) map[string]int {
 	f.t.Helper()
-	before := f.served()
+	before := f.servedCounts()
 	for i := range 20 {
 		row, err := QueryUntilServed(f.gateway.Front(WirePostgres).Net.Addr(), what, eventuallyTimeout)
 		if err != nil || !strings.HasPrefix(row, what+"-") {
 			f.t.Fatalf("%s, query %d: %q %v", what, i, row, err)
 		}
 	}
-	after := f.served()
+	after := f.servedCounts()
 	for id := range after {
 		after[id] -= before[id]
 	}
 	return after
 }
 
-func (f *fleet) served() map[string]int {
+func (f *fleet) servedCounts() map[string]int {
 	out := map[string]int{}
 	for _, db := range f.Databases[WirePostgres].DBs() {
 		out[db.ID] = db.Report().Served
@@ -220,21 +220,21 @@
 // during a partition, and it connects to another voter when its voter is killed.
 func TestSubscribingGateway(t *testing.T) {
 	f := newFleet(t)
-	f.serves("whole")
-	f.awaitApplied(f.drain("po-b"))
-	if got := f.serves("drained"); got["po-b"] != 0 {
+	f.queryAndCount("whole")
+	f.awaitApplied(f.drainAtVoter("po-b"))
+	if got := f.queryAndCount("drained"); got["po-b"] != 0 {
 		t.Errorf("a drained database got queries: %v", got)
 	}
 
 	f.network.setPartitioned(true)
-	eventually(t, "the gateway noticing the partition", func() bool { return f.gateway.Status().Mode == modeCutOff })
-	missed := f.drain("po-c")
-	if got := f.serves("cut"); got["po-b"] != 0 {
+	eventually(t, "the gateway noticing the partition", func() bool { return f.gateway.Status().Mode == modeDisconnected })
+	missed := f.drainAtVoter("po-c")
+	if got := f.queryAndCount("cut"); got["po-b"] != 0 {
 		t.Errorf("during the partition, a drained database got queries: %v", got)
 	}
 	f.network.setPartitioned(false)
 	f.awaitApplied(missed)
-	if got := f.serves("healed"); got["po-b"]+got["po-c"] != 0 {
+	if got := f.queryAndCount("healed"); got["po-b"]+got["po-c"] != 0 {
 		t.Errorf("after the partition, drained databases got queries: %v", got)
 	}
 
@@ -248,7 +248,7 @@
 		}
 		f.Instances[i] = nil
 	}
-	f.serves("killed")
+	f.queryAndCount("killed")
 	if _, err := f.waitPut("after", "the kill"); err != nil {
 		t.Error(err)
 	}
@@ -288,7 +288,7 @@
 		t.Errorf("drain: %v", err)
 	}
 	eventually(t, "the drain at a voter", func() bool {
-		b, err := f.voter(AdminRequest{Command: "members"})
+		b, err := f.callVoter(AdminRequest{Command: "members"})
 		return err == nil && strings.Contains(string(b), `"draining"`)
 	})
 	for _, do := range voterOnly {
@@ -317,13 +317,13 @@
 // A drain at the socket of a partitioned gateway takes effect there immediately, and at the voters after the partition.
 func TestDrainAtAPartitionedGateway(t *testing.T) {
 	f := newFleet(t)
-	f.serves("whole")
+	f.queryAndCount("whole")
 	f.network.setPartitioned(true)
-	eventually(t, "the gateway noticing the partition", func() bool { return f.gateway.Status().Mode == modeCutOff })
+	eventually(t, "the gateway noticing the partition", func() bool { return f.gateway.Status().Mode == modeDisconnected })
 	if _, err := CallAdmin(f.socket, AdminRequest{Command: "drain", Key: "po-c"}); err == nil || !strings.Contains(err.Error(), "drained on this instance only") {
 		t.Errorf("a drain during the partition: %v", err)
 	}
-	if got := f.serves("cut"); got["po-c"] != 0 {
+	if got := f.queryAndCount("cut"); got["po-c"] != 0 {
 		t.Errorf("a drained database got queries: %v", got)
 	}
 	f.network.setPartitioned(false)
@@ -332,7 +332,7 @@
 		f.Instances[0].Store.Read(func(c *catalog.Catalog) { draining = c.Member("po-c").GetDrainedAt() != 0 })
 		return draining
 	})
-	if got := f.serves("healed"); got["po-c"] != 0 {
+	if got := f.queryAndCount("healed"); got["po-c"] != 0 {
 		t.Errorf("after the partition the drained database got queries: %v", got)
 	}
 }
@@ -355,8 +355,8 @@
 	}
 	f.inventory = filepath.Join(f.Dir, "postgres.csv")
 	f.startGateway()
-	f.serves("alone")
-	if got := f.gateway.Status(); got.Mode != modeCutOff || got.Applied != 0 {
+	f.queryAndCount("alone")
+	if got := f.gateway.Status(); got.Mode != modeDisconnected || got.Applied != 0 {
 		t.Errorf("status %+v", got)
 	}
 }
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -175,7 +175,7 @@
 			logrus.WithFields(logrus.Fields{"open": n.config.MaxClients, "closed": n.rejectedClients.Swap(0)}).
 				Warn("client connections closed: connection limit reached")
 		})
-		c.handler = discardHandler{}
+		c.handler = noopHandler{}
 		n.published.Add(1)
 		c.Close()
 		return
@@ -185,9 +185,9 @@
 	c.callHandler(c.handler.Up)
 }
 
-// discardHandler ignores the events of a connection that is closed right after it was accepted.
-type discardHandler struct{}
+// noopHandler ignores the events of a connection that is closed right after it was accepted.
+type noopHandler struct{}
 
-func (discardHandler) Up()          {}
-func (discardHandler) Data([]byte)  {}
-func (discardHandler) Closed(error) {}
+func (noopHandler) Up()          {}
+func (noopHandler) Data([]byte)  {}
+func (noopHandler) Closed(error) {}
