--- a/internal/controlplane/stream/receive.go
+++ b/internal/controlplane/stream/receive.go
@@ -14,7 +14,7 @@
 
 // errReceiveOverflow reports that a peer sends faster than its frames are processed; the flow control window of a
 // correct peer excludes that.
-var errReceiveOverflow = errors.New("more received bytes are unprocessed than the peer may send at once")
+var errReceiveOverflow = errors.New("more bytes wait to be taken up than the peer may send at once")
 
 // receivedFrame is a decoded frame and its size on the wire.
 type receivedFrame[M proto.Message] struct {
