--- a/internal/controlplane/rollout/rollout.go
+++ b/internal/controlplane/rollout/rollout.go
@@ -1,4 +1,4 @@
-// Package rollout tracks the progress of one server's subscribers: the revision that each has in force, and which
+// Package rollout tracks the progress of one server's subscribers: the revision that each has applied, and which
 // changes it refused and why. Recording an acknowledgement takes constant time in the number of subscribers and
 // changes; the status of a revision takes one pass over the subscribers.
 package rollout
@@ -22,19 +22,19 @@
 
 // Tracker holds the progress of one server's subscribers. The zero value is not usable; use NewTracker.
 type Tracker struct {
-	inForce  map[string]uint64
+	applied  map[string]uint64
 	refusals []*pb.Refusal // a ring buffer once it is full
 	oldest   int           // the index that the next refusal overwrites then
 }
 
 // NewTracker returns a Tracker without subscribers.
-func NewTracker() *Tracker { return &Tracker{inForce: map[string]uint64{}} }
+func NewTracker() *Tracker { return &Tracker{applied: map[string]uint64{}} }
 
-// SetInForce records the revision that a subscriber has in force.
-func (t *Tracker) SetInForce(subscriber string, revision uint64) { t.inForce[subscriber] = revision }
+// SetApplied records the revision that a subscriber has applied.
+func (t *Tracker) SetApplied(subscriber string, revision uint64) { t.applied[subscriber] = revision }
 
 // Remove drops a subscriber that has left this server; its refusals are kept.
-func (t *Tracker) Remove(subscriber string) { delete(t.inForce, subscriber) }
+func (t *Tracker) Remove(subscriber string) { delete(t.applied, subscriber) }
 
 // AddRefusal records a change that a subscriber has refused.
 func (t *Tracker) AddRefusal(subscriber string, revision uint64, key, reason string) {
@@ -48,16 +48,16 @@
 }
 
 // Status returns the progress of the subscribers with a revision. from is the revision of the newest change up to it: a
-// subscriber that has from in force has all changes of the revision.
+// subscriber that has applied from has all changes of the revision.
 func (t *Tracker) Status(revision, from uint64) *pb.RolloutStatus {
-	status := &pb.RolloutStatus{Revision: revision, Subscribers: uint64(len(t.inForce))}
+	status := &pb.RolloutStatus{Revision: revision, Subscribers: uint64(len(t.applied))}
 	var lagging []*pb.Lagging
-	for subscriber, has := range t.inForce {
-		if has >= from {
+	for subscriber, applied := range t.applied {
+		if applied >= from {
 			status.InForce++
 			continue
 		}
-		lagging = append(lagging, &pb.Lagging{Subscriber: subscriber, InForce: has})
+		lagging = append(lagging, &pb.Lagging{Subscriber: subscriber, InForce: applied})
 	}
 	slices.SortFunc(lagging, func(a, b *pb.Lagging) int {
 		return cmp.Or(cmp.Compare(a.InForce, b.InForce), cmp.Compare(a.Subscriber, b.Subscriber))
--- a/internal/controlplane/subscriber/subscriber.go
+++ b/internal/controlplane/subscriber/subscriber.go
@@ -38,7 +38,8 @@
 	Scope                              revision.Scope
 	Servers                            []string
 	Seed                               uint64
-	// Pipelines names those that report the revision in force. Without any, the catalog's revision is in force.
+	// Pipelines names those that report the revision that they have applied. Without any, a revision is applied once the
+	// catalog has it.
 	Pipelines []string
 	// CheckConfig returns an error for an invalid configuration, which is then refused; nil: every one is valid.
 	CheckConfig func(*pb.ConfigVersion) error
@@ -65,7 +66,7 @@
 	catalog *catalog.Catalog
 
 	changed changedMembers
-	inForce *inForceTracker
+	applied *appliedTracker
 }
 
 // Open starts a subscriber. It does not wait for a connection.
@@ -75,7 +76,7 @@
 		return nil, err
 	}
 	s := &Subscriber{config: c, boot: hex.EncodeToString(boot), closing: make(chan struct{}), catalog: catalog.New(c.Cluster),
-		inForce: newInForceTracker(c.Pipelines)}
+		applied: newAppliedTracker(c.Pipelines)}
 	if s.config.OnChange == nil {
 		s.config.OnChange = func() {}
 	}
--- a/internal/controlplane/subscription/client.go
+++ b/internal/controlplane/subscription/client.go
@@ -13,7 +13,7 @@
 
 const (
 	// ackInterval is how long an acknowledgement may be delayed to cover more frames, ns: short compared with the 11 s in
-	// which a change has to be in force, and ten acknowledgements a second at most.
+	// which a change has to be applied, and ten acknowledgements a second at most.
 	ackInterval = 100 * millisecond
 	// ackThresholdBytes is the number of unacknowledged bytes that are acknowledged at once, so that the window reopens a
 	// quarter at a time.
@@ -65,7 +65,7 @@
 	snapshot           *partialSnapshot
 	unackedBytes       int // bytes received since the last acknowledgement
 	ackAt              aspenshed.Nanos
-	inForce            uint64
+	appliedRevision    uint64
 	pendingRefusals    []*pb.RefusedChange
 	pendingSubmissions map[uint64]bool
 }
@@ -112,8 +112,8 @@
 		c.onFrame(now, e)
 	case BadFrame:
 		c.rejectInput(now, e.Err)
-	case InForce:
-		c.recordInForce(now, e)
+	case Applied:
+		c.recordApplied(now, e)
 	case SubmitCommands:
 		c.submit(e)
 	case SetServers:
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -25,7 +25,7 @@
 	maxAdminClients = 16
 	maxAdminLine    = 256 << 10
 	adminTimeout    = 15 * time.Second
-	rolloutTimeout  = 3 * time.Second // for the other voters to respond: one that is cut off must not hide the others' counts
+	rolloutTimeout  = 3 * time.Second // for the other voters to respond: an unreachable one must not hide the others' counts
 )
 
 // AdminRequest is one request to the administration socket.
@@ -96,7 +96,7 @@
 		err := json.Unmarshal(line, &q)
 		if err == nil {
 			var data any
-			if data, err = x.admin.do(q); err == nil {
+			if data, err = x.admin.handle(q); err == nil {
 				out.Data, err = json.Marshal(data)
 			}
 		}
@@ -111,7 +111,7 @@
 // voterOnly lists the commands that a subscriber cannot serve.
 var voterOnly = []string{"rollout", "join", "leave", "save", "restore"}
 
-func (a *admin) do(q AdminRequest) (any, error) {
+func (a *admin) handle(q AdminRequest) (any, error) {
 	st := a.daemon.Store
 	if st == nil && slices.Contains(voterOnly, q.Command) {
 		return nil, subscriber.ErrNotVoter
@@ -128,9 +128,9 @@
 	case "put":
 		return a.submit(&pb.Command{Body: &pb.Command_Set{Set: &pb.Set{Key: q.Key, Value: []byte(q.Value), Base: q.Base, Checked: q.CheckBase}}})
 	case "drain":
-		held := a.daemon.drainHere(q.Key)
+		known := a.daemon.drainLocally(q.Key)
 		x, err := a.submit(&pb.Command{Body: &pb.Command_Drain{Drain: &pb.Drain{Member: q.Key, Reason: "the operator's word"}}})
-		if err != nil && held {
+		if err != nil && known {
 			err = fmt.Errorf("drained on this instance only; the other instances follow once there is a majority: %w", err)
 		}
 		return x, err
@@ -162,18 +162,18 @@
 	return nil, fmt.Errorf("unknown request %q", q.Command)
 }
 
-// drainHere drains a member on this instance before the drain is agreed on, so that a partition does not delay it.
-func (d *Daemon) drainHere(member string) (held bool) {
+// drainLocally drains a member on this instance before the drain is agreed on, so that a partition does not delay it.
+func (d *Daemon) drainLocally(member string) (known bool) {
 	wire := ""
 	d.control.Store.Read(func(c *catalog.Catalog) {
 		if m := c.Member(member); m != nil {
-			wire, held = m.Entry.Wire, true
+			wire, known = m.Entry.Wire, true
 		}
 	})
-	if f := d.Front(wire); held && f != nil {
+	if f := d.Front(wire); known && f != nil {
 		f.agent.Drain(member)
 	}
-	return held
+	return known
 }
 
 type doneResponse struct {
@@ -203,14 +203,14 @@
 
 func (a *admin) get(q AdminRequest) (out Pair, err error) {
 	found := false
-	look := func(c *catalog.Catalog) {
+	read := func(c *catalog.Catalog) {
 		p := c.Pair(q.Key)
 		found, out = p != nil, Pair{q.Key, string(p.GetValue()), p.GetVersion()}
 	}
 	if q.Latest {
-		err = a.daemon.control.Store.ReadLatest(adminTimeout, look)
+		err = a.daemon.control.Store.ReadLatest(adminTimeout, read)
 	} else {
-		a.daemon.control.Store.Read(look)
+		a.daemon.control.Store.Read(read)
 	}
 	if err == nil && !found {
 		err = fmt.Errorf("no key %q", q.Key)
--- a/internal/daemon/agreed.go
+++ b/internal/daemon/shared_config.go
@@ -21,8 +21,8 @@
 	agreeTimeout       = 5 * time.Second // of one attempt
 )
 
-// agreedPart holds the settings of one front end that all instances should share.
-type agreedPart struct {
+// agreedSettings holds the settings of one front end that all instances should share.
+type agreedSettings struct {
 	Classes     []config.Class `yaml:"classes"`
 	Tenants     []string       `yaml:"tenants"`
 	Attempts    int            `yaml:"attempts"`
@@ -32,13 +32,13 @@
 
 // sharedConfig returns that part of a configuration as YAML.
 func sharedConfig(d *config.Deploy) (string, error) {
-	partOf := func(s config.Front, more any) *agreedPart {
+	partOf := func(s config.Front, more any) *agreedSettings {
 		if s.Listen == "" {
 			return nil
 		}
-		return &agreedPart{s.Classes, s.Tenants, s.Attempts, s.RetryAdvice, more}
+		return &agreedSettings{s.Classes, s.Tenants, s.Attempts, s.RetryAdvice, more}
 	}
-	b, err := yaml.Marshal(map[string]*agreedPart{"mysql": partOf(d.MySQL.Front, []any{d.MySQL.Database, d.MySQL.Probe, d.MySQL.Defaults}),
+	b, err := yaml.Marshal(map[string]*agreedSettings{"mysql": partOf(d.MySQL.Front, []any{d.MySQL.Database, d.MySQL.Probe, d.MySQL.Defaults}),
 		"postgres": partOf(d.Postgres.Front, nil)})
 	return string(b), err
 }
@@ -76,7 +76,7 @@
 // or another instance proposed a version first.
 func (d *Daemon) tryAgree(text string, renew bool) error {
 	if d.Subscriber != nil {
-		return d.compareWithHeld(text)
+		return d.compareWithAgreed(text)
 	}
 	var agreed *pb.ConfigVersion
 	err := d.Store.ReadLatest(agreeTimeout, func(c *catalog.Catalog) { agreed = c.Config() })
@@ -102,15 +102,15 @@
 	return nil
 }
 
-// errNothingHeld reports that a subscriber has received nothing yet.
-var errNothingHeld = errors.New("no server of the control stream has been reached yet")
+// errNothingReceived reports that a subscriber has received nothing yet.
+var errNothingReceived = errors.New("no server of the control stream has been reached yet")
 
-// compareWithHeld logs that a subscriber's configuration differs from the agreed one. Only voters propose versions.
-func (d *Daemon) compareWithHeld(text string) (err error) {
+// compareWithAgreed logs that a subscriber's configuration differs from the agreed one. Only voters propose versions.
+func (d *Daemon) compareWithAgreed(text string) (err error) {
 	d.Subscriber.Read(func(c *catalog.Catalog) {
 		switch agreed := c.Config(); {
 		case c.Index() == 0:
-			err = errNothingHeld
+			err = errNothingReceived
 		case agreed != nil && agreed.Text != text:
 			d.logDiffers(agreed)
 		}
--- a/internal/daemon/subscriber_test.go
+++ b/internal/daemon/subscriber_test.go
@@ -17,56 +17,56 @@
 	"aspenshed/internal/netio"
 )
 
-// cutNetwork is a network that a test can partition.
-type cutNetwork struct {
+// partitionNetwork is a network that a test can partition.
+type partitionNetwork struct {
 	inner stream.Network
 
-	mu    sync.Mutex
-	cut   bool
-	conns map[*cutConn]bool
+	mu          sync.Mutex
+	partitioned bool
+	conns       map[*partitionConn]bool
 }
 
-// cutConn is a connection of a cutNetwork, and its handler.
-type cutConn struct {
+// partitionConn is a connection of a partitionNetwork, and its handler.
+type partitionConn struct {
 	stream.Conn
 	netio.Handler
 }
 
-var errCut = errors.New("cut by the test")
+var errPartitioned = errors.New("partitioned by the test")
 
-func newCutNetwork(t *testing.T) *cutNetwork {
+func newPartitionNetwork(t *testing.T) *partitionNetwork {
 	t.Helper()
 	n, err := netio.New(netio.Config{Name: "test", MaxDials: 16})
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(n.Stop)
-	return &cutNetwork{inner: stream.NewNetwork(n), conns: map[*cutConn]bool{}}
+	return &partitionNetwork{inner: stream.NewNetwork(n), conns: map[*partitionConn]bool{}}
 }
 
-func (n *cutNetwork) Dial(address string, h netio.Handler) (stream.Conn, error) {
+func (n *partitionNetwork) Dial(address string, h netio.Handler) (stream.Conn, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cut {
-		return nil, errCut
+	if n.partitioned {
+		return nil, errPartitioned
 	}
 	c, err := n.inner.Dial(address, h)
 	if err == nil {
-		n.conns[&cutConn{c, h}] = true
+		n.conns[&partitionConn{c, h}] = true
 	}
 	return c, err
 }
 
-// set closes all connections and rejects new ones, or ends that.
-func (n *cutNetwork) set(cut bool) {
+// setPartitioned closes all connections and rejects new ones, or ends the partition.
+func (n *partitionNetwork) setPartitioned(partitioned bool) {
 	n.mu.Lock()
-	n.cut = cut
+	n.partitioned = partitioned
 	ended := n.conns
-	n.conns = map[*cutConn]bool{}
+	n.conns = map[*partitionConn]bool{}
 	n.mu.Unlock()
 	for c := range ended {
 		c.Close()
-		c.Closed(errCut)
+		c.Closed(errPartitioned)
 	}
 }
 
@@ -78,14 +78,14 @@
 	gateway *Daemon
 	path    string // of the gateway's deploy file
 	socket  string
-	network *cutNetwork
+	network *partitionNetwork
 
 	inventory string // the gateway's own file for PostgreSQL; empty: none
 }
 
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
-	f := &fleet{t: t, network: newCutNetwork(t)}
+	f := &fleet{t: t, network: newPartitionNetwork(t)}
 	for range 3 {
 		address, err := FreeAddress()
 		if err != nil {
@@ -144,8 +144,8 @@
 	})
 }
 
-// voter sends a request to the voters until one succeeds.
-func (f *fleet) voter(q AdminRequest) (json.RawMessage, error) {
+// callVoter sends a request to the voters until one succeeds.
+func (f *fleet) callVoter(q AdminRequest) (json.RawMessage, error) {
 	var out json.RawMessage
 	err := errors.New("no voter is up")
 	for i, d := range f.Instances {
@@ -159,11 +159,11 @@
 	return out, err
 }
 
-// drain drains a database at a voter and returns the revision of the voters after it.
-func (f *fleet) drain(id string) (rev uint64) {
+// drainAtVoter drains a database at a voter and returns the revision of the voters after it.
+func (f *fleet) drainAtVoter(id string) (rev uint64) {
 	f.t.Helper()
 	eventually(f.t, "a drain at a voter", func() bool {
-		_, err := f.voter(AdminRequest{Command: "drain", Key: id})
+		_, err := f.callVoter(AdminRequest{Command: "drain", Key: id})
 		return err == nil
 	})
 	for _, d := range f.Instances {
@@ -178,37 +178,37 @@
 	return rev
 }
 
-// inForce waits until the voters know that the gateway has applied a revision.
-func (f *fleet) inForce(rev uint64) {
+// awaitApplied waits until the voters know that the gateway has applied a revision.
+func (f *fleet) awaitApplied(rev uint64) {
 	f.t.Helper()
 	eventually(f.t, fmt.Sprintf("revision %d applied by the gateway", rev), func() bool {
-		b, err := f.voter(AdminRequest{Command: "rollout", Revision: rev})
+		b, err := f.callVoter(AdminRequest{Command: "rollout", Revision: rev})
 		var r struct {
 			Subscribers uint64 `json:"subscribers"`
-			InForce     uint64 `json:"in_force"`
+			Applied     uint64 `json:"in_force"`
 		}
-		return err == nil && json.Unmarshal(b, &r) == nil && r.Subscribers == 1 && r.InForce == 1
+		return err == nil && json.Unmarshal(b, &r) == nil && r.Subscribers == 1 && r.Applied == 1
 	})
 }
 
-// serves sends some queries to the gateway and returns how many of them each PostgreSQL database got.
-func (f *fleet) serves(what string) map[string]int {
+// queryAndCount sends some queries to the gateway and returns how many of them each PostgreSQL database got.
+func (f *fleet) queryAndCount(what string) map[string]int {
 	f.t.Helper()
-	before := f.served()
+	before := f.servedCounts()
 	for i := range 20 {
 		row, err := QueryUntilServed(f.gateway.Front(WirePostgres).Net.Addr(), what, eventuallyTimeout)
 		if err != nil || !strings.HasPrefix(row, what+"-") {
 			f.t.Fatalf("%s, query %d: %q %v", what, i, row, err)
 		}
 	}
-	after := f.served()
+	after := f.servedCounts()
 	for id := range after {
 		after[id] -= before[id]
 	}
 	return after
 }
 
-func (f *fleet) served() map[string]int {
+func (f *fleet) servedCounts() map[string]int {
 	out := map[string]int{}
 	for _, db := range f.Databases[WirePostgres].DBs() {
 		out[db.ID] = db.Report().Served
@@ -220,21 +220,21 @@
 // during a partition, and it connects to another voter when its voter is killed.
 func TestSubscribingGateway(t *testing.T) {
 	f := newFleet(t)
-	f.serves("whole")
-	f.inForce(f.drain("po-b"))
-	if got := f.serves("drained"); got["po-b"] != 0 {
+	f.queryAndCount("whole")
+	f.awaitApplied(f.drainAtVoter("po-b"))
+	if got := f.queryAndCount("drained"); got["po-b"] != 0 {
 		t.Errorf("a drained database got queries: %v", got)
 	}
 
-	f.network.set(true)
-	eventually(t, "the gateway noticing the partition", func() bool { return f.gateway.Status().Mode == modeCutOff })
-	missed := f.drain("po-c")
-	if got := f.serves("cut"); got["po-b"] != 0 {
+	f.network.setPartitioned(true)
+	eventually(t, "the gateway noticing the partition", func() bool { return f.gateway.Status().Mode == modeDisconnected })
+	missed := f.drainAtVoter("po-c")
+	if got := f.queryAndCount("cut"); got["po-b"] != 0 {
 		t.Errorf("during the partition, a drained database got queries: %v", got)
 	}
-	f.network.set(false)
-	f.inForce(missed)
-	if got := f.serves("healed"); got["po-b"]+got["po-c"] != 0 {
+	f.network.setPartitioned(false)
+	f.awaitApplied(missed)
+	if got := f.queryAndCount("healed"); got["po-b"]+got["po-c"] != 0 {
 		t.Errorf("after the partition, drained databases got queries: %v", got)
 	}
 
@@ -248,7 +248,7 @@
 		}
 		f.Instances[i] = nil
 	}
-	f.serves("killed")
+	f.queryAndCount("killed")
 	if _, err := f.waitPut("after", "the kill"); err != nil {
 		t.Error(err)
 	}
@@ -288,7 +288,7 @@
 		t.Errorf("drain: %v", err)
 	}
 	eventually(t, "the drain at a voter", func() bool {
-		b, err := f.voter(AdminRequest{Command: "members"})
+		b, err := f.callVoter(AdminRequest{Command: "members"})
 		return err == nil && strings.Contains(string(b), `"draining"`)
 	})
 	for _, do := range voterOnly {
@@ -317,22 +317,22 @@
 // A drain at the socket of a partitioned gateway takes effect there immediately, and at the voters after the partition.
 func TestDrainAtAPartitionedGateway(t *testing.T) {
 	f := newFleet(t)
-	f.serves("whole")
-	f.network.set(true)
-	eventually(t, "the gateway noticing the partition", func() bool { return f.gateway.Status().Mode == modeCutOff })
+	f.queryAndCount("whole")
+	f.network.setPartitioned(true)
+	eventually(t, "the gateway noticing the partition", func() bool { return f.gateway.Status().Mode == modeDisconnected })
 	if _, err := CallAdmin(f.socket, AdminRequest{Command: "drain", Key: "po-c"}); err == nil || !strings.Contains(err.Error(), "drained on this instance only") {
 		t.Errorf("a drain during the partition: %v", err)
 	}
-	if got := f.serves("cut"); got["po-c"] != 0 {
+	if got := f.queryAndCount("cut"); got["po-c"] != 0 {
 		t.Errorf("a drained database got queries: %v", got)
 	}
-	f.network.set(false)
+	f.network.setPartitioned(false)
 	eventually(t, "the drain at the voters", func() bool {
 		draining := false
 		f.Instances[0].Store.Read(func(c *catalog.Catalog) { draining = c.Member("po-c").GetDrainedAt() != 0 })
 		return draining
 	})
-	if got := f.serves("healed"); got["po-c"] != 0 {
+	if got := f.queryAndCount("healed"); got["po-c"] != 0 {
 		t.Errorf("after the partition the drained database got queries: %v", got)
 	}
 }
@@ -348,15 +348,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleet{t: t, network: newCutNetwork(t), servers: []string{nowhere},
+	f := &fleet{t: t, network: newPartitionNetwork(t), servers: []string{nowhere},
 		Demo: &Demo{Dir: t.TempDir(), Databases: map[string]*standin.Group{WirePostgres: group}}}
 	if err := f.WriteInventory(WirePostgres, 1, ""); err != nil {
 		t.Fatal(err)
 	}
 	f.inventory = filepath.Join(f.Dir, "postgres.csv")
 	f.startGateway()
-	f.serves("alone")
-	if got := f.gateway.Status(); got.Mode != modeCutOff || got.Applied != 0 {
+	f.queryAndCount("alone")
+	if got := f.gateway.Status(); got.Mode != modeDisconnected || got.Applied != 0 {
 		t.Errorf("status %+v", got)
 	}
 }
@@ -373,7 +373,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleet{t: t, network: newCutNetwork(t), servers: []string{nowhere}}
+	f := &fleet{t: t, network: newPartitionNetwork(t), servers: []string{nowhere}}
 	f.startGateway()
 	text, err := os.ReadFile(f.path)
 	if err != nil {
