--- a/cmd/aspenshed/experiment.go
+++ b/cmd/aspenshed/experiment.go
@@ -40,9 +40,9 @@
 	f := c.Flags()
 	f.IntVar(&t.Clients, "clients", 4, "clients of each instance, 1 to 200")
 	f.DurationVar(&t.Pause, "pause", 30*time.Millisecond, "pause of a client between requests")
-	f.DurationVar(&t.Cut, "cut", time.Minute, "how long one instance is partitioned")
+	f.DurationVar(&t.PartitionTime, "cut", time.Minute, "how long one instance is partitioned")
 	f.BoolVar(&t.Leases, "leases", true, "share a cold database's capacity by leases")
-	f.BoolVar(&t.Clocks, "clocks", false, "run the instances' clocks 5% slow, exact and 5% fast")
+	f.BoolVar(&t.SkewClocks, "clocks", false, "run the instances' clocks 5% slow, exact and 5% fast")
 	f.BoolVar(&t.Kill, "kill", true, "also kill an instance and restart it")
 	return c
 }
@@ -53,12 +53,12 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			logrus.SetLevel(logrus.ErrorLevel)
 			rows, err := trial.MeasureStore(b)
-			return errors.Join(printRows(c, o, rows, table{"figure", "value", "unit"}, func(r trial.Figure) []any { return []any{r.Name, fmt.Sprintf("%.3g", r.Value), r.Unit} }), err)
+			return errors.Join(printRows(c, o, rows, table{"figure", "value", "unit"}, func(r trial.Measurement) []any { return []any{r.Name, fmt.Sprintf("%.3g", r.Value), r.Unit} }), err)
 		}}
 	f := c.Flags()
 	f.IntVar(&b.Writes, "writes", 2000, "writes whose latency is measured")
 	f.IntVar(&b.Failovers, "failovers", 5, "leaders to kill")
-	f.IntVar(&b.Replaced, "replaced", 100000, "members to add and remove")
-	f.IntVar(&b.Members, "members", 10000, "members in the catalog at the restart")
+	f.IntVar(&b.ReplacedMembers, "replaced", 100000, "members to add and remove")
+	f.IntVar(&b.RestartMembers, "members", 10000, "members in the catalog at the restart")
 	return c
 }
--- a/internal/daemon/demo.go
+++ b/internal/daemon/demo.go
@@ -90,7 +90,7 @@
 }
 
 func (d *Demo) startAll(o DemoOptions) (err error) {
-	for n, wire := range []standin.Wire{standin.Postgres, standin.MySQL} {
+	for n, wire := range []standin.Protocol{standin.Postgres, standin.MySQL} {
 		var ids []string
 		for _, x := range []string{"a", "b", "c"} {
 			ids = append(ids, string(wire[:2])+"-"+x)
@@ -154,11 +154,11 @@
 	if err != nil {
 		return err
 	}
-	var seams func(*store.Config)
+	var hook func(*store.Config)
 	if d.storeHook != nil {
-		seams = func(c *store.Config) { d.storeHook(i, c) }
+		hook = func(c *store.Config) { d.storeHook(i, c) }
 	}
-	cfg := Config{Deploy: c, Path: path, Seed: uint64(i) + 1, Release: "demonstration", StoreHook: seams}
+	cfg := Config{Deploy: c, Path: path, Seed: uint64(i) + 1, Release: "demonstration", StoreHook: hook}
 	if d.clock != nil {
 		cfg.Clock = d.clock(i)
 	}
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -122,12 +122,12 @@
 func (f *Front) startAgent(loop *eventloop.Loop, own []inventory.Member) {
 	c := agent.Config{Store: f.control.Store, Loop: loop, Log: f.log, Pipeline: f.Pipeline, Wire: f.Wire,
 		Classes: f.cfg.Settings.Classes, LeaseDuration: aspenshed.Nanos(f.control.Lease), KeepLearnedLocal: f.control.Subscriber}
-	if f.control.InForce != nil {
-		c.OnApplied = func(rev uint64) { f.control.InForce(f.Wire, rev) }
+	if f.control.Applied != nil {
+		c.OnApplied = func(rev uint64) { f.control.Applied(f.Wire, rev) }
 	}
 	f.agent = agent.Start(c, f.rosterMembers(own))
 	if len(own) > 0 && !f.control.Subscriber {
-		go f.publishFirst(own)
+		go f.publishInitial(own)
 	}
 }
 
@@ -147,8 +147,9 @@
 	return out
 }
 
-// publishFirst publishes this instance's file as the inventory of all instances, unless there is one already.
-func (f *Front) publishFirst(own []inventory.Member) {
+// publishInitial publishes this instance's inventory file as the inventory of all instances, unless there is one
+// already.
+func (f *Front) publishInitial(own []inventory.Member) {
 	if err := f.agent.PublishInitial(catalogEntries(f.Wire, own)); err != nil {
 		f.log.WithError(err).Warn("inventory not stored")
 	}
@@ -188,7 +189,7 @@
 }
 
 // NotifyStarted reports a member's start to this front end alone, as its own list would. Experiments use it for an
-// instance that is cut off from the store.
+// instance that is partitioned from the store.
 func (f *Front) NotifyStarted(id string, start time.Time) {
 	f.agent.ObserveStart(id, aspenshed.Nanos(start.UnixNano()))
 }
--- a/internal/dataplane/pipeline/pipeline.go
+++ b/internal/dataplane/pipeline/pipeline.go
@@ -27,7 +27,7 @@
 	Seed       uint64
 	MaxPending int
 	Backend    request.Backend
-	Watch      func() // requests the member list, if it must be requested
+	Watch      func() // requests the member list; does nothing where the list is not requested
 }
 
 // Pipeline is the chain of stages: accept, admission, routing, dispatch, response, accounting.
@@ -58,7 +58,7 @@
 		p.Routing.AddEvent(aspenshed.RequestWithdrawn{ID: r.ID})
 	}}
 	p.Dispatch = dispatch.Stage{Loop: c.Loop, Log: c.Log, Backend: c.Backend, ConnectTimeout: c.Settings.ConnectTimeout,
-		IdleClose: c.Settings.IdleTimeout, RemovalNotBinding: c.Settings.RemovalIsAdvisory, FindRequest: p.Response.Get, Emit: p.Routing.AddEvent,
+		IdleTimeout: c.Settings.IdleTimeout, RemovalIsAdvisory: c.Settings.RemovalIsAdvisory, FindRequest: p.Response.Get, Emit: p.Routing.AddEvent,
 		OnAnswer: func(r *request.Request, res request.Result) {
 			resp := request.Response{Status: request.Served, Value: res.Value}
 			if res.Outcome == aspenshed.StatementError {
