--- a/bench_test.go
+++ b/bench_test.go
@@ -8,9 +8,9 @@
 // BenchmarkStep measures a Step with one request and one response, for numbers of members (five per group) and of
 // requests in flight. It measures the target of issue 8 for the cost of decisions in large fleets.
 func BenchmarkStep(b *testing.B) {
-	for _, size := range []struct{ members, flying int }{{20, 100}, {200, 1000}, {2000, 10000}, {21000, 100},
+	for _, size := range []struct{ members, inFlight int }{{20, 100}, {200, 1000}, {2000, 10000}, {21000, 100},
 		{21000, 1200}} {
-		b.Run(fmt.Sprintf("members=%d/flying=%d", size.members, size.flying), func(b *testing.B) {
+		b.Run(fmt.Sprintf("members=%d/in_flight=%d", size.members, size.inFlight), func(b *testing.B) {
 			s := testSettings()
 			r, err := New(s, 1)
 			if err != nil {
@@ -34,7 +34,7 @@
 				return []Event{Request{ID: fmt.Sprint("q", n), Class: anyClass, Group: n % (size.members / 5),
 					Remaining: 3600 * sec}}
 			}
-			for tries := 0; len(out) < size.flying && tries < 4*size.flying; tries++ {
+			for tries := 0; len(out) < size.inFlight && tries < 4*size.inFlight; tries++ {
 				now += ms / 100
 				out = append(out, sends(r.Step(now, ask()))...)
 			}
--- a/cmd/aspenshed/gateway.go
+++ b/cmd/aspenshed/gateway.go
@@ -77,12 +77,12 @@
 		Version: node.Known.Generation, Pushed: !node.Settings.WatchDiscovery}
 	g.watcher.LogFaults(log.WithField("version", node.Known.Generation), faults)
 	maxPending := maxPendingRequests
-	if node.MaxHeld > 0 {
-		maxPending = min(maxPending, node.MaxHeld)
+	if node.MaxPending > 0 {
+		maxPending = min(maxPending, node.MaxPending)
 	}
 	g.pipeline = pipeline.New(pipeline.Config{Loop: g.loop, Log: log, Settings: node.Settings, Seed: node.SeedNumber(),
 		MaxPending: maxPending, Backend: &postgres.Backend{Net: g.net, Loop: g.loop}, Watch: g.watcher.Watch})
-	g.watcher.OnUpdate = func(u discovery.Update) { g.pipeline.Members(u.List, u.Addresses) }
+	g.watcher.OnUpdate = func(u discovery.Update) { g.pipeline.UpdateMembers(u.List, u.Addresses) }
 	g.watcher.OnBreak = g.pipeline.DiscoveryFailed
 	g.front.Submit, g.front.Cancel, g.front.CountRejected =
 		g.pipeline.Accept.Accept, g.pipeline.Abandon, g.pipeline.Accounting.CountRejected
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,7 +35,7 @@
 	ConfiguredDiscovery string             `json:"-"`
 	Settings            aspenshed.Settings `json:"-"`
 	Zones               []string           `json:"-"`
-	MaxHeld             int                `json:"-"`
+	MaxPending          int                `json:"-"`
 }
 
 // ReadNode reads the file that NODE_CONFIG names; the other environment variables override its fields.
@@ -100,13 +100,13 @@
 	var extra struct {
 		Zones  []string `json:"failureDomains"`
 		Limits struct {
-			MostHeld int `json:"mostHeld"`
+			MaxPending int `json:"mostHeld"`
 		} `json:"limits"`
 	}
 	if err := json.Unmarshal(n.RawSettings, &extra); err != nil {
 		return fmt.Errorf("field settings: %w", err)
 	}
-	n.Zones, n.MaxHeld = extra.Zones, extra.Limits.MostHeld
+	n.Zones, n.MaxPending = extra.Zones, extra.Limits.MaxPending
 	_, faults := discovery.Convert(n.Known, n.Zones)
 	if err := discovery.StartupFaults(faults); err != nil {
 		return fmt.Errorf("field known.%w", err)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n.Listen != "127.0.0.9:9" || n.Zones[1] != "b" || n.MaxHeld != 7 || n.SeedNumber() != 0x8c1f || n.Settings.Classes[0].Consistency != aspenshed.Eventual {
+	if n.Listen != "127.0.0.9:9" || n.Zones[1] != "b" || n.MaxPending != 7 || n.SeedNumber() != 0x8c1f || n.Settings.Classes[0].Consistency != aspenshed.Eventual {
 		t.Errorf("%+v", n)
 	}
 	for want, change := range map[string][2]string{
--- a/internal/config/deploy.go
+++ b/internal/config/deploy.go
@@ -65,7 +65,7 @@
 		WriteClass string        `yaml:"write_class"`
 		Tenant     string        `yaml:"tenant"`
 		Group      int           `yaml:"group"`
-		Wait       time.Duration `yaml:"wait"`
+		Timeout    time.Duration `yaml:"wait"`
 	} `yaml:"defaults"`
 
 	AccountPasswords map[string]string `yaml:"-"`
@@ -74,14 +74,14 @@
 
 // Class configures one class of statements.
 type Class struct {
-	Name      string        `yaml:"name"`
-	Read      string        `yaml:"read"` // any, bounded, fresh or write
-	Bound     time.Duration `yaml:"bound"`
-	Aim       time.Duration `yaml:"aim"`
-	GiveUp    time.Duration `yaml:"give_up"`
-	Worth     float64       `yaml:"worth"`
-	LateWorth float64       `yaml:"late_worth"`
-	Effect    string        `yaml:"effect"` // safe or unsafe
+	Name          string        `yaml:"name"`
+	Consistency   string        `yaml:"read"` // any, bounded, fresh or write
+	MaxStaleness  time.Duration `yaml:"bound"`
+	LatencyTarget time.Duration `yaml:"aim"`
+	ClientTimeout time.Duration `yaml:"give_up"`
+	Value         float64       `yaml:"worth"`
+	LateValue     float64       `yaml:"late_worth"`
+	RetrySafety   string        `yaml:"effect"` // safe or unsafe
 }
 
 // ReadDeploy reads the file and the files that it names. A missing file counts as an empty one, which enables nothing.
@@ -146,7 +146,7 @@
 	c.require("mysql.accounts", m.Accounts != "")
 	c.require("mysql.server.user", m.Server.User != "")
 	c.require("mysql.probe.role", m.Probe.Role != "")
-	c.require("mysql.defaults.wait", m.Defaults.Wait > 0)
+	c.require("mysql.defaults.wait", m.Defaults.Timeout > 0)
 	if m.Accounts != "" {
 		data, err := os.ReadFile(m.Accounts)
 		if err == nil {
@@ -195,17 +195,17 @@
 	retrySafeties := map[string]aspenshed.RetrySafety{"safe": aspenshed.Safe, "unsafe": aspenshed.Unsafe}
 	byName := map[string]aspenshed.Class{}
 	for i, x := range s.Classes {
-		k := aspenshed.Class{Name: x.Name, Consistency: consistencies[x.Read], MaxStaleness: aspenshed.Nanos(x.Bound), LatencyTarget: aspenshed.Nanos(x.Aim), ClientTimeout: aspenshed.Nanos(x.GiveUp),
-			Value: x.Worth, LateValue: x.LateWorth, RetrySafety: retrySafeties[x.Effect]}
+		k := aspenshed.Class{Name: x.Name, Consistency: consistencies[x.Consistency], MaxStaleness: aspenshed.Nanos(x.MaxStaleness), LatencyTarget: aspenshed.Nanos(x.LatencyTarget), ClientTimeout: aspenshed.Nanos(x.ClientTimeout),
+			Value: x.Value, LateValue: x.LateValue, RetrySafety: retrySafeties[x.RetrySafety]}
 		prefix := fmt.Sprintf("%s.classes[%d].", section, i)
 		if x.Name == "" || byName[x.Name].Name != "" {
 			c.addFault(prefix+"name", "missing or a duplicate")
 		}
 		if k.Consistency == 0 {
-			c.addFault(prefix+"read", "%q is not one of any, bounded, fresh, write", x.Read)
+			c.addFault(prefix+"read", "%q is not one of any, bounded, fresh, write", x.Consistency)
 		}
 		if k.RetrySafety == 0 || k.Consistency == aspenshed.Write && k.RetrySafety != aspenshed.Unsafe {
-			c.addFault(prefix+"effect", "%q is not one of safe, unsafe, or a write is not unsafe", x.Effect)
+			c.addFault(prefix+"effect", "%q is not one of safe, unsafe, or a write is not unsafe", x.RetrySafety)
 		}
 		if k.LatencyTarget <= 0 || k.ClientTimeout < k.LatencyTarget {
 			c.addFault(prefix+"give_up", "aim must be positive and at most give_up")
--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -28,8 +28,8 @@
 
 // Pipeline receives the updates of an agent; its methods are called on the loop.
 type Pipeline interface {
-	Members(aspenshed.MemberList, map[string]string)
-	Tell(aspenshed.Event)
+	UpdateMembers(aspenshed.MemberList, map[string]string)
+	AddEvent(aspenshed.Event)
 	Learned() (aspenshed.LearnedState, bool)
 }
 
--- a/internal/controlplane/agent/members.go
+++ b/internal/controlplane/agent/members.go
@@ -157,7 +157,7 @@
 		l.Members = append(l.Members, t.Member)
 		addresses[t.ID] = t.Address
 	}
-	a.cfg.Loop.Post(func() { a.cfg.Pipeline.Members(l, addresses) })
+	a.cfg.Loop.Post(func() { a.cfg.Pipeline.UpdateMembers(l, addresses) })
 }
 
 // postShares posts changes of each start: that it is warmed up, or its share during slow start. It has to follow the
@@ -180,7 +180,7 @@
 	if len(updates) > 0 {
 		a.cfg.Loop.Post(func() {
 			for _, x := range updates {
-				a.cfg.Pipeline.Tell(x)
+				a.cfg.Pipeline.AddEvent(x)
 			}
 		})
 	}
--- a/internal/controlplane/agent/members_test.go
+++ b/internal/controlplane/agent/members_test.go
@@ -75,9 +75,9 @@
 // noopPipeline ignores all updates.
 type noopPipeline struct{}
 
-func (noopPipeline) Members(aspenshed.MemberList, map[string]string) {}
-func (noopPipeline) Tell(aspenshed.Event)                            {}
-func (noopPipeline) Learned() (aspenshed.LearnedState, bool)         { return aspenshed.LearnedState{}, false }
+func (noopPipeline) UpdateMembers(aspenshed.MemberList, map[string]string) {}
+func (noopPipeline) AddEvent(aspenshed.Event)                              {}
+func (noopPipeline) Learned() (aspenshed.LearnedState, bool)               { return aspenshed.LearnedState{}, false }
 
 // recordingPipeline keeps the state that a pipeline would have.
 type recordingPipeline struct {
@@ -88,7 +88,7 @@
 	partialLists int // number of updates that were not whole lists
 }
 
-func (p *recordingPipeline) Members(l aspenshed.MemberList, addresses map[string]string) {
+func (p *recordingPipeline) UpdateMembers(l aspenshed.MemberList, addresses map[string]string) {
 	if l.Complete || p.members == nil {
 		p.members, p.addresses = map[string]aspenshed.Member{}, map[string]string{}
 	}
@@ -105,7 +105,7 @@
 	}
 }
 
-func (p *recordingPipeline) Tell(e aspenshed.Event) {
+func (p *recordingPipeline) AddEvent(e aspenshed.Event) {
 	if x, is := e.(aspenshed.SlowStartShare); is {
 		if p.shares == nil {
 			p.shares = map[string]aspenshed.SlowStartShare{}
--- a/internal/controlplane/store/service.go
+++ b/internal/controlplane/store/service.go
@@ -63,7 +63,7 @@
 	in frame.Reader
 }
 
-func (i *inboundConn) Up() {}
+func (i *inboundConn) Connected() {}
 
 func (i *inboundConn) Closed(error) {}
 
@@ -111,7 +111,7 @@
 	closed  bool
 }
 
-func (o *outboundConn) Up() { close(o.established) }
+func (o *outboundConn) Connected() { close(o.established) }
 
 func (o *outboundConn) Data(b []byte) {
 	err := o.in.Feed(b, func(m []byte) error {
--- a/internal/controlplane/stream/client.go
+++ b/internal/controlplane/stream/client.go
@@ -87,9 +87,9 @@
 	return client
 }
 
-// InForce reports to the server which revision the data plane has applied, and which changes it refused since the last
-// call.
-func (c *Client) InForce(rev uint64, refused []*pb.RefusedChange) {
+// ReportApplied reports to the server which revision the data plane has applied, and which changes it refused since
+// the last call.
+func (c *Client) ReportApplied(rev uint64, refused []*pb.RefusedChange) {
 	c.loop.Post(func() { c.step(subscription.Applied{Revision: rev, Refused: refused}) })
 }
 
@@ -205,7 +205,7 @@
 func (c *Client) send(f *pb.SubscriberFrame) {
 	if ack := f.GetAck(); ack != nil {
 		c.mu.Lock()
-		c.stats.InForce = ack.InForce
+		c.stats.AppliedRevision = ack.InForce
 		c.mu.Unlock()
 	}
 	b, err := frame.Append(nil, f)
--- a/internal/controlplane/stream/client_conn.go
+++ b/internal/controlplane/stream/client_conn.go
@@ -63,8 +63,8 @@
 	return err
 }
 
-// Up posts that the connection is established.
-func (c *serverConn) Up() {
+// Connected posts that the connection is established.
+func (c *serverConn) Connected() {
 	c.client.loop.Post(func() {
 		if c.client.conn != c {
 			return
--- a/internal/controlplane/stream/server_conn.go
+++ b/internal/controlplane/stream/server_conn.go
@@ -42,8 +42,8 @@
 	return c
 }
 
-// Up is part of netio.Handler; an accepted connection is already established.
-func (c *subscriberConn) Up() {}
+// Connected is part of netio.Handler; an accepted connection is already established.
+func (c *subscriberConn) Connected() {}
 
 // Data posts the frames that are complete.
 func (c *subscriberConn) Data(b []byte) {
--- a/internal/controlplane/stream/stats.go
+++ b/internal/controlplane/stream/stats.go
@@ -27,14 +27,14 @@
 // ClientStats holds the counters of a client since its start, and its state.
 type ClientStats struct {
 	Traffic
-	Subscribed bool            `json:"subscribed"`
-	Server     string          `json:"server"` // that was dialed last
-	Connects   uint64          `json:"connects"`
-	Snapshots  uint64          `json:"snapshots"`
-	Revision   uint64          `json:"revision"`
-	InForce    uint64          `json:"in_force"`
-	Digest     revision.Digest `json:"digest"` // of the state within its scope
-	Records    int             `json:"records"`
+	Subscribed      bool            `json:"subscribed"`
+	Server          string          `json:"server"` // that was dialed last
+	Connects        uint64          `json:"connects"`
+	Snapshots       uint64          `json:"snapshots"`
+	Revision        uint64          `json:"revision"`
+	AppliedRevision uint64          `json:"in_force"`
+	Digest          revision.Digest `json:"digest"` // of the state within its scope
+	Records         int             `json:"records"`
 }
 
 // counters are the counters that several goroutines update.
--- a/internal/controlplane/stream/stream_test.go
+++ b/internal/controlplane/stream/stream_test.go
@@ -37,7 +37,7 @@
 	if got := client.Stats().Digest; got != pairsDigest("a", "2", "b", "1") {
 		t.Errorf("digest %x", got)
 	}
-	client.InForce(6, nil)
+	client.ReportApplied(6, nil)
 	eventually(t, clock, "the applied revision at the server", func() bool {
 		r := server.Rollout(6)
 		return r.GetInForce() == 1 && r.GetSubscribers() == 1
--- a/internal/controlplane/subscriber/applied.go
+++ b/internal/controlplane/subscriber/applied.go
@@ -50,6 +50,6 @@
 // It does not block.
 func (s *Subscriber) PipelineApplied(pipeline string, rev uint64) {
 	if rev, advanced := s.applied.pipelineApplied(pipeline, rev); advanced {
-		s.client.InForce(rev, nil)
+		s.client.ReportApplied(rev, nil)
 	}
 }
--- a/internal/controlplane/subscriber/apply.go
+++ b/internal/controlplane/subscriber/apply.go
@@ -33,7 +33,7 @@
 	s.mu.Unlock()
 	s.reportRefused(u.Revision, refused)
 	if rev, advanced := s.applied.catalogApplied(u.Revision); advanced {
-		s.client.InForce(rev, nil)
+		s.client.ReportApplied(rev, nil)
 	}
 	s.config.OnChange()
 }
@@ -118,5 +118,5 @@
 		refused = refused[:maxReportedRefusals]
 		refused[maxReportedRefusals-1].Reason += fmt.Sprintf(" (and %d more)", excess)
 	}
-	s.client.InForce(0, refused)
+	s.client.ReportApplied(0, refused)
 }
--- a/internal/daemon/admin.go
+++ b/internal/daemon/admin.go
@@ -75,7 +75,7 @@
 	buffer []byte
 }
 
-func (x *adminConn) Up() {}
+func (x *adminConn) Connected() {}
 
 func (x *adminConn) Closed(error) {}
 
@@ -313,7 +313,7 @@
 	buffer    []byte
 }
 
-func (x *adminCall) Up() { close(x.connected) }
+func (x *adminCall) Connected() { close(x.connected) }
 
 func (x *adminCall) Closed(err error) { x.closed <- err }
 
--- a/internal/daemon/demo.go
+++ b/internal/daemon/demo.go
@@ -267,7 +267,7 @@
 	finished      chan error
 }
 
-func (q *pgQuery) Up() { close(q.connected) }
+func (q *pgQuery) Connected() { close(q.connected) }
 
 func (q *pgQuery) Closed(err error) { q.finished <- fmt.Errorf("connection closed: %w", err) }
 
--- a/internal/daemon/front.go
+++ b/internal/daemon/front.go
@@ -64,7 +64,7 @@
 		Probes: mysql.Probes{Role: c.Probe.Role, Position: c.Probe.Position}}
 	f.Accounts, f.Database = c.AccountPasswords, c.Database
 	f.Defaults = mysql.Defaults{ReadClass: c.Defaults.ReadClass, WriteClass: c.Defaults.WriteClass, Tenant: c.Defaults.Tenant,
-		Group: c.Defaults.Group, WaitMs: c.Defaults.Wait.Milliseconds()}
+		Group: c.Defaults.Group, TimeoutMs: c.Defaults.Timeout.Milliseconds()}
 	err := x.start(loop, seed, loginTimeout, f.Accept, func(n *netio.Net) request.Backend { backend.Net = n; return backend })
 	return x, err
 }
@@ -173,7 +173,7 @@
 		return
 	}
 	if f.agent == nil {
-		f.Pipeline.Members(inventory.MemberList(members))
+		f.Pipeline.UpdateMembers(inventory.MemberList(members))
 		f.log.WithField("members", len(members)).Info("inventory in use")
 		return
 	}
--- a/internal/dataplane/dispatch/dispatch.go
+++ b/internal/dataplane/dispatch/dispatch.go
@@ -13,7 +13,7 @@
 
 const (
 	probeTimeout             = aspenshed.Nanos(250e6)
-	idleCloseMargin          = aspenshed.Nanos(1e9) // idle connections are closed this long before the member would
+	idleTimeoutMargin        = aspenshed.Nanos(1e9) // idle connections are closed this long before the member would
 	sweepInterval            = aspenshed.Nanos(500e6)
 	maxConnectionsPerAttempt = 3 // connections that an attempt tries until its statement is sent on one
 	// descriptorWait is how long to wait for the descriptor of a closed connection: the poller releases it asynchronously.
--- a/internal/dataplane/dispatch/pool.go
+++ b/internal/dataplane/dispatch/pool.go
@@ -66,7 +66,7 @@
 }
 
 func (s *Stage) idleExpired(c *connection) bool {
-	return s.IdleTimeout > 0 && s.Loop.Now() >= c.idleSince+max(s.IdleTimeout-idleCloseMargin, s.IdleTimeout/2)
+	return s.IdleTimeout > 0 && s.Loop.Now() >= c.idleSince+max(s.IdleTimeout-idleTimeoutMargin, s.IdleTimeout/2)
 }
 
 // closeOldestIdle closes the connection of any member that has been idle the longest; false if there is none.
--- a/internal/dataplane/pipeline/pipeline.go
+++ b/internal/dataplane/pipeline/pipeline.go
@@ -104,14 +104,14 @@
 	p.Loop.At(p.Loop.Now()+countsInterval, p.logCounts)
 }
 
-// Members applies an update of the member list.
-func (p *Pipeline) Members(list aspenshed.MemberList, addresses map[string]string) {
+// UpdateMembers applies an update of the member list.
+func (p *Pipeline) UpdateMembers(list aspenshed.MemberList, addresses map[string]string) {
 	p.Dispatch.UpdateMembers(list, addresses)
 	p.Routing.UpdateMembers(list)
 }
 
-// Tell passes an event to the router.
-func (p *Pipeline) Tell(event aspenshed.Event) { p.Routing.AddEvent(event) }
+// AddEvent passes an event to the router.
+func (p *Pipeline) AddEvent(event aspenshed.Event) { p.Routing.AddEvent(event) }
 
 // Learned returns the state that the router has learned, if it is an aspenshed.Router.
 func (p *Pipeline) Learned() (aspenshed.LearnedState, bool) { return p.Routing.Learned() }
--- a/internal/dataplane/pipeline/pipeline_test.go
+++ b/internal/dataplane/pipeline/pipeline_test.go
@@ -148,8 +148,8 @@
 	p, _, _ := startPipeline(t, 10)
 	for i := range 50 {
 		id := fmt.Sprint("n", i)
-		p.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, Group: 1, State: aspenshed.Up}}}, map[string]string{id: "h:2"})
-		p.Members(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, Group: 1, State: aspenshed.Removed}}}, nil)
+		p.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, Group: 1, State: aspenshed.Up}}}, map[string]string{id: "h:2"})
+		p.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{{ID: id, Group: 1, State: aspenshed.Removed}}}, nil)
 	}
 	if kept := p.Routing.LastMembers(); len(kept) != 1 || kept[0].ID != "a" {
 		t.Errorf("kept %+v", kept)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -286,8 +286,8 @@
 	w.Loop.At(w.Loop.Now()+w.redialPause, w.Watch)
 }
 
-// Up sends the request.
-func (x *watch) Up() {
+// Connected sends the request.
+func (x *watch) Connected() {
 	x.watcher.Loop.Post(func() {
 		x.connected = true
 		_ = x.conn.Write([]byte("GET /v1/servers?stream=1&index=" + strconv.FormatInt(x.watcher.Version, 10) +
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -107,7 +107,7 @@
 	calls chan *server
 }
 
-func (s *server) Up() {}
+func (s *server) Connected() {}
 func (s *server) Data(b []byte) {
 	s.line = strings.SplitN(string(b), "\r\n", 2)[0]
 	s.calls <- s
--- a/internal/experiment/datapath/cold.go
+++ b/internal/experiment/datapath/cold.go
@@ -75,6 +75,6 @@
 // announceSlowStart passes the store's slow-start share of a database that has just started to all gateways.
 func (w *simulation) announceSlowStart(d *database, rate float64) {
 	for _, g := range w.gateways {
-		g.pipeline.Tell(aspenshed.SlowStartShare{Member: d.id, StartedAt: w.clock.now, WorkRate: rate})
+		g.pipeline.AddEvent(aspenshed.SlowStartShare{Member: d.id, StartedAt: w.clock.now, WorkRate: rate})
 	}
 }
--- a/internal/experiment/datapath/database.go
+++ b/internal/experiment/datapath/database.go
@@ -86,6 +86,6 @@
 	w.breakConnections(d)
 	d.model.Start(int64(w.clock.now))
 	for _, g := range w.gateways {
-		g.pipeline.Members(aspenshed.MemberList{Members: []aspenshed.Member{d.member(w.clock.now)}}, nil)
+		g.pipeline.UpdateMembers(aspenshed.MemberList{Members: []aspenshed.Member{d.member(w.clock.now)}}, nil)
 	}
 }
--- a/internal/experiment/pgclient/pgclient.go
+++ b/internal/experiment/pgclient/pgclient.go
@@ -107,8 +107,8 @@
 // Close ends the connection.
 func (c *Client) Close() { c.conn.Close() }
 
-// Up implements netio.Handler.
-func (c *Client) Up() { close(c.connected) }
+// Connected implements netio.Handler.
+func (c *Client) Connected() { close(c.connected) }
 
 // Closed implements netio.Handler.
 func (c *Client) Closed(error) { c.closeOnce.Do(func() { close(c.closed) }) }
--- a/internal/experiment/scale/fleet.go
+++ b/internal/experiment/scale/fleet.go
@@ -281,7 +281,7 @@
 	if stats.Subscribed {
 		state.Connected++
 	}
-	if stats.InForce >= expected {
+	if stats.AppliedRevision >= expected {
 		state.Applied++
 	}
 	if state.MinRevision == 0 || stats.Revision < state.MinRevision {
--- a/internal/experiment/scale/gateway.go
+++ b/internal/experiment/scale/gateway.go
@@ -120,7 +120,7 @@
 	for _, c := range u.Changes {
 		g.applyChange(c, now)
 	}
-	g.client.InForce(u.Revision, nil)
+	g.client.ReportApplied(u.Revision, nil)
 }
 
 // applySnapshot checks that a full state still holds every drain that was applied.
--- a/internal/experiment/scale/network.go
+++ b/internal/experiment/scale/network.go
@@ -107,11 +107,11 @@
 	closed bool // by the client, whose handler gets no more events
 }
 
-// Up is delivered after a round trip.
-func (c *delayedConn) Up() {
+// Connected is delivered after a round trip.
+func (c *delayedConn) Connected() {
 	c.in.enqueue(0, 2*c.in.delay, func() {
 		if !c.isClosed() {
-			c.handler.Up()
+			c.handler.Connected()
 		}
 	})
 }
--- a/internal/experiment/scale/network_test.go
+++ b/internal/experiment/scale/network_test.go
@@ -39,7 +39,7 @@
 // recordingHandler records the events of a client's connection in order.
 type recordingHandler chan string
 
-func (h recordingHandler) Up()              { h <- "up" }
+func (h recordingHandler) Connected()       { h <- "up" }
 func (h recordingHandler) Data(b []byte)    { h <- string(b) }
 func (h recordingHandler) Closed(err error) { h <- fmt.Sprint("closed ", err) }
 
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	far := <-next.dialled
-	far.handler.Up()
+	far.handler.Connected()
 	if got := events.next(t); got != "up" {
 		t.Fatal(got)
 	}
--- a/internal/experiment/scale/observer.go
+++ b/internal/experiment/scale/observer.go
@@ -69,7 +69,7 @@
 		o.records[c.Key] = bytes.Clone(c.Value)
 	}
 	o.revision = u.Revision
-	o.client.InForce(u.Revision, nil)
+	o.client.ReportApplied(u.Revision, nil)
 }
 
 // Revision returns the newest revision received.
--- a/internal/experiment/scenario/mysql_test.go
+++ b/internal/experiment/scenario/mysql_test.go
@@ -28,7 +28,7 @@
 func (mysqlHarness) Front(l *eventloop.Loop, s *aspenshed.Settings,
 	p *pipeline.Pipeline) (func(*netio.Conn) netio.Handler, *session.Manager) {
 	f := &mysql.Front{Manager: newSessionManager(l, s, p), Accounts: map[string]string{"web": "pass"}, Database: "fares",
-		Defaults: mysql.Defaults{ReadClass: "timetable", WriteClass: "booking", Group: 1, WaitMs: 900}}
+		Defaults: mysql.Defaults{ReadClass: "timetable", WriteClass: "booking", Group: 1, TimeoutMs: 900}}
 	return f.Accept, &f.Manager
 }
 
--- a/internal/experiment/scenario/pg_test.go
+++ b/internal/experiment/scenario/pg_test.go
@@ -37,12 +37,12 @@
 
 // connHandler adapts callbacks to netio.Handler, for the connections of stand-in members and clients.
 type connHandler struct {
-	onUp     func()
-	onData   func([]byte)
-	onClosed func()
+	onConnected func()
+	onData      func([]byte)
+	onClosed    func()
 }
 
-func (h *connHandler) Up()           { h.onUp() }
+func (h *connHandler) Connected()    { h.onConnected() }
 func (h *connHandler) Data(b []byte) { h.onData(b) }
 func (h *connHandler) Closed(error)  { h.onClosed() }
 
--- a/internal/experiment/standin/wires.go
+++ b/internal/experiment/standin/wires.go
@@ -21,7 +21,7 @@
 	return &postgresConn{db: d, conn: c, reader: pgwire.Reader{Startup: true, MaxSize: 1 << 20}}
 }
 
-func (p *postgresConn) Up()          {}
+func (p *postgresConn) Connected()   {}
 func (p *postgresConn) Closed(error) {}
 
 func (p *postgresConn) Data(b []byte) {
@@ -108,7 +108,7 @@
 	return &mysqlConn{db: d, conn: c, reader: mysqlwire.Reader{MaxSize: 1 << 20}, statements: map[uint32]string{}}
 }
 
-func (p *mysqlConn) Up()          { _ = p.conn.Write(mysqlwire.Greeting(1, challenge)) }
+func (p *mysqlConn) Connected()   { _ = p.conn.Write(mysqlwire.Greeting(1, challenge)) }
 func (p *mysqlConn) Closed(error) {}
 
 func (p *mysqlConn) Data(b []byte) {
--- a/internal/frontend/mysql/backend.go
+++ b/internal/frontend/mysql/backend.go
@@ -125,8 +125,8 @@
 	return l, nil
 }
 
-// Up does nothing: the server sends the first packet.
-func (l *backendConn) Up() {}
+// Connected does nothing: the server sends the first packet.
+func (l *backendConn) Connected() {}
 
 // Closed is called when the connection ends other than by Close.
 func (l *backendConn) Closed(err error) { l.backend.Loop.Post(func() { l.down(err) }) }
--- a/internal/frontend/mysql/front.go
+++ b/internal/frontend/mysql/front.go
@@ -30,7 +30,7 @@
 type Defaults struct {
 	ReadClass, WriteClass, Tenant string
 	Group                         int
-	WaitMs                        int64
+	TimeoutMs                     int64
 }
 
 // Front is the front end that serves clients.
@@ -83,8 +83,8 @@
 	return s
 }
 
-// Up sends the greeting.
-func (s *clientConn) Up() {
+// Connected sends the greeting.
+func (s *clientConn) Connected() {
 	_ = s.conn.Write(mysqlwire.Greeting(s.front.connections.Add(1), s.challenge))
 }
 
@@ -254,7 +254,7 @@
 	if isWrite(tag.SQL) {
 		class = f.Defaults.WriteClass
 	}
-	fields := map[string]string{"c": class, "cluster": fmt.Sprint(f.Defaults.Group), "d": fmt.Sprint(f.Defaults.WaitMs)}
+	fields := map[string]string{"c": class, "cluster": fmt.Sprint(f.Defaults.Group), "d": fmt.Sprint(f.Defaults.TimeoutMs)}
 	if f.Defaults.Tenant != "" {
 		fields["t"] = f.Defaults.Tenant
 	}
--- a/internal/frontend/postgres/backend.go
+++ b/internal/frontend/postgres/backend.go
@@ -136,8 +136,8 @@
 	l.conn.Close()
 }
 
-// Up sends the startup message, on the loop as Up may run before Dial has returned.
-func (l *backendConn) Up() {
+// Connected sends the startup message, on the loop as Connected may run before Dial has returned.
+func (l *backendConn) Connected() {
 	l.loop.Post(func() { _ = l.conn.Write(pgwire.StartupMessage("web", "orders")) })
 }
 
--- a/internal/frontend/postgres/front.go
+++ b/internal/frontend/postgres/front.go
@@ -35,8 +35,8 @@
 		reader: pgwire.Reader{Startup: true, MaxSize: maxQuery}, awaitStartup: true}
 }
 
-// Up does nothing: the client sends the first message.
-func (s *clientConn) Up() {}
+// Connected does nothing: the client sends the first message.
+func (s *clientConn) Connected() {}
 
 // Closed is called when the connection has ended.
 func (s *clientConn) Closed(error) { s.session.ClientClosed() }
--- a/internal/netio/dial.go
+++ b/internal/netio/dial.go
@@ -11,8 +11,8 @@
 	"github.com/lesismal/nbio"
 )
 
-// Dial connects without blocking. Up is called on success within the timeout, and Closed otherwise, with ErrRefused or,
-// for a connection that was reset, ErrClosed. With reserved set, the dial may use the ReservedDials.
+// Dial connects without blocking. Connected is called on success within the timeout, and Closed otherwise, with
+// ErrRefused or, for a connection that was reset, ErrClosed. With reserved set, the dial may use the ReservedDials.
 //
 // nbio's own DialAsync (v1.6.8) can't be used: it takes an IPv4 address from the first four bytes of its 16-byte form,
 // and so dials 0.0.0.0. The dialer of package net, which doesn't block a thread either, connects instead, and the
@@ -76,7 +76,7 @@
 	case c.closed.Load():
 		closeViaPoller(nb)
 	default:
-		c.callHandler(c.handler.Up)
+		c.callHandler(c.handler.Connected)
 	}
 	return nil
 }
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -33,10 +33,10 @@
 	LingerTimeout = 500 * time.Millisecond
 )
 
-// Handler receives the events of one connection, on any goroutine. Up is called when the connection is established.
-// Data must copy what it keeps; it is never called concurrently with itself, nor after Closed.
+// Handler receives the events of one connection, on any goroutine. Connected is called when the connection is
+// established. Data must copy what it keeps; it is never called concurrently with itself, nor after Closed.
 type Handler interface {
-	Up()
+	Connected()
 	Data([]byte)
 	Closed(error)
 }
@@ -182,12 +182,12 @@
 	}
 	c.handler = n.config.Accept(c)
 	n.published.Add(1)
-	c.callHandler(c.handler.Up)
+	c.callHandler(c.handler.Connected)
 }
 
 // noopHandler ignores the events of a connection that is closed right after it was accepted.
 type noopHandler struct{}
 
-func (noopHandler) Up()          {}
+func (noopHandler) Connected()   {}
 func (noopHandler) Data([]byte)  {}
 func (noopHandler) Closed(error) {}
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -26,7 +26,7 @@
 	return &recorder{up: make(chan bool, 1), data: make(chan string, 100), closed: make(chan error, 1)}
 }
 
-func (p *recorder) Up() { p.up <- true }
+func (p *recorder) Connected() { p.up <- true }
 func (p *recorder) Data(b []byte) {
 	if string(b) == "panic" {
 		panic("a defect in a parser")
--- a/internal/protocol/simwire/wire.go
+++ b/internal/protocol/simwire/wire.go
@@ -350,25 +350,25 @@
 }
 
 type setup struct {
-	Balancers int `json:"balancers"`
-	Rank      int `json:"rank"`
-	Zone      int `json:"zone"`
-	Classes   []struct {
-		AimNs          int64   `json:"aimNs"`
-		AimStretch     float64 `json:"aimStretch"`
-		Effect         string  `json:"effect"`
-		GiveUpNs       int64   `json:"giveUpNs"`
-		Group          string  `json:"group"`
-		LateWorth      float64 `json:"lateWorth"`
-		Name           string  `json:"name"`
-		RepeatWindowNs int64   `json:"repeatWindowNs"`
-		Streamed       bool    `json:"streamed"`
-		Worth          float64 `json:"worth"`
+	Routers int `json:"balancers"`
+	Rank    int `json:"rank"`
+	Zone    int `json:"zone"`
+	Classes []struct {
+		LatencyTargetNs      int64   `json:"aimNs"`
+		LatencyTargetStretch float64 `json:"aimStretch"`
+		RetrySafety          string  `json:"effect"`
+		ClientTimeoutNs      int64   `json:"giveUpNs"`
+		DedupScope           string  `json:"group"`
+		LateValue            float64 `json:"lateWorth"`
+		Name                 string  `json:"name"`
+		DedupWindowNs        int64   `json:"repeatWindowNs"`
+		Streamed             bool    `json:"streamed"`
+		Value                float64 `json:"worth"`
 	} `json:"classes"`
 	ClientHabits struct {
 		MarksRetry bool `json:"marksRetry"`
 	} `json:"clientHabits"`
-	Customers []struct {
+	Tenants []struct {
 		Name     string  `json:"name"`
 		QuotaRps float64 `json:"quotaRps"`
 		Share    float64 `json:"share"`
@@ -376,49 +376,49 @@
 	Discovery      string   `json:"discovery"`
 	FailureDomains []string `json:"failureDomains"`
 	FamilyInfo     struct {
-		BaseTimeNs    int64    `json:"baseTimeNs"`
-		Checks        string   `json:"checks"`
-		LagAllowedNs  []int64  `json:"lagAllowedNs"`
-		ListRole      string   `json:"listRole"`
-		Notes         string   `json:"notes"`
-		ReadLevel     []string `json:"readLevel"`
-		ReportX0      string   `json:"reportX0"`
-		ReportX1      string   `json:"reportX1"`
-		Synchronous   bool     `json:"synchronous"`
-		TellsPosition bool     `json:"tellsPosition"`
-		TokenMode     string   `json:"tokenMode"`
-		WaitNs        int64    `json:"waitNs"`
+		PositionEpochNs       int64    `json:"baseTimeNs"`
+		StalenessCheck        string   `json:"checks"`
+		MaxStalenessNs        []int64  `json:"lagAllowedNs"`
+		ListRole              string   `json:"listRole"`
+		Notes                 string   `json:"notes"`
+		Consistencies         []string `json:"readLevel"`
+		ReportX0              string   `json:"reportX0"`
+		ReportX1              string   `json:"reportX1"`
+		Synchronous           bool     `json:"synchronous"`
+		ResponsesHavePosition bool     `json:"tellsPosition"`
+		TokenMode             string   `json:"tokenMode"`
+		StalenessCheckWaitNs  int64    `json:"waitNs"`
 	} `json:"familyInfo"`
 	Goal          map[string]float64 `json:"goal"`
 	KindOfService string             `json:"kindOfService"`
 	Kinds         []string           `json:"kinds"`
 	Limits        struct {
-		Cancelling       bool    `json:"cancelling"`
+		MayCancel        bool    `json:"cancelling"`
 		ConnectTimeoutNs int64   `json:"connectTimeoutNs"`
 		CPUUsPerRequest  float64 `json:"cpuUsPerRequest"`
 		CPUUsPerS        float64 `json:"cpuUsPerS"`
-		IdleCloseNs      int64   `json:"idleCloseNs"`
+		IdleTimeoutNs    int64   `json:"idleCloseNs"`
 		MaxRetryAfterNs  int64   `json:"maxRetryAfterNs"`
 		MaxStreams       int     `json:"maxStreams"`
 		MayTell          bool    `json:"mayTell"`
-		MostHeld         int     `json:"mostHeld"`
-		ParallelTries    bool    `json:"parallelTries"`
-		Probes           bool    `json:"probes"`
-		RetryAfter       bool    `json:"retryAfter"`
-		SendCap          int     `json:"sendCap"`
+		MaxPending       int     `json:"mostHeld"`
+		MayHedge         bool    `json:"parallelTries"`
+		MayProbe         bool    `json:"probes"`
+		SendRetryAfter   bool    `json:"retryAfter"`
+		MaxAttempts      int     `json:"sendCap"`
 	} `json:"limits"`
-	OverShareWorth float64            `json:"overShareWorth"`
-	Prices         map[string]float64 `json:"prices"`
-	QuantumNs      int64              `json:"quantumNs"`
-	Rules          struct {
-		AnswerSlackNs     int64   `json:"answerSlackNs"`
-		AskWithinNs       int64   `json:"askWithinNs"`
-		ColdNs            int64   `json:"coldNs"`
+	OverQuotaValue    float64            `json:"overShareWorth"`
+	Prices            map[string]float64 `json:"prices"`
+	MinStepIntervalNs int64              `json:"quantumNs"`
+	Rules             struct {
+		ResponseSlackNs   int64   `json:"answerSlackNs"`
+		NotifiedAfterNs   int64   `json:"askWithinNs"`
+		WarmUpTimeNs      int64   `json:"coldNs"`
 		DrainGraceNs      int64   `json:"drainGraceNs"`
-		FallMultiple      float64 `json:"fallMultiple"`
-		FallNs            int64   `json:"fallNs"`
-		StartCapacity     float64 `json:"startCapacity"`
-		RemovalNotBinding bool    `json:"removalNotBinding"`
+		OverloadFactor    float64 `json:"fallMultiple"`
+		OverloadWindowNs  int64   `json:"fallNs"`
+		InitialCapacity   float64 `json:"startCapacity"`
+		RemovalIsAdvisory bool    `json:"removalNotBinding"`
 	} `json:"rules"`
 	Stage     int `json:"stage"`
 	Telemetry struct {
@@ -427,7 +427,7 @@
 	} `json:"telemetry"`
 	Tiers        []string `json:"tiers"`
 	WeightSource string   `json:"weightSource"`
-	WorthBy      string   `json:"worthBy"`
+	ValueBy      string   `json:"worthBy"`
 }
 
 // reportColumns are the columns of load reports that the adapter's protocol defines.
@@ -444,23 +444,23 @@
 	if err := json.Unmarshal(data, &tree); err != nil {
 		return aspenshed.Settings{}, &FieldError{prefix, err.Error()}
 	}
-	if w.Balancers < 0 { // 0 or absent means unknown, and is taken as 1
+	if w.Routers < 0 { // 0 or absent means unknown, and is taken as 1
 		return aspenshed.Settings{}, &FieldError{prefix + "balancers", "not a positive number"}
 	}
 	limits, family, rules := w.Limits, w.FamilyInfo, w.Rules
 	s := aspenshed.Settings{
-		Routers: max(w.Balancers, 1), Rank: w.Rank, Zone: w.Zone, MinStepInterval: aspenshed.Nanos(w.QuantumNs),
-		OverQuotaValue: w.OverShareWorth, WatchDiscovery: w.Discovery == "on_request",
-		NotifiedAfter: aspenshed.Nanos(rules.AskWithinNs), ListHasRoles: family.ListRole == "late" || family.ListRole == "start",
-		PositionEpoch: aspenshed.Nanos(family.BaseTimeNs), ResponsesHavePosition: family.TellsPosition,
+		Routers: max(w.Routers, 1), Rank: w.Rank, Zone: w.Zone, MinStepInterval: aspenshed.Nanos(w.MinStepIntervalNs),
+		OverQuotaValue: w.OverQuotaValue, WatchDiscovery: w.Discovery == "on_request",
+		NotifiedAfter: aspenshed.Nanos(rules.NotifiedAfterNs), ListHasRoles: family.ListRole == "late" || family.ListRole == "start",
+		PositionEpoch: aspenshed.Nanos(family.PositionEpochNs), ResponsesHavePosition: family.ResponsesHavePosition,
 		ResponsesHaveReport: w.Telemetry.Source == "answers", TrackSessionWrites: family.TokenMode == "remembered",
-		MembersCheckStaleness: family.Checks == "wait" || family.Checks == "refuse", StalenessCheckWait: aspenshed.Nanos(family.WaitNs),
-		MayProbe: limits.Probes, MayCancel: limits.Cancelling, MayHedge: limits.ParallelTries, SendRetryAfter: limits.RetryAfter,
-		MaxAttempts: limits.SendCap, MaxRetryAfter: aspenshed.Nanos(limits.MaxRetryAfterNs),
-		ConnectTimeout: aspenshed.Nanos(limits.ConnectTimeoutNs), IdleTimeout: aspenshed.Nanos(limits.IdleCloseNs), ResponseSlack: aspenshed.Nanos(rules.AnswerSlackNs),
-		DrainGrace: aspenshed.Nanos(rules.DrainGraceNs), RemovalIsAdvisory: rules.RemovalNotBinding,
-		InitialCapacity: rules.StartCapacity, WarmUpTime: aspenshed.Nanos(rules.ColdNs), OverloadFactor: rules.FallMultiple,
-		OverloadWindow: aspenshed.Nanos(rules.FallNs), ProbeCost: w.Prices["probe"], CrossZoneCost: w.Prices["crossZone"],
+		MembersCheckStaleness: family.StalenessCheck == "wait" || family.StalenessCheck == "refuse", StalenessCheckWait: aspenshed.Nanos(family.StalenessCheckWaitNs),
+		MayProbe: limits.MayProbe, MayCancel: limits.MayCancel, MayHedge: limits.MayHedge, SendRetryAfter: limits.SendRetryAfter,
+		MaxAttempts: limits.MaxAttempts, MaxRetryAfter: aspenshed.Nanos(limits.MaxRetryAfterNs),
+		ConnectTimeout: aspenshed.Nanos(limits.ConnectTimeoutNs), IdleTimeout: aspenshed.Nanos(limits.IdleTimeoutNs), ResponseSlack: aspenshed.Nanos(rules.ResponseSlackNs),
+		DrainGrace: aspenshed.Nanos(rules.DrainGraceNs), RemovalIsAdvisory: rules.RemovalIsAdvisory,
+		InitialCapacity: rules.InitialCapacity, WarmUpTime: aspenshed.Nanos(rules.WarmUpTimeNs), OverloadFactor: rules.OverloadFactor,
+		OverloadWindow: aspenshed.Nanos(rules.OverloadWindowNs), ProbeCost: w.Prices["probe"], CrossZoneCost: w.Prices["crossZone"],
 		WastedWorkCost: w.Prices["waste"], LateFailureCost: w.Prices["lateFail"],
 		UnknownKeys: unknownKeys(tree, reflect.TypeOf(w), ""),
 	}
@@ -474,22 +474,22 @@
 		"fresh": aspenshed.Linearizable, "write": aspenshed.Write}
 	scopes := map[string]aspenshed.DedupScope{"all": aspenshed.DedupAll, "zone": aspenshed.DedupZone, "cell": aspenshed.DedupGroup}
 	for i, c := range w.Classes {
-		class := aspenshed.Class{Name: c.Name, LatencyTarget: aspenshed.Nanos(c.AimNs), ClientTimeout: aspenshed.Nanos(c.GiveUpNs), Value: c.Worth,
-			LateValue: c.LateWorth, RetrySafety: effects[c.Effect], DedupWindow: aspenshed.Nanos(c.RepeatWindowNs)}
-		if scope, ok := scopes[c.Group]; ok {
+		class := aspenshed.Class{Name: c.Name, LatencyTarget: aspenshed.Nanos(c.LatencyTargetNs), ClientTimeout: aspenshed.Nanos(c.ClientTimeoutNs), Value: c.Value,
+			LateValue: c.LateValue, RetrySafety: effects[c.RetrySafety], DedupWindow: aspenshed.Nanos(c.DedupWindowNs)}
+		if scope, ok := scopes[c.DedupScope]; ok {
 			class.DedupScope = scope
-		} else if c.Effect == "guarded" {
+		} else if c.RetrySafety == "guarded" {
 			class.RetrySafety = 0
 		}
-		if i < len(family.ReadLevel) {
-			class.Consistency = consistencies[family.ReadLevel[i]]
+		if i < len(family.Consistencies) {
+			class.Consistency = consistencies[family.Consistencies[i]]
 		}
-		if i < len(family.LagAllowedNs) {
-			class.MaxStaleness = aspenshed.Nanos(family.LagAllowedNs[i])
+		if i < len(family.MaxStalenessNs) {
+			class.MaxStaleness = aspenshed.Nanos(family.MaxStalenessNs[i])
 		}
 		s.Classes = append(s.Classes, class)
 	}
-	for _, t := range w.Customers {
+	for _, t := range w.Tenants {
 		s.Tenants = append(s.Tenants, aspenshed.Tenant{Name: t.Name, Quota: t.QuotaRps})
 	}
 	return s, nil
